--- /dev/null
+++ b/tests/encoded_examples.py
@@ -0,0 +1,477 @@
+"""What the files of ``encoded_forms`` say, as values of today's classes.
+
+Each value is built by keyword, so that two fields that change places are seen even where both are numbers. When a
+class or field is renamed, its name changes here, and no file does.
+"""
+
+from msgspec import Raw
+
+from alderbridge import config, mesh, wire
+from alderbridge.claims.records import Claim, Spent, Stops
+from alderbridge.declared.records import Head, Revision, head_key, piece_keys
+from alderbridge.hours import declaration as hours
+from alderbridge.jobs import JobState, Record, TaskState
+from alderbridge.lending import declaration as lending
+from alderbridge.lending import lender
+from alderbridge.machines import MachineState
+from alderbridge.replica import list_keys
+from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, ROOT, STOPS, TYPES, VIEW
+from alderbridge.urgency import declaration as priorities
+from alderbridge.urgency import rules
+from alderbridge.view import Presence, View
+
+JOB = wire.JobSpec(
+    id="wk-000017",
+    job_class="batch-fit",
+    team="forecasts",
+    kind="group",
+    priority="production",
+    tasks=12,
+    cpus=2.5,
+    memory_gb=6.25,
+    image="fit-3",
+    image_gb=1.75,
+    estimate_s=340.5,
+    gpus=0.5,
+    checkpoint_s=45.5,
+    save_s=3.5,
+    types=["g4", "m8"],
+    zone="north-1",
+    one_zone=True,
+    spread=True,
+    spot=True,
+    due_s=7200.5,
+    needs=["wk-000003", "wk-000004"],
+)
+JOB_REQUIRED = wire.JobSpec(
+    id="wk-000018",
+    job_class="batch-fit",
+    team="forecasts",
+    kind="sweep",
+    priority="best_effort",
+    tasks=3,
+    cpus=1.5,
+    memory_gb=2.5,
+    image="fit-3",
+    image_gb=0.75,
+    estimate_s=60.5,
+)
+MACHINE_TYPE = wire.MachineType(
+    name="g4",
+    cpus=16.5,
+    memory_gb=64.5,
+    price=3.25,
+    boot_s=40.5,
+    gpus=4.5,
+    cache_gb=200.5,
+    fetch_gb_per_s=0.75,
+    spot_price=1.25,
+    zones=["north-1", "south-2"],
+)
+MACHINE_TYPE_REQUIRED = wire.MachineType(name="m8", cpus=8.5, memory_gb=32.5, price=1.5, boot_s=30.5)
+
+QUEUE_ROW = mesh.QueueRow(
+    job="wk-000017",
+    waiting=9,
+    offer=8,
+    due_in_s=71.5,
+    run_s=340.5,
+    zone="north-1",
+    waited_s=12.5,
+    late=True,
+    guaranteed=False,
+    rank=3,
+    inherited=2,
+    turn=1,
+)
+QUEUE_ROW_OLDER = mesh.QueueRow(
+    job="wk-000017",
+    waiting=9,
+    offer=8,
+    due_in_s=71.5,
+    run_s=340.5,
+    zone=None,
+    waited_s=12.5,
+    late=False,
+    guaranteed=True,
+)
+
+# Messages between controllers, each in a frame.
+MESSAGES = {
+    "message-pulse": mesh.Pulse(),
+    "message-queue": mesh.Queue(
+        rows=[QUEUE_ROW],
+        used={"forecasts": (1.5, 2.5)},
+        held={"forecasts": (3.5, 4.5)},
+        want={"forecasts": (5.5, 6.5)},
+        allots=7,
+        silent=["host-2"],
+        given_up=["host-3"],
+        changes=55,
+    ),
+    "message-queue-changes": mesh.QueueChanges(at=812.5, rows=[QUEUE_ROW], gone=["wk-000009"], whole=True),
+    "message-team-changes": mesh.TeamChanges(
+        teams={"forecasts": mesh.TeamSums(used=(1.5, 2.5), held=(3.5, 4.5), want=(5.5, 6.5))}, allots=7, whole=True
+    ),
+    "message-status": mesh.Status(silent=["host-2"], given_up=["host-3"], changes=55),
+    "message-allot-changes": mesh.AllotChanges(teams={"forecasts": (7.5, 8.5)}),
+    "message-room": mesh.Room(
+        rows=[
+            mesh.RoomRow(
+                machine="vm-1",
+                type="g4",
+                zone="north-1",
+                spot=True,
+                state=MachineState.DRAINING,
+                idle_s=1.5,
+                free=(2.5, 3.5, 4.5),
+                ends=[(5.5, 6.5, 7.5, 8.5)],
+                silent_s=9.5,
+            )
+        ]
+    ),
+    "message-take": mesh.Take(take=4, job="wk-000017", machine="vm-1", zone="north-1", count=6),
+    "message-grant": mesh.Grant(take=4, job="wk-000017", machine="vm-1", tasks=[(5, 2)]),
+    "message-seen": mesh.Seen(
+        machine="vm-1",
+        zone="north-1",
+        upto=31,
+        tasks=[mesh.SeenTask(job="wk-000017", index=5, attempt=2, status="ended", cause="error")],
+        held=[("wk-000018", 6, 3)],
+    ),
+    "message-clear": mesh.Clear(machine="vm-1", job="wk-000017", index=5, attempt=2),
+    "message-halt": mesh.Halt(machine="vm-1", job="wk-000017", index=5, attempt=2, wind_down_s=3.5),
+    "message-allot": mesh.Allot(teams={"forecasts": (7.5, 8.5)}),
+    "message-drain": mesh.Drain(machines=["vm-1", "vm-2"]),
+    "message-gone": mesh.Gone(machines=["vm-1", "vm-2"]),
+    "message-show": mesh.Show(),
+    "message-tasks": mesh.Tasks(
+        rows=[
+            mesh.TaskRow(
+                machine="vm-1",
+                free=(2.5, 3.5, 4.5),
+                tasks=[("wk-000017", 5, 2, 61.5, True)],
+                images=["fit-3"],
+            )
+        ],
+        whole=True,
+    ),
+    "message-keep": mesh.Keep(gpus={"vm-1": 2.5}),
+    "message-ask": mesh.Ask(ask=14, what="withdraw", job="wk-000017"),
+    "message-reply": mesh.Reply(ask=14, status=404, body=b'{"error":"no such job"}'),
+}
+FRAMES = {
+    name: mesh.Frame(version="0.9.1", sender="host-1", mandate=21, seq=33, ack=32, body=body, incarnation=5)
+    for name, body in MESSAGES.items()
+}
+
+# Frames of older versions, which end before the newest fields.
+OLDER_FRAMES = {
+    name: mesh.Frame(version="0.1.0", sender="host-1", mandate=21, seq=33, ack=32, body=body)
+    for name, body in {
+        "older-message-pulse": mesh.Pulse(),
+        "older-message-queue": mesh.Queue(
+            rows=[QUEUE_ROW_OLDER],
+            used={"forecasts": (1.5, 2.5)},
+            held={"forecasts": (3.5, 4.5)},
+            want={"forecasts": (5.5, 6.5)},
+            allots=7,
+        ),
+        "older-message-tasks": mesh.Tasks(
+            rows=[mesh.TaskRow(machine="vm-1", free=(2.5, 3.5, 4.5), tasks=[("wk-000017", 5, 2, 61.5, True)])],
+            whole=True,
+        ),
+    }.items()
+}
+
+# Values in the store, written by this version.
+RECORDS = {
+    "record-job": Record(
+        state=JobState.ACTIVE,
+        home="host-1",
+        at=1700000000.25,
+        mark=8,
+        done=[(0, 3), (5, 6)],
+        spec=JOB,
+        more="8a7b6c5d/2",
+        ready_at=1700000100.5,
+        done_at=1700000200.75,
+    ),
+    "record-job-ended": Record(state=JobState.DONE, done_at=1700000200.75),
+    "record-waits-for": ["wk-000003", "wk-000004"],
+    "record-view": View(leader="host-1", members={"host-0": 3, "host-1": 7}, contact_s=4.5, loose=True),
+    "record-presence": Presence(permit=7, generation=6),
+    "record-machine": wire.MachineRecord(address="10.0.0.7:7001", type="g4", zone="north-1", spot=True),
+    "record-machine-types": wire.Flavours(flavours=[MACHINE_TYPE]),
+    "record-claim": Claim(
+        reason="serving",
+        job="wk-000017",
+        count=3,
+        victims=[("wk-000018", 6, 2)],
+        wind_down_s=3.5,
+        until=1700000060.5,
+        team="forecasts",
+        at=1700000000.25,
+    ),
+    "record-stops": Stops(tasks={4: 2, 6: 1}, first=1700000000.25),
+    "record-spent": Spent(stops={"forecasts/serving": [(1700000000, 3)]}),
+    "record-declaration": Head(
+        revision=4,
+        digest="d4",
+        parts=2,
+        at=1700000000.25,
+        before=Revision(revision=3, digest="d3", parts=1),
+    ),
+    "record-declaration-piece": b"part of a text",
+    "declared-hours": hours.Text(
+        calendars=[
+            hours.Calendar(
+                name="desk",
+                zone="Europe/Oslo",
+                week=[[(450, 945)], [(450, 945)], [(450, 945)], [(450, 945)], [(450, 945)], [(540, 720)], []],
+                dates=[(20811, [(480, 720)])],
+                holidays=[20454, 20545, 20546, 20548, 20549, 20574, 20587, 20590, 20597, 20598, 20812, 20813],
+                on_holidays=[(600, 660)],
+            ),
+            hours.Calendar(name="either", of="any", parts=["desk"]),
+        ],
+        classes=[
+            hours.Class(
+                owner="forecasts",
+                workload="batch-*",
+                calendar="desk",
+                ends=True,
+                run_factor=1.75,
+                stops=True,
+                warm_up_s=120.5,
+                spread_s=90.5,
+            )
+        ],
+    ),
+    "declared-lending": lending.Text(
+        serve=[lending.Serve(owner="forecasts", workload="llm-*")],
+        lend=[
+            lending.Lend(owner="*", workload="fine-tune", least_run_s=21.5, most_stops=4, waits_at_most_s=901.5),
+        ],
+        reserve={"forecasts": 5.5},
+        gpus_a_minute=65,
+        gpus_at_once=33,
+        keep_s=31.5,
+    ),
+    "declared-priorities": priorities.Text(
+        classes=[
+            priorities.PriorityClass(
+                owner="forecasts",
+                name="urgent",
+                workloads=["storm-*", "flood"],
+                urgency=["high", "production"],
+                may_preempt=["urgent"],
+                preemptible=True,
+                stops_a_minute=61,
+                stops_at_once=21,
+                share=0.25,
+                least_run_s=11.5,
+                most_stops=3,
+                waits_at_most_s=601.5,
+            )
+        ]
+    ),
+}
+
+# Values in the store, written by older versions or with nothing but what has to be there.
+OLDER_RECORDS = {
+    "older-record-job": Record(state=JobState.ABORTED),
+    "older-record-job-with-spec": Record(state=JobState.ACTIVE, home="host-1", at=1700000000.25, spec=JOB_REQUIRED),
+    "older-record-view": View(leader="host-1", members={"host-0": 3}),
+    "older-record-presence": Presence(permit=7, generation=1),
+    "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
+    "older-record-machine-types": wire.Flavours(flavours=[MACHINE_TYPE_REQUIRED]),
+    "older-record-spent": Spent(stops={}),
+    "older-record-declaration": Head(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
+    "older-record-declaration-first": Head(
+        revision=4, digest="d4", parts=2, at=1700000000.25, before=Revision(revision=0, digest="", parts=0)
+    ),
+    "older-declared-hours": hours.Text(
+        calendars=[hours.Calendar(name="always")],
+        classes=[hours.Class(owner="forecasts", workload="batch-*", calendar="always", run_factor=1.4, spread_s=60.0)],
+    ),
+    "older-declared-lending": lending.Text(serve=[], lend=[], reserve={}, gpus_a_minute=0, gpus_at_once=0, keep_s=0.0),
+    "older-declared-priorities": priorities.Text(classes=[]),
+}
+
+# Bodies that others send to a controller, filled in.
+RECEIVED = {
+    "received-job": JOB,
+    "received-heartbeat": wire.Beat(
+        machine="vm-1",
+        address="10.0.0.7:7001",
+        type="g4",
+        tenure=3,
+        counter=41,
+        mandate=21,
+        zone="north-1",
+        spot=True,
+        recall_s=25.5,
+        tasks=[wire.ReportedTask(part="wk-000017/5", attempt=2, status="ended", cause="error")],
+    ),
+    "received-store-row": wire.Row(key="ab/view", data=Raw(b'{"leader":"host-1"}'), stamp=21),
+    "received-store-rows": wire.Rows(
+        rows=[wire.Row(key="ab/view", data=Raw(b'{"leader":"host-1"}'), stamp=21)], epoch=77, has_next=True
+    ),
+    "received-store-changes": wire.Changes(
+        epoch=77, log=[wire.Change(put="ab/n/vm-1", drop="ab/n/vm-2", data=Raw(b'{"spot":true}'), stamp=76)]
+    ),
+    "received-store-committed": wire.Committed(epoch=78, failed=["ab/view"]),
+    "received-store-hold": wire.Hold(permit=7),
+    "received-cloud-listing": wire.Listing(
+        hosts=[wire.Listed(id="vm-1", type="g4", status="failed", held_s=61.5, zone="north-1", spot=True)],
+        has_next=True,
+    ),
+    "received-cloud-rented": wire.Rented(hosts=["vm-1", "vm-2"]),
+    "received-cloud-types": wire.Flavours(flavours=[MACHINE_TYPE]),
+}
+
+# The same with nothing but what has to be there.
+RECEIVED_REQUIRED = {
+    "required-job": JOB_REQUIRED,
+    "required-heartbeat": wire.Beat(
+        machine="vm-1",
+        address="10.0.0.7:7001",
+        type="g4",
+        tenure=3,
+        counter=41,
+        mandate=21,
+        zone="",
+        spot=False,
+        recall_s=None,
+        tasks=[],
+    ),
+    "required-heartbeat-task": wire.ReportedTask(part="wk-000017/5", attempt=2, status="running", cause=None),
+    "required-store-rows": wire.Rows(rows=[], epoch=77, has_next=False),
+    "required-store-changes": wire.Changes(
+        epoch=77,
+        log=[
+            wire.Change(put="ab/n/vm-1", drop=None, data=Raw(b'{"spot":true}'), stamp=76),
+            wire.Change(put=None, drop="ab/n/vm-2", data=Raw(b"null"), stamp=0),
+        ],
+    ),
+    "required-store-committed": wire.Committed(epoch=0, failed=[]),
+    "required-cloud-listing": wire.Listing(
+        hosts=[wire.Listed(id="vm-1", type="g4", status="up", held_s=61.5, zone="", spot=False)], has_next=False
+    ),
+}
+
+# Bodies that a controller sends, by the functions that make them.
+SENT = {
+    "sent-heartbeat-answer": wire.beat_answer(
+        21,
+        [
+            wire.run_order("wk-000017", 5, 2),
+            wire.halt_order("wk-000017", 6, 3, 3.5),
+            wire.clear_order("wk-000017", 7, 4),
+        ],
+    ),
+    "sent-acknowledgement": wire.acknowledge(21, 3),
+    "sent-accepted": wire.accepted("wk-000017", "pending"),
+    "sent-job-status": wire.job_status("wk-000017", JobState.ACTIVE.value, 4, 2),
+    "sent-error": wire.error("no such job"),
+    "sent-rental": wire.rental("hire-1", "g4", "north-1", True, 6),
+}
+
+# Keys in the store, and texts that stand for states.
+TEXTS = {
+    "store-keys": {
+        "all": ROOT,
+        "view": VIEW,
+        "presence": MEMBERS + "host-1",
+        "machine types": TYPES,
+        "job": JOBS + "wk-000017",
+        "machine": MACHINES + "vm-1",
+        "what a job waits for": LISTS,
+        "lists of one job": list_keys("wk-000017", "8a7b6c5d/2"),
+        "no lists": list_keys("wk-000017", ""),
+        "declarations": DECLARED,
+        "declaration": head_key("hours"),
+        "pieces of a declaration": piece_keys("hours", Revision(revision=4, digest="d4", parts=2)),
+        "claim": CLAIMS + "vm-1",
+        "budgets": BUDGETS,
+        "stops": STOPS + "wk-000017",
+    },
+    "texts": {
+        "job: active, done, aborted": [JobState.ACTIVE, JobState.DONE, JobState.ABORTED],
+        "task: waiting, granted, fetching, running, saving, unknown, done": [
+            TaskState.WAITING,
+            TaskState.GRANTED,
+            TaskState.FETCHING,
+            TaskState.RUNNING,
+            TaskState.SAVING,
+            TaskState.UNKNOWN,
+            TaskState.DONE,
+        ],
+        "machine: expected, up, draining, lapsed, gone": [
+            MachineState.EXPECTED,
+            MachineState.UP,
+            MachineState.DRAINING,
+            MachineState.LAPSED,
+            MachineState.GONE,
+        ],
+        "priorities, lowest first": wire.PRIORITIES,
+        "reasons of claims, for priority and for lent GPUs": [rules.REASON, lender.REASON],
+        "kinds of declarations": list(config.KINDS),
+    },
+}
+
+# Settings of the platform, and of operators.
+PLATFORM = {
+    "settings-platform": config.Platform(
+        label="host-1",
+        location="north-1",
+        listen="10.0.0.1:8001",
+        mesh_addr="10.0.0.1:9001",
+        peers=[config.Peer(label="host-2", location="south-2", addr="10.0.0.2:9001")],
+        endpoints=config.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
+        settings=config.Shared(
+            zones=["north-1", "south-2"],
+            teams=[config.Team(name="forecasts", cpus=10.5, cpus_max=20.5, gpus=1.5, gpus_max=2.5)],
+            workers=config.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
+            state=config.State(
+                rps=50.5,
+                write_rps=20.5,
+                value_kb=64.5,
+                txn_ops=32,
+                next=config.NextState(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
+            ),
+            cloud=config.Cloud(rps=5.5, list_lag_s=3.5),
+            limits=config.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
+            objectives=[config.Objective(kind="wait", job_class="batch-fit", within_s=60.5, share=0.95, times=1.25)],
+            skew_ms=200.5,
+        ),
+    ),
+    "settings-platform-required": config.Platform(
+        label="host-1",
+        location="north-1",
+        listen="10.0.0.1:8001",
+        mesh_addr="10.0.0.1:9001",
+        peers=[],
+        endpoints=config.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
+        settings=config.Shared(
+            zones=["north-1"],
+            teams=[config.Team(name="forecasts", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
+            workers=config.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
+            state=config.State(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
+            cloud=config.Cloud(rps=5.5, list_lag_s=3.5),
+            limits=config.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
+            objectives=[config.Objective(kind="wait", job_class=None, within_s=None, share=0.0, times=None)],
+            skew_ms=0.0,
+        ),
+    ),
+}
+OPERATORS = config.Tuning(
+    target_ratio=0.55,
+    workload_multiplier=1.75,
+    queue_time_floor_s=4.5,
+    bid_share=0.65,
+    max_machines=123,
+    log_format="%(message)s",
+    declared={"priorities": "priorities.ini", "hours": "hours.ini", "lending": "lending.ini"},
+)
