--- a/alderbridge/claims/ledger.py
+++ b/alderbridge/claims/ledger.py
@@ -42,7 +42,7 @@
 @dataclass
 class Entry:
     claim: Claim
-    stamp: int
+    revision: int
     state: ClaimState = ClaimState.HELD
 
 
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}  # machine -> its claim in the store
         self.stops: dict[str, tuple[Stops, int]] = {}  # job -> its stops, and their stamp
-        self.spent, self.spent_stamp = Spent(), 0
+        self.spent, self.spent_revision = Spent(), 0
         self.planned: list[Group] = []
         self.dropping: dict[str, int] = {}  # machine -> stamp of the claim that is to go
         self.forgetting: dict[str, int] = {}  # job that is over -> stamp of its stops
@@ -97,16 +97,16 @@
 
     # -- facts of the store ------------------------------------------------
 
-    def clear(self, epoch: float = math.inf) -> None:
-        """All is read anew, as it was at ``epoch``: what went unseen until then must not stay.
+    def clear(self, revision: float = math.inf) -> None:
+        """All is read anew, as it was at ``revision``: what went unseen until then must not stay.
 
         But what was stored since then is, and what is on its way or in doubt is so still, unless a newer view is among
         what is read: planned without either, jobs that were stopped asked for others' room.
         """
-        self.entries = {machine: entry for machine, entry in self.entries.items() if entry.stamp > epoch}
-        self.stops = {job: known for job, known in self.stops.items() if known[1] > epoch}
-        if self.spent_stamp <= epoch:
-            self.spent, self.spent_stamp = Spent(), 0
+        self.entries = {machine: entry for machine, entry in self.entries.items() if entry.revision > revision}
+        self.stops = {job: known for job, known in self.stops.items() if known[1] > revision}
+        if self.spent_revision <= revision:
+            self.spent, self.spent_revision = Spent(), 0
         self.planned, self.dropping, self.forgetting = [], {}, {}
 
     def enter(self) -> None:
@@ -115,30 +115,30 @@
         for entry in self.entries.values():
             entry.state = ClaimState.HELD
 
-    def apply(self, key: str, data: bytes | msgspec.Raw | None, stamp: int, now: float = 0.0) -> None:
+    def apply(self, key: str, data: bytes | msgspec.Raw | None, revision: int, now: float = 0.0) -> None:
         """One change of a key of claims, from the replica; ``data`` None: it went."""
         if key == BUDGETS:
-            if stamp > self.spent_stamp:
-                self.spent, self.spent_stamp = (Spent() if data is None else _spent.decode(data)), stamp
+            if revision > self.spent_revision:
+                self.spent, self.spent_revision = (Spent() if data is None else _spent.decode(data)), revision
         elif key.startswith(STOPS):
             job = key[len(STOPS) :]
             known = self.stops.get(job)
-            if known is not None and stamp <= known[1]:
+            if known is not None and revision <= known[1]:
                 return
             self.forgetting.pop(job, None)
             if data is None:
                 self.stops.pop(job, None)
             else:
-                self.stops[job] = (_stops.decode(data), stamp)
+                self.stops[job] = (_stops.decode(data), revision)
         elif key.startswith(CLAIMS):
             machine = key[len(CLAIMS) :]
             known = self.entries.get(machine)
-            if known is not None and stamp <= known.stamp:
+            if known is not None and revision <= known.revision:
                 return
             if data is None:
                 self._dropped(machine)
             else:
-                self._hold(machine, _claim.decode(data), stamp)
+                self._hold(machine, _claim.decode(data), revision)
 
     # -- changes of state, one function each --------------------------------
 
@@ -147,8 +147,8 @@
         assert not self.busy
         self.planned = list(groups)
 
-    def _hold(self, machine: str, claim: Claim, stamp: int) -> None:
-        self.entries[machine] = Entry(claim, stamp)
+    def _hold(self, machine: str, claim: Claim, revision: int) -> None:
+        self.entries[machine] = Entry(claim, revision)
         self.dropping.pop(machine, None)
 
     def cleared(self, machine: str) -> None:
@@ -162,7 +162,7 @@
         entry = self.entries.get(machine)
         if entry is not None and entry.state is not ClaimState.DROPPED:
             entry.state = ClaimState.DROPPED
-            self.dropping[machine] = entry.stamp
+            self.dropping[machine] = entry.revision
             log.info("claim=%s state=dropped cause=%s for=%s", machine, cause, entry.claim.job)
 
     def _dropped(self, machine: str) -> None:
@@ -180,14 +180,14 @@
         """The next change, of at most ``most`` puts and drops; None: nothing is due, or one is under way."""
         if self.sent is not None:
             return None
-        if self.doubt is not None and self.doubt.conditions[BUDGETS] != self.spent_stamp:
+        if self.doubt is not None and self.doubt.conditions[BUDGETS] != self.spent_revision:
             self.doubt = None  # carried out, or never to be
         tx = Transaction()
         if self.doubt is not None:
-            tx.conditions[BUDGETS], tx.puts[BUDGETS] = self.spent_stamp, self.spent
+            tx.conditions[BUDGETS], tx.puts[BUDGETS] = self.spent_revision, self.spent
         elif self.dropping or self.forgetting:
-            keys = [(CLAIMS + machine, stamp) for machine, stamp in self.dropping.items()]
-            keys += [(STOPS + job, stamp) for job, stamp in self.forgetting.items()]
+            keys = [(CLAIMS + machine, revision) for machine, revision in self.dropping.items()]
+            keys += [(STOPS + job, revision) for job, revision in self.forgetting.items()]
             tx.conditions = dict(keys[:most])
             tx.drops = list(tx.conditions)
         else:
@@ -226,12 +226,12 @@
             tx.puts |= {CLAIMS + machine: claim for machine, claim in group.items()}
             tx.conditions |= dict.fromkeys((CLAIMS + machine for machine in group), 0)
         if tx.groups:
-            tx.puts[BUDGETS], tx.conditions[BUDGETS] = spent, self.spent_stamp
+            tx.puts[BUDGETS], tx.conditions[BUDGETS] = spent, self.spent_revision
             for job, stopped in stops.items():
                 tx.puts[STOPS + job] = stopped
                 tx.conditions[STOPS + job] = self.stops[job][1] if job in self.stops else 0
 
-    def done(self, tx: Transaction, stamp: int, now: float = 0.0) -> None:
+    def done(self, tx: Transaction, revision: int, now: float = 0.0) -> None:
         """The store holds it; the replica may have said so before.
 
         One that a newer view has overtaken is left to the replica: what it made may be gone again.
@@ -240,9 +240,9 @@
             return
         self.sent = None
         for key, value in tx.puts.items():
-            self.apply(key, msgspec.json.encode(value), stamp, now)
+            self.apply(key, msgspec.json.encode(value), revision, now)
         for key in tx.drops:
-            self.apply(key, None, stamp, now)
+            self.apply(key, None, revision, now)
         for group in tx.groups:
             for machine, claim in group.items():
                 log.info(
--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -9,16 +9,16 @@
 from .config import address
 from .net import Client
 
-_flavours = msgspec.json.Decoder(wire.Flavours)
-_listing = msgspec.json.Decoder(wire.Listing)
-_rented = msgspec.json.Decoder(wire.Rented)
+_machine_types = msgspec.json.Decoder(wire.MachineTypes)
+_listing = msgspec.json.Decoder(wire.MachineListing)
+_rented = msgspec.json.Decoder(wire.RentedMachines)
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """An outage or too many requests: not carried out."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None available for this type, zone and kind."""
 
 
@@ -29,22 +29,22 @@
     async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
         status, answer = await self.client.request(method, target, body, c.CLOUD_TIMEOUT_S)
         if status == 503 and b"no capacity" in answer:
-            raise NoCapacity(target)
+            raise NoCapacityError(target)
         if status != 200:
-            raise CloudTrouble(f"{target}: {status}")
+            raise CloudError(f"{target}: {status}")
         return answer
 
-    async def flavours(self) -> dict[str, wire.MachineType]:
+    async def machine_types(self) -> dict[str, wire.MachineType]:
         answer = await self._call("GET", "/flavors")
-        return {kind.name: kind for kind in _flavours.decode(answer).flavours}
+        return {kind.name: kind for kind in _machine_types.decode(answer).types}
 
     async def rent(self, name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
-        body = wire.rental(name, machine_type, zone, spot, count)
+        body = wire.rental_request(name, machine_type, zone, spot, count)
         return _rented.decode(await self._call("POST", "/rentals", body)).hosts
 
     async def give_back(self, machines: list[str]) -> None:
         await self._call("POST", "/rentals/return", wire.encode({"hosts": machines}))
 
-    async def page(self, after: str) -> wire.Listing:
+    async def page(self, after: str) -> wire.MachineListing:
         more = f"&from={after}" if after else ""
         return _listing.decode(await self._call("GET", f"/rentals?limit=500{more}"))
--- a/alderbridge/controller.py
+++ b/alderbridge/controller.py
@@ -14,16 +14,28 @@
 from . import constants as c
 from . import mesh as m
 from . import placement, wire
-from .cloud import Cloud, CloudTrouble, NoCapacity
+from .cloud import Cloud, CloudError, NoCapacityError
 from .config import Platform, Tuning, address
 from .declared import Declared
 from .jobs import JobState, Record
 from .leader import Decision
 from .machines import Machine
-from .net import Answer, Budget, Exchange, Reading, Server, Unanswered
+from .net import Answer, Budget, Exchange, Reading, Server, UnansweredError
 from .node import Batch, Node
 from .poll import Poll
-from .store import JOBS, MEMBERS, ROOT, TYPES, VIEW, HoldLost, Refused, Store, TooFast, TooLarge, TooOld
+from .store import (
+    JOBS,
+    MEMBERS,
+    ROOT,
+    TYPES,
+    VIEW,
+    LeaseExpiredError,
+    RateLimitedError,
+    Store,
+    StoreRefusedError,
+    TransactionTooLargeError,
+    WatchCompactedError,
+)
 from .view import Presence, Standing
 
 log = logging.getLogger("controller")
@@ -31,11 +43,11 @@
 _record = msgspec.json.Decoder(Record)
 
 LATER = [("Retry-After", str(c.RETRY_AFTER_S))]
-_TROUBLE = (Refused, Unanswered, TooLarge, msgspec.DecodeError)
+_TROUBLE = (StoreRefusedError, UnansweredError, TransactionTooLargeError, msgspec.DecodeError)
 
 
 def later(text: str) -> Answer:
-    return 503, wire.error(text), LATER
+    return 503, wire.error_body(text), LATER
 
 
 class Controller:
@@ -133,7 +145,7 @@
             for label in self.mesh.peers:
                 await group.spawn(self.mesh.send_to, label)
             for loop in (
-                self.keep_hold,
+                self.keep_store_lease,
                 self.keep_replica,
                 self.keep_view,
                 self.keep_records,
@@ -158,45 +170,45 @@
 
     # -- hold, replica, view -----------------------------------------------------
 
-    async def keep_hold(self) -> None:
-        hold = self.membership.hold
-        if not hold.permit:
-            await self.acquire_hold()
-        while hold.permit:
-            await curio.sleep(hold.ttl_s / c.HOLD_RENEWALS)
+    async def keep_store_lease(self) -> None:
+        store_lease = self.membership.store_lease
+        if not store_lease.lease_id:
+            await self.acquire_store_lease()
+        while store_lease.lease_id:
+            await curio.sleep(store_lease.ttl_s / c.HOLD_RENEWALS)
             if self.membership.removed():
-                log.info("hold=%d state=lost cause=removed from the view by a majority", hold.permit)
-                hold.lost()
+                log.info("hold=%d state=lost cause=removed from the view by a majority", store_lease.lease_id)
+                store_lease.lost()
                 return
             sent = now()
             try:
-                await self.store.extend(hold.permit)
-                hold.renewed(hold.permit, sent)
-            except HoldLost:
-                log.info("hold=%d state=lost", hold.permit)
-                hold.lost()
+                await self.store.renew_lease(store_lease.lease_id)
+                store_lease.renewed(store_lease.lease_id, sent)
+            except LeaseExpiredError:
+                log.info("hold=%d state=lost", store_lease.lease_id)
+                store_lease.lost()
             except _TROUBLE as error:
                 self.store_trouble()
-                log.info("hold=%d state=unsure cause=%s", hold.permit, error)
+                log.info("hold=%d state=unsure cause=%s", store_lease.lease_id, error)
 
-    async def acquire_hold(self) -> None:
+    async def acquire_store_lease(self) -> None:
         """Enter as a new incarnation; an earlier process of this label is dead."""
         key = MEMBERS + self.platform.label
         row = await self.store.get(key)
         sent = now()
-        permit = await self.store.hold(self.membership.hold.ttl_s)
+        lease_id = await self.store.grant_lease(self.membership.store_lease.ttl_s)
         # The key passes from one hold to the other in one step: were it gone for a moment, the
         # others would change the view twice, and workers are slow to see a second new mandate.
-        condition = {key: row.stamp if row is not None else 0}
-        done = await self.store.commit(condition, {key: Presence(permit, c.GENERATION)}, permit=permit)
+        condition = {key: row.revision if row is not None else 0}
+        done = await self.store.commit(condition, {key: Presence(lease_id, c.GENERATION)}, lease_id=lease_id)
         if done.failed:
-            await self.store.end(permit)
-            raise Refused("the key of this label has changed meanwhile")
-        self.node.held(permit, sent, now())
-        log.info("hold=%d state=held", permit)
+            await self.store.revoke_lease(lease_id)
+            raise StoreRefusedError("the key of this label has changed meanwhile")
+        self.node.held(lease_id, sent, now())
+        log.info("hold=%d state=held", lease_id)
         if row is not None:
             try:
-                await self.store.end(msgspec.json.decode(row.data, type=Presence).permit)
+                await self.store.revoke_lease(msgspec.json.decode(row.data, type=Presence).lease_id)
             except _TROUBLE as error:  # no key hangs on it any more: it ends by itself, and costs no second entry
                 log.debug("hold state=left behind cause=%s", error)
 
@@ -206,28 +218,28 @@
             sent = now()
             try:
                 # Well within the ttl, however short the deployment makes it: answers keep the view fresh.
-                wait_s = min(c.FOLLOW_WAIT_S, self.membership.hold.ttl_s / c.HOLD_RENEWALS)
-                changes = await self.store.follow(self.node.replica.epoch, wait_s)
-            except TooOld:
+                wait_s = min(c.FOLLOW_WAIT_S, self.membership.store_lease.ttl_s / c.HOLD_RENEWALS)
+                changes = await self.store.watch(self.node.replica.revision, wait_s)
+            except WatchCompactedError:
                 await self.load_replica()
                 continue
             self.followed(sent)
-            self.node.apply(changes.log, now(), time.time())
-            self.node.replica.epoch = max(self.node.replica.epoch, changes.epoch)
+            self.node.apply(changes.events, now(), time.time())
+            self.node.replica.revision = max(self.node.replica.revision, changes.revision)
             await self.ask_workers()
             await curio.sleep(c.FOLLOW_PAUSE_S)
 
     async def load_replica(self) -> None:
         """Read everything; following on from the first page's epoch repeats, and misses, nothing."""
-        page = await self.store.page(ROOT, None)
-        epoch, rows = page.epoch, list(page.rows)
+        page = await self.store.list_page(ROOT, None)
+        revision, rows = page.revision, list(page.rows)
         while page.has_next and page.rows:
-            page = await self.store.page(ROOT, rows[-1].key)
+            page = await self.store.list_page(ROOT, rows[-1].key)
             rows += page.rows
         sent = now()
-        changes = await self.store.follow_now(epoch)
+        changes = await self.store.watch_now(revision)
         self.followed(sent)
-        self.node.load(rows, changes.log, changes.epoch, now(), time.time())
+        self.node.load(rows, changes.events, changes.revision, now(), time.time())
 
     def followed(self, sent: float) -> None:
         """The store has answered what it was asked at ``sent``.
@@ -258,29 +270,29 @@
             and self.membership.may_act(now())
             and (machine := self.node.part.next_to_ask(now())) is not None
         ):
-            self.ask_worker(self.membership.mandate, *machine)
+            self.ask_worker(self.membership.fencing_token, *machine)
 
-    def ask_worker(self, mandate: int, name: str, worker: str, tenure: int, again: bool = True) -> None:
+    def ask_worker(self, fencing_token: int, name: str, worker: str, incarnation: int, again: bool = True) -> None:
         def done(answer: tuple[int, bytes] | None) -> None:
             self.asking.discard(exchange)
             try:
                 if answer is None:
-                    raise wire.Malformed("no answer")
+                    raise wire.MalformedBodyError("no answer")
                 status, body = answer
-                beat = wire.parse_beat(body)
-                if status == 409 and beat.tenure != tenure and again:
-                    return self.ask_worker(mandate, name, worker, beat.tenure, False)
-                if status == 200 and beat.machine == name and mandate == self.membership.mandate:
-                    self.node.asked(beat, now())
-            except wire.Malformed as error:
-                if mandate == self.membership.mandate:
+                heartbeat = wire.parse_heartbeat(body)
+                if status == 409 and heartbeat.incarnation != incarnation and again:
+                    return self.ask_worker(fencing_token, name, worker, heartbeat.incarnation, False)
+                if status == 200 and heartbeat.machine == name and fencing_token == self.membership.fencing_token:
+                    self.node.asked(heartbeat, now())
+            except wire.MalformedBodyError as error:
+                if fencing_token == self.membership.fencing_token:
                     self.node.part.asking.unanswered(name, now())
                 log.debug("machine=%s state=not asked cause=%s", name, error)
             self.ask_more()
 
         try:
             host, port = address(worker)
-            reading = Reading(host, "POST", "/commands", wire.acknowledge(mandate, tenure))
+            reading = Reading(host, "POST", "/commands", wire.acknowledge_request(fencing_token, incarnation))
             exchange = Exchange(self.poll, host, port, reading, done)
         except (OSError, ValueError, h11.ProtocolError) as error:
             self.node.part.asking.unanswered(name, now())
@@ -317,21 +329,21 @@
                 if done.failed:
                     await self.settle_conflict(batch, done.failed)
                 else:
-                    self.node.batch_done(batch, done.epoch, now())
+                    self.node.batch_done(batch, done.revision, now())
                     self.store_bad_until = 0.0
                 await self.after()
-            except TooLarge as error:
+            except TransactionTooLargeError as error:
                 self.node.batch_too_large(batch, now())
                 await self.after()
                 log.error("records state=too large changes=%d cause=%s", batch.changes, error)
                 await curio.sleep(c.ROUND_S)
-            except (*_TROUBLE, HoldLost) as error:
+            except (*_TROUBLE, LeaseExpiredError) as error:
                 self.node.batch_failed(batch, now())
-                if isinstance(error, TooFast):
+                if isinstance(error, RateLimitedError):
                     self.node.store_share.budget.spend(now(), max(0.0, self.node.store_share.budget.available(now())))
                 else:
                     self.store_trouble()
-                    if isinstance(error, Refused):
+                    if isinstance(error, StoreRefusedError):
                         self.node.refuse_submissions()
                         await self.after()
                 log.info("records state=unsure cause=%s", error)
@@ -375,33 +387,40 @@
             if not asked or self.membership.leads(now()):
                 try:
                     if self.cloud_budget.take(now()):
-                        node.learn_types(await self.cloud.flavours())
+                        node.learn_types(await self.cloud.machine_types())
                         asked = True
                         await self.store_types()
-                except (CloudTrouble, NoCapacity, Refused, HoldLost, Unanswered, msgspec.DecodeError) as error:
+                except (
+                    CloudError,
+                    NoCapacityError,
+                    StoreRefusedError,
+                    LeaseExpiredError,
+                    UnansweredError,
+                    msgspec.DecodeError,
+                ) as error:
                     log.info("cloud state=trouble cause=%s", error)
             await curio.sleep(c.FLAVOURS_S if asked else c.LEADER_ROUND_S)
 
     async def store_types(self) -> None:
         """A controller that starts while the cloud is out of reach reads them there."""
-        flavours = self.node.types_to_store()
-        if flavours is not None:
-            conditions = {VIEW: self.membership.mandate, TYPES: self.node.replica.types_stamp}
+        machine_types = self.node.types_to_store()
+        if machine_types is not None:
+            conditions = {VIEW: self.membership.fencing_token, TYPES: self.node.replica.types_revision}
             try:
-                await self.store.commit(conditions, {TYPES: flavours})
-            except TooLarge:
-                self.node.value_too_large(len(wire.encode(flavours)))
+                await self.store.commit(conditions, {TYPES: machine_types})
+            except TransactionTooLargeError:
+                self.node.value_too_large(len(wire.encode(machine_types)))
 
     async def keep_machines(self) -> None:
         """The leader's round: list, decide, rent, give back."""
         listed_at = float("-inf")
-        mandate = 0
+        fencing_token = 0
         while True:
             await curio.sleep(c.LEADER_ROUND_S)
             if not self.membership.leads(now()) or not self.node.types:
                 continue
-            if mandate != self.membership.mandate:
-                mandate, listed_at = self.membership.mandate, float("-inf")
+            if fencing_token != self.membership.fencing_token:
+                fencing_token, listed_at = self.membership.fencing_token, float("-inf")
             try:
                 if now() - listed_at >= c.LIST_S and self.cloud_budget.take(now()):
                     listed_at = now()
@@ -409,11 +428,11 @@
                 # What one call did not fill, another kind may: at once, while the budget lasts.
                 while await self.carry_out(self.node.leader.decide(now())) and self.cloud_budget.available(now()) >= 1:
                     pass
-            except (CloudTrouble, Unanswered, msgspec.DecodeError) as error:
+            except (CloudError, UnansweredError, msgspec.DecodeError) as error:
                 log.info("cloud state=trouble cause=%s", error)
 
     async def list_machines(self) -> None:
-        hosts: list[wire.Listed] = []
+        hosts: list[wire.ListedMachine] = []
         after = ""
         while True:
             page = await self.cloud.page(after)
@@ -434,7 +453,7 @@
             if not self.membership.leads(now()) or not self.cloud_budget.take(now()):
                 break
             self.rent_names += 1
-            name = f"{self.platform.label}-{self.membership.mandate}-{self.rent_names}"
+            name = f"{self.platform.label}-{self.membership.fencing_token}-{self.rent_names}"
             try:
                 names = await self.cloud.rent(name, kind.type, kind.zone, kind.spot, count)
                 log.info(
@@ -444,7 +463,7 @@
                 if len(names) < count:
                     short = True
                     leader.on_refused(kind, now())
-            except NoCapacity:
+            except NoCapacityError:
                 log.info("rent type=%s zone=%s spot=%s state=refused", kind.type, kind.zone, kind.spot)
                 short = True
                 leader.on_refused(kind, now())
@@ -462,7 +481,7 @@
     ) -> Answer | Awaitable[Answer] | None:
         path = target.split("?", 1)[0]
         if path == "/agent/beat":
-            return self.on_beat(body, reply) if method == "POST" else _wrong_method("POST")
+            return self.on_heartbeat(body, reply) if method == "POST" else _wrong_method("POST")
         if path == "/healthz":
             return self.health() if method == "GET" else _wrong_method("GET")
         if path == "/v1/jobs":
@@ -473,14 +492,14 @@
                 return self.status_now(job, reply) if method == "GET" else _wrong_method("GET")
             if action == "withdraw":
                 return self.withdraw(job) if method == "POST" else _wrong_method("POST")
-        return 404, wire.error("no such path"), []
+        return 404, wire.error_body("no such path"), []
 
     def health(self) -> Answer:
         standing = self.membership.standing(now())
         # Lapsed in an outage that all share it stays: it can tell of ended jobs, and is there when the store is. Not so
         # one that others may have replaced: users whose connections stay with it would be told nothing of any job.
         overtaken = any(
-            ch.peer_mandate > self.membership.mandate for ch in self.node.channels.values()
+            ch.peer_fencing_token > self.membership.fencing_token for ch in self.node.channels.values()
         ) or self.membership.contact.alone(now())
         if not self.node.loaded or standing is Standing.OUTSIDE or (standing is Standing.LAPSED and overtaken):
             return later("not taking part")
@@ -488,42 +507,42 @@
 
     # -- workers
 
-    def on_beat(self, body: bytes, reply: Callable[[Answer], None]) -> Answer | None:
+    def on_heartbeat(self, body: bytes, reply: Callable[[Answer], None]) -> Answer | None:
         try:
-            beat = wire.parse_beat(body)
-        except wire.Malformed as error:
-            return 400, wire.error(str(error)), []
+            heartbeat = wire.parse_heartbeat(body)
+        except wire.MalformedBodyError as error:
+            return 400, wire.error_body(str(error)), []
         node = self.node
         if not node.loaded or not self.membership.may_act(now()):
             return later("not entitled")
-        owner = self.membership.report_to(beat.machine)
-        if beat.mandate > self.membership.mandate:
+        owner = self.membership.report_to(heartbeat.machine)
+        if heartbeat.fencing_token > self.membership.fencing_token:
             return later("a newer view has begun")  # a 200 would be dropped, and hold the worker here for its lease
         if owner != node.me:
             return 421, wire.encode({"steward": owner}), []
-        mandate = self.membership.mandate
-        machine = node.beat(beat, now())
+        fencing_token = self.membership.fencing_token
+        machine = node.on_heartbeat(heartbeat, now())
         if machine is None:
             return later("not the newest report")
         if machine.reserved:  # other homes answer within a few ms
-            self.taking.setdefault(machine, []).append((mandate, reply))
+            self.taking.setdefault(machine, []).append((fencing_token, reply))
             self.takes.append((now() + c.TAKE_WAIT_S, machine))
             return None
-        return self.beat_answer(machine, mandate)
+        return self.heartbeat_response(machine, fencing_token)
 
-    def beat_answer(self, machine: Machine, mandate: int) -> Answer:
-        if mandate != self.membership.mandate or not self.membership.may_act(now()):
+    def heartbeat_response(self, machine: Machine, fencing_token: int) -> Answer:
+        if fencing_token != self.membership.fencing_token or not self.membership.may_act(now()):
             return later("not entitled")
-        return 200, wire.beat_answer(mandate, self.node.part.orders(machine)), []
+        return 200, wire.heartbeat_response(fencing_token, self.node.part.orders(machine)), []
 
     def settle(self, machine: object) -> None:
         """Answer the reports that wait for its grants."""
-        for mandate, reply in self.taking.pop(machine, ()):
+        for fencing_token, reply in self.taking.pop(machine, ()):
             try:
-                answer = self.beat_answer(machine, mandate)
+                answer = self.heartbeat_response(machine, fencing_token)
             except Exception:
                 log.exception("report failed machine=%s", machine.name)
-                answer = 500, wire.error("internal"), []
+                answer = 500, wire.error_body("internal"), []
             reply(answer)
 
     # -- users
@@ -531,10 +550,10 @@
     async def submit(self, body: bytes) -> Answer:
         try:
             spec = wire.parse_job(body)
-        except wire.Malformed as error:
+        except wire.MalformedBodyError as error:
             # Whatever has become of the body of a retry: an accepted job is never refused, here or elsewhere.
-            job = wire.named(body)
-            return await self.never(job, str(error), 400) if job else (400, wire.error(str(error)), [])
+            job = wire.job_id_in(body)
+            return await self.never(job, str(error), 400) if job else (400, wire.error_body(str(error)), [])
         node = self.node
         if node.known(spec.id):
             return await self.known(spec.id)
@@ -560,7 +579,7 @@
             return await self.never(spec.id, "the job's description is too long", 400)
         if submission.outcome == "accepted":
             ended = node.replica.ended.get(spec.id)
-            return 201, wire.accepted(spec.id, "pending" if ended is None else ended.value), []
+            return 201, wire.accepted_body(spec.id, "pending" if ended is None else ended.value), []
         return await self.known(spec.id)
 
     async def check_needs(self, spec: wire.JobSpec) -> Answer | None:
@@ -581,13 +600,13 @@
                 return later("the state service is out of reach")
             if row is None:
                 return await self.never(spec.id, f"waits_on: {need} was never accepted")
-            node.saw_end(need, _record.decode(row.data), row.stamp)
+            node.saw_end(need, _record.decode(row.data), row.revision)
         return None
 
     async def never(self, job: str, why: str, refusal: int = 422) -> Answer:
         """A job that is known is never told this, so the store is asked before."""
         status = await self.status(job)
-        return (refusal, wire.error(why), []) if status[0] == 404 else status
+        return (refusal, wire.error_body(why), []) if status[0] == 404 else status
 
     def never_runs(self, spec: wire.JobSpec) -> str:
         team = next((team for team in self.platform.settings.teams if team.name == spec.team), None)
@@ -610,10 +629,10 @@
     def status_now(self, job: str, reply: Callable[[Answer], None]) -> Answer | Awaitable[Answer] | None:
         """``status`` without a task where memory has the answer, here or at the job's home."""
         if not wire.JOB_ID.match(job):
-            return 404, wire.error("no such job"), []
+            return 404, wire.error_body("no such job"), []
         state = self.node.state_here(job, now())
         if state is not None:
-            return self.noted(job, (200, wire.job_status(job, *state), []))
+            return self.noted(job, (200, wire.job_status_body(job, *state), []))
         home = self.node.home_of(job)
         if not home or home == self.node.me:
             return self.status_stored(job)
@@ -638,14 +657,14 @@
             reply(await self.status_stored(job))
         except Exception:
             log.exception("status failed job=%s", job)
-            reply((500, wire.error("internal"), []))
+            reply((500, wire.error_body("internal"), []))
 
     async def status(self, job: str) -> Answer:
         if not wire.JOB_ID.match(job):
-            return 404, wire.error("no such job"), []
+            return 404, wire.error_body("no such job"), []
         state = self.node.state_here(job, now())
         if state is not None:
-            return self.noted(job, (200, wire.job_status(job, *state), []))
+            return self.noted(job, (200, wire.job_status_body(job, *state), []))
         home = self.node.home_of(job)
         reply = await self.ask(home, "status", job) if home and home != self.node.me else None
         return self.noted(job, reply) if reply is not None else await self.status_stored(job)
@@ -660,7 +679,7 @@
         """
         ended = self.node.replica.ended.get(job)
         if ended is not None:
-            answer = 200, wire.job_status(job, ended.value, 0, 0), []
+            answer = 200, wire.job_status_body(job, ended.value, 0, 0), []
         if answer[0] != 503:
             if self.unanswered:
                 self.unanswered.pop(job, None)
@@ -685,17 +704,17 @@
         if row is None and self.node.known(job):
             return later("stored a moment ago")  # read before that, and its user may have been told since
         if row is None:
-            return 404, wire.error("no such job"), []
+            return 404, wire.error_body("no such job"), []
         record = _record.decode(row.data)
         if record.state is not JobState.ACTIVE:
-            return 200, wire.job_status(job, record.state.value, 0, 0), []
+            return 200, wire.job_status_body(job, record.state.value, 0, 0), []
         if record.spec is not None and (record.spec.needs or record.more) and not self.node.surely_pending(job, now()):
             return later("not known here yet")  # a job before it may be aborted, and others may have told so
-        return 200, wire.job_status(job, "pending", sum(b - a for a, b in record.done), 0), []
+        return 200, wire.job_status_body(job, "pending", sum(b - a for a, b in record.done), 0), []
 
     async def withdraw(self, job: str) -> Answer:
         if not wire.JOB_ID.match(job):
-            return 404, wire.error("no such job"), []
+            return 404, wire.error_body("no such job"), []
         home = self.node.home_of(job)
         if home == self.node.me or job in self.node.replica.ended:
             return await self.withdraw_here(job)
@@ -713,7 +732,7 @@
             if not await self.wait_for(job, c.SUBMIT_WAIT_S):
                 return later("the state service is slow")
             state = self.node.replica.ended[job].value
-        return 200, wire.accepted(job, state), []
+        return 200, wire.accepted_body(job, state), []
 
     # -- questions between controllers
 
@@ -737,7 +756,7 @@
     def answer_status(self, label: str, ask: m.Ask) -> None:
         """From memory, so nothing has to wait for it."""
         state = self.node.state_here(ask.job, now())
-        status, body = (503, b"") if state is None else (200, wire.job_status(ask.job, *state))
+        status, body = (503, b"") if state is None else (200, wire.job_status_body(ask.job, *state))
         self.node.tell(label, m.Reply(ask.ask, status, body))
 
     async def answer_ask(self, label: str, ask: m.Ask) -> None:
@@ -747,4 +766,4 @@
 
 
 def _wrong_method(allowed: str) -> Answer:
-    return 405, wire.error("wrong method"), [("Allow", allowed)]
+    return 405, wire.error_body("wrong method"), [("Allow", allowed)]
--- a/alderbridge/declared/declarations.py
+++ b/alderbridge/declared/declarations.py
@@ -51,7 +51,7 @@
         self.file = State.UNREAD
         self.kept = State.UNREAD
         self.head: Head | None = None
-        self.stamp = 0
+        self.store_revision = 0
         self.alone_at = float("inf")  # from when the head's text is obeyed alone
         self.pieces: dict[str, bytes] = {}  # of texts in the replica, named by a head or not
         self.arrived: tuple[Head, int] | None = None  # and not looked at yet
@@ -90,10 +90,10 @@
         else:
             self._say(self.own, "refused", f"the store has another text of this revision, {self.head.digest}", True)
 
-    def _store(self, head: Head, stamp: int, now: float, wait_s: float) -> None:
+    def _store(self, head: Head, store_revision: int, now: float, wait_s: float) -> None:
         """A head has arrived: the same one again goes on with its time."""
         same = self.head is not None and self.head.last == head.last
-        self.head, self.stamp = head, stamp
+        self.head, self.store_revision = head, store_revision
         if not same:
             self.kept, self.alone_at = State.STORED, now + wait_s
             self._say(head, "stored")
@@ -121,9 +121,9 @@
     def look(self, now: float, wait_s: float) -> None:
         """After changes of the store have arrived."""
         if self.arrived is not None:
-            head, stamp = self.arrived
+            head, store_revision = self.arrived
             self.arrived = None
-            self._store(head, stamp, now, wait_s)
+            self._store(head, store_revision, now, wait_s)
             if head.before is None and self.kept is State.STORED:
                 self._enforce()
         if self.head is None:
@@ -185,7 +185,10 @@
             if head.before is not None or (self.stale and room > 1):
                 settled = Head(head.revision, head.digest, head.parts, head.at)
                 return Proposal(
-                    self.kind, {head_key(self.kind): self.stamp}, {head_key(self.kind): settled}, self.stale[: room - 1]
+                    self.kind,
+                    {head_key(self.kind): self.store_revision},
+                    {head_key(self.kind): settled},
+                    self.stale[: room - 1],
                 )
         return None
 
@@ -206,7 +209,7 @@
         last = Revision(own.revision, own.digest, parts_of(own.text, value_bytes))
         keys = piece_keys(self.kind, last)
         # Nobody drops a text but with a change of the head: what the replica has at this stamp is there.
-        proposal = Proposal(self.kind, {head_key(self.kind): self.stamp})
+        proposal = Proposal(self.kind, {head_key(self.kind): self.store_revision})
         most = min(room, max(1, c.MAX_BODY * 3 // 4 // value_bytes))
         left = [
             (key, piece)
@@ -243,7 +246,7 @@
         self.unreadable = False  # a text that counts can't be read here: the replica is not understood
         self.rests_until = float("-inf")
 
-    def apply(self, key: str, data: bytes | None, stamp: int) -> None:
+    def apply(self, key: str, data: bytes | None, store_revision: int) -> None:
         """A change of the store, in order; ``data`` None: dropped. ``look`` follows when all of them are in."""
         kind, _, piece = key[len(DECLARED) :].partition("/")
         if kind not in KINDS:
@@ -255,8 +258,10 @@
             declaration.pieces.pop(key, None)
         elif piece:
             declaration.pieces[key] = _piece.decode(data)
-        elif data is not None and stamp > max(declaration.stamp, declaration.arrived[1] if declaration.arrived else 0):
-            declaration.arrived = _head.decode(data), stamp
+        elif data is not None and store_revision > max(
+            declaration.store_revision, declaration.arrived[1] if declaration.arrived else 0
+        ):
+            declaration.arrived = _head.decode(data), store_revision
         self.changed = True
 
     def reload(self) -> None:
@@ -305,19 +310,19 @@
                 return proposal
         return None
 
-    def done(self, proposal: Proposal, stamp: int, now: float) -> None:
+    def done(self, proposal: Proposal, store_revision: int, now: float) -> None:
         """Carried out: known here before the change comes back.
 
         Not where the replica has a newer head already: what was put may be dropped by it, and what was dropped put
         again. A text counted on that is not in the store would be named by a head that nobody can read.
         """
         declaration = self.kinds[proposal.kind]
-        if max(declaration.stamp, declaration.arrived[1] if declaration.arrived else 0) >= stamp:
+        if max(declaration.store_revision, declaration.arrived[1] if declaration.arrived else 0) >= store_revision:
             return
         for key, value in proposal.puts.items():
-            self.apply(key, msgspec.json.encode(value), stamp)
+            self.apply(key, msgspec.json.encode(value), store_revision)
         for key in proposal.drops:
-            self.apply(key, None, stamp)
+            self.apply(key, None, store_revision)
         self.look(now)
 
     def failed(self, proposal: Proposal, now: float) -> None:
--- a/alderbridge/jobs.py
+++ b/alderbridge/jobs.py
@@ -122,7 +122,7 @@
 
 
 class Job:
-    def __init__(self, record: Record, stamp: int, now: float, age_s: float, fresh: bool = False) -> None:
+    def __init__(self, record: Record, revision: int, now: float, age_s: float, fresh: bool = False) -> None:
         """``fresh``: accepted here just now, so nothing below the mark was started yet."""
         assert record.spec is not None
         self.spec = record.spec
@@ -138,7 +138,7 @@
         self.ready_at = record.ready_at
         self.state = record.state
         self.stored_state = record.state
-        self.stamp = stamp
+        self.revision = revision
         self.mark = record.mark  # as the store has it
         self.mark_wanted = record.mark
         self.done = Ranges(record.done)
@@ -427,7 +427,7 @@
         self.value_bytes = value_bytes
         self.part_of: Callable[[str], str] = lambda machine: ""
         self.attempts = 0
-        self.mandate = 0
+        self.fencing_token = 0
         self.barrier = Barrier({})  # machines that inherited tasks may still be on
         self.allots = 0
         self.settled = False  # every member acts under this view, or not at all
@@ -440,7 +440,7 @@
 
     # -- view and inheritance ----------------------------------------------
 
-    def enter(self, mandate: int, jobs: dict[str, Job], machines: Mapping[str, MachineRecord]) -> None:
+    def enter(self, fencing_token: int, jobs: dict[str, Job], machines: Mapping[str, MachineRecord]) -> None:
         """A new view: ``jobs`` is all this home serves, ``machines`` all recorded ones.
 
         Runs are kept; what their machine's part may have lost is settled when the
@@ -449,7 +449,7 @@
         of that may have been lost with the older view, and nobody would repeat it: such
         jobs hung for ever (docs/incidents/zone-lost-proof.md).
         """
-        self.mandate = mandate
+        self.fencing_token = fencing_token
         self.settled = False
         self.attempts = 0
         for job in self.jobs.values():
@@ -654,7 +654,7 @@
         if job.spec.gang and job.runs:
             return next(iter(job.runs.values())).attempt
         self.attempts += 1
-        return (self.mandate << 24) + self.attempts
+        return (self.fencing_token << 24) + self.attempts
 
     def _team_room(self, job: Job) -> int:
         if not self.usage.limited(job.spec.team):
@@ -702,7 +702,7 @@
             del self.there[machine]
         if self.barrier.strike(seen.machine):
             if not self.barrier:
-                log.info("barrier state=lifted mandate=%d", self.mandate)
+                log.info("barrier state=lifted mandate=%d", self.fencing_token)
             self._lift()
 
     def _seen_task(self, label: str, seen: Seen, task: SeenTask, now: float) -> None:
@@ -817,9 +817,9 @@
             elif not job.full or job.stored_state is JobState.ACTIVE:
                 del lagging[job.spec.id]  # the next change puts it back
 
-    def written(self, job: Job, record: Record, stamp: int, cleared: list[tuple[str, int, int]], now: float) -> None:
+    def written(self, job: Job, record: Record, revision: int, cleared: list[tuple[str, int, int]], now: float) -> None:
         """The store holds ``record``, which counts the results in ``cleared``."""
-        job.stamp = stamp
+        job.revision = revision
         job.last_write = now
         job.mark = max(job.mark, record.mark)
         if record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
--- a/alderbridge/leader.py
+++ b/alderbridge/leader.py
@@ -27,7 +27,7 @@
 from .queues import HomeQueues
 from .recovery import HoldBack, Knowledge
 from .replica import Replica
-from .wire import JobSpec, Listed, MachineType
+from .wire import JobSpec, ListedMachine, MachineType
 
 log = logging.getLogger("leader")
 
@@ -133,7 +133,7 @@
     def on_refused(self, kind: Kind, now: float) -> None:
         self.market.refused_until[kind] = now + c.REFUSED_PAUSE_S
 
-    def on_listing(self, hosts: list[Listed], now: float) -> None:
+    def on_listing(self, hosts: list[ListedMachine], now: float) -> None:
         self.listed = True
         self.listings += 1
         present = {host.id for host in hosts}
--- a/alderbridge/machines.py
+++ b/alderbridge/machines.py
@@ -27,13 +27,22 @@
 from .mesh import Grant, Halt, RoomRow, Seen, SeenTask, TaskRow
 from .placement import Candidate
 from .recovery import Asking, Squaring
-from .wire import Beat, JobSpec, MachineRecord, MachineType, clear_order, halt_order, run_order, split_task
+from .wire import (
+    Heartbeat,
+    JobSpec,
+    MachineRecord,
+    MachineType,
+    acknowledge_order,
+    run_order,
+    split_task_id,
+    stop_order,
+)
 
 log = logging.getLogger("machines")
 
 Task = tuple[str, int]  # job, index
 Load = tuple[float, float, float, float]  # Expected Run Time, cpus, memory, gpus
-_key = functools.lru_cache(c.TASK_KEYS)(split_task)  # the same tasks are reported again and again
+_key = functools.lru_cache(c.TASK_KEYS)(split_task_id)  # the same tasks are reported again and again
 
 
 class MachineState(str, Enum):
@@ -183,7 +192,7 @@
         self.asking = Asking(rng)  # machines to be asked for their acknowledgement
         self.squaring = Squaring(0.0)
         self.to_drop: list[str] = []  # nothing is on them: no new view need wait for them
-        self.mandate = 0
+        self.fencing_token = 0
         self.hours: Gate | None = None  # None: no hours are declared
         self.members: list[str] = []
         self._types: dict[str, MachineType] = {}
@@ -204,7 +213,7 @@
 
     def enter(
         self,
-        mandate: int,
+        fencing_token: int,
         members: list[str],
         machines: Mapping[str, MachineRecord],
         now: float,
@@ -219,13 +228,13 @@
         acknowledgement. Without that one dead machine held up the inherited tasks of every planned restart.
         """
         old, self.machines = self.machines, {}
-        self.mandate, self.members, self.settled_at = mandate, members, None
+        self.fencing_token, self.members, self.settled_at = fencing_token, members, None
         self.to_record, self.to_drop = [], []
         self.squaring = Squaring(now)
         self.longest_silent = -math.inf
         for name, record in machines.items():
             machine = self.machines[name] = Machine(name, now)
-            machine.renewed_by = mandate
+            machine.renewed_by = fencing_token
             machine.recorded = True
             machine.address, machine.type, machine.zone, machine.spot = (
                 record.address,
@@ -275,19 +284,19 @@
         machine = self.machines[name]
         return name, machine.address, max(1, machine.news[0])
 
-    def on_asked(self, beat: Beat, now: float) -> None:
+    def on_asked(self, heartbeat: Heartbeat, now: float) -> None:
         """The answer to an empty ``/commands``: proof only as the first acknowledgement of this view.
 
         Later, a response with orders may be on its way to the worker, and this report know nothing of it.
         """
-        machine = self.machines.get(beat.machine)
+        machine = self.machines.get(heartbeat.machine)
         if (
             machine is not None
             and not machine.acked
             and machine.state is not MachineState.LAPSED
-            and beat.mandate >= self.mandate
+            and heartbeat.fencing_token >= self.fencing_token
         ):
-            self.on_beat(beat, now)
+            self.on_heartbeat(heartbeat, now)
 
     def settle(self, now: float) -> None:
         """Every member acts under this view: earlier answers are all older than now."""
@@ -303,27 +312,27 @@
 
     # -- reports -----------------------------------------------------------
 
-    def on_beat(self, beat: Beat, now: float) -> Machine | None:
+    def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> Machine | None:
         """The machine; None where the report must not be answered with 200."""
-        machine = self.machines.get(beat.machine)
+        machine = self.machines.get(heartbeat.machine)
         if machine is None:
-            if beat.machine in self.returned:
+            if heartbeat.machine in self.returned:
                 return None
-            machine = self.machines[beat.machine] = Machine(beat.machine, now)
-            machine.sole_since, machine.renewed_by = self.settled_at, self.mandate
-            log.info("machine=%s state=expected cause=first report", beat.machine)
-        news = (beat.tenure, beat.counter)
+            machine = self.machines[heartbeat.machine] = Machine(heartbeat.machine, now)
+            machine.sole_since, machine.renewed_by = self.settled_at, self.fencing_token
+            log.info("machine=%s state=expected cause=first report", heartbeat.machine)
+        news = (heartbeat.incarnation, heartbeat.sequence)
         if news <= machine.news or machine.state is MachineState.GONE:
             return None
         machine.news, machine.heard_at = news, now
-        machine.type, machine.zone, machine.spot = beat.type, beat.zone, beat.spot
-        machine.address = beat.address
-        if beat.mandate < self.mandate:
+        machine.type, machine.zone, machine.spot = heartbeat.type, heartbeat.zone, heartbeat.spot
+        machine.address = heartbeat.address
+        if heartbeat.fencing_token < self.fencing_token:
             self.squaring.hear(machine.name)
-            self._not_renewed(machine, beat.mandate, now)
+            self._not_renewed(machine, heartbeat.fencing_token, now)
             # The answer brings the mandate; only a later report proves what is there. It renews the lease, too: of
             # views in quick succession each would keep what is cancelled for one report more.
-            shown = ((_key(task.part), task) for task in beat.tasks)
+            shown = ((_key(task.task_id), task) for task in heartbeat.tasks)
             self._stop_cancelled(machine, {key: (task.attempt, task.status) for key, task in shown if key[0]})
             return machine
         first = not machine.acked or machine.state is MachineState.LAPSED
@@ -340,33 +349,33 @@
                 machine.recorded = self.keep_record(machine.name)
                 if not machine.recorded:
                     self.to_record.append(machine.name)
-            log.debug("machine=%s state=up cause=acknowledged mandate=%d", machine.name, self.mandate)
-        if beat.recall_s is not None or beat.machine in self.doomed:
+            log.debug("machine=%s state=up cause=acknowledged mandate=%d", machine.name, self.fencing_token)
+        if heartbeat.recall_s is not None or heartbeat.machine in self.doomed:
             machine.drain()
-        self._reported(machine, beat, first, now)
+        self._reported(machine, heartbeat, first, now)
         return machine
 
-    def _not_renewed(self, machine: Machine, mandate: int, now: float) -> None:
+    def _not_renewed(self, machine: Machine, fencing_token: int, now: float) -> None:
         """A report with an older mandate, newer than all before, and not answered yet.
 
         Whenever it was written, no answer with a higher mandate to a report before it was accepted, nor will be: it
         would show here, and a worker has one report in flight. So the lease has not been renewed since. A machine that
         does not hear its answers reports for as long as that lasts, and held up all that it might have run.
         """
-        if mandate >= machine.renewed_by:  # an answer of a view between was accepted
-            machine.renewed_at, machine.renewed_by = now, self.mandate
+        if fencing_token >= machine.renewed_by:  # an answer of a view between was accepted
+            machine.renewed_at, machine.renewed_by = now, self.fencing_token
         elif not machine.acked and machine.state is not MachineState.LAPSED and machine.sole_since is not None:
             since = max(machine.renewed_at, machine.sole_since)
             if self._run_out(since, now):
                 self._lapse(machine, f"no answer accepted for {now - since:.1f} s")
 
-    def _reported(self, machine: Machine, beat: Beat, tell: bool, now: float) -> None:
+    def _reported(self, machine: Machine, heartbeat: Heartbeat, tell: bool, now: float) -> None:
         """``tell``: homes are told, whatever it shows. What frees no task is told with the next other message."""
         old, tasks = machine.tasks, {}
         machine.tasks = tasks
         urgent, kept = tell, 0
-        for task in beat.tasks:
-            key = _key(task.part)
+        for task in heartbeat.tasks:
+            key = _key(task.task_id)
             job, index = key
             if not job:
                 continue
@@ -384,7 +393,7 @@
                     now,
                     SeenTask(job, index, task.attempt, task.status, task.cause),
                 )
-                log.debug("machine=%s task=%s status=%s cause=%s", machine.name, task.part, task.status, task.cause)
+                log.debug("machine=%s task=%s status=%s cause=%s", machine.name, task.task_id, task.status, task.cause)
                 self._learn(machine, job, task.status, task.cause, now)
             tasks[key] = on
         if kept < len(old):
@@ -478,7 +487,7 @@
         """
         if not machine.acked:  # what a halt ends here is of use to nobody, so nothing is concluded from its absence
             return [
-                halt_order(job, index, attempt, 0.0)
+                stop_order(job, index, attempt, 0.0)
                 for (job, index), (attempt, _) in machine.halts.items()
                 if self.cancelled(job)
             ]
@@ -489,9 +498,9 @@
             and machine.heard_at - machine.clears_since < c.CLEAR_WAIT_S
         ):
             return []
-        orders = [clear_order(job, index, attempt) for job, index, attempt in sorted(machine.clears)]
+        orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(machine.clears)]
         orders += [
-            halt_order(job, index, attempt, wind_down) for (job, index), (attempt, wind_down) in machine.halts.items()
+            stop_order(job, index, attempt, wind_down) for (job, index), (attempt, wind_down) in machine.halts.items()
         ]
         if machine.state is MachineState.UP and machine.recorded:
             for (job, index), pending in machine.pending.items():
@@ -737,7 +746,7 @@
             if not machine.acked and now - machine.heard_at > c.SILENT_S:
                 self.squaring.fall_silent(machine.name)
         if waits:
-            log.info("part mandate=%d %s", self.mandate, self.squaring.line(now))
+            log.info("part mandate=%d %s", self.fencing_token, self.squaring.line(now))
 
     def drain(self, names: Iterable[str]) -> None:
         for name in names:
--- a/alderbridge/mesh.py
+++ b/alderbridge/mesh.py
@@ -263,11 +263,11 @@
 class Frame(msgspec.Struct, array_like=True, frozen=True):
     version: str
     sender: str
-    mandate: int
+    fencing_token: int
     seq: int  # 0: not resent when lost
     ack: int
     body: Body
-    incarnation: int = 0  # under which the sender takes part in the mandate's view; 0: it does not, or is older
+    sender_lease_id: int = 0  # under which the sender takes part in the mandate's view; 0: it does not, or is older
 
 
 _HEAD = struct.Struct(">I")  # a frame's length goes before it
@@ -280,11 +280,11 @@
 
     version: str
     sender: str
-    mandate: int
+    fencing_token: int
     seq: int
     ack: int
     body: msgspec.Raw
-    incarnation: int = 0
+    sender_lease_id: int = 0
 
 
 class Encoder:
@@ -298,7 +298,9 @@
         if frame.body is not self.body:
             self.body, self.raw = frame.body, msgspec.Raw(_encode(frame.body))
         data = _encode(
-            _Envelope(frame.version, frame.sender, frame.mandate, frame.seq, frame.ack, self.raw, frame.incarnation)
+            _Envelope(
+                frame.version, frame.sender, frame.fencing_token, frame.seq, frame.ack, self.raw, frame.sender_lease_id
+            )
         )
         return _HEAD.pack(len(data)) + data
 
@@ -325,11 +327,11 @@
 
     def __init__(self, me: str) -> None:
         self.me = me
-        self.peer_mandate = 0
+        self.peer_fencing_token = 0
         self.reset(0, 0.0)
 
-    def reset(self, mandate: int, now: float, incarnation: int = 0) -> None:
-        self.mandate, self.incarnation = mandate, incarnation
+    def reset(self, fencing_token: int, now: float, lease_id: int = 0) -> None:
+        self.fencing_token, self.lease_id = fencing_token, lease_id
         self.next_seq = 1
         self.received = 0
         self.unacked: deque[tuple[int, Message, float]] = deque()  # number, body, when it was first sent
@@ -352,16 +354,16 @@
         return self._frame(0, body)
 
     def _frame(self, seq: int, body: Message) -> Frame:
-        return Frame(__version__, self.me, self.mandate, seq, self.received, body, self.incarnation)
+        return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)
 
     def hear(self, frame: Frame) -> None:
         """That the peer knows a view, and nothing else: neither taken nor acknowledged."""
-        self.peer_mandate = max(self.peer_mandate, frame.mandate)
+        self.peer_fencing_token = max(self.peer_fencing_token, frame.fencing_token)
 
     def receive(self, frame: Frame, now: float) -> Message | None:
         """The body, if it is new and in order under this mandate."""
         self.hear(frame)
-        if frame.mandate != self.mandate:
+        if frame.fencing_token != self.fencing_token:
             return None
         while self.unacked and self.unacked[0][0] <= frame.ack:
             self.acked_at = self.unacked.popleft()[2]
--- a/alderbridge/net.py
+++ b/alderbridge/net.py
@@ -28,7 +28,7 @@
 Handler = Callable[[str, str, bytes, Callable[[Answer], None]], Answer | Awaitable[Answer] | None]
 
 
-class Unanswered(Exception):
+class UnansweredError(Exception):
     """No response: the request may have been carried out, or may yet be."""
 
 
@@ -486,11 +486,11 @@
         self.idle: list[curio.io.Socket] = []
 
     async def request(self, method: str, target: str, body: bytes = b"", timeout_s: float = 2.0) -> tuple[int, bytes]:
-        """Status and body; ``Unanswered`` where there is none in time."""
+        """Status and body; ``UnansweredError`` where there is none in time."""
         try:
             return await curio.timeout_after(timeout_s, self._request, method, target, body)
         except (OSError, h11.ProtocolError, curio.TaskTimeout, EOFError) as error:
-            raise Unanswered(f"{method} {target}: {error!r}") from None
+            raise UnansweredError(f"{method} {target}: {error!r}") from None
 
     async def _request(self, method: str, target: str, body: bytes) -> tuple[int, bytes]:
         while self.idle:
--- a/alderbridge/node.py
+++ b/alderbridge/node.py
@@ -82,7 +82,7 @@
 class Batch:
     """One transaction, and whose records it carries."""
 
-    mandate: int
+    fencing_token: int
     conditions: dict[str, int]
     puts: dict[str, object] = field(default_factory=dict)
     drops: list[str] = field(default_factory=list)
@@ -150,7 +150,7 @@
         self.local_sent = self.local_done = 0
         self.now = now
         self.loaded = False
-        self.incarnation = 0  # the permit under which home and part were last built
+        self.entered_lease_id = 0  # the permit under which home and part were last built
         self.inside = False  # home, part and channels were built for the view as of one of its members
         self.types: dict[str, wire.MachineType] = {}
         self.offer_book = OfferBook(self.spec_of)
@@ -236,7 +236,7 @@
             texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
         if texts != (self.hours.texts if self.hours is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
-            skew = self.shared.skew_ms / 1000 + c.CLOCK_DRIFT * self.membership.hold.ttl_s
+            skew = self.shared.skew_ms / 1000 + c.CLOCK_DRIFT * self.membership.store_lease.ttl_s
             self.hours = Gate(texts, lambda: self.now + self.wall, skew, self.rank)
             self.home.hours = self.part.hours = self.hours
             log.info("hours state=hold texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts))
@@ -294,7 +294,7 @@
         if channel is None:
             return
         body = None
-        if frame.mandate != membership.mandate or membership.contact.takes(frame.sender):
+        if frame.fencing_token != membership.fencing_token or membership.contact.takes(frame.sender):
             if membership.standing(now) is Standing.OUTSIDE:
                 self.inside = False  # its hold is lost: its acknowledgement would count for who it was
             if self.inside or isinstance(frame.body, m.Ask | m.Reply):
@@ -304,7 +304,7 @@
                 # tell from this one. Taken, the home of that life, empty here, had the peers' machines halt all that it
                 # ran, and clear results that were not stored (docs/incidents/former-life.md).
                 channel.hear(frame)
-            if frame.mandate == membership.mandate:
+            if frame.fencing_token == membership.fencing_token:
                 self.hear(frame, channel.acked_at, now)
         if body is not None:
             self.dispatch(frame.sender, body)
@@ -314,7 +314,7 @@
         """A frame under this mandate: whose sender may have restarted, and know nothing of whom it had given up."""
         contact = self.membership.contact
         contact.avoided.discard(frame.sender)
-        if frame.incarnation and frame.incarnation == self.membership.view.members.get(frame.sender):
+        if frame.sender_lease_id and frame.sender_lease_id == self.membership.view.members.get(frame.sender):
             contact.hear(frame.sender, acked_at, now)
             if isinstance(frame.body, m.Queue | m.Status):
                 contact.told(frame.sender, frame.body.silent, frame.body.given_up)
@@ -397,18 +397,18 @@
 
     # -- view ------------------------------------------------------------------
 
-    def held(self, permit: int, sent_at: float, now: float) -> None:
+    def held(self, lease_id: int, sent_at: float, now: float) -> None:
         """This process is that incarnation; its hold counts from ``sent_at``.
 
         The view that has it may have arrived before the store's answer. What was built for that view was an
         outsider's: acting on it, a home without its jobs halted all their tasks and served none until the next view.
         """
         self.now = now
-        self.membership.hold.renewed(permit, sent_at, now)
+        self.membership.store_lease.renewed(lease_id, sent_at, now)
         if not self.inside and self.membership.standing(now) is not Standing.OUTSIDE:
             self.enter_view(now, now + self.wall)
 
-    def apply(self, changes: list[wire.Change], now: float, wall: float) -> None:
+    def apply(self, changes: list[wire.WatchEvent], now: float, wall: float) -> None:
         """Changes of the store, in order."""
         self.now, self.wall = now, wall - now
         shown: list[str] = []
@@ -436,39 +436,41 @@
         try of the user's met its record. It was called accepted then, and nothing ran until the next view.
         Nothing of it was granted, as it was in no home.
         """
-        record, stamp = self.replica.active.get(name, (None, 0))
+        record, revision = self.replica.active.get(name, (None, 0))
         if (
             record is None
             or not self.inside
-            or stamp <= self.membership.mandate
+            or revision <= self.membership.fencing_token
             or name in self.home.jobs
             or name in self.submissions
             or record.state is not JobState.ACTIVE
             or self.membership.home_of(record.home) != self.me
         ):
             return
-        job = Job(record, stamp, self.now, max(0.0, self.now + self.wall - record.at), fresh=True)
+        job = Job(record, revision, self.now, max(0.0, self.now + self.wall - record.at), fresh=True)
         self.home.join(job)
         self.place_in_graph(job)
         log.info("job=%s state=taken in cause=stored after its submission was given up", name)
 
-    def load(self, rows: list[wire.Row], changes: list[wire.Change], epoch: int, now: float, wall: float) -> None:
+    def load(
+        self, rows: list[wire.KeyValue], changes: list[wire.WatchEvent], revision: int, now: float, wall: float
+    ) -> None:
         """All rows, whose pages may be of different epochs, and what followed the first of them.
 
         Nothing is built on the rows before the changes have caught up with them.
         """
         self.now, self.wall = now, wall - now
         newer = False
-        self.incarnation = 0  # views may have passed unseen: nothing known under them holds any more
+        self.entered_lease_id = 0  # views may have passed unseen: nothing known under them holds any more
         self.replica.machines, self.replica.records = {}, {}
         self.membership.present.clear()
         self.declared.reload()
-        self.ledger.clear(epoch)
+        self.ledger.clear(revision)
         for row in sorted(rows, key=lambda row: not row.key.startswith(LISTS)):  # before the records that name them
-            newer = self.replica.apply(wire.Change(put=row.key, data=row.data, stamp=row.stamp)) or newer
+            newer = self.replica.apply(wire.WatchEvent(put=row.key, data=row.data, revision=row.revision)) or newer
         for change in changes:
             newer = self.replica.apply(change) or newer
-        self.replica.epoch = epoch
+        self.replica.revision = revision
         if newer:
             self.enter_view(now, wall)
         # Read anew after trouble with following: what was carried out late meanwhile is among the rows, no change.
@@ -480,36 +482,36 @@
         if not self.types:
             self.learn_types(self.replica.types)
         self.loaded = True
-        log.info("replica state=loaded epoch=%d jobs=%d", epoch, len(self.replica.active))
+        log.info("replica state=loaded epoch=%d jobs=%d", revision, len(self.replica.active))
 
     def enter_view(self, now: float, wall: float) -> None:
         """Rebuild home, part and channels for the view that has just arrived."""
-        view, mandate = self.membership.view, self.membership.mandate
+        view, fencing_token = self.membership.view, self.membership.fencing_token
         members = sorted(view.members)
-        log.info("view mandate=%d leader=%s members=%s", mandate, view.leader, members)
+        log.info("view mandate=%d leader=%s members=%s", fencing_token, view.leader, members)
         self.entered_at = now
         inside = self.membership.standing(now) is not Standing.OUTSIDE
         for channel in self.channels.values():
-            channel.reset(mandate, now, self.membership.hold.permit if inside else 0)
+            channel.reset(fencing_token, now, self.membership.store_lease.lease_id if inside else 0)
         self.inbox.clear()
         self.later.clear()
         self.teller.enter()
         self.offer_book.clear()
         self.sender_clocks.clear()
-        continued = inside and self.loaded and self.incarnation == self.membership.hold.permit
+        continued = inside and self.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
         old = self.home.jobs if continued else {}
-        self.incarnation = self.membership.hold.permit if inside else 0
+        self.entered_lease_id = self.membership.store_lease.lease_id if inside else 0
         self.inside = inside
         jobs: dict[str, Job] = {}
         if inside:
-            for name, (record, stamp) in self.replica.active.items():
+            for name, (record, revision) in self.replica.active.items():
                 if self.membership.home_of(record.home) == self.me:
                     job = old.get(name)
                     if job is None:
                         # Every write asserts the view: what is not done here yet was not when the view changed,
                         # so nothing of a job that waits for it was ever started.
                         waits = self.graph.waiting(name)
-                        job = Job(record, stamp, now, max(0.0, wall - record.at), fresh=waits)
+                        job = Job(record, revision, now, max(0.0, wall - record.at), fresh=waits)
                         job.inherited = True
                         self.place_in_graph(job)
                     elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
@@ -519,13 +521,18 @@
                         job.stored_state = record.state
                         job.touch(now)
                         self.news.append(name)
-                    job.stamp = max(job.stamp, stamp)
+                    job.revision = max(job.revision, revision)
                     jobs[name] = job
         recorded = {name: self.replica.record(name) for name in self.replica.machines} if inside else {}
-        self.home.enter(mandate, jobs, recorded)
+        self.home.enter(fencing_token, jobs, recorded)
         mine = {name: record for name, record in recorded.items() if self.membership.part_of(name) == self.me}
         self.part.enter(
-            mandate, members if inside else [], mine, now, continued, continued and self.membership.all_run(c.RECOVERY)
+            fencing_token,
+            members if inside else [],
+            mine,
+            now,
+            continued,
+            continued and self.membership.all_run(c.RECOVERY),
         )
         self.leader.enter(members, now)
         self.store_share.enter(len(members), now)
@@ -575,9 +582,13 @@
         change = self.membership.next_view(now, self.most_changes - 1) if self.loaded else None
         if change is None:
             return None
-        view, stamps = self.membership.loosely(change[0], self.home.settled and self.inside), change[1]
-        drops = [MEMBERS + label for label, stamp in stamps.items() if stamp and label not in view.members]
-        return view, {VIEW: self.membership.mandate, **{MEMBERS + label: s for label, s in stamps.items()}}, drops
+        view, revisions = self.membership.loosely(change[0], self.home.settled and self.inside), change[1]
+        drops = [MEMBERS + label for label, revision in revisions.items() if revision and label not in view.members]
+        return (
+            view,
+            {VIEW: self.membership.fencing_token, **{MEMBERS + label: s for label, s in revisions.items()}},
+            drops,
+        )
 
     # -- records -------------------------------------------------------------------
 
@@ -595,7 +606,7 @@
         self.fresh = False
         if room < 1:
             return None
-        batch = Batch(self.membership.mandate, {VIEW: self.membership.mandate})
+        batch = Batch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
         # Claims in doubt meet a conflict until the replica shows them. Tried again and again before all else, they kept
         # the leader's ends, marks and submissions waiting for as long as its watch hung.
         waits, self.claims_wait = self.claims_wait, False
@@ -663,7 +674,7 @@
             size += len(msgspec.json.encode(record)) + 100
             if size > c.MAX_BODY * 3 // 4 and batch.puts:
                 break
-            batch.conditions[JOBS + job.spec.id] = job.stamp
+            batch.conditions[JOBS + job.spec.id] = job.revision
             batch.puts[JOBS + job.spec.id] = record
             if isinstance(entry, Submission):
                 batch.fresh.append((entry, record))
@@ -743,28 +754,28 @@
             "store state=takes less cause=400 values=%d bytes changes=%d", self.home.value_bytes, self.most_changes
         )
 
-    def batch_done(self, batch: Batch, stamp: int, now: float) -> None:
+    def batch_done(self, batch: Batch, revision: int, now: float) -> None:
         self.now = now
-        current = batch.mandate == self.membership.mandate
+        current = batch.fencing_token == self.membership.fencing_token
         if batch.proposal is not None:
-            self.declared.done(batch.proposal, stamp, now)
+            self.declared.done(batch.proposal, revision, now)
         if batch.claims is not None:
-            self.ledger.done(batch.claims, stamp)
+            self.ledger.done(batch.claims, revision)
         for name in batch.gone:
             if not self._written_since(name, batch):
                 self._dropped(name)
         for name in batch.machines if current else ():
-            self._recorded(name, stamp)
+            self._recorded(name, revision)
         for job, record, cleared in batch.jobs:
             if self.home.jobs.get(job.spec.id) is job:
-                self.home.written(job, record, stamp, cleared, now)
-            self._stored(job, record, stamp)
+                self.home.written(job, record, revision, cleared, now)
+            self._stored(job, record, revision)
         for submission, key in batch.lists:
             self.replica.lists[key] = submission.lists.pop(key, [])
         for submission, record in batch.fresh:
             job = submission.job
-            job.stamp = stamp
-            self.replica.saw_job(job.spec.id, record, stamp)
+            job.revision = revision
+            self.replica.saw_job(job.spec.id, record, revision)
             if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its home
                 self.home.join(job)
                 self.place_in_graph(job)
@@ -772,8 +783,8 @@
         self.follow_graph()
         self.pump()
 
-    def _stored(self, job: Job, record: Record, stamp: int) -> None:
-        self.replica.saw_job(job.spec.id, record, stamp)
+    def _stored(self, job: Job, record: Record, revision: int) -> None:
+        self.replica.saw_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
             self.news.append(job.spec.id)
         if job.more and not record.more:  # from here on nobody reads them
@@ -782,13 +793,13 @@
         if job.drained and self.home.jobs.get(job.spec.id) is job:
             self.home.leave(job)
 
-    def _recorded(self, name: str, stamp: int) -> None:
+    def _recorded(self, name: str, revision: int) -> None:
         """Under the view in force: what was written under an older one the replica had when that ended.
 
         Since then the machine's new part may have dropped the record. Kept here alone it stayed in the barrier of
         later views, from which no part would ever strike it.
         """
-        self.replica.machines[name] = max(stamp, self.replica.machines.get(name, 0))
+        self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
         self.drops_sent.discard(name)  # all of them are settled, or assert an older record
         self.part.on_recorded(name)
 
@@ -818,10 +829,10 @@
         self.dropping = [other for other in self.dropping if other != name]
         return True
 
-    def reread(self, batch: Batch, key: str, row: wire.Row | None, now: float) -> None:
+    def reread(self, batch: Batch, key: str, row: wire.KeyValue | None, now: float) -> None:
         """What the store holds under a key whose condition failed: decide anew."""
         self.now = now
-        current = batch.mandate == self.membership.mandate
+        current = batch.fencing_token == self.membership.fencing_token
         if batch.proposal is not None:
             return  # a head that has changed: the replica will tell
         if key.startswith(MACHINES):
@@ -833,9 +844,9 @@
             elif not current:
                 pass  # what was read may be gone again, and the replica tells
             elif name in batch.gone and row is not None:
-                self.replica.machines[name] = row.stamp
+                self.replica.machines[name] = row.revision
             elif row is not None:
-                self._recorded(name, row.stamp)
+                self._recorded(name, row.revision)
             return
         if row is None or batch.claims is not None:
             return  # claims in conflict are given up: the replica will show them
@@ -844,22 +855,22 @@
         for submission, _ in batch.fresh + batch.lists:
             job = submission.job
             if job.spec.id == name and not submission.outcome:
-                self.replica.saw_job(name, record, row.stamp)
+                self.replica.saw_job(name, record, row.revision)
                 ours = record.home == self.me and record.at == job.at and record.state is JobState.ACTIVE
                 if ours and current and name not in self.home.jobs and job.state is JobState.ACTIVE:
-                    job.stamp = row.stamp  # an earlier write of ours had no answer
+                    job.revision = row.revision  # an earlier write of ours had no answer
                     self.home.join(job)
                     self.place_in_graph(job)
                 self._settle(submission, "known")
         for job, _, _ in batch.jobs:
             if job.spec.id == name and self.home.jobs.get(name) is job:
                 # Only its home writes it under this view: an earlier write of ours.
-                job.stamp = row.stamp
+                job.revision = row.revision
                 if record.state is not JobState.ACTIVE:
                     job.end(record.state)
-                    self.home.written(job, record, row.stamp, [], now)
+                    self.home.written(job, record, row.revision, [], now)
                     job.touch(now)
-                self._stored(job, record, row.stamp)
+                self._stored(job, record, row.revision)
         self.follow_graph()
         self.pump()
 
@@ -883,7 +894,7 @@
         self.fresh = True
         return submission
 
-    def saw_end(self, name: str, record: Record, stamp: int) -> None:
+    def saw_end(self, name: str, record: Record, revision: int) -> None:
         """A record that was read from the store ahead of the changes that bring it: an end is one under every view.
 
         Of an active one nothing is taken. It may be written under a newer view than the next that arrives here; by
@@ -891,7 +902,7 @@
         it, beside its home (docs/incidents/read-ahead.md).
         """
         if record.state is not JobState.ACTIVE and not self.known(name):
-            self.replica.saw_job(name, Record(record.state, done_at=record.done_at), stamp)
+            self.replica.saw_job(name, Record(record.state, done_at=record.done_at), revision)
             self.follow_graph()
 
     def needs_of(self, job: Job) -> list[str]:
@@ -926,21 +937,21 @@
 
     # -- workers -------------------------------------------------------------------
 
-    def beat(self, beat: wire.Beat, now: float) -> Machine | None:
+    def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Machine | None:
         """A report of a machine of this part; None where it must not be answered with 200."""
         self.now = now
-        machine = self.part.on_beat(beat, now)
+        machine = self.part.on_heartbeat(heartbeat, now)
         self.pump()
         if machine is not None and machine.acked:
             self.carry_out_claim(machine)
             self.place(machine, now)
         return machine
 
-    def asked(self, beat: wire.Beat, now: float) -> None:
+    def asked(self, heartbeat: wire.Heartbeat, now: float) -> None:
         """What a machine of this part answered to an empty ``/commands`` under this view."""
         self.now = now
         if self.may_act():
-            self.part.on_asked(beat, now)
+            self.part.on_asked(heartbeat, now)
             self.pump()
 
     def place(self, machine: Machine, now: float) -> None:
@@ -1022,8 +1033,8 @@
         if entry is None or self.now + self.wall >= entry.claim.until:
             return candidate
         claim, spec = entry.claim, self.spec_of(entry.claim.job)
-        stamp, used = self.claim_takes.get(machine.name, (0, 0))
-        if stamp != entry.stamp:
+        revision, used = self.claim_takes.get(machine.name, (0, 0))
+        if revision != entry.revision:
             used = 0
             if len(self.claim_takes) > 2 * len(self.ledger.entries) + c.QUEUE_ROWS:
                 self.claim_takes.clear()
@@ -1034,7 +1045,7 @@
             take = self.part.reserve(machine, want.job, want.count)
             self.send(want.home, m.Take(take, want.job, want.machine, want.zone, want.count))
             used, room = used + want.count, placement.minus(room, spec, want.count)
-        self.claim_takes[machine.name] = (entry.stamp, used)
+        self.claim_takes[machine.name] = (entry.revision, used)
         return msgspec.structs.replace(candidate, free=placement.minus(room, spec, claim.count - used))
 
     def look_at_claims(self, now: float) -> None:
@@ -1088,10 +1099,10 @@
 
     def look_at_view(self, now: float) -> None:
         """Whether every member is known to act under this view, or not at all."""
-        mandate = self.membership.mandate
+        fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.me]
-        everyone = all(self.channels[label].peer_mandate >= mandate for label in others)
-        if everyone or now > self.entered_at + self.membership.hold.ttl_s + c.PROOF_MARGIN_S:
+        everyone = all(self.channels[label].peer_fencing_token >= fencing_token for label in others)
+        if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + c.PROOF_MARGIN_S:
             self.part.settle(now)
             if not self.home.settled:
                 self.home.settle()
@@ -1119,7 +1130,7 @@
         membership, contact = self.membership, self.membership.contact
         links = {label: self.channels[label] for label in self.told_queues()}
         status = m.Status(contact.missing(), contact.dropped(), self.store_share.told)
-        one = Round(now, membership.mandate, membership.view.leader, links, snapshot, status)
+        one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
         for told in self.teller.tell(one, membership.all_run(c.QUEUE_CHANGES)):
             if told.numbered:
                 self.send(told.label, told.message)
@@ -1207,14 +1218,14 @@
         self.types = self.part.types = types
         self.leader.on_types(types)
 
-    def types_to_store(self) -> wire.Flavours | None:
+    def types_to_store(self) -> wire.MachineTypes | None:
         """The machine types, where the store has none or others; spot prices alone are no news."""
         lasting = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.types.values()]
         known = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
         if not lasting or lasting == known or not self.membership.leads(self.now):
             return None
-        flavours = wire.Flavours(list(self.types.values()))
-        return flavours if len(msgspec.json.encode(flavours)) < self.home.value_bytes else None
+        machine_types = wire.MachineTypes(list(self.types.values()))
+        return machine_types if len(msgspec.json.encode(machine_types)) < self.home.value_bytes else None
 
     def drain(self, names: list[str], now: float) -> None:
         self.now = now
@@ -1253,7 +1264,7 @@
         the answer could be taken back by a home that has yet to hear of it.
         """
         at = self.doomed_at.get(job)
-        return at is not None and self.now - at > self.membership.hold.ttl_s + c.PROOF_MARGIN_S
+        return at is not None and self.now - at > self.membership.store_lease.ttl_s + c.PROOF_MARGIN_S
 
     def surely_pending(self, job: str, now: float) -> bool:
         """Whether a record that is active in the store may be told so, a moment after it was read."""
--- a/alderbridge/queues/teller.py
+++ b/alderbridge/queues/teller.py
@@ -29,7 +29,7 @@
     """What is asked of a channel to another member."""
 
     received: int
-    peer_mandate: int
+    peer_fencing_token: int
 
     def backlog(self) -> int:
         """How many messages have no acknowledgement yet."""
@@ -47,7 +47,7 @@
     """What one round is about."""
 
     now: float
-    mandate: int
+    fencing_token: int
     leader: str
     links: Mapping[str, Link]  # the channels to the other members of the view
     snapshot: Snapshot
@@ -89,7 +89,7 @@
         ready = [
             label
             for label, link in one.links.items()
-            if link.peer_mandate >= one.mandate and link.backlog() < c.QUEUE_BACKLOG
+            if link.peer_fencing_token >= one.fencing_token and link.backlog() < c.QUEUE_BACKLOG
         ]
         for label in (self.me, *ready):
             numbered = label != self.me
--- a/alderbridge/replica.py
+++ b/alderbridge/replica.py
@@ -17,12 +17,12 @@
 from .jobs import JobState, Record
 from .store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, STOPS, TYPES, VIEW
 from .view import Membership, Presence, View
-from .wire import Change, Flavours, JobSpec, MachineRecord, MachineType
+from .wire import JobSpec, MachineRecord, MachineType, MachineTypes, WatchEvent
 
 _record = msgspec.json.Decoder(Record)
 _view = msgspec.json.Decoder(View)
 _presence = msgspec.json.Decoder(Presence)
-_flavours = msgspec.json.Decoder(Flavours)
+_machine_types = msgspec.json.Decoder(MachineTypes)
 _machine = msgspec.json.Decoder(MachineRecord)
 _list = msgspec.json.Decoder(list[str])
 
@@ -37,7 +37,7 @@
     def __init__(self, membership: Membership, graph: Graph, declared: Declarations | None = None) -> None:
         self.membership = membership
         self.graph = graph
-        self.declared = declared or Declarations(None, membership.hold.ttl_s, [membership.me])
+        self.declared = declared or Declarations(None, membership.store_lease.ttl_s, [membership.me])
         self.ledger = Ledger()  # claims, their budgets and the stops they caused
         self.active: dict[str, tuple[Record, int]] = {}  # jobs that still have a spec, and their stamps
         self.left: dict[str, int] = {}  # of these, tasks that their records do not count as done
@@ -48,22 +48,22 @@
         self.machines: dict[str, int] = {}  # recorded machines and their stamps
         self.records: dict[str, MachineRecord] = {}  # of these, what their records say
         self.types: dict[str, MachineType] = {}  # as the cloud last told them: it may be out of reach
-        self.types_stamp = 0
-        self.epoch = 0
+        self.types_revision = 0
+        self.revision = 0
 
-    def apply(self, change: Change) -> bool:
+    def apply(self, change: WatchEvent) -> bool:
         """True if this was a newer view."""
         key, gone = (change.put, False) if change.put is not None else (change.drop or "", True)
         if key == VIEW:
-            return not gone and self.membership.saw_view(_view.decode(change.data), change.stamp)
+            return not gone and self.membership.saw_view(_view.decode(change.data), change.revision)
         if key == TYPES and not gone:
-            self.types = {kind.name: kind for kind in _flavours.decode(change.data).flavours}
-            self.types_stamp = change.stamp
+            self.types = {kind.name: kind for kind in _machine_types.decode(change.data).types}
+            self.types_revision = change.revision
         if key.startswith(JOBS) and not gone:
             job = key[len(JOBS) :]
             known = self.active.get(job)
-            if known is None or change.stamp > known[1]:  # else this node's own write
-                self.saw_job(job, _record.decode(change.data), change.stamp)
+            if known is None or change.revision > known[1]:  # else this node's own write
+                self.saw_job(job, _record.decode(change.data), change.revision)
         elif key.startswith(LISTS):
             if gone:
                 self.lists.pop(key, None)
@@ -72,24 +72,24 @@
         elif key.startswith(MACHINES):
             name = key[len(MACHINES) :]
             if gone:
-                if self.machines.get(name, 0) < change.stamp:
+                if self.machines.get(name, 0) < change.revision:
                     self.machines.pop(name, None)
                     self.records.pop(name, None)
             else:
                 self.records[name] = _machine.decode(change.data)
-                self.machines[name] = max(change.stamp, self.machines.get(name, 0))
+                self.machines[name] = max(change.revision, self.machines.get(name, 0))
         elif key.startswith((CLAIMS, STOPS, BUDGETS)):
-            self.ledger.apply(key, None if gone else change.data, change.stamp)
+            self.ledger.apply(key, None if gone else change.data, change.revision)
         elif key.startswith(MEMBERS):
             presence = None if gone else _presence.decode(change.data)
-            self.membership.saw_presence(key[len(MEMBERS) :], presence, change.stamp)
+            self.membership.saw_presence(key[len(MEMBERS) :], presence, change.revision)
         elif key.startswith(DECLARED):
-            self.declared.apply(key, None if gone else bytes(change.data), change.stamp)
+            self.declared.apply(key, None if gone else bytes(change.data), change.revision)
         return False
 
-    def saw_job(self, job: str, record: Record, stamp: int) -> None:
+    def saw_job(self, job: str, record: Record, revision: int) -> None:
         known = self.active.get(job)
-        if known is not None and stamp <= known[1]:
+        if known is not None and revision <= known[1]:
             return
         if record.state is not JobState.ACTIVE and job not in self.ended:
             self.ended[job] = record.state
@@ -107,7 +107,7 @@
         elif job not in self.ended or record.state is not JobState.ACTIVE:
             if known is None:
                 bisect.insort(self.by_age, (record.at, job))
-            self.active[job] = (record, stamp)
+            self.active[job] = (record, revision)
             self.left[job] = record.spec.tasks - sum(high - low for low, high in record.done)
 
     def oldest_first(self) -> list[tuple[float, str]]:
--- a/alderbridge/store.py
+++ b/alderbridge/store.py
@@ -11,11 +11,11 @@
 from .config import address
 from .net import Client
 
-_rows = msgspec.json.Decoder(wire.Rows)
-_row = msgspec.json.Decoder(wire.Row)
-_changes = msgspec.json.Decoder(wire.Changes)
-_committed = msgspec.json.Decoder(wire.Committed)
-_hold = msgspec.json.Decoder(wire.Hold)
+_rows = msgspec.json.Decoder(wire.KeyValuePage)
+_row = msgspec.json.Decoder(wire.KeyValue)
+_changes = msgspec.json.Decoder(wire.WatchResponse)
+_committed = msgspec.json.Decoder(wire.TransactionResult)
+_hold = msgspec.json.Decoder(wire.LeaseGranted)
 
 ROOT = "ab/"
 VIEW = "ab/view"
@@ -30,30 +30,30 @@
 STOPS = "ab/s/"  # a job's tasks that claims have stopped, and how often
 
 
-class Refused(Exception):
+class StoreRefusedError(Exception):
     """503 or 429: the store did not carry the request out."""
 
 
-class TooFast(Refused):
+class RateLimitedError(StoreRefusedError):
     """429: for a moment the store is asked too much. No outage: the same goes a little later."""
 
 
-class HoldLost(Exception):
+class LeaseExpiredError(Exception):
     """The hold has ended; what was attached to it is gone."""
 
 
-class TooLarge(Exception):
+class TransactionTooLargeError(Exception):
     """400: a value, or the transaction, is larger than the store takes now. Repeated unchanged it never will be."""
 
 
-class TooOld(Exception):
+class WatchCompactedError(Exception):
     """The store no longer has the changes since that epoch."""
 
 
 class Store:
     def __init__(self, endpoint: str) -> None:
         self.client = Client(*address(endpoint))
-        self.follower = Client(*address(endpoint), keep=1)
+        self.watch_client = Client(*address(endpoint), keep=1)
 
     async def _call(
         self,
@@ -66,73 +66,76 @@
         raw = b"" if body is None else wire.encode(body)
         status, answer = await (client or self.client).request(method, target, raw, timeout_s)
         if status == 429:
-            raise TooFast(f"{method} {target}: {status}")
+            raise RateLimitedError(f"{method} {target}: {status}")
         if status in (500, 502, 503, 504):
-            raise Refused(f"{method} {target}: {status}")
+            raise StoreRefusedError(f"{method} {target}: {status}")
         return status, answer
 
-    async def get(self, key: str) -> wire.Row | None:
+    async def get(self, key: str) -> wire.KeyValue | None:
         status, answer = await self._call("GET", f"/kv/{key}")
         if status not in (200, 404):  # no word of the key: told as 404, an accepted job was forgotten
-            raise Refused(f"get {key}: {status}")
+            raise StoreRefusedError(f"get {key}: {status}")
         return _row.decode(answer) if status == 200 else None
 
-    async def page(self, prefix: str, after: str | None) -> wire.Rows:
+    async def list_page(self, prefix: str, after: str | None) -> wire.KeyValuePage:
         more = f"&from={after}" if after else ""
         status, answer = await self._call("GET", f"/kv?starts={prefix}{more}&limit=500")
         if status != 200:
-            raise Refused(f"page {prefix}: {status}")
+            raise StoreRefusedError(f"page {prefix}: {status}")
         return _rows.decode(answer)
 
     async def commit(
-        self, conditions: dict[str, int], puts: dict[str, Any], drops: list[str] = (), permit: int | None = None
-    ) -> wire.Committed:
-        """Empty ``failed``: carried out at ``epoch``. ``HoldLost`` for an ended permit, else 400 is ``TooLarge``."""
+        self, conditions: dict[str, int], puts: dict[str, Any], drops: list[str] = (), lease_id: int | None = None
+    ) -> wire.TransactionResult:
+        """A compare-and-swap transaction; empty ``failed``: it was applied at ``revision``.
+
+        Raises ``LeaseExpiredError`` where ``lease_id`` has ended, ``TransactionTooLargeError`` for any other 400.
+        """
         writes: list[dict[str, Any]] = []
         for key, value in puts.items():
             write = {"put": key, "data": value}
-            if permit is not None:
-                write["permit"] = permit
+            if lease_id is not None:
+                write["permit"] = lease_id
             writes.append(write)
         writes += [{"drop": key} for key in drops]
-        body = {"if": [{"k": key, "stamp": stamp} for key, stamp in conditions.items()], "writes": writes}
+        body = {"if": [{"k": key, "stamp": revision} for key, revision in conditions.items()], "writes": writes}
         status, answer = await self._call("POST", "/commit", body)
         if status == 400:
             text = answer.decode("utf-8", "replace")[:200]
             # Only this text speaks of the hold: a limit that has come down must not cost the controller its place.
-            raise HoldLost(text) if "no such lease" in text else TooLarge(text)
+            raise LeaseExpiredError(text) if "no such lease" in text else TransactionTooLargeError(text)
         return _committed.decode(answer)
 
-    async def hold(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         status, answer = await self._call("POST", "/holds", {"ttl_ms": int(ttl_s * 1000)})
         if status != 200:
-            raise Refused(f"hold: {status}")
-        return _hold.decode(answer).permit
+            raise StoreRefusedError(f"hold: {status}")
+        return _hold.decode(answer).lease_id
 
-    async def extend(self, permit: int) -> None:
-        status, _ = await self._call("POST", f"/holds/{permit}/extend")
+    async def renew_lease(self, lease_id: int) -> None:
+        status, _ = await self._call("POST", f"/holds/{lease_id}/extend")
         if status == 404:
-            raise HoldLost(str(permit))
+            raise LeaseExpiredError(str(lease_id))
         if status != 200:
-            raise Refused(f"extend: {status}")
+            raise StoreRefusedError(f"extend: {status}")
 
-    async def end(self, permit: int) -> None:
-        await self._call("DELETE", f"/holds/{permit}")
+    async def revoke_lease(self, lease_id: int) -> None:
+        await self._call("DELETE", f"/holds/{lease_id}")
 
-    async def follow_now(self, epoch: int) -> wire.Changes:
+    async def watch_now(self, revision: int) -> wire.WatchResponse:
         """What has changed since, without waiting."""
-        return await self.follow(epoch, 0.0)
+        return await self.watch(revision, 0.0)
 
-    async def follow(self, epoch: int, wait_s: float) -> wire.Changes:
+    async def watch(self, revision: int, wait_s: float) -> wire.WatchResponse:
         wait_ms = int(wait_s * 1000)
         status, answer = await self._call(
             "GET",
-            f"/follow?starts={ROOT}&from={epoch}&wait_ms={wait_ms}",
+            f"/follow?starts={ROOT}&from={revision}&wait_ms={wait_ms}",
             timeout_s=c.FOLLOW_WAIT_S + c.STATE_TIMEOUT_S,
-            client=self.follower,
+            client=self.watch_client,
         )
         if status == 410:
-            raise TooOld(str(epoch))
+            raise WatchCompactedError(str(revision))
         if status != 200:
-            raise Refused(f"follow: {status}")
+            raise StoreRefusedError(f"follow: {status}")
         return _changes.decode(answer)
--- a/alderbridge/view.py
+++ b/alderbridge/view.py
@@ -24,7 +24,7 @@
 class Presence(msgspec.Struct, frozen=True):
     """A member's own key, attached to its hold."""
 
-    permit: int
+    lease_id: int = msgspec.field(name="permit")
     generation: int = 1  # of the program; the first one did not write it
 
 
@@ -44,24 +44,24 @@
     LAPSED = "lapsed"  # in the view, hold not provably valid
 
 
-class Hold:
+class StoreLease:
     """This process's hold, counted from when the last good renewal was sent."""
 
     def __init__(self, ttl_s: float) -> None:
         self.ttl_s = ttl_s
-        self.permit = 0
+        self.lease_id = 0
         self.begun_at = float("-inf")  # this permit was given later than this
-        self.keyed_at = float("inf")  # and the label's key attached to it no later than this
+        self.key_attached_at = float("inf")  # and the label's key attached to it no later than this
         self.valid_until = float("-inf")
 
-    def renewed(self, permit: int, sent_at: float, keyed_at: float = float("inf")) -> None:
-        if permit != self.permit:
-            self.begun_at, self.keyed_at = sent_at, keyed_at
-        self.permit = permit
+    def renewed(self, lease_id: int, sent_at: float, key_attached_at: float = float("inf")) -> None:
+        if lease_id != self.lease_id:
+            self.begun_at, self.key_attached_at = sent_at, key_attached_at
+        self.lease_id = lease_id
         self.valid_until = sent_at + self.ttl_s * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S
 
     def lost(self) -> None:
-        self.permit = 0
+        self.lease_id = 0
         self.valid_until = float("-inf")
 
 
@@ -71,13 +71,13 @@
     def __init__(self, me: str, ttl_s: float, older_s: float | None = None) -> None:
         """``older_s``: the ttl that versions before ``RECOVERY`` count with, in s; None: the same."""
         self.me = me
-        self.hold = Hold(ttl_s)
+        self.store_lease = StoreLease(ttl_s)
         # An older member takes the view for settled after its own, shorter ttl: while one takes part, or may,
         # nobody acts for longer than that.
         self.less_s = max(0.0, ttl_s - (ttl_s if older_s is None else older_s))
         self.alike = False  # all members run ``RECOVERY`` or newer
         self.view = NO_VIEW
-        self.mandate = 0
+        self.fencing_token = 0
         self.present: dict[str, tuple[int, int]] = {}  # label -> incarnation, stamp
         self.generations: dict[str, int] = {}  # label -> generation of the program it runs
         self.trouble_since: float | None = None
@@ -96,46 +96,50 @@
         a view began, each member acts under it or not at all.
         """
         self.asked_before, self.asked_at = self.asked_at, sent_at
-        self.fresh_until = sent_at + self.hold.ttl_s * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S
+        self.fresh_until = sent_at + self.store_lease.ttl_s * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S
 
     def unread(self) -> None:
         """The store holds something that counts and that this program can't read: its replica is not fresh."""
         self.fresh_until = float("-inf")
 
-    def saw_view(self, view: View, stamp: int) -> bool:
+    def saw_view(self, view: View, revision: int) -> bool:
         """True if this is a newer view."""
-        if stamp <= self.mandate:
+        if revision <= self.fencing_token:
             return False
-        self.view, self.mandate = view, stamp
+        self.view, self.fencing_token = view, revision
         # The answer before the one that brings it did not have it, and it was written after the permit in it was given.
-        mine = view.members.get(self.me) == self.hold.permit
+        mine = view.members.get(self.me) == self.store_lease.lease_id
         self.contact.enter(
-            view.members, view.contact_s, max(self.asked_before, self.hold.begun_at if mine else float("-inf"))
+            view.members, view.contact_s, max(self.asked_before, self.store_lease.begun_at if mine else float("-inf"))
         )
-        self.contact.unheard_s = self.hold.ttl_s + c.PROOF_MARGIN_S if view.loose else 0.0
+        self.contact.unheard_s = self.store_lease.ttl_s + c.PROOF_MARGIN_S if view.loose else 0.0
         self.homes, self.parts = {}, {}
         self.alike = self.all_run(c.RECOVERY)
         return True
 
-    def saw_presence(self, label: str, presence: Presence | None, stamp: int) -> None:
+    def saw_presence(self, label: str, presence: Presence | None, revision: int) -> None:
         known = self.present.get(label)
-        if known is not None and stamp <= known[1]:
+        if known is not None and revision <= known[1]:
             return
         if presence is None:
             self.present.pop(label, None)
         else:
-            self.present[label] = (presence.permit, stamp)
+            self.present[label] = (presence.lease_id, revision)
             self.generations[label] = presence.generation
         self.alike = self.all_run(c.RECOVERY)
 
     def removed(self) -> bool:
         """Whether a majority has removed this process: its key is gone though its hold is not. It enters anew."""
-        return self.hold.permit > 0 and self.me not in self.present and self.asked_at >= self.hold.keyed_at
+        return (
+            self.store_lease.lease_id > 0
+            and self.me not in self.present
+            and self.asked_at >= self.store_lease.key_attached_at
+        )
 
     def standing(self, now: float) -> Standing:
-        if not self.hold.permit or self.view.members.get(self.me) != self.hold.permit:
+        if not self.store_lease.lease_id or self.view.members.get(self.me) != self.store_lease.lease_id:
             return Standing.OUTSIDE
-        until = min(self.hold.valid_until, self.fresh_until) - (0.0 if self.alike else self.less_s)
+        until = min(self.store_lease.valid_until, self.fresh_until) - (0.0 if self.alike else self.less_s)
         until = min(until, self.contact.until)
         return Standing.MEMBER if now < until else Standing.LAPSED
 
@@ -180,8 +184,8 @@
 
         From the members' own keys in the store, so nothing depends on messages between them.
         """
-        present = {label: permit for label, (permit, _) in self.present.items()}
-        return all(present.get(label) == permit for label, permit in self.view.members.items()) and all(
+        present = {label: lease_id for label, (lease_id, _) in self.present.items()}
+        return all(present.get(label) == lease_id for label, lease_id in self.view.members.items()) and all(
             self.generations[label] >= generation for label in present
         )
 
@@ -221,7 +225,7 @@
         stamp is asserted, goes with the same transaction. Nobody is removed otherwise.
         """
         mine = self.present.get(self.me)
-        if mine is None or mine[0] != self.hold.permit or now >= self.hold.valid_until:
+        if mine is None or mine[0] != self.store_lease.lease_id or now >= self.store_lease.valid_until:
             return None
         members, leader = self.view.members, self.view.leader
         gone = sorted(label for label in self.contact.gone() if self.present.get(label, (0, 0))[0] == members[label])[
@@ -230,16 +234,16 @@
         if self.me in gone:
             return None
         alive = {
-            label: permit
-            for label, (permit, _) in self.present.items()
+            label: lease_id
+            for label, (lease_id, _) in self.present.items()
             if label not in gone and label not in self.contact.avoided
         }
-        stamps = {
+        revisions = {
             label: self.present[label][1] if label in alive or label in gone else 0 for label in {*alive, *members}
         }
         renewed = self._renewed(alive, now)
         if renewed is not None:
-            return renewed, stamps
+            return renewed, revisions
         if alive == members and leader in alive:
             self.trouble_since = None
             self.coming = {}
@@ -258,12 +262,12 @@
         elif leader != self.me:
             self.trouble_since = None
             return None
-        return View(leader, alive, self._contact_for(alive)), stamps
+        return View(leader, alive, self._contact_for(alive)), revisions
 
     def _renewed(self, alive: dict[str, int], now: float) -> View | None:
         """A view for the sake of contact alone; that of the same members waives it, asks for it again, or as before."""
         view, contact = self.view, self.contact
-        if view.members.get(self.me) != self.hold.permit:
+        if view.members.get(self.me) != self.store_lease.lease_id:
             return None
         if contact.near_at is not None and now - self.asked_at < c.CONTACT_STORE_S:
             # No majority answers, and this one is not cut off from the store: it would be a loss to all to stop.
--- a/alderbridge/wire.py
+++ b/alderbridge/wire.py
@@ -64,19 +64,19 @@
 
 
 class ReportedTask(Struct, frozen=True):
-    part: str
+    task_id: str = field(name="part")
     attempt: int = field(name="try")
     status: str
     cause: str | None = None
 
 
-class Beat(Struct, frozen=True):
+class Heartbeat(Struct, frozen=True):
     machine: str = field(name="host")
     address: str
     type: str = field(name="flavour")
-    tenure: int
-    counter: int
-    mandate: int
+    incarnation: int = field(name="tenure")
+    sequence: int = field(name="counter")
+    fencing_token: int = field(name="mandate")
     zone: str = field(name="site", default="")
     spot: bool = field(name="standby", default=False)
     recall_s: float | None = None
@@ -105,11 +105,11 @@
     zones: list[str] = field(name="sites", default_factory=list)
 
 
-class Flavours(Struct, frozen=True):
-    flavours: list[MachineType]
+class MachineTypes(Struct, frozen=True):
+    types: list[MachineType] = field(name="flavours")
 
 
-class Listed(Struct, frozen=True):
+class ListedMachine(Struct, frozen=True):
     id: str
     type: str = field(name="flavour")
     status: str
@@ -118,49 +118,49 @@
     spot: bool = field(name="standby", default=False)
 
 
-class Listing(Struct, frozen=True):
-    hosts: list[Listed]
+class MachineListing(Struct, frozen=True):
+    hosts: list[ListedMachine]
     has_next: bool = False
 
 
-class Rented(Struct, frozen=True):
+class RentedMachines(Struct, frozen=True):
     hosts: list[str]
 
 
-class Row(Struct, frozen=True):
+class KeyValue(Struct, frozen=True):
     key: str = field(name="k")
     data: msgspec.Raw
-    stamp: int
+    revision: int = field(name="stamp")
 
 
-class Rows(Struct, frozen=True):
-    rows: list[Row]
-    epoch: int
+class KeyValuePage(Struct, frozen=True):
+    rows: list[KeyValue]
+    revision: int = field(name="epoch")
     has_next: bool = False
 
 
-class Change(Struct, frozen=True):
+class WatchEvent(Struct, frozen=True):
     put: str | None = None
     drop: str | None = None
     data: msgspec.Raw = msgspec.Raw(b"null")
-    stamp: int = 0
+    revision: int = field(name="stamp", default=0)
 
 
-class Changes(Struct, frozen=True):
-    epoch: int
-    log: list[Change]
+class WatchResponse(Struct, frozen=True):
+    revision: int = field(name="epoch")
+    events: list[WatchEvent] = field(name="log")
 
 
-class Committed(Struct, frozen=True):
-    epoch: int = 0
+class TransactionResult(Struct, frozen=True):
+    revision: int = field(name="epoch", default=0)
     failed: list[str] = []
 
 
-class Hold(Struct, frozen=True):
-    permit: int
+class LeaseGranted(Struct, frozen=True):
+    lease_id: int = field(name="permit")
 
 
-class _Given(Struct):
+class _RequiredFields(Struct):
     """What has a value in each submission, though a record leaves it out where it has its default."""
 
     gpus: msgspec.Raw = field(name="accelerators")
@@ -171,89 +171,89 @@
     spot: msgspec.Raw = field(name="standby")
 
 
-class _Named(Struct):
+class _JobId(Struct):
     id: str
 
 
 _spec = msgspec.json.Decoder(JobSpec)
-_given = msgspec.json.Decoder(_Given)
-_named = msgspec.json.Decoder(_Named)
+_required_fields = msgspec.json.Decoder(_RequiredFields)
+_job_id = msgspec.json.Decoder(_JobId)
 _ID_IN = re.compile(rb'"id"\s*:\s*"(wk-[0-9]{1,18})"')
-_beat = msgspec.json.Decoder(Beat)
+_heartbeat = msgspec.json.Decoder(Heartbeat)
 encode = msgspec.json.encode
 
 
-class Malformed(ValueError):
+class MalformedBodyError(ValueError):
     """A body that is answered 400."""
 
 
 def parse_job(body: bytes) -> JobSpec:
     try:
         spec = _spec.decode(body)
-        _given.decode(body)
+        _required_fields.decode(body)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedBodyError(str(error)) from None
     if not JOB_ID.match(spec.id):
-        raise Malformed("id: expected wk- and digits")
+        raise MalformedBodyError("id: expected wk- and digits")
     if not all(JOB_ID.match(need) for need in spec.needs or ()):
-        raise Malformed("waits_on: expected ids of jobs")
+        raise MalformedBodyError("waits_on: expected ids of jobs")
     return spec
 
 
-def named(body: bytes) -> str:
+def job_id_in(body: bytes) -> str:
     """The job that a body speaks of which is no submission; "" where that can't be made out."""
     try:
-        job = _named.decode(body).id
+        job = _job_id.decode(body).id
         return job if JOB_ID.match(job) else ""
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError):
         found = set(_ID_IN.findall(body))  # not JSON, or not an object
         return found.pop().decode() if len(found) == 1 else ""
 
 
-def parse_beat(body: bytes) -> Beat:
+def parse_heartbeat(body: bytes) -> Heartbeat:
     try:
-        return _beat.decode(body)
+        return _heartbeat.decode(body)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedBodyError(str(error)) from None
 
 
-def split_task(part: str) -> tuple[str, int]:
+def split_task_id(part: str) -> tuple[str, int]:
     job, _, index = part.rpartition("/")
     return (job, int(index)) if index.isdigit() else ("", -1)
 
 
-def error(text: str) -> bytes:
+def error_body(text: str) -> bytes:
     return encode({"error": text})
 
 
-def accepted(job: str, status: str) -> bytes:
+def accepted_body(job: str, status: str) -> bytes:
     return encode({"id": job, "status": status})
 
 
-def job_status(job: str, status: str, done: int, running: int) -> bytes:
+def job_status_body(job: str, status: str, done: int, running: int) -> bytes:
     return encode({"id": job, "status": status, "done": done, "running": running})
 
 
-def beat_answer(mandate: int, orders: list[dict[str, Any]]) -> bytes:
-    return encode({"mandate": mandate, "orders": orders})
+def heartbeat_response(fencing_token: int, orders: list[dict[str, Any]]) -> bytes:
+    return encode({"mandate": fencing_token, "orders": orders})
 
 
-def acknowledge(mandate: int, tenure: int) -> bytes:
+def acknowledge_request(fencing_token: int, incarnation: int) -> bytes:
     """The body of an empty ``/commands``."""
-    return encode({"mandate": mandate, "tenure": tenure, "orders": []})
+    return encode({"mandate": fencing_token, "tenure": incarnation, "orders": []})
 
 
 def run_order(job: str, index: int, attempt: int) -> dict[str, Any]:
     return {"verb": "run", "part": f"{job}/{index}", "try": attempt}
 
 
-def halt_order(job: str, index: int, attempt: int, wind_down_s: float) -> dict[str, Any]:
+def stop_order(job: str, index: int, attempt: int, wind_down_s: float) -> dict[str, Any]:
     return {"verb": "halt", "part": f"{job}/{index}", "try": attempt, "wind_down_s": wind_down_s}
 
 
-def clear_order(job: str, index: int, attempt: int) -> dict[str, Any]:
+def acknowledge_order(job: str, index: int, attempt: int) -> dict[str, Any]:
     return {"verb": "clear", "part": f"{job}/{index}", "try": attempt}
 
 
-def rental(name: str, machine_type: str, zone: str, spot: bool, count: int) -> bytes:
+def rental_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> bytes:
     return encode({"hire": name, "flavour": machine_type, "site": zone, "standby": spot, "number": count})
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -104,7 +104,7 @@
         """One report and its answer; how long to rest."""
         process, model = self.process, self.model
         sent_at = time.monotonic()
-        body, tenure = model.report(sent_at), model.tenure
+        body, incarnation = model.report(sent_at), model.incarnation
         if self.cut():
             await asyncio.sleep(ANSWER_S)
             return self.next_node("cut")
@@ -120,7 +120,7 @@
         process.counts["bytes_in"] += len(answer)
         process.round_trips.record_value(int((now - sent_at) * 1e6))
         if response.status == 200:
-            if self.cut() or not model.on_answer(json.loads(answer), tenure, sent_at, now):
+            if self.cut() or not model.on_answer(json.loads(answer), incarnation, sent_at, now):
                 process.counts["dropped"] += 1
             return process.setup["report_s"] * process.rng.uniform(1 - REPORT_SPREAD, 1 + REPORT_SPREAD)
         return self.not_taken(response.status, answer)
--- a/scale/platform_server.py
+++ b/scale/platform_server.py
@@ -67,8 +67,8 @@
         if method == "POST" and path == "/holds":
             return self.state.new_hold(body["ttl_ms"], now)
         if path.startswith("/holds/"):
-            permit = int(path.split("/")[2])
-            return self.state.end_hold(permit) if method == "DELETE" else self.state.extend(permit, now)
+            lease_id = int(path.split("/")[2])
+            return self.state.end_hold(lease_id) if method == "DELETE" else self.state.extend(lease_id, now)
         if path == "/kv":
             query = request.query
             return self.state.rows(query.get("starts", ""), query.get("from", ""), int(query.get("limit", "1000")))
@@ -78,15 +78,15 @@
 
     async def follow(self, label: str, request: web.Request) -> Answer:
         """A watch: waits for a change, also through an outage."""
-        query, epoch = request.query, int(request.query["from"])
+        query, revision = request.query, int(request.query["from"])
         end = time.monotonic() + int(query.get("wait_ms", "0")) / 1000
         while True:
             if not self.state.down and label not in self.cut_controllers:
-                changes = self.state.changes_since(query.get("starts", ""), epoch)
+                changes = self.state.changes_since(query.get("starts", ""), revision)
                 if changes is not None:
                     return changes
                 if time.monotonic() >= end:
-                    return Answer(200, {"epoch": self.state.epoch, "log": []})
+                    return Answer(200, {"epoch": self.state.revision, "log": []})
             await asyncio.sleep(FOLLOW_LOOK_S)
 
     # -- the cloud
--- a/scale/state_model.py
+++ b/scale/state_model.py
@@ -13,8 +13,8 @@
     """A key's value, the epoch of its last change, and the hold it is attached to."""
 
     data: Any
-    stamp: int
-    permit: int | None
+    revision: int
+    lease_id: int | None
 
 
 class Answer(NamedTuple):
@@ -48,9 +48,9 @@
         """Rates as the settings state them."""
         self.data: dict[str, Item] = {}
         self.log: list[dict] = []
-        self.epoch = 0
+        self.revision = 0
         self.holds: dict[int, tuple[float, float]] = {}  # permit -> ttl, when it ends
-        self.permits = 0
+        self.lease_ids = 0
         self.requests, self.changes = Rate(requests_rate), Rate(changes_rate)
         self.down = False
         self.counts = {"requests": 0, "refused": 0, "changes": 0, "conflicts": 0}
@@ -75,64 +75,64 @@
         for write in writes:
             if write.get("permit") is not None and write["permit"] not in self.holds:
                 return Answer(400, {"error": "no such lease"})
-        failed = [one["k"] for one in conditions if self._stamp(one["k"]) != one["stamp"]]
+        failed = [one["k"] for one in conditions if self._revision(one["k"]) != one["stamp"]]
         if failed:
             self.counts["conflicts"] += 1
-            return Answer(409, {"failed": failed, "epoch": self.epoch})
+            return Answer(409, {"failed": failed, "epoch": self.revision})
         if writes:
-            self.epoch += 1
+            self.revision += 1
         for write in writes:
             self._change(write)
         self.counts["changes"] += len(writes)
-        return Answer(200, {"epoch": self.epoch})
+        return Answer(200, {"epoch": self.revision})
 
     def get(self, key: str) -> Answer:
         """One key."""
         item = self.data.get(key)
         if item is None:
-            return Answer(404, {"epoch": self.epoch})
-        return Answer(200, {"k": key, "data": item.data, "stamp": item.stamp, "permit": item.permit})
+            return Answer(404, {"epoch": self.revision})
+        return Answer(200, {"k": key, "data": item.data, "stamp": item.revision, "permit": item.lease_id})
 
     def rows(self, starts: str, after: str, limit: int) -> Answer:
         """Keys in order, from behind ``after``."""
         found = sorted(key for key in self.data if key.startswith(starts) and key > after)
         page = found[: min(limit, PAGE_ROWS)]
-        rows = [{"k": key, "data": self.data[key].data, "stamp": self.data[key].stamp} for key in page]
-        return Answer(200, {"rows": rows, "has_next": len(found) > len(page), "epoch": self.epoch})
+        rows = [{"k": key, "data": self.data[key].data, "stamp": self.data[key].revision} for key in page]
+        return Answer(200, {"rows": rows, "has_next": len(found) > len(page), "epoch": self.revision})
 
-    def changes_since(self, starts: str, epoch: int) -> Answer | None:
+    def changes_since(self, starts: str, revision: int) -> Answer | None:
         """What changed below ``starts``; None: nothing has yet."""
-        if self.log and epoch < self.log[0]["stamp"] - 1:
+        if self.log and revision < self.log[0]["stamp"] - 1:
             return Answer(410, {"error": "too old"})
         found = []
         for change in reversed(self.log):
-            if change["stamp"] <= epoch:
+            if change["stamp"] <= revision:
                 break
             if change.get("put", change.get("drop", "")).startswith(starts):
                 found.append(change)
-        return Answer(200, {"epoch": self.epoch, "log": found[::-1]}) if found else None
+        return Answer(200, {"epoch": self.revision, "log": found[::-1]}) if found else None
 
     def new_hold(self, ttl_ms: float, now: float) -> Answer:
         """A hold that ends unless it is extended."""
-        self.permits += 1
-        self.holds[self.permits] = (ttl_ms / 1000, now + ttl_ms / 1000)
-        return Answer(200, {"permit": self.permits})
+        self.lease_ids += 1
+        self.holds[self.lease_ids] = (ttl_ms / 1000, now + ttl_ms / 1000)
+        return Answer(200, {"permit": self.lease_ids})
 
-    def extend(self, permit: int, now: float) -> Answer:
+    def extend(self, lease_id: int, now: float) -> Answer:
         """The hold has its full time again."""
-        if permit not in self.holds:
+        if lease_id not in self.holds:
             return Answer(404, {"error": "no such lease"})
-        ttl = self.holds[permit][0]
-        self.holds[permit] = (ttl, now + ttl)
+        ttl = self.holds[lease_id][0]
+        self.holds[lease_id] = (ttl, now + ttl)
         return Answer(200, {})
 
-    def end_hold(self, permit: int) -> Answer:
+    def end_hold(self, lease_id: int) -> Answer:
         """The hold ends, and the keys attached to it go."""
-        if self.holds.pop(permit, None) is None:
+        if self.holds.pop(lease_id, None) is None:
             return Answer(404, {"error": "no such lease"})
-        keys = [key for key, item in self.data.items() if item.permit == permit]
+        keys = [key for key, item in self.data.items() if item.lease_id == lease_id]
         if keys:
-            self.epoch += 1
+            self.revision += 1
         for key in keys:
             self._change({"drop": key})
         return Answer(200, {})
@@ -140,23 +140,23 @@
     def outage_over(self, now: float) -> None:
         """Each hold has its full time again."""
         self.down = False
-        self.holds = {permit: (ttl, now + ttl) for permit, (ttl, _) in self.holds.items()}
+        self.holds = {lease_id: (ttl, now + ttl) for lease_id, (ttl, _) in self.holds.items()}
 
-    def _stamp(self, key: str) -> int:
+    def _revision(self, key: str) -> int:
         item = self.data.get(key)
-        return item.stamp if item is not None else 0
+        return item.revision if item is not None else 0
 
     def _change(self, write: dict) -> None:
         if "put" in write:
-            self.data[write["put"]] = Item(write["data"], self.epoch, write.get("permit"))
-            self.log.append({"put": write["put"], "data": write["data"], "stamp": self.epoch})
+            self.data[write["put"]] = Item(write["data"], self.revision, write.get("permit"))
+            self.log.append({"put": write["put"], "data": write["data"], "stamp": self.revision})
         elif self.data.pop(write["drop"], None) is not None:
-            self.log.append({"drop": write["drop"], "stamp": self.epoch})
+            self.log.append({"drop": write["drop"], "stamp": self.revision})
         if len(self.log) > KEPT_CHANGES * 2:
             del self.log[:-KEPT_CHANGES]
 
     def _end_holds(self, now: float) -> None:
         if self.down:
             return
-        for permit in [permit for permit, (_, end) in self.holds.items() if now > end + LATE_END_S]:
-            self.end_hold(permit)
+        for lease_id in [lease_id for lease_id, (_, end) in self.holds.items() if now > end + LATE_END_S]:
+            self.end_hold(lease_id)
--- a/scale/worker_model.py
+++ b/scale/worker_model.py
@@ -65,7 +65,7 @@
         self.name, self.zone, self.spot, self.kind = name, zone, spot, kind
         self.fetch_gb_per_s, self.lease_s, self.plan, self.tell = fetch_gb_per_s, lease_s, plan, tell
         self.address = ""
-        self.tenure, self.counter, self.mandate = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.told = 0  # events
         self.tasks: dict[str, Task] = {}
         self.images: set[str] = set()
@@ -77,7 +77,7 @@
         while now > (lapses_at := self.answered_at + self.lease_s):
             self._advance(lapses_at)
             self.kill_all(lapses_at)
-            self.tenure, self.counter, self.answered_at, self.changed = self.tenure + 1, 0, lapses_at, True
+            self.incarnation, self.sequence, self.answered_at, self.changed = self.incarnation + 1, 0, lapses_at, True
         self._advance(now)
 
     def _advance(self, now: float) -> None:
@@ -98,7 +98,7 @@
     def report(self, now: float) -> bytes:
         """The next report; newer than all before."""
         self.tick(now)
-        self.counter, self.changed = self.counter + 1, False
+        self.sequence, self.changed = self.sequence + 1, False
         parts = [
             {"part": part, "try": task.attempt, "status": task.state.value}
             | ({"cause": task.cause} if task.cause else {})
@@ -111,21 +111,25 @@
                 "flavour": self.kind,
                 "site": self.zone,
                 "standby": self.spot,
-                "tenure": self.tenure,
-                "counter": self.counter,
-                "mandate": self.mandate,
+                "tenure": self.incarnation,
+                "counter": self.sequence,
+                "mandate": self.fencing_token,
                 "recall_s": None,
                 "parts": parts,
             }
         ).encode()
 
-    def on_answer(self, answer: dict, tenure: int, sent_at: float, now: float) -> bool:
+    def on_answer(self, answer: dict, incarnation: int, sent_at: float, now: float) -> bool:
         """A 200; False: it is dropped, and renews nothing."""
         self.tick(now)
-        if now - sent_at > ANSWER_S or tenure != self.tenure or answer.get("mandate", -1) < self.mandate:
+        if (
+            now - sent_at > ANSWER_S
+            or incarnation != self.incarnation
+            or answer.get("mandate", -1) < self.fencing_token
+        ):
             return False
-        self.changed = self.changed or answer["mandate"] > self.mandate
-        self.mandate, self.answered_at = answer["mandate"], sent_at
+        self.changed = self.changed or answer["mandate"] > self.fencing_token
+        self.fencing_token, self.answered_at = answer["mandate"], sent_at
         for order in answer["orders"]:
             self.carry_out(order, now)
         return True
@@ -135,10 +139,10 @@
         self.tick(now)
         if "mandate" not in body or "tenure" not in body:
             return 400
-        if body["mandate"] < self.mandate or body["tenure"] != self.tenure:
+        if body["mandate"] < self.fencing_token or body["tenure"] != self.incarnation:
             return 409
-        self.changed = self.changed or body["mandate"] > self.mandate
-        self.mandate = body["mandate"]
+        self.changed = self.changed or body["mandate"] > self.fencing_token
+        self.fencing_token = body["mandate"]
         for order in body.get("orders", []):
             self.carry_out(order, now)
         return 200
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -161,13 +161,13 @@
     "message-reply": mesh.Reply(ask=14, status=404, body=b'{"error":"no such job"}'),
 }
 FRAMES = {
-    name: mesh.Frame(version="0.9.1", sender="host-1", mandate=21, seq=33, ack=32, body=body, incarnation=5)
+    name: mesh.Frame(version="0.9.1", sender="host-1", fencing_token=21, seq=33, ack=32, body=body, sender_lease_id=5)
     for name, body in MESSAGES.items()
 }
 
 # Frames of older versions, which end before the newest fields.
 OLDER_FRAMES = {
-    name: mesh.Frame(version="0.1.0", sender="host-1", mandate=21, seq=33, ack=32, body=body)
+    name: mesh.Frame(version="0.1.0", sender="host-1", fencing_token=21, seq=33, ack=32, body=body)
     for name, body in {
         "older-message-pulse": mesh.Pulse(),
         "older-message-queue": mesh.Queue(
@@ -200,9 +200,9 @@
     "record-job-ended": Record(state=JobState.DONE, done_at=1700000200.75),
     "record-waits-for": ["wk-000003", "wk-000004"],
     "record-view": View(leader="host-1", members={"host-0": 3, "host-1": 7}, contact_s=4.5, loose=True),
-    "record-presence": Presence(permit=7, generation=6),
+    "record-presence": Presence(lease_id=7, generation=6),
     "record-machine": wire.MachineRecord(address="10.0.0.7:7001", type="g4", zone="north-1", spot=True),
-    "record-machine-types": wire.Flavours(flavours=[MACHINE_TYPE]),
+    "record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE]),
     "record-claim": Claim(
         reason="serving",
         job="wk-000017",
@@ -283,9 +283,9 @@
     "older-record-job": Record(state=JobState.ABORTED),
     "older-record-job-with-spec": Record(state=JobState.ACTIVE, home="host-1", at=1700000000.25, spec=JOB_REQUIRED),
     "older-record-view": View(leader="host-1", members={"host-0": 3}),
-    "older-record-presence": Presence(permit=7, generation=1),
+    "older-record-presence": Presence(lease_id=7, generation=1),
     "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
-    "older-record-machine-types": wire.Flavours(flavours=[MACHINE_TYPE_REQUIRED]),
+    "older-record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE_REQUIRED]),
     "older-record-spent": Spent(stops={}),
     "older-record-declaration": Head(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
     "older-record-declaration-first": Head(
@@ -302,80 +302,81 @@
 # Bodies that others send to a controller, filled in.
 RECEIVED = {
     "received-job": JOB,
-    "received-heartbeat": wire.Beat(
+    "received-heartbeat": wire.Heartbeat(
         machine="vm-1",
         address="10.0.0.7:7001",
         type="g4",
-        tenure=3,
-        counter=41,
-        mandate=21,
+        incarnation=3,
+        sequence=41,
+        fencing_token=21,
         zone="north-1",
         spot=True,
         recall_s=25.5,
-        tasks=[wire.ReportedTask(part="wk-000017/5", attempt=2, status="ended", cause="error")],
+        tasks=[wire.ReportedTask(task_id="wk-000017/5", attempt=2, status="ended", cause="error")],
     ),
-    "received-store-row": wire.Row(key="ab/view", data=Raw(b'{"leader":"host-1"}'), stamp=21),
-    "received-store-rows": wire.Rows(
-        rows=[wire.Row(key="ab/view", data=Raw(b'{"leader":"host-1"}'), stamp=21)], epoch=77, has_next=True
+    "received-store-row": wire.KeyValue(key="ab/view", data=Raw(b'{"leader":"host-1"}'), revision=21),
+    "received-store-rows": wire.KeyValuePage(
+        rows=[wire.KeyValue(key="ab/view", data=Raw(b'{"leader":"host-1"}'), revision=21)], revision=77, has_next=True
     ),
-    "received-store-changes": wire.Changes(
-        epoch=77, log=[wire.Change(put="ab/n/vm-1", drop="ab/n/vm-2", data=Raw(b'{"spot":true}'), stamp=76)]
+    "received-store-changes": wire.WatchResponse(
+        revision=77,
+        events=[wire.WatchEvent(put="ab/n/vm-1", drop="ab/n/vm-2", data=Raw(b'{"spot":true}'), revision=76)],
     ),
-    "received-store-committed": wire.Committed(epoch=78, failed=["ab/view"]),
-    "received-store-hold": wire.Hold(permit=7),
-    "received-cloud-listing": wire.Listing(
-        hosts=[wire.Listed(id="vm-1", type="g4", status="failed", held_s=61.5, zone="north-1", spot=True)],
+    "received-store-committed": wire.TransactionResult(revision=78, failed=["ab/view"]),
+    "received-store-hold": wire.LeaseGranted(lease_id=7),
+    "received-cloud-listing": wire.MachineListing(
+        hosts=[wire.ListedMachine(id="vm-1", type="g4", status="failed", held_s=61.5, zone="north-1", spot=True)],
         has_next=True,
     ),
-    "received-cloud-rented": wire.Rented(hosts=["vm-1", "vm-2"]),
-    "received-cloud-types": wire.Flavours(flavours=[MACHINE_TYPE]),
+    "received-cloud-rented": wire.RentedMachines(hosts=["vm-1", "vm-2"]),
+    "received-cloud-types": wire.MachineTypes(types=[MACHINE_TYPE]),
 }
 
 # The same with nothing but what has to be there.
 RECEIVED_REQUIRED = {
     "required-job": JOB_REQUIRED,
-    "required-heartbeat": wire.Beat(
+    "required-heartbeat": wire.Heartbeat(
         machine="vm-1",
         address="10.0.0.7:7001",
         type="g4",
-        tenure=3,
-        counter=41,
-        mandate=21,
+        incarnation=3,
+        sequence=41,
+        fencing_token=21,
         zone="",
         spot=False,
         recall_s=None,
         tasks=[],
     ),
-    "required-heartbeat-task": wire.ReportedTask(part="wk-000017/5", attempt=2, status="running", cause=None),
-    "required-store-rows": wire.Rows(rows=[], epoch=77, has_next=False),
-    "required-store-changes": wire.Changes(
-        epoch=77,
-        log=[
-            wire.Change(put="ab/n/vm-1", drop=None, data=Raw(b'{"spot":true}'), stamp=76),
-            wire.Change(put=None, drop="ab/n/vm-2", data=Raw(b"null"), stamp=0),
+    "required-heartbeat-task": wire.ReportedTask(task_id="wk-000017/5", attempt=2, status="running", cause=None),
+    "required-store-rows": wire.KeyValuePage(rows=[], revision=77, has_next=False),
+    "required-store-changes": wire.WatchResponse(
+        revision=77,
+        events=[
+            wire.WatchEvent(put="ab/n/vm-1", drop=None, data=Raw(b'{"spot":true}'), revision=76),
+            wire.WatchEvent(put=None, drop="ab/n/vm-2", data=Raw(b"null"), revision=0),
         ],
     ),
-    "required-store-committed": wire.Committed(epoch=0, failed=[]),
-    "required-cloud-listing": wire.Listing(
-        hosts=[wire.Listed(id="vm-1", type="g4", status="up", held_s=61.5, zone="", spot=False)], has_next=False
+    "required-store-committed": wire.TransactionResult(revision=0, failed=[]),
+    "required-cloud-listing": wire.MachineListing(
+        hosts=[wire.ListedMachine(id="vm-1", type="g4", status="up", held_s=61.5, zone="", spot=False)], has_next=False
     ),
 }
 
 # Bodies that a controller sends, by the functions that make them.
 SENT = {
-    "sent-heartbeat-answer": wire.beat_answer(
+    "sent-heartbeat-answer": wire.heartbeat_response(
         21,
         [
             wire.run_order("wk-000017", 5, 2),
-            wire.halt_order("wk-000017", 6, 3, 3.5),
-            wire.clear_order("wk-000017", 7, 4),
+            wire.stop_order("wk-000017", 6, 3, 3.5),
+            wire.acknowledge_order("wk-000017", 7, 4),
         ],
     ),
-    "sent-acknowledgement": wire.acknowledge(21, 3),
-    "sent-accepted": wire.accepted("wk-000017", "pending"),
-    "sent-job-status": wire.job_status("wk-000017", JobState.ACTIVE.value, 4, 2),
-    "sent-error": wire.error("no such job"),
-    "sent-rental": wire.rental("hire-1", "g4", "north-1", True, 6),
+    "sent-acknowledgement": wire.acknowledge_request(21, 3),
+    "sent-accepted": wire.accepted_body("wk-000017", "pending"),
+    "sent-job-status": wire.job_status_body("wk-000017", JobState.ACTIVE.value, 4, 2),
+    "sent-error": wire.error_body("no such job"),
+    "sent-rental": wire.rental_request("hire-1", "g4", "north-1", True, 6),
 }
 
 # Keys in the store, and texts that stand for states.
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,7 +9,7 @@
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
 from alderbridge.jobs import JobState, Record
-from alderbridge.net import Unanswered
+from alderbridge.net import UnansweredError
 from alderbridge.poll import Poll
 from alderbridge.store import JOBS
 
@@ -123,7 +123,11 @@
         asked.append(key)
         if isinstance(holds, Exception):
             raise holds
-        return wire.Row(key, msgspec.Raw(msgspec.json.encode(holds)), 5) if holds and key == JOBS + JOB["id"] else None
+        return (
+            wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(holds)), 5)
+            if holds and key == JOBS + JOB["id"]
+            else None
+        )
 
     control.store.get = get
     control.store_bad_until = 0.0
@@ -141,11 +145,11 @@
     told = {"id": JOB["id"], "status": "done", "done": 0, "running": 0}
     for name, (status, raw) in BAD.items():
         assert submit(control, raw, None)[0] == status, name
-        known = wire.named(raw) == JOB["id"]
+        known = wire.job_id_in(raw) == JOB["id"]
         assert known or name.startswith("id ") or name in ("nothing", "null", "a text"), name
         if known:
             assert submit(control, raw, ended) == (200, told), name
-            assert submit(control, raw, Unanswered("cut"))[0] == 503, name
+            assert submit(control, raw, UnansweredError("cut"))[0] == 503, name
         else:
             assert submit(control, raw, ended)[0] == status, name
 
@@ -163,7 +167,7 @@
             return await control.withdraw("wk-000777")
         return await control.status_now("wk-000777", None)
 
-    for raised, status in ((None, 404), (Unanswered("cut"), 503)):
+    for raised, status in ((None, 404), (UnansweredError("cut"), 503)):
         asked = []
 
         async def get(key, raised=raised, asked=asked):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -63,8 +63,8 @@
         super().__init__(seed, jobs=0, machines=8, **more)
         commit = self.store.commit
 
-        def checked(conditions, puts, drops=(), permit=None):
-            answer = commit(conditions, puts, drops, permit)
+        def checked(conditions, puts, drops=(), lease_id=None):
+            answer = commit(conditions, puts, drops, lease_id)
             if not answer.failed:
                 self.stored(
                     {k[len(CLAIMS) :]: v for k, v in puts.items() if k.startswith(CLAIMS)},
@@ -125,7 +125,7 @@
         for job in self.accepted:
             # A result that no report told of is no result: the task runs again.
             record = msgspec.json.decode(self.store.data[JOBS + job][0], type=Record)
-            there = sum(wire.split_task(part)[0] == job for part in self.on)
+            there = sum(wire.split_task_id(part)[0] == job for part in self.on)
             if record.state is JobState.ACTIVE:
                 off[job] = self.specs[job].tasks - sum(high - low for low, high in record.done) - there
         free = {name: self.free(worker) for name, worker in self.machines.items() if worker is not None}
@@ -142,7 +142,7 @@
         room = (kind.cpus, kind.memory_gb, 0.0)
         for part, task in tasks:
             if task.status != "ended":
-                room = minus(room, self.specs[wire.split_task(part)[0]], 1)
+                room = minus(room, self.specs[wire.split_task_id(part)[0]], 1)
         return room
 
     def lasting_room(self, spec: wire.JobSpec) -> int:
@@ -230,7 +230,7 @@
 
     def halted(self, part: str, task, worker) -> None:
         parts = [sim.node.part.machines.get(worker.name) for sim in self.nodes.values() if sim.node is not None]
-        ours = any(wire.split_task(part) in machine.claim_halts for machine in parts if machine is not None)
+        ours = any(wire.split_task_id(part) in machine.claim_halts for machine in parts if machine is not None)
         if ours and (part, task.attempt) not in self.claimed:  # homes stop tasks for other reasons, after falls
             raise Broken(f"unclaimed: {part} stopped on {worker.name} at {self.t:.2f}")
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -38,8 +38,8 @@
     def frame(self, data):
         self.thawed(super().frame, data)
 
-    def beat(self, raw, reply):
-        self.thawed(super().beat, raw, reply)
+    def heartbeat(self, raw, reply):
+        self.thawed(super().heartbeat, raw, reply)
 
     def call(self, then, fail, method, *args, too_large=None):
         super().call(
@@ -68,7 +68,7 @@
 
     def __init__(self, seed, mishaps=0, **more):
         self.cuts = {}  # (from, to) -> until when, whether held back
-        self.view, self.out, self.early, self.mandates = None, set(), 0, 0
+        self.view, self.out, self.early, self.fencing_tokens = None, set(), 0, 0
         super().__init__(seed, trouble=False, **more)
         for _ in range(mishaps):
             self.after(self.rng.uniform(10.0, 130.0), self.mishap)
@@ -81,16 +81,16 @@
                 if change.put == VIEW:
                     self.changed(msgspec.json.decode(change.data, type=View))
             for label, sim in self.nodes.items():
-                if sim.node is not None and (label, sim.node.membership.hold.permit) in self.out:
+                if sim.node is not None and (label, sim.node.membership.store_lease.lease_id) in self.out:
                     if sim.node.membership.may_act(self.t):
                         raise Broken(f"left_out: {label} acts at {self.t:.2f}")
 
     def changed(self, view):
         old = self.view.members if self.view else {}
-        gone = {(label, permit) for label, permit in old.items() if view.members.get(label) != permit}
-        self.early += sum(permit in self.store.holds and label not in view.members for label, permit in gone)
+        gone = {(label, lease_id) for label, lease_id in old.items() if view.members.get(label) != lease_id}
+        self.early += sum(lease_id in self.store.holds and label not in view.members for label, lease_id in gone)
         self.out |= gone
-        self.view, self.mandates = view, self.mandates + 1
+        self.view, self.fencing_tokens = view, self.fencing_tokens + 1
 
     def cut(self, ones, for_s, held=False, ways="both"):
         others = [label for label in self.labels if label not in ones]
@@ -234,7 +234,7 @@
 
     def hear(self, frame, acked_at, now):
         life = self.membership.view.members.get(frame.sender, 0)
-        real(self, msgspec.structs.replace(frame, incarnation=life), acked_at, now)
+        real(self, msgspec.structs.replace(frame, sender_lease_id=life), acked_at, now)
 
     monkeypatch.setattr(Node, "hear", hear)
     monkeypatch.setattr(Node, "inside", property(lambda self: True, lambda self, value: None), raising=False)
@@ -253,14 +253,14 @@
     world.run(60.0 + c.CONTACT_TTL_S + 2.0)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"] and world.early == 2
     world.run(89.0)
-    assert not any(worker.tenure > 1 for worker in world.machines.values() if worker is not None and worker.alive)
+    assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
     world.run(100.0)
     assert len(world.view.members) == 5 and all(sim.node.may_act() for sim in world.nodes.values())
 
 
 def test_a_worker_is_sent_on_to_a_member_that_is_heard_while_its_owner_is_silent():
     membership = Membership("host-1", 20.0)
-    membership.hold.renewed(2, 0.0)
+    membership.store_lease.renewed(2, 0.0)
     members = {f"host-{number}": number + 1 for number in range(4)}
     membership.saw_view(View("host-0", members, contact_s=8.0), 10)
     machine = next(f"n-{number}" for number in range(99) if membership.part_of(f"n-{number}") == "host-2")
@@ -285,7 +285,7 @@
         assert all(sim.node.may_act() for sim in world.nodes.values())
     assert world.view.contact_s == 0.0 and len(world.view.members) == 5
     world.run(70.0 + c.CONTACT_AGAIN_S + 5.0)
-    assert world.view.contact_s > 0 and world.mandates == 3
+    assert world.view.contact_s > 0 and world.fencing_tokens == 3
 
 
 def test_a_member_that_a_minority_gave_up_is_heard_again_under_a_new_mandate():
@@ -294,9 +294,9 @@
     contact = world.nodes["host-1"].node.membership.contact
     contact.peers["host-2"].give_up()
     contact.given_up["host-2"].add("host-1")
-    before = world.mandates
+    before = world.fencing_tokens
     world.run(30.0 + c.CONTACT_STUCK_S + 1.0)
-    assert world.mandates == before + 1 and len(world.view.members) == 3 and not world.early
+    assert world.fencing_tokens == before + 1 and len(world.view.members) == 3 and not world.early
     assert world.nodes["host-1"].node.membership.contact.takes("host-2")
 
 
@@ -318,7 +318,7 @@
 )
 def test_a_view_asks_for_contact_only_of_three_that_all_know_of_it(generations, asked):
     membership = Membership("host-0", 20.0)
-    membership.hold.renewed(1, 0.0)
+    membership.store_lease.renewed(1, 0.0)
     for number, generation in enumerate(generations, 1):
         membership.saw_presence(f"host-{number - 1}", Presence(number, generation), number)
     membership.next_view(0.0)
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -107,9 +107,9 @@
 # -- one process
 
 
-def change(declarations, now, stamp, **puts):
+def change(declarations, now, revision, **puts):
     for kind, head in puts.items():
-        declarations.apply(DECLARED + kind, msgspec.json.encode(head), stamp)
+        declarations.apply(DECLARED + kind, msgspec.json.encode(head), revision)
     declarations.look(now)
 
 
@@ -179,11 +179,11 @@
         super().__init__(seed, jobs=2, **more)
         real = self.store.commit
 
-        def commit(conditions, puts, drops=(), permit=None):
+        def commit(conditions, puts, drops=(), lease_id=None):
             ours = any(key.startswith(DECLARED) for key in (*puts, *drops))
             if ours and self.rng.random() < 0.1:
                 self.after(self.rng.uniform(0.5, 30.0), again, conditions, puts, drops)
-            answer = real(conditions, puts, drops, permit)
+            answer = real(conditions, puts, drops, lease_id)
             if ours and not answer.failed:
                 self.changes += len(puts) + len(drops)
             return answer
@@ -250,8 +250,8 @@
             self.look()
 
     def look(self):
-        if self.store.epoch != self.seen_epoch:
-            self.seen_epoch = self.store.epoch
+        if self.store.revision != self.seen_epoch:
+            self.seen_epoch = self.store.revision
             self.look_at_store()
         lists = {}
         for label, sim in self.nodes.items():
@@ -349,13 +349,15 @@
         node.follow_hours = lambda: None
         first, second = (Revision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
         rows = [
-            wire.Row(key, msgspec.Raw(msgspec.json.encode(piece)), 1)
+            wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(piece)), 1)
             for named, one in zip((first, second), FILES, strict=True)
             for key, piece in zip(
                 records.piece_keys("hours", named), records.pieces(one.text, named.parts), strict=True
             )
         ]
-        rows.append(wire.Row(records.head_key("hours"), msgspec.Raw(msgspec.json.encode(head_of(second, first))), 2))
+        rows.append(
+            wire.KeyValue(records.head_key("hours"), msgspec.Raw(msgspec.json.encode(head_of(second, first))), 2)
+        )
         node.load(rows, [], 5, 0.0, 0.0)
         return node.declared.in_force("hours", 1.0)
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -10,7 +10,7 @@
 from alderbridge.dependencies import NEVER, Graph
 from alderbridge.mesh import QueueRow
 from alderbridge.placement import order
-from alderbridge.wire import JobSpec, Malformed, parse_job
+from alderbridge.wire import JobSpec, MalformedBodyError, parse_job
 
 
 def spec(job, priority="standard", estimate_s=10.0, due_s=None, **more):
@@ -158,5 +158,5 @@
         '"standby":true,"expected_s":5.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"waits_on":%s}'
     )
     assert parse_job((body % "null").encode()).needs is None
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedBodyError):
         parse_job((body % waits_on).encode())
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -85,9 +85,9 @@
 
 def test_what_users_and_workers_send_goes_through_the_parsers():
     assert wire.parse_job(content("received-job.json")) == examples.JOB
-    assert wire.parse_beat(content("received-heartbeat.json")) == examples.RECEIVED["received-heartbeat"]
-    assert wire.parse_beat(content("required-heartbeat.json")) == examples.RECEIVED_REQUIRED["required-heartbeat"]
-    assert wire.split_task("wk-000017/5") == ("wk-000017", 5)
+    assert wire.parse_heartbeat(content("received-heartbeat.json")) == examples.RECEIVED["received-heartbeat"]
+    assert wire.parse_heartbeat(content("required-heartbeat.json")) == examples.RECEIVED_REQUIRED["required-heartbeat"]
+    assert wire.split_task_id("wk-000017/5") == ("wk-000017", 5)
 
 
 # -- requests --------------------------------------------------------------
@@ -113,16 +113,16 @@
     """Each request once."""
     return [
         await store.get("ab/view"),
-        await store.page("ab/j/", "ab/j/wk-000017"),
+        await store.list_page("ab/j/", "ab/j/wk-000017"),
         await store.commit(
             {"ab/view": 21, "ab/n/vm-1": 0},
             {"ab/n/vm-1": wire.MachineRecord(address="10.0.0.7:7001", type="g4", zone="north-1", spot=True)},
             ["ab/n/vm-2"],
         ),
-        await store.commit({}, {"ab/m/host-1": examples.RECORDS["record-presence"]}, permit=7),
-        await store.hold(4.5),
-        await store.follow(77, 1.5),
-        await store.extend(7),
+        await store.commit({}, {"ab/m/host-1": examples.RECORDS["record-presence"]}, lease_id=7),
+        await store.grant_lease(4.5),
+        await store.watch(77, 1.5),
+        await store.renew_lease(7),
         await store.end(7),
     ]
 
@@ -134,14 +134,14 @@
     answers = curio.run(ask_store, store)
     assert asked == lines("requests-store")
     expected = [examples.RECEIVED[f"received-{name}"] for name in names]
-    expected[4] = expected[4].permit
+    expected[4] = expected[4].lease_id
     assert answers == [*expected, None, None]
 
 
 async def ask_cloud(cloud):
     """Each request once."""
     return [
-        await cloud.flavours(),
+        await cloud.machine_types(),
         await cloud.rent("hire-1", "g4", "north-1", True, 6),
         await cloud.give_back(["vm-1", "vm-2"]),
         await cloud.page("vm-1"),
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -82,12 +82,12 @@
     world = World(8700, trouble=False, jobs=30)
     home, part, name, index, run = a_run(world)
     owner = world.nodes[part].node
-    owner.channels[home].reset(owner.membership.mandate, world.t)  # as if the view had just begun
+    owner.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
     world.nodes[home].crash()
     world.restart(world.nodes[home])
     while not (node := world.nodes[home].node).loaded:
         world.run(world.t + 0.01)
-    assert not node.inside and node.membership.mandate == owner.membership.mandate
+    assert not node.inside and node.membership.fencing_token == owner.membership.fencing_token
     seen = m.Seen(run.machine, run.zone, 0, [m.SeenTask(name, index, run.attempt, "running", None)], [])
     node.on_frame(owner.channels[home].post(seen, world.t), world.t)
     assert not [body for _, body in node.outgoing if not isinstance(body.body, m.Pulse)], "no halt of what it ran"
@@ -105,8 +105,8 @@
     node = world.nodes[home].node
     real, late = node.held, []
     node.held = lambda *told: late.append(told)  # the store's answer takes a while
-    mandate = max(sim.node.membership.mandate for sim in world.nodes.values() if sim.node)
-    while node.membership.mandate <= mandate or not late:
+    fencing_token = max(sim.node.membership.fencing_token for sim in world.nodes.values() if sim.node)
+    while node.membership.fencing_token <= fencing_token or not late:
         world.run(world.t + 0.05)
     assert not node.inside and not node.may_act()
     node.held = real
@@ -176,8 +176,8 @@
         await task.join()
         return answer
 
-    assert curio.run(asked, wire.job_status("wk-000001", "done", 1, 0))[0] == 200
-    assert curio.run(asked, wire.job_status("wk-000002", "done", 1, 0)) is None
+    assert curio.run(asked, wire.job_status_body("wk-000001", "done", 1, 0))[0] == 200
+    assert curio.run(asked, wire.job_status_body("wk-000002", "done", 1, 0)) is None
 
 
 def test_a_job_about_which_nothing_is_answered_is_named_now_and_then(monkeypatch, caplog):
@@ -309,9 +309,9 @@
     """A member by its label, whatever its permit; so no view follows its return."""
 
     def standing(self, now):
-        if self.me not in self.view.members or not self.hold.permit:
+        if self.me not in self.view.members or not self.store_lease.lease_id:
             return Standing.OUTSIDE
-        return Standing.MEMBER if now < min(self.hold.valid_until, self.fresh_until) else Standing.LAPSED
+        return Standing.MEMBER if now < min(self.store_lease.valid_until, self.fresh_until) else Standing.LAPSED
 
     real = Membership.next_view
     monkeypatch.setattr(Membership, "standing", standing)
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -123,7 +123,7 @@
         return rule, end if begin <= wall else 0.0
 
     def ordered(self, part: str) -> None:
-        spec = self.specs[wire.split_task(part)[0]]
+        spec = self.specs[wire.split_task_id(part)[0]]
         for text in self.in_force():
             rule, until = self.open_until(text, spec)
             run_s = spec.estimate_s * rule.run_factor if rule is not None and rule.ends else 0.0
@@ -133,7 +133,7 @@
     def watch(self) -> None:
         super().watch()
         for part in self.on if self.quiet else ():
-            spec, text = self.specs[wire.split_task(part)[0]], self.texts[-1]
+            spec, text = self.specs[wire.split_task_id(part)[0]], self.texts[-1]
             rule, until = self.open_until(text, spec, LATE_S)
             since = self.open_until(text, spec)[1]
             if rule is not None and rule.stops and not until and not since and self.t > self.stored[-1] + LATE_S:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -561,12 +561,12 @@
         super().count()
         used = Counter()
         for part in self.on:
-            one = self.specs[wire.split_task(part)[0]]
+            one = self.specs[wire.split_task_id(part)[0]]
             used[one.team, 0] += one.cpus
             used[one.team, 1] += one.gpus
         self.uses = [*getattr(self, "uses", [])[-16:], used]  # of 4 s: what the leader knows is that old at most
         for machine, room in ((name, self.kinds[name][0]) for name in self.machines if name in self.kinds):
-            gpus = sum(self.specs[wire.split_task(part)[0]].gpus for part, on in self.on.items() if on == machine)
+            gpus = sum(self.specs[wire.split_task_id(part)[0]].gpus for part, on in self.on.items() if on == machine)
             if gpus > world.TYPES[room.type].gpus:
                 raise Broken(f"gpus: {machine} has {gpus} in use")
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -5,7 +5,7 @@
 from alderbridge import constants as c
 from alderbridge.machines import Part
 from alderbridge.mesh import Grant, Seen
-from alderbridge.wire import Beat, JobSpec, MachineRecord, ReportedTask
+from alderbridge.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
 
 SPEC = JobSpec(
     id="wk-1",
@@ -38,23 +38,23 @@
     return part, sent
 
 
-def beat(part, counter, tasks=()):
-    part.on_beat(Beat("n-1", "x", "c4", 1, counter, 5, "a", tasks=list(tasks)), float(counter))
+def heartbeat(part, sequence, tasks=()):
+    part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, sequence, 5, "a", tasks=list(tasks)), float(sequence))
 
 
 def test_homes_hear_of_a_machine_once_and_then_only_news():
     part, sent = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     assert [label for label, _ in sent] == ["host-0", "host-1"]  # nothing there: proof for both
-    beat(part, 2)
+    heartbeat(part, 2)
     assert len(sent) == 2
-    beat(part, 3, [ReportedTask("wk-1/0", 1, "running")])
+    heartbeat(part, 3, [ReportedTask("wk-1/0", 1, "running")])
     assert [label for label, _ in sent[2:]] == ["host-1"]
 
 
 def test_a_grant_that_came_to_nothing_is_told_though_the_machine_looks_as_before():
     part, sent = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     part.on_grant("host-1", Grant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
     part.drain(["n-1"])  # not sent yet: dropped
     assert sent[2:] == [("host-1", Seen("n-1", "a", 7, [], []))]
@@ -62,7 +62,7 @@
 
 def test_a_grant_for_a_machine_gone_meanwhile_is_answered():
     part, sent = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     part.on_gone(["n-1"])
     before = len(sent)
     part.on_grant("host-1", Grant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
@@ -72,15 +72,15 @@
 def test_an_asked_acknowledgement_is_proof_only_before_any_order_of_this_view():
     """Later it may have been written before the worker read the response that starts a task (found in review)."""
     part, sent = part_with_machine()
-    part.on_asked(Beat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
+    part.on_asked(Heartbeat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
     assert not sent, "it bears an older mandate"
-    part.on_asked(Beat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
+    part.on_asked(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
     assert {label for label, _ in sent} == {"host-0", "host-1"}, "the first one is proof, as a report would be"
     machine = part.machines["n-1"]
     part.on_grant("host-1", Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 77)]), 2.0)
     assert [order["verb"] for order in part.orders(machine)] == ["run"]
     told = len(sent)
-    part.on_asked(Beat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
+    part.on_asked(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
     assert ("wk-1", 0) in machine.pending and len(sent) == told
 
 
@@ -95,7 +95,7 @@
         },
         3.0,
     )
-    part.on_asked(Beat("n-3", "10.0.0.3:9000", "c4", 2, 9, 6, "a"), 3.1)
+    part.on_asked(Heartbeat("n-3", "10.0.0.3:9000", "c4", 2, 9, 6, "a"), 3.1)
     assert part.next_to_ask(3.1) == ("n-1", "10.0.0.1:9000", 1)
     assert part.next_to_ask(3.1) is None
 
@@ -104,15 +104,15 @@
     """Each clear that went alone made its worker report anew: an eighth to a fifth of all reports."""
     part, _ = part_with_machine()
     ended = ReportedTask("wk-1/0", 70, "ended", "done")
-    beat(part, 1, [ended])
+    heartbeat(part, 1, [ended])
     machine = part.machines["n-1"]
     part.on_clear("n-1", "wk-1", 0, 70)
     assert part.orders(machine) == []
     part.on_grant("host-1", Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(1, 71)]), 1.5)
     assert [order["verb"] for order in part.orders(machine)] == ["clear", "run"], "they were to be sent anyway"
-    beat(part, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
+    heartbeat(part, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
     assert part.orders(machine) == []
-    beat(part, 2 + int(c.CLEAR_WAIT_S), [ended, ReportedTask("wk-1/1", 71, "running")])
+    heartbeat(part, 2 + int(c.CLEAR_WAIT_S), [ended, ReportedTask("wk-1/1", 71, "running")])
     assert [order["verb"] for order in part.orders(machine)] == ["clear"]
 
 
@@ -120,13 +120,13 @@
     part, sent = part_with_machine()
     later = []
     part.send_later = lambda label, body: later.append(body.tasks) or 0
-    beat(part, 1)
+    heartbeat(part, 1)
     del sent[:]
     for number, (status, cause) in enumerate((("fetching", None), ("running", None), ("ended", "done"))):
-        beat(part, 2 + number, [ReportedTask("wk-1/0", 70, status, cause), ReportedTask("wk-1/1", 71, "running")])
-    beat(part, 5, [ReportedTask("wk-1/1", 71, "running")])  # its home had it cleared
+        heartbeat(part, 2 + number, [ReportedTask("wk-1/0", 70, status, cause), ReportedTask("wk-1/1", 71, "running")])
+    heartbeat(part, 5, [ReportedTask("wk-1/1", 71, "running")])  # its home had it cleared
     assert not sent and len(later) == 4
-    beat(part, 6)
+    heartbeat(part, 6)
     assert [body.tasks for _, body in sent] == [[]], "gone without a word: its home may start it again"
-    beat(part, 7, [ReportedTask("wk-1/1", 72, "ended", "error")])
+    heartbeat(part, 7, [ReportedTask("wk-1/1", 72, "ended", "error")])
     assert len(sent) == 2 and len(later) == 4
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,7 +14,7 @@
 from alderbridge.machines import Part
 from alderbridge.node import Node
 from alderbridge.store import JOBS, VIEW
-from alderbridge.view import Hold, Membership
+from alderbridge.view import Membership, StoreLease
 
 
 def meetings(seed, nodes, times=2, jobs=18, **more):
@@ -67,16 +67,16 @@
 @pytest.mark.parametrize("kind", ["mute", "quick_boots", "limits", "zone_away", "reports_kept", "ten_leaders"])
 def test_a_trouble_does_what_it_says(kind):
     world = calm(5, jobs=14, until=50.0, nodes=5)
-    sim, before, mandate = world.nodes["host-1"], dict(world.kinds), world.store.data[VIEW][1]
+    sim, before, fencing_token = world.nodes["host-1"], dict(world.kinds), world.store.data[VIEW][1]
     worker = next(worker for worker in world.machines.values() if worker is not None and worker.alive)
-    tenure = worker.tenure
+    incarnation = worker.incarnation
     if kind == "mute":
         worker.mute_until = world.t + 60.0
         world.end_leaders(1, 1.0)
         world.run(60.0)
-        assert worker.mandate > mandate and worker.tenure == tenure, "a command reaches it"
+        assert worker.fencing_token > fencing_token and worker.incarnation == incarnation, "a command reaches it"
         world.run(75.0)
-        assert worker.tenure > tenure, "its lease runs out"
+        assert worker.incarnation > incarnation, "its lease runs out"
         return
     world.bring(kind, sim, 40.0)
     if kind == "quick_boots":
@@ -94,9 +94,9 @@
             world.run(world.t + 1.0)
             used.append(
                 sum(
-                    world.specs[wire.split_task(part)[0]].cpus
+                    world.specs[wire.split_task_id(part)[0]].cpus
                     for part in world.on
-                    if world.specs[wire.split_task(part)[0]].team == "bound"
+                    if world.specs[wire.split_task_id(part)[0]].team == "bound"
                 )
             )
         assert max(used) == 16.0
@@ -137,7 +137,7 @@
 
 def acts_past_its_hold(monkeypatch):
     """A member takes its hold, its replica and its contact for good much longer than they are."""
-    renewed, followed = Hold.renewed, Membership.followed
+    renewed, followed = StoreLease.renewed, Membership.followed
 
     def longer(self, *args):
         renewed(self, *args)
@@ -147,20 +147,20 @@
         followed(self, sent_at)
         self.fresh_until += 60.0
 
-    monkeypatch.setattr(Hold, "renewed", longer)
+    monkeypatch.setattr(StoreLease, "renewed", longer)
     monkeypatch.setattr(Membership, "followed", fresh)
     monkeypatch.setattr(Contact, "_reckon", lambda self: setattr(self, "until", math.inf))
 
 
 def copies_taken_for_new(monkeypatch):
-    real = Part.on_beat
+    real = Part.on_heartbeat
 
-    def on_beat(self, beat, now):
-        if beat.machine in self.machines:
-            self.machines[beat.machine].news = (0, 0)
-        return real(self, beat, now)
+    def on_heartbeat(self, heartbeat, now):
+        if heartbeat.machine in self.machines:
+            self.machines[heartbeat.machine].news = (0, 0)
+        return real(self, heartbeat, now)
 
-    monkeypatch.setattr(Part, "on_beat", on_beat)
+    monkeypatch.setattr(Part, "on_heartbeat", on_heartbeat)
 
 
 def told_before_stored(monkeypatch):
@@ -182,7 +182,7 @@
     def next_batch(self, now):
         batch = real(self, now)
         if batch is not None:
-            batch.conditions = {key: stamp for key, stamp in batch.conditions.items() if not key.startswith(JOBS)}
+            batch.conditions = {key: revision for key, revision in batch.conditions.items() if not key.startswith(JOBS)}
         return batch
 
     monkeypatch.setattr(Node, "next_batch", next_batch)
@@ -377,7 +377,7 @@
         try:
             return msgspec.convert(fields | msgspec.json.decode(body), wire.JobSpec)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            raise wire.Malformed(str(error)) from None
+            raise wire.MalformedBodyError(str(error)) from None
 
     monkeypatch.setattr(wire, "parse_job", parse_job)
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 from test_meetings_store import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
-from world import CANCEL_S, STORE_S, Broken, Refused, SimNode, TooLarge, World
+from world import CANCEL_S, STORE_S, Broken, SimNode, StoreRefusedError, TransactionTooLargeError, World
 
 from alderbridge import constants as c
 from alderbridge import declared, wire
@@ -62,12 +62,12 @@
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     there = alone.other("host-1")
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     put = at_once(alone, shown)
     assert MACHINES + name in put.puts
-    machine = alone.beat(name, 2)
+    machine = alone.heartbeat(name, 2)
     assert not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
-    alone.store.commit({}, {VIEW: View("host-1", alone.permits)})
+    alone.store.commit({}, {VIEW: View("host-1", alone.lease_ids)})
     at_same_time(alone, there)
     assert name in there.node.home.barrier
     alone.write()  # meets the view, and then its own record
@@ -81,14 +81,14 @@
     """Shown before the lapse, and never dropped: it held up each later view for a lease."""
     alone = Alone()
     name = "n-000001"
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     at_once(alone, shown=False)
     how(alone)
     alone.go(LEASE_S + 2.0)  # the store is read, and takes no changes
     assert alone.node.part.machines[name].state is MachineState.LAPSED
     alone.write()
     assert MACHINES + name not in alone.store.data
-    alone.beat(name, 1, tenure=2)
+    alone.heartbeat(name, 1, incarnation=2)
     alone.write()
     assert MACHINES + name in alone.store.data and alone.node.part.machines[name].recorded
 
@@ -103,7 +103,7 @@
     alone.go(SETTLED_S + LEASE_S)
     drop = at_once(alone, shown)
     assert drop.drops == [MACHINES + name]
-    machine = alone.beat(name, 1, tenure=2)
+    machine = alone.heartbeat(name, 1, incarnation=2)
     assert machine.acked and not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
     at_same_time(alone, there)
     assert name not in there.node.replica.machines
@@ -124,7 +124,7 @@
     at_once(alone, shown)
     assert stored(alone).mark > mark
     assert job.pick(alone.t) is None, "it has not heard that the store has the mark"
-    alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.permits["host-1"]})})
+    alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     at_same_time(alone, there)
     assert len(there.node.home.jobs[SPEC.id].unknown) == stored(alone).mark > mark
 
@@ -149,7 +149,7 @@
     alone.follow()
     alone.write()
     assert [body.index for body in sent if isinstance(body, m.Clear)] == [0], "once: it has read its own write"
-    alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.permits["host-1"]})})
+    alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     at_same_time(alone, there)
     assert there.node.home.jobs[SPEC.id].state_of(0) is TaskState.DONE
 
@@ -203,7 +203,7 @@
         ask()
     elif met != "read":
         labels = ("host-1", "host-0") if met == "same home" else ("host-1",)
-        alone.store.commit({}, {VIEW: View("host-1", {label: alone.permits[label] for label in labels})})
+        alone.store.commit({}, {VIEW: View("host-1", {label: alone.lease_ids[label] for label in labels})})
         at_same_time(alone, there)
         ask()
         alone.follow()
@@ -261,7 +261,7 @@
     alone.write()
     assert not alone.node.submissions and submission.outcome in ("known", "refused")
     job = alone.node.home.jobs[SPEC.id]
-    assert job.stamp == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
+    assert job.revision == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
     assert alone.node.state_here(SPEC.id, alone.t)[0] == "pending"
     alone.go(2.0)
     alone.write()
@@ -279,11 +279,11 @@
     lists = dict(submission.lists)
     assert len(lists) > 1
     batch = at_once(alone, shown)
-    stamps = {key: alone.store.data[key][1] for key in batch.puts}
+    revisions = {key: alone.store.data[key][1] for key in batch.puts}
     alone.write()
     assert submission.outcome == "accepted" and alone.node.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
-    assert (stamps == {key: alone.store.data[key][1] for key in batch.puts}) is shown
+    assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is shown
     assert not alone.node.home.jobs[SPEC.id].unknown and alone.node.home.jobs[SPEC.id].waits
 
 
@@ -300,11 +300,11 @@
         if choose("host-2", ["host-0", "host-1"]) != choose("host-3", ["host-0", "host-1"]) or spec
     )
     job = alone.job(spec)
-    alone.store.commit({}, {VIEW: View("host-0", {label: alone.permits[label] for label in ("host-0", "host-1")})})
+    alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     if shown:
         alone.follow()
     at_same_time(alone, there)
-    assert there.node.membership.mandate > alone.node.membership.mandate or shown
+    assert there.node.membership.fencing_token > alone.node.membership.fencing_token or shown
     assert alone.node.withdraw(spec.id, alone.t) == ""
     if not shown:
         batch = alone.batch()
@@ -312,7 +312,7 @@
         alone.node.batch_failed(batch, alone.t)
     assert job.stored_state is JobState.ACTIVE and alone.node.state_here(spec.id, alone.t) is None
     if not shown:
-        alone.t += alone.node.membership.hold.ttl_s
+        alone.t += alone.node.membership.store_lease.ttl_s
         assert alone.batch() is None and not alone.node.may_act()
         alone.follow()
     alone.write()
@@ -363,7 +363,7 @@
     alone.follow()
     tries(alone, 2)
     assert not ledger.busy and ledger.claim_of("n-000001") is not None
-    assert ledger.stops_of("wk-000001", 0) == 1 and ledger.spent_stamp == alone.store.data[BUDGETS][1]
+    assert ledger.stops_of("wk-000001", 0) == 1 and ledger.spent_revision == alone.store.data[BUDGETS][1]
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -416,16 +416,16 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_machine_types_in_doubt_are_written_once(shown):
     alone = Alone()
-    flavours = alone.node.types_to_store()
-    conditions = {VIEW: alone.node.membership.mandate, TYPES: alone.node.replica.types_stamp}
-    stamp = alone.store.commit(conditions, {TYPES: flavours}).epoch
+    machine_types = alone.node.types_to_store()
+    conditions = {VIEW: alone.node.membership.fencing_token, TYPES: alone.node.replica.types_revision}
+    revision = alone.store.commit(conditions, {TYPES: machine_types}).revision
     if shown:
         alone.follow()
         assert alone.node.types_to_store() is None
     else:
-        assert alone.node.replica.types_stamp == 0, "the next try meets it"
+        assert alone.node.replica.types_revision == 0, "the next try meets it"
         assert alone.store.commit(conditions, {TYPES: alone.node.types_to_store()}).failed == [TYPES]
-    assert alone.store.data[TYPES][1] == stamp
+    assert alone.store.data[TYPES][1] == revision
 
 
 # -- all of it, in a world
@@ -446,7 +446,7 @@
         def carry_out() -> None:
             try:
                 method(*args)
-            except (Refused, TooLarge):
+            except (StoreRefusedError, TransactionTooLargeError):
                 return
             world.answers_lost += 1
 
@@ -489,7 +489,7 @@
 
     def watch(self):
         for part in self.on:
-            job = wire.split_task(part)[0]
+            job = wire.split_task_id(part)[0]
             if self.t > self.cancelled_at.get(job, math.inf):
                 self.stays[job] = self.t - self.cancelled_at[job]
         for job in self.cancelled_at:
@@ -535,16 +535,18 @@
     acted, strange = [], False
     while world.t < until + 25.0:
         world.run(world.t + 0.1)
-        permit = sim.node.membership.hold.permit
-        named = msgspec.json.decode(store.data[VIEW][0], type=View).members.get("host-1", permit)
-        strange = strange or named not in (permit, before)
+        lease_id = sim.node.membership.store_lease.lease_id
+        named = msgspec.json.decode(store.data[VIEW][0], type=View).members.get("host-1", lease_id)
+        strange = strange or named not in (lease_id, before)
         if sim.node.may_act():
             acted.append(world.t - began)
-            assert permit == named and permit in store.holds
+            assert lease_id == named and lease_id in store.holds
     assert world.answers_lost and sim.node.may_act() and sim.node.inside
     assert strange is (step == "key"), "a life that nobody knows was in the view"
     if step == "extend":
-        assert not [at for at in acted if sim.node.membership.hold.ttl_s < at < lost_s], "the store keeps its hold"
+        assert not [at for at in acted if sim.node.membership.store_lease.ttl_s < at < lost_s], (
+            "the store keeps its hold"
+        )
     world.run(world.t + 60.0)
     world.remembered()
 
@@ -757,7 +759,7 @@
             if (
                 world.on.get(part, deaf.name) != deaf.name
                 or part in world.completed
-                or wire.split_task(part)[0] in world.asked
+                or wire.split_task_id(part)[0] in world.asked
             ):
                 world.moved.setdefault(part, at - HANDS_AT)
     assert parts and set(world.moved) == set(parts)
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -17,7 +17,7 @@
 from alderbridge.machines import Machine
 from alderbridge.node import Node
 from alderbridge.poll import Poll
-from alderbridge.view import Hold, Membership, Standing, View
+from alderbridge.view import Membership, Standing, StoreLease, View
 
 
 def dark(world, ones, for_s):
@@ -29,17 +29,17 @@
 
 def next_view(world, until):
     """Runs to the moment at which the store takes the next view."""
-    before, at = world.mandates, world.t
-    while world.mandates == before and at < until:
+    before, at = world.fencing_tokens, world.t
+    while world.fencing_tokens == before and at < until:
         at += 0.01
         world.run(at)
-    assert world.mandates == before + 1
+    assert world.fencing_tokens == before + 1
 
 
 def ignorant(world, ones, for_s):
     """They are cut before the view that has just been written arrives there, and the rest goes on without them."""
-    mandate = world.store.epoch
-    assert all(world.nodes[one].node.membership.mandate < mandate for one in ones)
+    fencing_token = world.store.revision
+    assert all(world.nodes[one].node.membership.fencing_token < fencing_token for one in ones)
     dark(world, ones, for_s)
     at = world.t
     world.run(at + for_s + 20.0)
@@ -120,7 +120,7 @@
     one, other = world.nodes["host-0"].node, world.nodes["host-1"].node
     assert one.inside
     before = one.channels["host-1"].received
-    one.membership.hold.lost()
+    one.membership.store_lease.lost()
     for _ in range(2):
         one.on_frame(other.channels["host-0"].post(m.Pulse(), world.t), world.t)
     assert one.channels["host-1"].received == before
@@ -266,7 +266,7 @@
     monkeypatch.setattr(Membership, "_contact_for", lambda self, members: 0.0)
     ever = property(lambda self: float("inf"), lambda self, at: None)
     monkeypatch.setattr(Membership, "fresh_until", ever, raising=False)
-    monkeypatch.setattr(Hold, "valid_until", ever, raising=False)
+    monkeypatch.setattr(StoreLease, "valid_until", ever, raising=False)
 
 
 def memory_without_entitlement(monkeypatch):
@@ -308,10 +308,12 @@
     monkeypatch.setattr(controller, "now", lambda: clock[0])
     one = Controller(platform("host-0", LABELS), Tuning(), Poll())
     node = one.node
-    node.membership.hold.renewed(1, 100.0, 100.0)
+    node.membership.store_lease.renewed(1, 100.0, 100.0)
     node.membership.followed(100.0)
     members = {label: number for number, label in enumerate(LABELS, 1)}
-    node.load([wire.Row("ab/view", msgspec.Raw(msgspec.json.encode(View("host-0", members))), 7)], [], 7, 100.0, 100.0)
+    node.load(
+        [wire.KeyValue("ab/view", msgspec.Raw(msgspec.json.encode(View("host-0", members))), 7)], [], 7, 100.0, 100.0
+    )
     one.clock = clock
     return one
 
@@ -336,7 +338,7 @@
     control.node.replica.active[job] = (msgspec.structs.replace(Record(JobState.ACTIVE, "host-1", 0.0, 1, [], None)), 8)
 
     async def store_says(key):
-        return wire.Row(key, msgspec.Raw(msgspec.json.encode(Record(JobState.ABORTED))), 9)
+        return wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(Record(JobState.ABORTED))), 9)
 
     async def play():
         control.store.get = store_says
@@ -345,7 +347,7 @@
         control.clock[0] += c.ASK_S + 0.1
         await control.after()
         await curio.sleep(0.05)
-        control.node.replies.append(m.Reply(number, 200, wire.job_status(job, "running", 0, 1)))
+        control.node.replies.append(m.Reply(number, 200, wire.job_status_body(job, "running", 0, 1)))
         await control.after()
         await curio.sleep(0.05)
 
@@ -356,7 +358,7 @@
 def test_a_report_is_answered_under_the_view_it_was_taken_in_or_not_at_all(control):
     """Its answer waited for grants; a newer view arrives, or the hold ends, before they do."""
     machine = Machine("n-1", 100.0)
-    assert control.beat_answer(machine, 7)[0] == 200
-    assert control.beat_answer(machine, 6)[0] == 503
+    assert control.heartbeat_response(machine, 7)[0] == 200
+    assert control.heartbeat_response(machine, 6)[0] == 503
     control.clock[0] = 130.0
-    assert control.beat_answer(machine, 7)[0] == 503
+    assert control.heartbeat_response(machine, 7)[0] == 503
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from test_machines import beat, part_with_machine
+from test_machines import heartbeat, part_with_machine
 from world import CANCEL_S, LEASE_S, Broken, SimNode, World
 
 from alderbridge import mesh as m
@@ -14,7 +14,7 @@
 from alderbridge.node import Node
 from alderbridge.store import VIEW
 from alderbridge.view import Membership, View
-from alderbridge.wire import Beat, MachineRecord, ReportedTask
+from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
 
 REFUSED_AT, REFUSED_S = 60.0, 14.0
 OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # longer than ``CANCEL_S``
@@ -65,15 +65,15 @@
             data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.Pulse()))
         super().frame(data)
 
-    def beat(self, raw: bytes, reply) -> None:
+    def heartbeat(self, raw: bytes, reply) -> None:
         if self.world.t < self.still_until:
-            self.world.after(self.still_until - self.world.t, self.beat, raw, reply)
+            self.world.after(self.still_until - self.world.t, self.heartbeat, raw, reply)
             return
 
         def later(status: int, body: bytes) -> None:  # it may fall still between the decision and the sending
             self.world.after(max(0.0, self.still_until - self.world.t), reply, status, body)
 
-        super().beat(raw, later)
+        super().heartbeat(raw, later)
 
 
 class GapWorld(World):
@@ -158,7 +158,7 @@
 
 def answers_whatever_it_may(monkeypatch):
     def may_act(self, now):
-        return self.view.members.get(self.me) == self.hold.permit != 0
+        return self.view.members.get(self.me) == self.store_lease.lease_id != 0
 
     monkeypatch.setattr(Membership, "may_act", may_act)
 
@@ -180,7 +180,7 @@
 
 def part_of_a_cancelled_job(cancelled=True):
     part, sent = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     part.cancelled = lambda job: cancelled
     return part, part.machines["n-1"], sent
 
@@ -193,7 +193,7 @@
 def test_who_answers_a_report_stops_what_it_knows_to_be_cancelled(cancelled):
     """Without a word of the job's home, which may be cut off from here alone."""
     part, machine, _ = part_of_a_cancelled_job(cancelled)
-    beat(
+    heartbeat(
         part,
         2,
         [
@@ -205,19 +205,24 @@
     halts = [("halt", "wk-1/0", 70), ("halt", "wk-1/1", 71)]
     assert verbs(part, machine) == (halts if cancelled else [])
     assert all(order["wind_down_s"] == 0.0 for order in part.orders(machine))
-    beat(part, 3, [ReportedTask("wk-1/0", 70, "ended", "halted")])
+    heartbeat(part, 3, [ReportedTask("wk-1/0", 70, "ended", "halted")])
     assert verbs(part, machine) == []
 
 
 def test_a_report_of_an_older_mandate_is_answered_with_the_end_of_what_is_cancelled():
     """The answer renews the lease: of views in quick succession each one would keep the task for a report more."""
     part, machine, sent = part_of_a_cancelled_job()
-    for mandate in range(6, 30):
-        part.enter(mandate, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 2.0 * mandate)
-        part.settle(2.0 * mandate)
+    for fencing_token in range(6, 30):
+        part.enter(
+            fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 2.0 * fencing_token
+        )
+        part.settle(2.0 * fencing_token)
         told = len(sent)
         shown = [ReportedTask("wk-1/0", 70, "running")]
-        machine = part.on_beat(Beat("n-1", "x", "c4", 1, mandate, mandate - 1, "a", tasks=shown), 2.0 * mandate + 1.0)
+        machine = part.on_heartbeat(
+            Heartbeat("n-1", "x", "c4", 1, fencing_token, fencing_token - 1, "a", tasks=shown),
+            2.0 * fencing_token + 1.0,
+        )
         assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
         assert len(sent) == told and not machine.acked, "and nothing is concluded from it"
     part.cancelled = lambda job: False
@@ -232,5 +237,5 @@
     assert verbs(part, machine) in ([("halt", "wk-1/0", 70)], [])
     assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
     told = len(sent)
-    beat(part, 2)
+    heartbeat(part, 2)
     assert not machine.pending and len(sent) > told, "its home hears that it came to nothing"
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -14,7 +14,7 @@
 from alderbridge.machines import MachineState
 from alderbridge.store import MACHINES, VIEW
 from alderbridge.view import View
-from alderbridge.wire import Beat, ReportedTask
+from alderbridge.wire import Heartbeat, ReportedTask
 
 RUNNING_1 = ReportedTask("wk-000001/0", 70, "running")
 
@@ -29,24 +29,24 @@
     waited for.
     """
     alone, name = Alone(), "n-000001"
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     alone.go(LEASE_S + 0.5)  # writes lag, and the machine is silent
     put = alone.batch()
-    stamp, since = alone.carry_out(put).epoch, alone.node.replica.epoch
+    revision, since = alone.carry_out(put).revision, alone.node.replica.revision
     rows, changes = alone.store.rows(), alone.store.since(since)  # what the store answers a reading here
     alone.t += 1.0
     alone.node.round(alone.t)
     machine = alone.node.part.machines[name]
     assert machine.state is MachineState.LAPSED
-    alone.node.batch_done(put, stamp, alone.t)
+    alone.node.batch_done(put, revision, alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
         alone.node.apply(changes, alone.t, alone.t)
-        alone.node.replica.epoch = stamp
+        alone.node.replica.revision = revision
     else:
-        alone.node.load(rows, [], stamp, alone.t, alone.t)
-    assert alone.beat(name, 1, tenure=2) is machine and machine.state is MachineState.UP
+        alone.node.load(rows, [], revision, alone.t, alone.t)
+    assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
     assert not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
     alone.follow()
     alone.write()
@@ -59,7 +59,7 @@
     alone = Alone("host-1")
     other, name = alone.other("host-1"), machine_of("host-0", "host-0", "host-1")
     alone.job()
-    machine = alone.beat(name, 1)
+    machine = alone.heartbeat(name, 1)
     put = alone.batch()
     assert MACHINES + name in put.puts
     alone.node.part.on_grant(
@@ -67,12 +67,12 @@
     )
     assert not alone.node.part.orders(machine), "not before the store holds its record"
     if carried_out == "before the view":
-        alone.node.batch_done(put, alone.carry_out(put).epoch, alone.t)
+        alone.node.batch_done(put, alone.carry_out(put).revision, alone.t)
         assert [order["verb"] for order in alone.node.part.orders(machine)] == ["run"]
     elif carried_out == "before it, unanswered":
         assert not alone.carry_out(put).failed
         alone.node.batch_failed(put, alone.t)
-    alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.permits["host-1"]})})
+    alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     if carried_out == "after the view":
         assert VIEW in alone.carry_out(put).failed
         assert not alone.node.part.orders(machine), "nor ever, though it acts under the older view for a while"
@@ -82,7 +82,7 @@
     job = other.node.home.jobs["wk-000001"]
     assert job.unknown == ({0, 1, 2} if waits else set())
     if waits:
-        other.beat(name, 2, [RUNNING_1])
+        other.heartbeat(name, 2, [RUNNING_1])
         assert not job.unknown and list(job.runs) == [0]
 
 
@@ -234,22 +234,22 @@
 def test_old_reports_tell_nothing_to_a_controller_that_was_owner_and_becomes_it_again(shows):
     """Owner under 5 and 7, another under 6; copies and reports held back, first that of the highest mandate."""
     one = Told()
-    one.beat(1.0, 50)
+    one.heartbeat(1.0, 50)
     one.part.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
     assert "n-1" not in one.part.machines
     one.enter(7, 10.0, carry=True)
     one.told_home()
-    for mandate, counter, tenure in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
-        one.beat(10.5, counter, mandate=mandate, tenure=tenure, tasks=shows)
+    for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
+        one.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=shows)
         assert not one.machine.acked and not one.machine.tasks and not one.told_home() and not one.orders()
     assert one.machine.news == (2, 61), "the highest mandate came first: all others are older"
-    one.beat(10.6, 58, mandate=6, tenure=2, tasks=shows, asked=True)
-    one.beat(10.6, 61, mandate=7, tenure=2, tasks=shows, asked=True)
+    one.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=shows, asked=True)
+    one.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=shows, asked=True)
     assert not one.machine.acked, "an acknowledgement is newer than all reports of an older mandate"
-    one.beat(11.0, 62, mandate=7, tenure=2, tasks=[RUNNING], asked=True)
+    one.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
     assert one.machine.acked and one.told_home() == [([0], [])]
-    for mandate, counter in ((6, 60), (6, 61), (7, 62)):
-        assert one.beat(12.0, counter, mandate=mandate, tenure=2, tasks=shows) is None
+    for fencing_token, sequence in ((6, 60), (6, 61), (7, 62)):
+        assert one.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=shows) is None
     assert not one.told_home() and one.machine.heard_at == 11.0
 
 
@@ -257,18 +257,20 @@
 def test_a_report_held_back_for_the_next_view_changes_nothing_of_what_was_carried_over(shows):
     """Newer than all that was heard, and of the view before: it shows what was ordered, what has ended, or not."""
     one = Told()
-    one.beat(1.0, 1, tasks=[RUNNING])
+    one.heartbeat(1.0, 1, tasks=[RUNNING])
     one.grant(3, 73)
     assert one.orders() == [("run", "wk-1/3", 73)]
     one.enter(6, 2.0, settle=False, carry=True)
     one.told_home()
-    one.beat(2.1, 2, mandate=5, tasks=shows)
+    one.heartbeat(2.1, 2, fencing_token=5, tasks=shows)
     assert not one.told_home()
     one.part.settle(3.0)
     assert one.told_home() == [([0], [("wk-1", 3, 73)])]
-    assert one.beat(3.1, 2, mandate=5, tasks=shows) is None and one.beat(3.2, 1, tasks=[RUNNING]) is None
+    assert (
+        one.heartbeat(3.1, 2, fencing_token=5, tasks=shows) is None and one.heartbeat(3.2, 1, tasks=[RUNNING]) is None
+    )
     assert not one.told_home()
-    one.beat(4.0, 3, mandate=6, tasks=[RUNNING])
+    one.heartbeat(4.0, 3, fencing_token=6, tasks=[RUNNING])
     assert one.told_home() == [([0], [])], "this one is proof that 73 is not there"
 
 
@@ -281,16 +283,16 @@
         if not self.alive or self.world.t >= self.mute_until or self.world.t < self.hangs_until:
             return super().send_beat()
         self.tick()
-        self.counter += 1  # of a report that nobody hears
+        self.sequence += 1  # of a report that nobody hears
         self.in_flight += 1
         self.next_node()
 
-    def command(self, mandate, tenure, reply):
+    def command(self, fencing_token, incarnation, reply):
         self.tick()
-        if tenure != self.tenure and self.alive:  # 409, and asked again as ``Controller.ask_worker`` does
-            self.world.after(self.way(), super().command, mandate, self.tenure, reply)
+        if incarnation != self.incarnation and self.alive:  # 409, and asked again as ``Controller.ask_worker`` does
+            self.world.after(self.way(), super().command, fencing_token, self.incarnation, reply)
         else:
-            super().command(mandate, tenure, reply)
+            super().command(fencing_token, incarnation, reply)
 
     def carry_out(self, order):
         if order["verb"] == "run" and self.world.t < self.mute_until:
@@ -301,13 +303,13 @@
 class Keeping(World.process):
     """Some reports are kept for the next leader, copies or the report itself; see ``Mute.deliver``."""
 
-    def beat(self, raw, reply, again=False):
+    def heartbeat(self, raw, reply, again=False):
         world = self.world
         if not again and world.rng.random() < world.held_share:
             world.held_reports.append(raw)
             if world.rng.random() < 0.3:
                 return  # held back: nobody has heard it yet
-        super().beat(raw, reply)
+        super().heartbeat(raw, reply)
 
 
 class Mute(Meetings):
@@ -332,13 +334,13 @@
 
     def deliver(self):
         """As a new view begins, or when it has acted for some seconds, all controllers get what was kept."""
-        stamp = self.store.data[VIEW][1] if VIEW in self.store.data else 0
-        if stamp != self.view_seen:
-            self.view_seen, kept, self.held_reports = stamp, self.held_reports, []
+        revision = self.store.data[VIEW][1] if VIEW in self.store.data else 0
+        if revision != self.view_seen:
+            self.view_seen, kept, self.held_reports = revision, self.held_reports, []
             for raw in kept:
                 at = self.rng.choice([0.0, 0.2, 0.5, self.rng.uniform(0.5, 8.0), self.rng.uniform(8.0, 2 * LEASE_S)])
                 for sim in self.nodes.values():
-                    self.after(at + self.rng.uniform(0.0, 0.3), sim.beat, raw, lambda status, body: None, True)
+                    self.after(at + self.rng.uniform(0.0, 0.3), sim.heartbeat, raw, lambda status, body: None, True)
             self.delivered += len(kept)
         self.after(0.05, self.deliver)
 
@@ -368,11 +370,13 @@
     world.run(45.0)
     world.held_share, kept, world.held_reports = 0.0, world.held_reports, []
     leader = world.leader()
-    mandate = leader.node.membership.mandate
+    fencing_token = leader.node.membership.fencing_token
     world.end(leader, 30.0)
 
     def newer():
-        return [sim.node for sim in world.nodes.values() if sim.node and sim.node.membership.mandate > mandate]
+        return [
+            sim.node for sim in world.nodes.values() if sim.node and sim.node.membership.fencing_token > fencing_token
+        ]
 
     def known(node):
         """What a part knows of its machines, and a home of its tasks."""
@@ -392,7 +396,7 @@
         for raw in kept:
             for node in newer():
                 machines, jobs = known(node)
-                world.nodes[node.me].beat(raw, lambda status, body: None, True)
+                world.nodes[node.me].heartbeat(raw, lambda status, body: None, True)
                 after, jobs_after = known(node)
                 assert jobs_after == jobs and {name: after[name] for name in machines} == machines
                 heard.add(node.me)
@@ -405,25 +409,32 @@
 def test_a_mute_machine_lapses_by_the_clock_whatever_it_answers_to_commands(lost):
     """Three views within a lease: each asks it. Its last one may have no answer, or one of its new session."""
     one = Told()
-    one.beat(1.0, 1, tasks=[RUNNING], asked=True)
+    one.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
     assert one.machine.acked and one.told_home() == [([0], [])]
     one.enter(6, 8.0)
-    one.beat(9.0, 3, mandate=6, tasks=[RUNNING], asked=True)
+    one.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
     assert one.told_home() == [([0], [])]
-    assert one.beat(10.0, 4, mandate=6, asked=True) is None and one.machine.heard_at == 9.0
+    assert one.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and one.machine.heard_at == 9.0
     one.enter(7, 16.0)
     if not lost:
-        one.beat(19.0, 1, mandate=7, tenure=2, asked=True)
+        one.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
         assert one.machine.state is MachineState.UP and one.told_home() == [([], [])], "its lease is out, by itself"
         return
     one.part.check_leases(9.0 + OUT_S - 0.1)
     assert one.machine.state is MachineState.EXPECTED and not one.told_home()
     one.part.check_leases(9.0 + OUT_S + 0.1)
     assert one.machine.state is MachineState.LAPSED and one.told_home() == [([], [])], "16 s is no beginning"
-    for tenure, counter in ((1, 5), (2, 1)):
-        one.beat(30.0, counter, mandate=7, tenure=tenure, tasks=[RUNNING] if tenure == 1 else [], asked=True)
+    for incarnation, sequence in ((1, 5), (2, 1)):
+        one.heartbeat(
+            30.0,
+            sequence,
+            fencing_token=7,
+            incarnation=incarnation,
+            tasks=[RUNNING] if incarnation == 1 else [],
+            asked=True,
+        )
         assert one.machine.state is MachineState.LAPSED and not one.told_home() and not one.orders()
-    one.beat(40.0, 2, mandate=7, tenure=2)
+    one.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
     assert one.machine.state is MachineState.UP and one.part.candidate(one.machine, 40.0) is None, "put anew first"
     one.part.on_recorded("n-1")
     assert one.part.candidate(one.machine, 40.0) is not None
@@ -438,11 +449,11 @@
     alone.follow()
     job = alone.job()
     alone.node.round(alone.t)
-    mandate = alone.node.membership.mandate
+    fencing_token = alone.node.membership.fencing_token
     machine = alone.node.part.machines[name]
-    alone.node.asked(Beat(name, "x", "small", 1, 7, mandate, "a"), alone.t)
+    alone.node.asked(Heartbeat(name, "x", "small", 1, 7, fencing_token, "a"), alone.t)
     assert machine.acked and machine.recorded and job.waiting and not machine.reserved and not machine.pending
-    alone.beat(name, 8)
+    alone.heartbeat(name, 8)
     assert machine.pending, "its next report brings it"
 
 
@@ -472,7 +483,7 @@
     """All their tasks, inherited or not, are free once their leases are out; jobs on them are cancelled meanwhile."""
     world = Many(6, machines=125)
     world.run(45.0)
-    leader, mandate = world.leader(), world.leader().node.membership.mandate
+    leader, fencing_token = world.leader(), world.leader().node.membership.fencing_token
     busy = sorted(set(world.on.values()))
     mute = {name for name in world.rng.sample(busy, 100)}
     for name in mute:
@@ -481,7 +492,7 @@
     world.end(leader, 30.0)
     for job in sorted({part.split("/")[0] for part, name in world.on.items() if name in mute})[:4]:
         world.withdraw(job)
-    while all(sim.node is None or sim.node.membership.mandate == mandate for sim in world.nodes.values()):
+    while all(sim.node is None or sim.node.membership.fencing_token == fencing_token for sim in world.nodes.values()):
         world.run(world.t + 0.25)
     began = world.t
     world.run(began + 4.0)
