--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -43,11 +43,11 @@
         self.records = {name: MachineRecord("x", "c4", "a") for name in machines}
         self.enter(6, state, spec)
 
-    def enter(self, mandate, state=JobState.ABORTED, spec=BOUND):
+    def enter(self, fencing_token, state=JobState.ABORTED, spec=BOUND):
         """A new view, and a process that knows nothing but the record."""
         self.job = Job(Record(state, "host-3", 0.0, spec.tasks, [], spec), 8, 0.0, 5.0)
         self.job.inherited = True
-        self.home.enter(mandate, {spec.id: self.job}, self.records)
+        self.home.enter(fencing_token, {spec.id: self.job}, self.records)
         self.home.settled = True
 
     def told(self, machine, live=(), held=(), now=1.0):
@@ -70,7 +70,7 @@
 def test_what_was_ordered_of_a_cancelled_job_counts_under_the_next_home_until_a_report_settles_it():
     """Its part goes on and knows of the order alone: a machine that hangs or is cut off may run it for a lease yet."""
     one, heir = Told(), Heir()
-    one.beat(1.0, 1)
+    one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
     one.part.cancelled = lambda job: True
@@ -277,7 +277,7 @@
             kind = rng.choice(["hang", "hang", "cut", "cut", "deaf", "held_up", "die"])
             self.after(begin, self.fail, name, kind, length)
             self.calm_at = max(self.calm_at, self.t + begin + length)
-            here = sorted({wire.split_task(part)[0] for part, machine in self.on.items() if machine == name})
+            here = sorted({wire.split_task_id(part)[0] for part, machine in self.on.items() if machine == name})
             for job in rng.sample(here, min(len(here), rng.randint(1, 3))):
                 self.after(begin + rng.uniform(-1.0, 4.0) if begin > 1.0 else rng.uniform(0.0, 4.0), self.call_off, job)
         leads = rng.uniform(0.0, 5.0)
@@ -294,7 +294,7 @@
 
     def call_off(self, job: str) -> None:
         if job not in self.said:
-            out = [self.machines[name] for part, name in self.on.items() if wire.split_task(part)[0] == job]
+            out = [self.machines[name] for part, name in self.on.items() if wire.split_task_id(part)[0] == job]
             self.cancelled_running += bool(out)
             self.cancelled_out += any(
                 worker.hangs_until > self.t or worker.cut_until > self.t for worker in out if worker is not None
@@ -321,7 +321,7 @@
 
     def entered(self, part, worker) -> None:
         super().entered(part, worker)
-        team = self.specs[wire.split_task(part)[0]].team
+        team = self.specs[wire.split_task_id(part)[0]].team
         used = self.use(team)
         self.peak[team] = max(self.peak[team], used)
         limit = next(one.cpus_max for one in TIGHT if one.name == team)
@@ -344,7 +344,7 @@
         for worker in rooms:
             for part, task in worker.tasks.items():
                 if task.status != "ended":
-                    job = wire.split_task(part)[0]
+                    job = wire.split_task_id(part)[0]
                     rooms[worker] -= self.specs[job].cpus
                     zones.setdefault(job, []).append(worker.kind.zone)
         left = {team.name: team.cpus_max - self.use(team.name) for team in TIGHT}
@@ -368,7 +368,7 @@
                 raise Broken(f"beside_room: {job} of {spec.team} since {self.beside[job]:.1f}")
 
     def use(self, team: str) -> float:
-        specs = [self.specs[wire.split_task(part)[0]] for part in self.on]
+        specs = [self.specs[wire.split_task_id(part)[0]] for part in self.on]
         return sum(spec.cpus for spec in specs if spec.team == team)
 
     def play(self) -> LimitsWorld:
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from world import LABELS, TYPES, SimStore, platform
-from world import Refused as StoreRefused
+from world import StoreRefusedError as StoreRefused
 
 from alderbridge import constants as c
 from alderbridge import controller, wire
@@ -20,9 +20,9 @@
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
 from alderbridge.jobs import Job, JobState, Run, TaskState
-from alderbridge.net import Unanswered
+from alderbridge.net import UnansweredError
 from alderbridge.poll import Poll
-from alderbridge.store import JOBS, MEMBERS, VIEW, Refused
+from alderbridge.store import JOBS, MEMBERS, VIEW, StoreRefusedError
 from alderbridge.view import Presence, View, choose
 
 BODY = {
@@ -80,11 +80,11 @@
 
     def _carry_out(self, action):
         if self.label in self.service.cut:
-            raise Refused("cut")
+            raise StoreRefusedError("cut")
         try:
             return action()
         except StoreRefused:
-            raise Refused("down") from None
+            raise StoreRefusedError("down") from None
 
     async def step(self, rng: random.Random) -> None:
         """Of one call: it is carried out, or its answer, if not lost, arrives."""
@@ -93,12 +93,12 @@
             call.asked = True
             try:
                 call.answer = self._carry_out(call.action)
-            except Refused as error:
+            except StoreRefusedError as error:
                 call.answer = error
             return
         self.waiting.remove(call)
         if call.lossy and rng.random() < 0.2:
-            call.answer = Unanswered("lost")
+            call.answer = UnansweredError("lost")
         await call.event.set()
 
     async def rest(self) -> None:
@@ -108,8 +108,8 @@
     async def get(self, key: str):
         return await self._call(lambda: self.service.row(key))
 
-    async def commit(self, conditions, puts, drops=(), permit=None):
-        return await self._call(lambda: self.service.store.commit(conditions, puts, drops, permit), True)
+    async def commit(self, conditions, puts, drops=(), lease_id=None):
+        return await self._call(lambda: self.service.store.commit(conditions, puts, drops, lease_id), True)
 
 
 class Mesh:
@@ -135,7 +135,7 @@
         self.controls: dict[str, Controller] = {}
         self.writers: dict[str, curio.Task] = {}
         self.frames: dict[tuple[str, str], list[m.Frame]] = {}
-        self.permits: dict[str, int] = {}
+        self.lease_ids: dict[str, int] = {}
         self.cut: set[str] = set()  # from the store
         self.lag: set[str] = set()  # follow nothing
         self.looks: dict[str, tuple] = {}  # what a look at the store has found, on its way
@@ -163,12 +163,12 @@
         return self
 
     def come(self, label: str) -> None:
-        permit = self.permits[label] = next(self.store.permits)
-        self.store.holds[permit] = 1e9
-        self.store.commit({}, {MEMBERS + label: Presence(permit, c.GENERATION)}, (), permit)
+        lease_id = self.lease_ids[label] = next(self.store.lease_ids)
+        self.store.holds[lease_id] = 1e9
+        self.store.commit({}, {MEMBERS + label: Presence(lease_id, c.GENERATION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
-        self.store.commit({}, {VIEW: View(labels[0], {label: self.permits[label] for label in labels})})
+        self.store.commit({}, {VIEW: View(labels[0], {label: self.lease_ids[label] for label in labels})})
 
     async def process(self, label: str, slow: bool = False) -> None:
         """A new life of that controller, which has read nothing yet."""
@@ -179,37 +179,37 @@
         control.store.slow = slow
         control.wait_for_work = control.store.rest
         control.node.learn_types(TYPES)
-        control.node.held(self.permits[label], self.t, self.t)
+        control.node.held(self.lease_ids[label], self.t, self.t)
         self.looks.pop(label, None)
         self.writers[label] = await curio.spawn(control.keep_records, daemon=True)
 
     # -- steps
 
-    def row(self, key: str) -> wire.Row | None:
+    def row(self, key: str) -> wire.KeyValue | None:
         self.store.check()
         found = self.store.data.get(key)
-        return None if found is None else wire.Row(key, msgspec.Raw(found[0]), found[1])
+        return None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1])
 
     def load(self, label: str) -> None:
         node = self.controls[label].node
         node.membership.followed(self.t)
-        node.load(self.store.rows(), [], self.store.epoch, self.t, self.t)
+        node.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def look(self, label: str) -> None:
         """Ask the store what has changed, or take in what it said."""
         node, look = self.controls[label].node, self.looks.pop(label, None)
         if look is None:
             rows = None if node.loaded else self.store.rows()
-            self.looks[label] = self.t, rows, self.store.since(node.replica.epoch), self.store.epoch
+            self.looks[label] = self.t, rows, self.store.since(node.replica.revision), self.store.revision
             return
-        sent, rows, changes, epoch = look
-        node.membership.hold.renewed(self.permits[label], sent)
+        sent, rows, changes, revision = look
+        node.membership.store_lease.renewed(self.lease_ids[label], sent)
         node.membership.followed(sent)
         if rows is not None:
-            node.load(rows, [], epoch, self.t, self.t)
+            node.load(rows, [], revision, self.t, self.t)
         else:
             node.apply(changes, self.t, self.t)
-            node.replica.epoch = max(epoch, node.replica.epoch)
+            node.replica.revision = max(revision, node.replica.revision)
 
     async def deliver(self, way: tuple[str, str]) -> None:
         frame, control = self.frames[way].pop(0), self.controls[way[1]]
@@ -606,7 +606,7 @@
                 await writes.event.set()
             elif cut_in == 4:
                 gate.waiting.remove(writes)
-                writes.answer = Unanswered("lost")
+                writes.answer = UnansweredError("lost")
                 await writes.event.set()
             await curio.sleep(0)
         await users("poll", "submit")
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -12,7 +12,7 @@
 from alderbridge.machines import MachineState, Part
 from alderbridge.mesh import Clear, Grant, Halt, Seen, SeenTask, Take
 from alderbridge.recovery import State
-from alderbridge.wire import Beat, MachineRecord, ReportedTask
+from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
 
 OUT_S = LEASE_S * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S  # from the last renewal to the proof that the lease is out
 RUNNING = ReportedTask("wk-1/0", 70, "running")
@@ -35,8 +35,10 @@
         self.part.upto = lambda label: 7
         self.enter(5, 0.0, continued=False)
 
-    def enter(self, mandate, now, continued=True, settle=True, carry=False):
-        self.part.enter(mandate, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, carry)
+    def enter(self, fencing_token, now, continued=True, settle=True, carry=False):
+        self.part.enter(
+            fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, carry
+        )
         if settle:
             self.part.settle(now)
 
@@ -44,9 +46,9 @@
     def machine(self):
         return self.part.machines["n-1"]
 
-    def beat(self, now, counter, mandate=5, tenure=1, tasks=(), asked=False):
-        beat = Beat("n-1", "x", "c4", tenure, counter, mandate, "a", tasks=list(tasks))
-        return (self.part.on_asked if asked else self.part.on_beat)(beat, now)
+    def heartbeat(self, now, sequence, fencing_token=5, incarnation=1, tasks=(), asked=False):
+        heartbeat = Heartbeat("n-1", "x", "c4", incarnation, sequence, fencing_token, "a", tasks=list(tasks))
+        return (self.part.on_asked if asked else self.part.on_heartbeat)(heartbeat, now)
 
     def grant(self, index, attempt, now=0.0):
         self.part.on_grant(
@@ -68,115 +70,117 @@
 def test_a_machine_that_accepts_no_answer_lapses_by_its_own_reports():
     """Each report renewed the wait for its silence: its tasks waited behind the barrier for as long as it was deaf."""
     one = Told()
-    for counter, now in enumerate((3.0, 10.0, 17.0), 1):
-        assert one.beat(now, counter, mandate=4, tasks=[RUNNING]) is not None, "its answer may be the one that it hears"
+    for sequence, now in enumerate((3.0, 10.0, 17.0), 1):
+        assert one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING]) is not None, (
+            "its answer may be the one that it hears"
+        )
         one.part.check_leases(now)
         assert one.machine.state is MachineState.EXPECTED and not one.told_home()
-    assert one.beat(OUT_S + 0.1, 4, mandate=4) is one.machine, "answered: else it could never acknowledge"
+    assert one.heartbeat(OUT_S + 0.1, 4, fencing_token=4) is one.machine, "answered: else it could never acknowledge"
     assert one.machine.state is MachineState.LAPSED and one.part.squaring.states["n-1"] is State.LAPSED
     assert one.told_home() == [([], [])] and one.part.to_drop == ["n-1"]
     assert one.orders() == []
-    one.beat(OUT_S + 1.0, 5, mandate=4)
+    one.heartbeat(OUT_S + 1.0, 5, fencing_token=4)
     assert one.part.to_drop == ["n-1"] and not one.told_home(), "said once"
-    one.beat(OUT_S + 2.0, 1, tenure=2)
+    one.heartbeat(OUT_S + 2.0, 1, incarnation=2)
     assert one.machine.state is MachineState.UP and one.machine.acked and one.part.to_record == ["n-1"]
 
 
 def test_until_its_lease_is_provably_out_reports_of_a_deaf_machine_prove_nothing():
     one = Told()
-    one.beat(OUT_S - 0.1, 1, mandate=4)
+    one.heartbeat(OUT_S - 0.1, 1, fencing_token=4)
     assert one.machine.state is MachineState.EXPECTED
-    one.beat(OUT_S - 0.05, 2, mandate=5, tasks=[RUNNING])  # it heard the last answer
+    one.heartbeat(OUT_S - 0.05, 2, fencing_token=5, tasks=[RUNNING])  # it heard the last answer
     assert one.machine.state is MachineState.UP and one.told_home() == [([0], [])]
-    one.beat(3 * OUT_S, 3, mandate=5, tasks=[RUNNING])  # heard seldom, and no look was taken in between
+    one.heartbeat(3 * OUT_S, 3, fencing_token=5, tasks=[RUNNING])  # heard seldom, and no look was taken in between
     assert one.machine.state is MachineState.UP
 
 
 def test_before_the_view_has_settled_another_may_have_renewed_its_lease():
     one = Told()
     one.enter(6, 100.0, continued=False, settle=False)
-    one.beat(100.0 + 2 * OUT_S, 1, mandate=5)
+    one.heartbeat(100.0 + 2 * OUT_S, 1, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED, "whoever acts under the older view may answer it"
     one.part.settle(100.0 + 2 * OUT_S)
-    one.beat(100.0 + 3 * OUT_S - 0.1, 2, mandate=5)
+    one.heartbeat(100.0 + 3 * OUT_S - 0.1, 2, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED
-    one.beat(100.0 + 3 * OUT_S + 0.1, 3, mandate=5)
+    one.heartbeat(100.0 + 3 * OUT_S + 0.1, 3, fencing_token=5)
     assert one.machine.state is MachineState.LAPSED
 
 
 def test_a_lease_counts_from_the_answers_of_the_view_before_that_a_machine_may_have_accepted():
     """This process answered it under mandate 5 until 30 s; a report with mandate 5 does not deny that."""
     one = Told()
-    one.beat(10.0, 1, tasks=[RUNNING])
-    one.beat(30.0, 2, tasks=[RUNNING])
+    one.heartbeat(10.0, 1, tasks=[RUNNING])
+    one.heartbeat(30.0, 2, tasks=[RUNNING])
     one.enter(6, 31.0)
     one.told_home()
-    one.beat(30.0 + OUT_S - 0.1, 3, tasks=[RUNNING])
+    one.heartbeat(30.0 + OUT_S - 0.1, 3, tasks=[RUNNING])
     assert one.machine.state is MachineState.EXPECTED
-    one.beat(30.0 + OUT_S + 0.1, 4, tasks=[RUNNING])
+    one.heartbeat(30.0 + OUT_S + 0.1, 4, tasks=[RUNNING])
     assert one.machine.state is MachineState.LAPSED and one.told_home() == [([], [])]
 
 
 def test_changes_of_view_one_after_the_other_do_not_begin_its_lease_anew():
     """Deaf through three views, none of which lasts for a lease: each gave it time until it lapsed of its own."""
     one = Told()
-    one.beat(1.0, 1)
-    for mandate, now in ((6, 8.0), (7, 14.0)):
-        one.enter(mandate, now)
-        one.beat(now + 1.0, mandate, mandate=5)
+    one.heartbeat(1.0, 1)
+    for fencing_token, now in ((6, 8.0), (7, 14.0)):
+        one.enter(fencing_token, now)
+        one.heartbeat(now + 1.0, fencing_token, fencing_token=5)
         assert one.machine.state is MachineState.EXPECTED
-    one.beat(1.0 + OUT_S + 0.1, 9, mandate=5)
+    one.heartbeat(1.0 + OUT_S + 0.1, 9, fencing_token=5)
     assert one.machine.state is MachineState.LAPSED
 
 
 def test_an_answer_of_a_view_between_counts_as_accepted_when_a_report_shows_its_mandate():
     """Answered under 6 and 7 without a report in between; it has accepted 6, and so renewed its lease late."""
     one = Told()
-    one.beat(1.0, 1)
+    one.heartbeat(1.0, 1)
     one.enter(6, 2.0)
-    one.beat(15.0, 2, mandate=5)
+    one.heartbeat(15.0, 2, fencing_token=5)
     one.enter(7, 16.0)
-    one.beat(1.0 + OUT_S + 0.1, 3, mandate=6)
+    one.heartbeat(1.0 + OUT_S + 0.1, 3, fencing_token=6)
     assert one.machine.state is MachineState.EXPECTED
-    one.beat(1.0 + 2 * OUT_S, 4, mandate=6)
+    one.heartbeat(1.0 + 2 * OUT_S, 4, fencing_token=6)
     assert one.machine.state is MachineState.EXPECTED, "the lease counts from when that report came"
-    one.beat(1.0 + 2 * OUT_S + 0.3, 5, mandate=6)
+    one.heartbeat(1.0 + 2 * OUT_S + 0.3, 5, fencing_token=6)
     assert one.machine.state is MachineState.LAPSED
 
 
 def test_a_deaf_machine_that_hears_a_command_acknowledges():
     """The command was held up, the machine lapsed meanwhile or not: what it shows then is all that is there."""
     one = Told()
-    one.beat(5.0, 1, mandate=4, tasks=[RUNNING])
-    one.beat(9.0, 2, mandate=5, tasks=[RUNNING], asked=True)
+    one.heartbeat(5.0, 1, fencing_token=4, tasks=[RUNNING])
+    one.heartbeat(9.0, 2, fencing_token=5, tasks=[RUNNING], asked=True)
     assert one.machine.state is MachineState.UP and one.told_home() == [([0], [])]
     other = Told()
-    other.beat(OUT_S + 1.0, 1, mandate=4)
+    other.heartbeat(OUT_S + 1.0, 1, fencing_token=4)
     other.told_home()
-    other.beat(OUT_S + 2.0, 2, mandate=5, asked=True)
+    other.heartbeat(OUT_S + 2.0, 2, fencing_token=5, asked=True)
     assert other.machine.state is MachineState.LAPSED and not other.machine.acked, "its lapse is told; a report ends it"
 
 
 def test_a_carried_machine_that_is_deaf_frees_what_was_ordered_by_the_lapse_alone():
     one = Told()
-    one.beat(1.0, 1)
+    one.heartbeat(1.0, 1)
     one.grant(3, 73)
     assert one.orders() == [("run", "wk-1/3", 73)]
     one.enter(6, 2.0, carry=True)
     assert one.told_home()[-1] == ([], [("wk-1", 3, 73)])
-    one.beat(1.0 + OUT_S - 0.1, 2, mandate=5)
+    one.heartbeat(1.0 + OUT_S - 0.1, 2, fencing_token=5)
     assert not one.told_home()
-    one.beat(1.0 + OUT_S + 0.1, 3, mandate=5)
+    one.heartbeat(1.0 + OUT_S + 0.1, 3, fencing_token=5)
     assert one.told_home() == [([], [])] and one.machine.state is MachineState.LAPSED
 
 
 def test_copies_of_a_dead_machine_s_reports_keep_it_from_no_lapse():
     """Owned by another before: all copies are news to this part. Each moved the clock, for up to two leases."""
     one = Told()
-    now, counter = 1.0, 0
+    now, sequence = 1.0, 0
     while one.machine.state is not MachineState.LAPSED and now < 3 * OUT_S:
-        counter += 1
-        one.beat(now, counter, mandate=4, tasks=[RUNNING])
+        sequence += 1
+        one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING])
         one.part.check_leases(now)
         now += 2.0
     assert one.machine.state is MachineState.LAPSED and now < OUT_S + 5.0
@@ -189,11 +193,11 @@
         one = Told()
         one.part.newest_until = 5.0
         if not deaf:
-            one.beat(1.0, 1, tasks=[RUNNING])
-        one.beat(1.0 + OUT_S + 0.2, 2, mandate=4) if deaf else one.part.check_leases(1.0 + OUT_S + 0.2)
+            one.heartbeat(1.0, 1, tasks=[RUNNING])
+        one.heartbeat(1.0 + OUT_S + 0.2, 2, fencing_token=4) if deaf else one.part.check_leases(1.0 + OUT_S + 0.2)
         assert one.machine.state is not MachineState.LAPSED
         one.part.newest_until = 1.0 + OUT_S
-        one.beat(1.0 + OUT_S + 0.4, 3, mandate=4) if deaf else one.part.check_leases(1.0 + OUT_S + 0.4)
+        one.heartbeat(1.0 + OUT_S + 0.4, 3, fencing_token=4) if deaf else one.part.check_leases(1.0 + OUT_S + 0.4)
         assert one.machine.state is MachineState.LAPSED, "it stays due"
 
 
@@ -214,10 +218,12 @@
 class Copying(World.process):
     """A share of the reports arrives again, up to two leases late, when the process may be another one."""
 
-    def beat(self, raw, reply, again=False):
-        super().beat(raw, reply)
+    def heartbeat(self, raw, reply, again=False):
+        super().heartbeat(raw, reply)
         if not again and self.world.rng.random() < self.world.copies:
-            self.world.after(self.world.rng.uniform(2.0, 2 * LEASE_S), self.beat, raw, lambda status, body: None, True)
+            self.world.after(
+                self.world.rng.uniform(2.0, 2 * LEASE_S), self.heartbeat, raw, lambda status, body: None, True
+            )
 
 
 class Meetings(World):
@@ -310,39 +316,39 @@
 
 def test_an_order_that_two_answers_did_not_bring_is_free_for_another_machine():
     one = Told()
-    one.beat(1.0, 1)
+    one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
-    one.beat(6.0, 4)
+    one.heartbeat(6.0, 4)
     assert one.orders() == [("run", "wk-1/0", 70)], "an answer may get lost: it is sent once more"
     one.grant(1, 71)
     one.told_home()
-    one.beat(11.0, 7)
+    one.heartbeat(11.0, 7)
     assert one.told_home() == [([], [])] and not one.orders(), "neither, as both are settled by this report"
     assert one.part.candidate(one.machine, 11.0) is None, "nor is anything placed there for a while"
     assert one.part.candidate(one.machine, 11.0 + LEASE_S) is not None
     other = Told()
-    other.beat(1.0, 1)
+    other.heartbeat(1.0, 1)
     other.grant(0, 70)
     other.orders()
-    other.beat(6.0, 4)
+    other.heartbeat(6.0, 4)
     other.orders()
-    other.beat(7.0, 5, tasks=[RUNNING])
+    other.heartbeat(7.0, 5, tasks=[RUNNING])
     assert other.told_home()[-1] == ([0], []) and other.part.candidate(other.machine, 7.0) is not None
 
 
 # -- old reports ------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("tenure, counter", ((2, 3), (2, 2), (1, 99)))
-def test_a_copy_of_a_report_renews_frees_and_acknowledges_nothing(tenure, counter):
+@pytest.mark.parametrize("incarnation, sequence", ((2, 3), (2, 2), (1, 99)))
+def test_a_copy_of_a_report_renews_frees_and_acknowledges_nothing(incarnation, sequence):
     """The same, an older one, one of the session before whose counter is higher: all came before the newest report."""
     one = Told()
-    one.beat(1.0, 3, tenure=2)
+    one.heartbeat(1.0, 3, incarnation=2)
     one.grant(0, 70)
     one.part.reserve(one.machine, "wk-1", 2)
     one.orders()
-    one.beat(2.0, 4, tenure=2, tasks=[RUNNING])
+    one.heartbeat(2.0, 4, incarnation=2, tasks=[RUNNING])
     one.grant(1, 71)
     one.orders()
     one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))
@@ -356,9 +362,10 @@
         dict(machine.reserved),
         dict(machine.halts),
     )
-    assert one.beat(9.0, counter, tenure=tenure, tasks=[ReportedTask("wk-1/5", 75, "ended", "done")]) is None, (
-        "a 200 would carry orders"
-    )
+    assert (
+        one.heartbeat(9.0, sequence, incarnation=incarnation, tasks=[ReportedTask("wk-1/5", 75, "ended", "done")])
+        is None
+    ), "a 200 would carry orders"
     assert before == (machine.heard_at, machine.news, machine.tasks, machine.pending, machine.reserved, machine.halts)
     assert not one.told_home()
     one.part.check_leases(2.0 + OUT_S + 0.1)
@@ -369,39 +376,39 @@
     """It bears an older mandate: it shows no task, frees none and gets no orders, whatever has been granted."""
     one = Told()
     one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))
-    assert one.beat(1.0, 50, mandate=4, tasks=[RUNNING]) is not None
+    assert one.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
     assert not one.machine.tasks and not one.told_home() and not one.orders()
     one.grant(0, 71)
     assert one.told_home() == [] and not one.machine.pending, "not up: never ordered"
-    one.beat(2.0, 51, tasks=[RUNNING])
+    one.heartbeat(2.0, 51, tasks=[RUNNING])
     assert one.told_home() == [([0], [])]
 
 
 def test_copies_of_a_returned_machine_s_reports_bring_nothing_back():
     one = Told()
-    one.beat(1.0, 1, tasks=[RUNNING])
+    one.heartbeat(1.0, 1, tasks=[RUNNING])
     one.part.on_gone(["n-1"])
     one.told_home()
-    for mandate in (4, 5):
-        assert one.beat(2.0, 9, mandate=mandate, tenure=3, tasks=[RUNNING]) is None
+    for fencing_token in (4, 5):
+        assert one.heartbeat(2.0, 9, fencing_token=fencing_token, incarnation=3, tasks=[RUNNING]) is None
     assert "n-1" not in one.part.machines and not one.told_home()
     one.enter(6, 3.0)  # its record has yet to go
     assert one.part.to_drop == ["n-1"]
     assert one.told_home() == [([], [])], "what others inherit did wait for the lease of a machine that was returned"
-    assert one.beat(4.0, 10, mandate=5) is None and not one.told_home()
+    assert one.heartbeat(4.0, 10, fencing_token=5) is None and not one.told_home()
 
 
 def test_a_machine_that_lapsed_comes_back_with_a_new_session_and_its_old_reports_do_not():
     one = Told()
-    one.beat(1.0, 8, tasks=[RUNNING])
+    one.heartbeat(1.0, 8, tasks=[RUNNING])
     one.grant(3, 73)
     one.orders()
     one.part.check_leases(1.0 + OUT_S + 0.1)
     assert one.machine.state is MachineState.LAPSED
     one.told_home()
-    one.beat(20.0, 1, tenure=2)
+    one.heartbeat(20.0, 1, incarnation=2)
     assert one.machine.state is MachineState.UP and not one.told_home(), "its lapse has said so"
-    assert one.beat(21.0, 9, tasks=[RUNNING]) is None, "of the session before, held up"
+    assert one.heartbeat(21.0, 9, tasks=[RUNNING]) is None, "of the session before, held up"
     assert not one.machine.tasks and not one.told_home() and not one.orders()
 
 
@@ -417,13 +424,13 @@
         if sim.node.membership.part_of(run.machine) != sim.label and run.state is TaskState.RUNNING
     )
     old = part.channels[home.me].tell(Seen(run.machine, run.zone, 10**6, [], []))
-    mandate = home.membership.mandate
+    fencing_token = home.membership.fencing_token
     world.end(next(sim for sim in world.nodes.values() if sim.node not in (home, part)), 1.0)
-    while home.membership.mandate == mandate:
+    while home.membership.fencing_token == fencing_token:
         world.run(world.t + 0.05)
     home.on_frame(old, world.t)
     assert index in home.home.jobs[name].runs, "an older proof says nothing of what was granted since"
-    home.on_frame(msgspec.structs.replace(old, mandate=home.membership.mandate), world.t)
+    home.on_frame(msgspec.structs.replace(old, fencing_token=home.membership.fencing_token), world.t)
     assert index not in home.home.jobs[name].runs
 
 
@@ -433,59 +440,59 @@
 def test_an_asked_acknowledgement_that_comes_late_knows_nothing_of_orders():
     """Asked in view 5, its answer held up; an ordinary report acknowledged, and a task was started in between."""
     one = Told()
-    one.beat(1.0, 2)
+    one.heartbeat(1.0, 2)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
     one.told_home()
-    one.beat(5.0, 3, asked=True)  # written before the worker read the answer with the order
+    one.heartbeat(5.0, 3, asked=True)  # written before the worker read the answer with the order
     assert ("wk-1", 0) in one.machine.pending and not one.told_home() and one.machine.news == (1, 2)
     one.enter(6, 6.0, carry=True)
     one.told_home()
-    one.beat(7.0, 4, mandate=5, asked=True)
+    one.heartbeat(7.0, 4, fencing_token=5, asked=True)
     assert not one.machine.acked and not one.told_home(), "nor is it one of the next view"
     assert one.machine.news == (1, 2) and one.machine.heard_at == 1.0, "nor does it renew anything: commands do not"
-    one.beat(8.0, 5, mandate=6, asked=True, tasks=[RUNNING])
+    one.heartbeat(8.0, 5, fencing_token=6, asked=True, tasks=[RUNNING])
     assert one.machine.acked and one.told_home() == [([0], [])]
 
 
 def test_the_answer_to_a_report_before_the_acknowledgement_bears_no_start():
     """Report 1 bears the older mandate; asked meanwhile, the machine acknowledges; then report 1 is answered."""
     one = Told()
-    one.beat(1.0, 1, mandate=4)
-    one.beat(1.1, 2, asked=True)
+    one.heartbeat(1.0, 1, fencing_token=4)
+    one.heartbeat(1.1, 2, asked=True)
     assert one.machine.acked and not one.orders()
-    assert one.beat(1.2, 1) is None, "report 1 again"
+    assert one.heartbeat(1.2, 1) is None, "report 1 again"
     one.grant(0, 70)
-    one.beat(2.0, 3, asked=True)
+    one.heartbeat(2.0, 3, asked=True)
     assert ("wk-1", 0) in one.machine.pending
 
 
 def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
     one = Told()
-    one.beat(1.0, 1, tasks=[RUNNING])
+    one.heartbeat(1.0, 1, tasks=[RUNNING])
     one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))
-    one.beat(2.0, 2)
+    one.heartbeat(2.0, 2)
     one.grant(0, 80)
     assert one.orders() == [("run", "wk-1/0", 80)], "70 is gone, its halt as well"
     one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
     assert ("halt", "wk-1/0", 80) not in one.orders()
-    one.beat(3.0, 3, tasks=[ReportedTask("wk-1/0", 80, "running")])
+    one.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 80, "running")])
     assert not one.orders() and one.machine.tasks[("wk-1", 0)].attempt == 80
 
 
 def test_a_clear_is_for_one_attempt_and_goes_when_that_is_gone():
     one = Told()
     ended = ReportedTask("wk-1/0", 70, "ended", "halted")
-    one.beat(1.0, 1, tasks=[ended])
+    one.heartbeat(1.0, 1, tasks=[ended])
     one.part.on_clear("n-1", "wk-1", 0, 70)
     one.grant(0, 80)
     assert one.orders() == [("clear", "wk-1/0", 70)], "the old attempt goes first"
-    one.beat(2.0, 2)
+    one.heartbeat(2.0, 2)
     one.part.on_clear("n-1", "wk-1", 0, 70)  # told twice
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 80)]
     done = ReportedTask("wk-1/0", 80, "ended", "done")
-    one.beat(3.0, 3, tasks=[done])
-    one.beat(3.0 + c.CLEAR_WAIT_S + 1, 4, tasks=[done])
+    one.heartbeat(3.0, 3, tasks=[done])
+    one.heartbeat(3.0 + c.CLEAR_WAIT_S + 1, 4, tasks=[done])
     assert not one.orders(), "80's result is not stored yet"
 
 
@@ -493,16 +500,16 @@
 def test_a_gang_s_task_that_runs_again_under_its_attempt_keeps_its_new_result(between):
     """All tasks of a gang have one attempt: the clear of what ended before took the result that was not stored."""
     one = Told()
-    one.beat(1.0, 1, tasks=[ReportedTask("wk-1/0", 70, "ended", "error")])
+    one.heartbeat(1.0, 1, tasks=[ReportedTask("wk-1/0", 70, "ended", "error")])
     one.part.on_clear("n-1", "wk-1", 0, 70)
     one.grant(0, 70)
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 70)]
     if between is not None:
-        one.beat(2.0, 2, tasks=[ReportedTask("wk-1/0", 70, between)])
+        one.heartbeat(2.0, 2, tasks=[ReportedTask("wk-1/0", 70, between)])
     one.told_home()
-    one.beat(3.0, 3, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
+    one.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
     assert [(task.cause) for label, body in one.sent if label == "host-1" for task in body.tasks] == ["done"]
-    one.beat(4.0 + c.CLEAR_WAIT_S, 4, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
+    one.heartbeat(4.0 + c.CLEAR_WAIT_S, 4, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
     assert not one.orders()
 
 
@@ -517,16 +524,16 @@
 
     def __init__(self):
         self.record = Record(JobState.ACTIVE, "host-0", 0.0, LONG.tasks, [], LONG)  # marked ahead, to its last task
-        self.stamp, self.mandate, self.ends = 1, 5, 0
+        self.revision, self.fencing_token, self.ends = 1, 5, 0
         self.sent: list = []
         self.change(fresh=True)
 
     def change(self, fresh=False, settled=True):
-        self.mandate += 1
+        self.fencing_token += 1
         self.home = Home([], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
-        self.job = Job(self.record, self.stamp, 0.0, 0.0, fresh=fresh)
+        self.job = Job(self.record, self.revision, 0.0, 0.0, fresh=fresh)
         self.job.inherited = not fresh
-        self.home.enter(self.mandate, {"wk-1": self.job}, MACHINES)
+        self.home.enter(self.fencing_token, {"wk-1": self.job}, MACHINES)
         self.home.settled = settled
         self.sent.clear()
 
@@ -536,9 +543,9 @@
         if due:
             record, cleared = self.job.record(4096, self.home.may_end(self.job)), list(self.job.to_clear)
             self.ends += record.state is not self.record.state
-            self.record, self.stamp, self.job.changed_at = record, self.stamp + 1, None
+            self.record, self.revision, self.job.changed_at = record, self.revision + 1, None
             if answered:
-                self.home.written(self.job, record, self.stamp, cleared, 1.0)
+                self.home.written(self.job, record, self.revision, cleared, 1.0)
 
     def seen(self, machine, *tasks):
         """What a part tells: (index, attempt, status, cause) each; the clears and halts that follow."""
@@ -657,7 +664,7 @@
     def just_heard():
         for sim in world.nodes.values():
             membership = sim.node.membership
-            acts_until = min(membership.hold.valid_until, membership.fresh_until)
+            acts_until = min(membership.store_lease.valid_until, membership.fresh_until)
             for machine in sim.node.part.machines.values():
                 worker = world.machines.get(machine.name)
                 if machine.acked and worker is not None and machine.heard_at + OUT_S + 0.5 < acts_until:
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -1,7 +1,7 @@
 """The store is away for longer than any lease, and comes back: the fleet is where it was, and goes on at once."""
 
 import pytest
-from test_machines import beat, part_with_machine
+from test_machines import heartbeat, part_with_machine
 from world import World
 
 from alderbridge import constants as c
@@ -17,9 +17,9 @@
     returned, drops = [], []
     remove, commit = world.remove, world.store.commit
 
-    def record_drops(conditions, puts, dropped=(), permit=None):
+    def record_drops(conditions, puts, dropped=(), lease_id=None):
         drops.extend((world.t, key) for key in dropped if key.startswith(MACHINES))
-        return commit(conditions, puts, dropped, permit)
+        return commit(conditions, puts, dropped, lease_id)
 
     world.run(40.0)
     world.remove = lambda names: returned.extend((world.t, name) for name in names) or remove(names)
@@ -47,12 +47,12 @@
 def test_a_record_stays_only_where_no_drop_of_it_is_on_its_way(sent):
     """Carried out late, that would take the record away while tasks are on the machine: they would be started again."""
     part, _ = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     part.check_leases(100.0)
     machine = part.machines["n-1"]
     assert machine.state is MachineState.LAPSED and part.to_drop == ["n-1"] and not machine.recorded
     part.keep_record = lambda name: not sent
-    beat(part, 101)
+    heartbeat(part, 101)
     assert machine.state is MachineState.UP and machine.recorded is not sent
     assert part.to_record == (["n-1"] if sent else [])
 
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -48,7 +48,7 @@
         room = (kind.cpus, kind.memory_gb, kind.gpus)
         for part, task in worker.tasks.items():
             if task.status != "ended":
-                room = placement.minus(room, self.world.specs[wire.split_task(part)[0]], 1)
+                room = placement.minus(room, self.world.specs[wire.split_task_id(part)[0]], 1)
         return room
 
     def look(self) -> None:
@@ -60,7 +60,7 @@
             free = self.standing(worker)
             for part, task in worker.tasks.items():
                 if task.status != "ended":
-                    job = wire.split_task(part)[0]
+                    job = wire.split_task_id(part)[0]
                     held.setdefault(job, []).append((part, worker.kind.zone))
                     team = world.specs[job].team
                     used[team] = used.get(team, 0.0) + world.specs[job].cpus
@@ -111,10 +111,12 @@
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
         def answered(answer) -> None:
-            if isinstance(answer, wire.Committed) and answer.epoch < 0:  # 429, as ``Controller.keep_records`` takes it
+            if (
+                isinstance(answer, wire.TransactionResult) and answer.revision < 0
+            ):  # 429, as ``Controller.keep_records`` takes it
                 budget = self.node.store_share.budget
                 budget.spend(self.world.t, max(0.0, budget.available(self.world.t)))
-                answer = wire.Committed(0, [VIEW])
+                answer = wire.TransactionResult(0, [VIEW])
             then(answer)
 
         super().call(answered, fail, method, *args, too_large=too_large)
@@ -146,14 +148,14 @@
         self.rate, self.level, self.filled_at, self.too_fast, self.changes = write_rps, write_rps, 0.0, 0, 0
         commit = self.store.commit
 
-        def limited(conditions, puts, drops=(), permit=None):
+        def limited(conditions, puts, drops=(), lease_id=None):
             self.level = min(self.rate, self.level + (self.t - self.filled_at) * self.rate)
             self.filled_at = self.t
             count = len(puts) + len(drops)
             if count > self.level:
                 self.too_fast += 1
-                return wire.Committed(-1)
-            answer = commit(conditions, puts, drops, permit)
+                return wire.TransactionResult(-1)
+            answer = commit(conditions, puts, drops, lease_id)
             self.level -= count
             self.changes += 0 if answer.failed else count
             return answer
@@ -213,13 +215,13 @@
             super().poll(job)
 
     def ordered(self, part: str) -> None:
-        job = wire.split_task(part)[0]
+        job = wire.split_task_id(part)[0]
         if self.t > self.cancelled_at.get(job, math.inf) + 0.5:  # before that it may have been on its way
             self.late_starts.append(part)
 
     def entered(self, part, worker) -> None:
         super().entered(part, worker)
-        job = wire.split_task(part)[0]
+        job = wire.split_task_id(part)[0]
         self.starts_of[job] = self.starts_of.get(job, 0) + 1
 
     @property
@@ -341,7 +343,7 @@
         node.store_share.budget.level = 2.0 - c.AHEAD_SHARE * node.store_share.budget.burst
         batch = node.next_batch(world.t + 2.0)
         taken += [job.spec.id for job, _, _ in batch.jobs] + [one.job.spec.id for one, _ in batch.fresh]
-        node.batch_done(batch, world.store.epoch, world.t + 2.0)
+        node.batch_done(batch, world.store.revision, world.t + 2.0)
     assert submission.outcome == "accepted" and taken.index("wk-000099") < 2
     assert taken.index("wk-000098") in (22, 23), "behind the ends before it, two to a transaction"
 
@@ -355,11 +357,11 @@
     def inside(self) -> bool:
         return self.label == self.world.away and self.world.t < self.world.away_until
 
-    def beat(self, raw: bytes, reply) -> None:
+    def heartbeat(self, raw: bytes, reply) -> None:
         if self.world.t < self.world.away_until:
             if (json.loads(raw)["site"] == AWAY) != (self.label == self.world.away):
                 return None
-        return super().beat(raw, reply)
+        return super().heartbeat(raw, reply)
 
     def lead(self) -> None:
         if not self.inside():  # the cloud is out of reach there
@@ -367,13 +369,13 @@
 
 
 class ZoneWorker(SimWorker):
-    def command(self, mandate: int, tenure: int, reply) -> None:
+    def command(self, fencing_token: int, incarnation: int, reply) -> None:
         """Packets from outside are held back until the zone is there again; from inside none has a newer mandate."""
         world = self.world
-        if self.kind.zone == AWAY and world.t < world.away_until and mandate > world.mandate_inside:
-            world.after(world.away_until - world.t + 0.01, self.command, mandate, tenure, reply)
+        if self.kind.zone == AWAY and world.t < world.away_until and fencing_token > world.mandate_inside:
+            world.after(world.away_until - world.t + 0.01, self.command, fencing_token, incarnation, reply)
         else:
-            super().command(mandate, tenure, reply)
+            super().command(fencing_token, incarnation, reply)
 
 
 class Zones(Rooms):
@@ -458,8 +460,8 @@
     """The guard taken out: without the barrier they start while they run on in there."""
     enter = Home.enter
 
-    def no_barrier(self, mandate, jobs, machines):
-        enter(self, mandate, jobs, machines)
+    def no_barrier(self, fencing_token, jobs, machines):
+        enter(self, fencing_token, jobs, machines)
         self.barrier = Barrier({})
         self._lift()
 
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 import pytest
-from world import LABELS, TYPES, Refused, SimNode, SimStore, TooLarge, World, platform
+from world import LABELS, TYPES, SimNode, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
 
 from alderbridge import constants as c
 from alderbridge import controller, declared, store, wire
@@ -21,7 +21,7 @@
 from alderbridge.declared import Declarations, Head, Revision, records, texts
 from alderbridge.jobs import JobState, Record, Run, TaskState
 from alderbridge.machines import MachineState
-from alderbridge.net import Unanswered
+from alderbridge.net import UnansweredError
 from alderbridge.node import Node
 from alderbridge.poll import Poll
 from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
@@ -53,45 +53,45 @@
         self.me = "host-0"
         self.node = Node(platform(self.me, LABELS[:3]), Tuning(), self.t)
         self.node.learn_types(TYPES)
-        self.permits: dict[str, int] = {}
+        self.lease_ids: dict[str, int] = {}
         for label in (self.me, *others):
             self.come(label)
-        self.node.held(self.permits[self.me], self.t, self.t)
+        self.node.held(self.lease_ids[self.me], self.t, self.t)
         self.node.membership.followed(self.t)
-        self.node.load(self.store.rows(), [], self.store.epoch, self.t, self.t)
+        self.node.load(self.store.rows(), [], self.store.revision, self.t, self.t)
         self.view(self.me, *others)
 
     def other(self, label: str) -> "Alone":
         """The node of another member, at the same store."""
         other = object.__new__(Alone)
-        other.t, other.store, other.me, other.permits = self.t, self.store, label, self.permits
+        other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
         other.node = Node(platform(label, LABELS[:3]), Tuning(), self.t)
         other.node.learn_types(TYPES)
-        other.node.held(self.permits[label], self.t, self.t)
+        other.node.held(self.lease_ids[label], self.t, self.t)
         other.reload()
         return other
 
     def come(self, label: str) -> None:
-        permit = self.permits[label] = next(self.store.permits)
-        self.store.holds[permit] = 1e9
-        self.store.commit({}, {MEMBERS + label: Presence(permit, c.GENERATION)}, (), permit)
+        lease_id = self.lease_ids[label] = next(self.store.lease_ids)
+        self.store.holds[lease_id] = 1e9
+        self.store.commit({}, {MEMBERS + label: Presence(lease_id, c.GENERATION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
         """A newer view of these, and it has arrived here."""
-        self.store.commit({}, {VIEW: View(labels[0], {label: self.permits[label] for label in labels})})
+        self.store.commit({}, {VIEW: View(labels[0], {label: self.lease_ids[label] for label in labels})})
         self.follow()
 
     def follow(self) -> None:
         node = self.node
-        node.membership.hold.renewed(self.permits[self.me], self.t)
+        node.membership.store_lease.renewed(self.lease_ids[self.me], self.t)
         node.membership.followed(self.t)
-        node.apply(self.store.since(node.replica.epoch), self.t, self.t)
-        node.replica.epoch = self.store.epoch
+        node.apply(self.store.since(node.replica.revision), self.t, self.t)
+        node.replica.revision = self.store.revision
 
     def reload(self) -> None:
         """As after any trouble with following: all is read anew."""
         self.node.membership.followed(self.t)
-        self.node.load(self.store.rows(), [], self.store.epoch, self.t, self.t)
+        self.node.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def go(self, for_s: float) -> None:
         """Time passes, and the store answers what is read."""
@@ -104,19 +104,21 @@
     def batch(self):
         return self.node.next_batch(self.t)
 
-    def carry_out(self, batch) -> wire.Committed:
+    def carry_out(self, batch) -> wire.TransactionResult:
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
 
-    def settle(self, batch) -> wire.Committed:
+    def settle(self, batch) -> wire.TransactionResult:
         """Carried out, and answered at once; a conflict is read as ``Controller.settle_conflict`` does."""
         node, answer = self.node, self.carry_out(batch)
         if not answer.failed:
-            node.batch_done(batch, answer.epoch, self.t)
+            node.batch_done(batch, answer.revision, self.t)
             return answer
         node.batch_failed(batch, self.t)
         for key in answer.failed if VIEW not in answer.failed else ():
             found = self.store.data.get(key)
-            node.reread(batch, key, None if found is None else wire.Row(key, msgspec.Raw(found[0]), found[1]), self.t)
+            node.reread(
+                batch, key, None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]), self.t
+            )
         return answer
 
     def write(self, most: int = 30) -> None:
@@ -134,14 +136,17 @@
         self.follow()
         return batch
 
-    def beat(self, name: str, counter: int, tasks=(), tenure: int = 1):
-        return self.node.beat(
-            wire.Beat(name, "x", "small", tenure, counter, self.node.membership.mandate, "a", tasks=list(tasks)), self.t
+    def heartbeat(self, name: str, sequence: int, tasks=(), incarnation: int = 1):
+        return self.node.on_heartbeat(
+            wire.Heartbeat(
+                name, "x", "small", incarnation, sequence, self.node.membership.fencing_token, "a", tasks=list(tasks)
+            ),
+            self.t,
         )
 
     def up(self, name: str) -> None:
         """A machine of this part that has reported and is in the store."""
-        self.beat(name, 1)
+        self.heartbeat(name, 1)
         self.write()
         assert self.node.part.machines[name].recorded
 
@@ -174,7 +179,7 @@
     """Put twice, dropped, and then the first put: nobody reports for it, and each later view waits a lease for it."""
     alone = Alone()
     name = "n-000001"
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     first = alone.lost()
     assert MACHINES + name in first.puts
     alone.write()
@@ -196,7 +201,7 @@
     """The put had no answer; its machine is returned, the drop finds nothing to drop, and then the put comes."""
     alone = Alone()
     name = "n-000001"
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     first = alone.lost()
     alone.node.returned([name], alone.t)
     alone.write()
@@ -210,13 +215,13 @@
     """It lapsed, its drop had no answer, and it reports again; the late put's record is no leave to run either."""
     alone = Alone()
     name = "n-000001"
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     put = alone.lost()
     alone.write()
     alone.go(LEASE_S + 2.0)
     drop = alone.lost()
     assert drop.drops == [MACHINES + name]
-    machine = alone.beat(name, 1, tenure=2)
+    machine = alone.heartbeat(name, 1, incarnation=2)
     assert machine.acked and not machine.recorded
     alone.follow()
     assert not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
@@ -246,7 +251,7 @@
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its part under this view
     alone.follow()
     alone.runs(job, name, 0)
-    alone.node.batch_done(drop, answer.epoch, alone.t)  # 2 s after it was sent, at the latest
+    alone.node.batch_done(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
     assert name in alone.node.replica.machines
     alone.view("host-1", "host-0")
     assert 0 in job.runs, "its machine is recorded, so only a report, its lease or its return frees it"
@@ -275,7 +280,7 @@
     """The next view's part has dropped it: kept here alone, no part would ever strike it from the barrier."""
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     put = alone.batch()
     answer = alone.carry_out(put)
     alone.view("host-1", "host-0")
@@ -283,9 +288,11 @@
     alone.follow()
     assert name not in alone.node.replica.machines
     if how == "answer":
-        alone.node.batch_done(put, answer.epoch, alone.t)
+        alone.node.batch_done(put, answer.revision, alone.t)
     else:
-        alone.node.reread(put, MACHINES + name, wire.Row(MACHINES + name, msgspec.Raw(b"{}"), answer.epoch), alone.t)
+        alone.node.reread(
+            put, MACHINES + name, wire.KeyValue(MACHINES + name, msgspec.Raw(b"{}"), answer.revision), alone.t
+        )
     assert name not in alone.node.replica.machines
 
 
@@ -293,12 +300,12 @@
     """Its record came back by a late put just before the view."""
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
-    alone.beat(name, 1)
+    alone.heartbeat(name, 1)
     put = alone.lost()
     alone.node.returned([name], alone.t)
     alone.write()
     assert not alone.carry_out(put).failed
-    alone.store.commit({}, {VIEW: View("host-0", {label: alone.permits[label] for label in ("host-0", "host-1")})})
+    alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
     alone.node.pump()
     assert not alone.node.home.barrier, "nothing is on it"
@@ -559,13 +566,13 @@
     """Reading anew was slow, and its own transaction was answered in between: a job that was stopped asked for room."""
     alone = Alone()
     store, ledger = alone.store, alone.node.ledger
-    rows, epoch = store.rows(), store.epoch
+    rows, revision = store.rows(), store.revision
     ledger.plan([{"n-000001": Claim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}])
     alone.write()
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
-    alone.node.load(rows, [], epoch, alone.t, alone.t)
+    alone.node.load(rows, [], revision, alone.t, alone.t)
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
-    assert ledger.spent_stamp == store.data[BUDGETS][1]
+    assert ledger.spent_revision == store.data[BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
     alone.reload()
     assert ledger.claim_of("n-000001") is None, "what went unseen does not stay"
@@ -615,9 +622,9 @@
     control, record = asking(monkeypatch)
 
     async def slow(key):
-        row = wire.Row(key, msgspec.Raw(msgspec.json.encode(record)), 5)
+        row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
         control.node.replica.saw_job(SPEC.id, Record(ended), 6)
-        assert (await control.withdraw(SPEC.id))[1] == wire.accepted(SPEC.id, ended.value)
+        assert (await control.withdraw(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
     monkeypatch.setattr(control.store, "get", slow)
@@ -643,7 +650,7 @@
 def test_a_homes_answer_from_before_the_end_is_not_told_after_it(monkeypatch, asked):
     control, _ = asking(monkeypatch)
     answers = []
-    body = wire.job_status(SPEC.id, "running", 0, 1)
+    body = wire.job_status_body(SPEC.id, "running", 0, 1)
 
     async def poll():
         assert control.status_now(SPEC.id, answers.append) is None
@@ -669,9 +676,9 @@
 
     async def get(key):
         if found is None:
-            raise Unanswered(key)
+            raise UnansweredError(key)
         return (
-            wire.Row(key, msgspec.Raw(msgspec.json.encode(Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC))), 5)
+            wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC))), 5)
             if found
             else None
         )
@@ -725,25 +732,25 @@
             self.held_back.append(action)
         else:
             action()
-        raise Unanswered(name)
+        raise UnansweredError(name)
 
     async def get(self, key):
         found = self.sim.data.get(key)
-        return self.step("get", lambda: None if found is None else wire.Row(key, msgspec.Raw(found[0]), found[1]))
+        return self.step("get", lambda: None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]))
 
-    async def hold(self, ttl_s):
+    async def grant_lease(self, ttl_s):
         def take():
-            permit = next(self.sim.permits)
-            self.sim.holds[permit] = 1e9
-            return permit
+            lease_id = next(self.sim.lease_ids)
+            self.sim.holds[lease_id] = 1e9
+            return lease_id
 
         return self.step("hold", take)
 
-    async def commit(self, conditions, puts, drops=(), permit=None):
-        return self.step("commit", lambda: self.sim.commit(conditions, puts, drops, permit))
+    async def commit(self, conditions, puts, drops=(), lease_id=None):
+        return self.step("commit", lambda: self.sim.commit(conditions, puts, drops, lease_id))
 
-    async def end(self, permit):
-        self.step("end", lambda: self.sim.end(permit))
+    async def end(self, lease_id):
+        self.step("end", lambda: self.sim.end(lease_id))
 
 
 @pytest.mark.parametrize("late", (False, True))
@@ -756,19 +763,19 @@
 
     async def enter():
         for _ in range(3):
-            if not control.membership.hold.permit:
+            if not control.membership.store_lease.lease_id:
                 try:
-                    await control.acquire_hold()
-                except (Unanswered, controller.Refused):
+                    await control.acquire_store_lease()
+                except (UnansweredError, controller.StoreRefusedError):
                     pass
 
     curio.run(enter)
     for action in steps.held_back:
         action()  # late, after newer ones
-    permit = control.membership.hold.permit
+    lease_id = control.membership.store_lease.lease_id
     raw, _, attached = steps.sim.data[MEMBERS + "host-0"]
-    assert permit and msgspec.json.decode(raw, type=Presence).permit == permit == attached
-    assert permit in steps.sim.holds
+    assert lease_id and msgspec.json.decode(raw, type=Presence).lease_id == lease_id == attached
+    assert lease_id in steps.sim.holds
 
 
 # -- all of it, in a world
@@ -797,7 +804,7 @@
         def failed() -> None:
             self.follow_busy = False
 
-        self.call(done, failed, lambda: store.check() or (store.rows(), [], store.epoch))
+        self.call(done, failed, lambda: store.check() or (store.rows(), [], store.revision))
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
         world, life = self.world, self.life
@@ -814,7 +821,7 @@
             return super().call(slowly(then), fail, method, *args, too_large=too_large)
 
         def carry_out() -> None:
-            with contextlib.suppress(Refused, TooLarge):
+            with contextlib.suppress(StoreRefusedError, TransactionTooLargeError):
                 method(*args)
 
         world.after(world.rng.uniform(2.0, 12.0), carry_out)
@@ -850,7 +857,7 @@
 
     client.client.request = answer
     answered = status, b"{}"
-    with pytest.raises(store.Refused):
+    with pytest.raises(store.StoreRefusedError):
         curio.run(client.get, JOBS + "wk-000001")
     answered = 404, b"{}"
     assert curio.run(client.get, JOBS + "wk-000001") is None
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -16,7 +16,7 @@
 from alderbridge.contact import Contact, Touch
 from alderbridge.node import Node
 from alderbridge.store import JOBS, VIEW
-from alderbridge.view import Hold, Membership
+from alderbridge.view import Membership, StoreLease
 
 
 class Dark(Tied):
@@ -46,7 +46,7 @@
 
     def hold(self):
         self.step = "hold"
-        super().hold()
+        super().store_lease()
         self.step = ""
         if self.still_s:  # between the sending of both and their answers
             self.follow()
@@ -99,8 +99,8 @@
     label = world.follower()
     sim = world.nodes[label]
     sim.renewals_lost_until = 200.0
-    permit = sim.node.membership.hold.permit
-    world.until(lambda: world.store.holds[permit] - world.t < 1.0, 30.0)
+    lease_id = sim.node.membership.store_lease.lease_id
+    world.until(lambda: world.store.holds[lease_id] - world.t < 1.0, 30.0)
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
     membership = sim.node.membership
@@ -127,7 +127,7 @@
     world.until(lambda: away in world.view.members, 15.0)
     world.until(lambda: sim.node.membership.fresh_until < world.t, 25.0)
     membership = sim.node.membership
-    assert world.t < min(membership.hold.valid_until, membership.contact.until), "the other two terms let it act"
+    assert world.t < min(membership.store_lease.valid_until, membership.contact.until), "the other two terms let it act"
     return world, 40.0
 
 
@@ -142,18 +142,18 @@
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
     membership = sim.node.membership
-    assert world.t + 5.0 < min(membership.fresh_until, membership.hold.valid_until), "the other two let it act"
+    assert world.t + 5.0 < min(membership.fresh_until, membership.store_lease.valid_until), "the other two let it act"
     return world, 10.0
 
 
 def without_hold(monkeypatch):
-    renewed = Hold.renewed
+    renewed = StoreLease.renewed
 
     def stays(self, *args):
         renewed(self, *args)
         self.valid_until = float("inf")
 
-    monkeypatch.setattr(Hold, "renewed", stays)
+    monkeypatch.setattr(StoreLease, "renewed", stays)
 
 
 def without_freshness(monkeypatch):
@@ -253,7 +253,7 @@
     world.run(50.0 + c.CONTACT_TTL_S + 8.0)
     membership = world.nodes[label].node.membership
     assert label not in world.view.members and world.late
-    assert world.t < min(membership.fresh_until, membership.hold.valid_until)
+    assert world.t < min(membership.fresh_until, membership.store_lease.valid_until)
 
 
 def test_who_was_given_up_acts_no_more_though_it_is_heard_again_before_it_is_removed(monkeypatch):
@@ -318,13 +318,13 @@
             self.jump(0.1)
         super().flush()
 
-    def beat(self, raw, reply):
+    def heartbeat(self, raw, reply):
         def late(status, body):
             if status == 200:
                 self.jump(0.01)
             self.world.after(max(0.0, self.frozen_until - self.world.t), reply, status, body)
 
-        super().beat(raw, late)
+        super().heartbeat(raw, late)
 
 
 class Jumps(Ties):
@@ -371,7 +371,7 @@
 def test_hold_and_replica_are_as_old_as_the_question_that_was_sent(monkeypatch):
     """Counted from the answer, a process acts after its jump, though others have taken its place."""
     still_between_question_and_answer(33102)
-    loop, renewed, followed = Dark.loop, Hold.renewed, Membership.followed
+    loop, renewed, followed = Dark.loop, StoreLease.renewed, Membership.followed
     clock = []
 
     def loop_with_clock(self, life, step, pause):
@@ -379,7 +379,9 @@
         loop(self, life, step, pause)
 
     monkeypatch.setattr(Dark, "loop", loop_with_clock)
-    monkeypatch.setattr(Hold, "renewed", lambda self, permit, sent_at, *more: renewed(self, permit, clock[0].t, *more))
+    monkeypatch.setattr(
+        StoreLease, "renewed", lambda self, lease_id, sent_at, *more: renewed(self, lease_id, clock[0].t, *more)
+    )
     monkeypatch.setattr(Membership, "followed", lambda self, sent_at: followed(self, clock[0].t))
     with pytest.raises(Broken, match="left_out"):
         still_between_question_and_answer(33102)
--- a/tests/test_meetings_unanswered.py
+++ b/tests/test_meetings_unanswered.py
@@ -34,7 +34,7 @@
                     JOB,
                     (503, b"", [])
                     if refuses(clock[0]) or away(clock[0])
-                    else (200, wire.job_status(JOB, "pending", 0, 0), []),
+                    else (200, wire.job_status_body(JOB, "pending", 0, 0), []),
                 )
         return [record.args[1] for record in caplog.records]
 
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_meetings_upgrade.py
@@ -19,7 +19,7 @@
     def start(self):
         super().start()
         if self.old:
-            self.node.membership.hold.ttl_s, self.node.membership.less_s = c.HOLD_TTL_S, 0.0
+            self.node.membership.store_lease.ttl_s, self.node.membership.less_s = c.HOLD_TTL_S, 0.0
 
     def seen(self, rows):
         """A view as this version reads it."""
@@ -46,8 +46,8 @@
         super().__init__(seed, nodes=nodes, trouble=False, meetings=2, jobs=18, upgrade=True)
         commit = self.store.commit
 
-        def noting(conditions, puts, drops=(), permit=None):
-            done = commit(conditions, puts, drops, permit)
+        def noting(conditions, puts, drops=(), lease_id=None):
+            done = commit(conditions, puts, drops, lease_id)
             if VIEW in puts and not done.failed:
                 self.changed(puts[VIEW])
             return done
@@ -115,14 +115,14 @@
             worker.command = lambda *args: None  # what its new part asks is lost: only the lease's end is a proof
     world.restart(away)
     world.until(lambda: gone in world.view.members, 10.0)
-    mandate = world.store.data[VIEW][1]
+    fencing_token = world.store.data[VIEW][1]
     world.run(world.t + 5.0)
     workers = [worker for worker in world.machines.values() if worker is not None and worker.node == label]
     world.run(world.t + 13.0)
     for worker in workers:  # whatever has answered them last, their leases run out from there
         worker.cut_until = world.t + 60.0
     world.run(world.t + 25.0)
-    assert world.store.data[VIEW][1] == mandate and len(world.view.members) == 3, "nobody has removed it"
+    assert world.store.data[VIEW][1] == fencing_token and len(world.view.members) == 3, "nobody has removed it"
     return world
 
 
@@ -130,8 +130,8 @@
     old_ones_do_not_wait_for(42026)
     real = Membership.saw_presence
 
-    def saw_presence(self, label, presence, stamp):
-        real(self, label, presence, stamp)
+    def saw_presence(self, label, presence, revision):
+        real(self, label, presence, revision)
         self.less_s = 0.0
 
     monkeypatch.setattr(Membership, "saw_presence", saw_presence)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -260,7 +260,7 @@
             client.idle.append(there)
             try:
                 answer = await client.request("POST", "/holds/107/extend", body)
-            except net.Unanswered:
+            except net.UnansweredError:
                 answer = None
             head = b"POST /holds/107/extend HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
             assert there.sent == head % len(body) + body
@@ -278,7 +278,7 @@
         await curio.sleep(60.0)
 
     monkeypatch.setattr(curio, "open_connection", hang)
-    with pytest.raises(net.Unanswered):
+    with pytest.raises(net.UnansweredError):
         curio.run(net.Client("127.0.0.1", 1).request, "GET", "/kv")
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -30,7 +30,7 @@
     """A channel as the teller sees it."""
 
     def __init__(self):
-        self.received, self.peer_mandate, self.unacknowledged = 0, 1, 0
+        self.received, self.peer_fencing_token, self.unacknowledged = 0, 1, 0
 
     def backlog(self):
         return self.unacknowledged
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from test_machines import SPEC, beat, part_with_machine
+from test_machines import SPEC, heartbeat, part_with_machine
 from world import Broken, World
 
 from alderbridge import constants as c
@@ -13,7 +13,7 @@
 from alderbridge.mesh import Clear, Grant, Halt, QueueRow, Seen, SeenTask
 from alderbridge.recovery import TABLE, Asking, Barrier, HoldBack, Knowledge, Known, Squaring, State, Told, Verdict
 from alderbridge.view import Membership, Presence
-from alderbridge.wire import Beat, MachineRecord
+from alderbridge.wire import Heartbeat, MachineRecord
 
 # -- the table ---------------------------------------------------------------
 
@@ -130,7 +130,7 @@
 
 def test_a_part_that_goes_on_carries_over_what_it_ordered_and_knows():
     part, sent = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     machine = part.machines["n-1"]
     for index, attempt in ((0, 70), (1, 71)):
         grant = Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
@@ -144,13 +144,13 @@
     assert sent == [("host-0", Seen("n-1", "a", 7, [], [])), ("host-1", Seen("n-1", "a", 7, [], [("wk-1", 0, 70)]))]
     assert part.squaring.states == {"n-1": State.SQUARED}
     assert part.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
-    part.on_beat(Beat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
+    part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
     assert sent[-1] == ("host-1", Seen("n-1", "a", 7, [], [])), "its report settles what was ordered"
 
 
 def test_a_part_that_began_anew_or_has_older_members_carries_nothing_over():
     part, sent = part_with_machine()
-    beat(part, 1)
+    heartbeat(part, 1)
     del sent[:]
     part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry=False)
     part.settle(2.2)
@@ -161,7 +161,7 @@
     """A returned machine's record failed each look for what to write: its controller wrote nothing any more."""
     part, _ = part_with_machine()
     for name in ("n-2", "n-3", "n-4"):
-        part.on_beat(Beat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
+        part.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
     assert part.to_record == ["n-2", "n-3", "n-4"]
     part.on_gone(["n-2", "n-3"])
     assert part.to_record == ["n-4"]
@@ -240,7 +240,7 @@
 
     def joined(times):
         membership = Membership("host-0", 20.0)
-        membership.hold.renewed(1, 0.0)
+        membership.store_lease.renewed(1, 0.0)
         views = []
         for step in range(60):
             now = step * 0.1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,8 +26,8 @@
 # -- the state service and the cloud
 
 
-def put(key, data=1, permit=None):
-    return {"put": key, "data": data, **({"permit": permit} if permit else {})}
+def put(key, data=1, lease_id=None):
+    return {"put": key, "data": data, **({"permit": lease_id} if lease_id else {})}
 
 
 def test_transactions_are_whole_and_ordered():
@@ -42,16 +42,16 @@
 
 def test_a_hold_ends_with_its_keys_and_not_sooner_through_an_outage():
     state = StateModel()
-    permit = state.new_hold(5000, 0.0).body["permit"]
-    state.commit({"writes": [put("m", permit=permit)]}, 0.0)
-    state.extend(permit, 4.0)
+    lease_id = state.new_hold(5000, 0.0).body["permit"]
+    state.commit({"writes": [put("m", lease_id=lease_id)]}, 0.0)
+    state.extend(lease_id, 4.0)
     state.down = True
     assert state.admit(20.0).status == 503 and "m" in state.data
     state.outage_over(20.0)
     assert state.admit(24.9) is None and "m" in state.data
     state.admit(25.2)
-    assert "m" not in state.data and state.extend(permit, 25.3).status == 404
-    assert state.commit({"writes": [put("m", permit=permit)]}, 25.3).status == 400
+    assert "m" not in state.data and state.extend(lease_id, 25.3).status == 404
+    assert state.commit({"writes": [put("m", lease_id=lease_id)]}, 25.3).status == 400
 
 
 def test_rates_are_kept_with_a_burst_of_one_second():
@@ -81,10 +81,10 @@
         self.events: list[Event] = []
         self.model = WorkerModel("n-1", "a", True, "m", 1.0, 17.0, PLAN, 0.0, self.events.append)
 
-    def answer(self, now, *orders, mandate=5, sent_at=None, tenure=1):
+    def answer(self, now, *orders, fencing_token=5, sent_at=None, incarnation=1):
         orders = [{"verb": verb, "part": part, "try": attempt, "wind_down_s": 0.0} for verb, part, attempt in orders]
-        answer = {"mandate": mandate, "orders": orders}
-        return self.model.on_answer(answer, tenure, now if sent_at is None else sent_at, now)
+        answer = {"mandate": fencing_token, "orders": orders}
+        return self.model.on_answer(answer, incarnation, now if sent_at is None else sent_at, now)
 
 
 def test_a_task_fetches_its_image_once_runs_and_ends():
@@ -105,11 +105,11 @@
     machine = Machine()
     assert machine.answer(1.0, ("run", "wk-000001/0", 7))
     assert not machine.answer(6.0, ("run", "wk-000001/1", 8), sent_at=1.5)
-    assert not machine.answer(6.0, ("run", "wk-000001/1", 8), mandate=4)
+    assert not machine.answer(6.0, ("run", "wk-000001/1", 8), fencing_token=4)
     assert list(machine.model.tasks) == ["wk-000001/0"] and machine.model.answered_at == 1.0
     machine.model.tick(18.1)
-    assert not machine.model.tasks and (machine.model.tenure, machine.model.counter) == (2, 0)
-    assert not machine.answer(18.2, ("run", "wk-000001/1", 8), tenure=1)
+    assert not machine.model.tasks and (machine.model.incarnation, machine.model.sequence) == (2, 0)
+    assert not machine.answer(18.2, ("run", "wk-000001/1", 8), incarnation=1)
 
 
 def test_a_lease_ends_at_its_time_however_late_that_is_looked_at():
@@ -120,7 +120,7 @@
     machine.model.tick(60.0)
     lapse = 1.0 + 17.0
     ended = [(event.at, event.what) for event in machine.events if event.what != "on"]
-    assert max(at for at, _ in ended) <= lapse and machine.model.tenure == 1 + int(59.0 // 17.0)
+    assert max(at for at, _ in ended) <= lapse and machine.model.incarnation == 1 + int(59.0 // 17.0)
     assert (2.0 + end < lapse) is any(what == "done" for _, what in ended) and len(ended) == 2
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -80,13 +80,13 @@
                     answer = state.get(url.path[4:])
             return self.reply(*answer)
 
-        def follow(self, epoch, wait_ms):
+        def follow(self, revision, wait_ms):
             end = time.monotonic() + min(0.3, wait_ms / 1000)
             while True:
                 with lock:
-                    changes = state.changes_since("", epoch)
+                    changes = state.changes_since("", revision)
                     if changes is not None or time.monotonic() >= end:
-                        return changes or (200, {"epoch": state.epoch, "log": []})
+                        return changes or (200, {"epoch": state.revision, "log": []})
                 time.sleep(0.01)
 
         def do_POST(self):
@@ -270,7 +270,7 @@
 def test_a_worker_gets_the_mandate_first_and_orders_after(world):
     service, state = world
     service.submit_until({**JOB, "id": "wk-000002"}, 201)
-    beat = {
+    heartbeat = {
         "host": "n-1",
         "address": "x",
         "flavour": "c4",
@@ -282,15 +282,15 @@
         "recall_s": None,
         "parts": [],
     }
-    status, answer, _ = service.call("POST", "/agent/beat", beat)
+    status, answer, _ = service.call("POST", "/agent/beat", heartbeat)
     assert status == 200 and answer["orders"] == [] and answer["mandate"] > 0
-    assert service.call("POST", "/agent/beat", beat)[0] == 503  # not newer than the last
-    ahead = {**beat, "counter": 2, "mandate": answer["mandate"] + 1}
+    assert service.call("POST", "/agent/beat", heartbeat)[0] == 503  # not newer than the last
+    ahead = {**heartbeat, "counter": 2, "mandate": answer["mandate"] + 1}
     assert service.call("POST", "/agent/beat", ahead)[0] == 503  # a 200 would be dropped, and hold the worker here
-    for counter in range(2, 60):
-        orders = service.call("POST", "/agent/beat", {**beat, "counter": counter, "mandate": answer["mandate"]})[1][
-            "orders"
-        ]
+    for sequence in range(2, 60):
+        orders = service.call("POST", "/agent/beat", {**heartbeat, "counter": sequence, "mandate": answer["mandate"]})[
+            1
+        ]["orders"]
         if orders:
             break
         time.sleep(0.05)
--- a/tests/test_service_cut.py
+++ b/tests/test_service_cut.py
@@ -56,11 +56,11 @@
         with lock:
             if all(gate.refused for gate in gates.values()):
                 holds.update(dict.fromkeys(holds, time.monotonic() + TTL_S))
-            over = [permit for permit, end in holds.items() if end < time.monotonic()]
-            for permit in over:
-                del holds[permit]
-        for permit in over:
-            path, self.path = self.path, f"/holds/{permit}"
+            over = [lease_id for lease_id, end in holds.items() if end < time.monotonic()]
+            for lease_id in over:
+                del holds[lease_id]
+        for lease_id in over:
+            path, self.path = self.path, f"/holds/{lease_id}"
             self.reply, reply = (lambda *answer: None), self.reply
             base.do_DELETE(self)
             self.path, self.reply = path, reply
@@ -95,10 +95,10 @@
 
             def write(self):
                 if self.path.endswith("/extend"):
-                    permit = int(self.path.split("/")[2])
-                    if permit not in holds:
+                    lease_id = int(self.path.split("/")[2])
+                    if lease_id not in holds:
                         return self.reply(404, {})
-                    holds[permit] = time.monotonic() + TTL_S
+                    holds[lease_id] = time.monotonic() + TTL_S
                 return base.do_POST(self)
 
             def reply(self, status, value):
@@ -121,7 +121,7 @@
     def __init__(self, service, name):
         super().__init__(daemon=True)
         self.service, self.name_, self.tasks = service, name, {}
-        self.tenure, self.counter, self.mandate = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.renewed, self.label = time.monotonic(), LABELS[0]
 
     def run(self):
@@ -135,13 +135,13 @@
             for part in list(self.tasks):
                 service.left(part, self)
             self.tasks.clear()
-            self.tenure, self.counter, self.renewed = self.tenure + 1, 0, sent
+            self.incarnation, self.sequence, self.renewed = self.incarnation + 1, 0, sent
         for part, task in self.tasks.items():
             if task["status"] == "running" and sent >= task["ends"]:
                 service.left(part, self)
                 service.completed.add(part)
                 task |= {"status": "ended", "cause": "done"}
-        self.counter += 1
+        self.sequence += 1
         parts = [
             {"part": part, "try": task["try"], "status": task["status"], "cause": task["cause"]}
             for part, task in self.tasks.items()
@@ -156,9 +156,9 @@
                 "flavour": "c4",
                 "site": "a",
                 "standby": False,
-                "tenure": self.tenure,
-                "counter": self.counter,
-                "mandate": self.mandate,
+                "tenure": self.incarnation,
+                "counter": self.sequence,
+                "mandate": self.fencing_token,
                 "recall_s": None,
                 "parts": parts,
             },
@@ -167,8 +167,8 @@
             self.label = answer["steward"]
         elif status != 200:
             self.label = LABELS[(LABELS.index(self.label) + 1) % len(LABELS)]
-        elif answer["mandate"] >= self.mandate and time.monotonic() - sent < 4.0:
-            self.mandate, self.renewed = answer["mandate"], sent
+        elif answer["mandate"] >= self.fencing_token and time.monotonic() - sent < 4.0:
+            self.fencing_token, self.renewed = answer["mandate"], sent
             for order in answer["orders"]:
                 self.carry_out(order)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,9 +10,19 @@
 from alderbridge.dependencies import Graph
 from alderbridge.jobs import JobState, Record
 from alderbridge.replica import Replica
-from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, STOPS, HoldLost, Store, TooLarge
+from alderbridge.store import (
+    BUDGETS,
+    CLAIMS,
+    DECLARED,
+    JOBS,
+    LISTS,
+    STOPS,
+    LeaseExpiredError,
+    Store,
+    TransactionTooLargeError,
+)
 from alderbridge.view import Membership, Presence, View
-from alderbridge.wire import Change, JobSpec
+from alderbridge.wire import JobSpec, WatchEvent
 
 SPEC = JobSpec(
     id="wk-000002",
@@ -99,8 +109,8 @@
     """It would lose what a job waits for; host-2 is about to take part."""
     membership = Membership("host-0", 12.0)
     membership.saw_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
-    for permit, label in enumerate(("host-0", "host-1", "host-2"), 1):
-        membership.saw_presence(label, Presence(permit, protocols.get(label, c.PIPELINES)), permit)
+    for lease_id, label in enumerate(("host-0", "host-1", "host-2"), 1):
+        membership.saw_presence(label, Presence(lease_id, protocols.get(label, c.PIPELINES)), lease_id)
     assert membership.all_run(c.PIPELINES) is kept
 
 
@@ -109,9 +119,9 @@
     graph = Graph(lambda spec: 1.0)
     replica = Replica(Membership("host-0", 12.0), graph)
     record = Record(JobState.ACTIVE, "host-0", 50.0, 2, [], SPEC)
-    replica.apply(Change(put=JOBS + SPEC.id, data=msgspec.Raw(msgspec.json.encode(record)), stamp=3))
+    replica.apply(WatchEvent(put=JOBS + SPEC.id, data=msgspec.Raw(msgspec.json.encode(record)), revision=3))
     assert graph.waiting(SPEC.id)
-    replica.apply(Change(put=JOBS + "wk-000001", data=msgspec.Raw(b'{"state":"done"}'), stamp=4))
+    replica.apply(WatchEvent(put=JOBS + "wk-000001", data=msgspec.Raw(b'{"state":"done"}'), revision=4))
     assert not graph.waiting(SPEC.id) and graph.ready_at(SPEC.id) == 50.0
 
 
@@ -122,7 +132,11 @@
 
 
 @pytest.mark.parametrize(
-    "text, error", [(b'{"error":"the value is too large"}', TooLarge), (b'{"error":"no such lease"}', HoldLost)]
+    "text, error",
+    [
+        (b'{"error":"the value is too large"}', TransactionTooLargeError),
+        (b'{"error":"no such lease"}', LeaseExpiredError),
+    ],
 )
 def test_a_value_that_is_too_large_is_not_a_lost_hold(text, error):
     store = Store("127.0.0.1:1")
@@ -138,10 +152,10 @@
 def test_nobody_acts_longer_than_an_older_member_believes():
     """It takes a view for settled after 12 s: who acted for 20 s would renew leases that it holds for lapsed."""
     membership = Membership("host-0", 20.0, 12.0)
-    membership.hold.renewed(1, 0.0)
+    membership.store_lease.renewed(1, 0.0)
     membership.followed(0.0)
-    for label, permit, generation in (("host-0", 1, c.GENERATION), ("host-1", 2, 1)):
-        membership.saw_presence(label, Presence(permit, generation), permit)
+    for label, lease_id, generation in (("host-0", 1, c.GENERATION), ("host-1", 2, 1)):
+        membership.saw_presence(label, Presence(lease_id, generation), lease_id)
     membership.saw_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     assert membership.may_act(11.0) and not membership.may_act(12.0)
     membership.saw_presence("host-1", Presence(3, c.GENERATION), 6)  # it is back as the newer one
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -68,9 +68,9 @@
 def test_a_store_that_takes_less_than_it_said_costs_no_hold_and_no_job(seed):
     world = play(seed, until=300.0, trouble=False, pipelines=3, tight_at=60.0)
     assert world.store.too_large > 0
-    mandates = {sim.node.membership.mandate for sim in world.nodes.values()}
+    fencing_tokens = {sim.node.membership.fencing_token for sim in world.nodes.values()}
     lacking = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
-    assert len(mandates) == 1 and not lacking
+    assert len(fencing_tokens) == 1 and not lacking
 
 
 def test_a_job_may_wait_for_more_than_its_record_holds():
--- a/tests/world.py
+++ b/tests/world.py
@@ -194,11 +194,11 @@
     return GIVEN | json.loads(msgspec.json.encode(spec))
 
 
-class Refused(Exception):
+class StoreRefusedError(Exception):
     pass
 
 
-class TooLarge(Exception):
+class TransactionTooLargeError(Exception):
     pass
 
 
@@ -206,10 +206,10 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.data: dict[str, tuple[bytes, int, int | None]] = {}
-        self.epoch = 0
-        self.log: list[wire.Change] = []
+        self.revision = 0
+        self.log: list[wire.WatchEvent] = []
         self.holds: dict[int, float] = {}
-        self.permits = itertools.count(1)
+        self.lease_ids = itertools.count(1)
         self.down_until = self.slow_until = 0.0
         self.slow_by = 25.0  # times as slow, until ``slow_until``
         self.late_share, self.late_until = 0.0, 0.0  # of what changes the store: carried out late, without an answer
@@ -223,22 +223,22 @@
 
     def check(self) -> None:
         if self.world.t < self.down_until:
-            raise Refused
-        for permit in [p for p, end in self.holds.items() if end < self.world.t]:
-            self.end(permit)
+            raise StoreRefusedError
+        for lease_id in [p for p, end in self.holds.items() if end < self.world.t]:
+            self.end(lease_id)
 
     def outage(self, for_s: float) -> None:
         self.down_until = max(self.down_until, self.world.t + for_s)
-        for permit in self.holds:
-            self.holds[permit] = self.down_until + c.OUTLAST_S - LEASE_S
+        for lease_id in self.holds:
+            self.holds[lease_id] = self.down_until + c.OUTLAST_S - LEASE_S
 
-    def end(self, permit: int) -> None:
-        if self.holds.pop(permit, None) is None:
+    def end(self, lease_id: int) -> None:
+        if self.holds.pop(lease_id, None) is None:
             return
-        self.epoch += 1
-        for key in [k for k, v in self.data.items() if v[2] == permit]:
+        self.revision += 1
+        for key in [k for k, v in self.data.items() if v[2] == lease_id]:
             del self.data[key]
-            self.log.append(wire.Change(drop=key, stamp=self.epoch))
+            self.log.append(wire.WatchEvent(drop=key, revision=self.revision))
         self.elections(False)
 
     def elections(self, changed: bool) -> None:
@@ -252,38 +252,40 @@
         elif changed or self.differs_since is None:
             self.differs_since = self.world.t
 
-    def commit(self, conditions: dict[str, int], puts: dict[str, object], drops=(), permit=None) -> wire.Committed:
+    def commit(
+        self, conditions: dict[str, int], puts: dict[str, object], drops=(), lease_id=None
+    ) -> wire.TransactionResult:
         self.check()
         raws = {key: msgspec.json.encode(value) for key, value in puts.items()}
         if len(puts) + len(drops) > self.most_changes or any(len(raw) > self.value_bytes for raw in raws.values()):
             self.too_large += 1
-            raise TooLarge
-        if permit is not None and permit not in self.holds:
-            raise Refused  # no such lease
-        failed = [k for k, stamp in conditions.items() if (self.data[k][1] if k in self.data else 0) != stamp]
+            raise TransactionTooLargeError
+        if lease_id is not None and lease_id not in self.holds:
+            raise StoreRefusedError  # no such lease
+        failed = [k for k, revision in conditions.items() if (self.data[k][1] if k in self.data else 0) != revision]
         if failed:
-            return wire.Committed(self.epoch, failed)
-        self.epoch += 1
+            return wire.TransactionResult(self.revision, failed)
+        self.revision += 1
         for key, raw in raws.items():
-            self.data[key] = (raw, self.epoch, permit)
-            self.log.append(wire.Change(put=key, data=msgspec.Raw(raw), stamp=self.epoch))
+            self.data[key] = (raw, self.revision, lease_id)
+            self.log.append(wire.WatchEvent(put=key, data=msgspec.Raw(raw), revision=self.revision))
         for key in drops:
             if self.data.pop(key, None) is not None:
-                self.log.append(wire.Change(drop=key, stamp=self.epoch))
-        if VIEW in puts or permit is not None:
+                self.log.append(wire.WatchEvent(drop=key, revision=self.revision))
+        if VIEW in puts or lease_id is not None:
             self.elections(VIEW in puts)
         if VIEW in puts:
             self.view_began()
         for key, value in puts.items():
             if key.startswith(JOBS) and getattr(value, "state", JobState.ACTIVE) is not JobState.ACTIVE:
                 self.ended(key[len(JOBS) :])
-        return wire.Committed(self.epoch)
+        return wire.TransactionResult(self.revision)
 
-    def rows(self) -> list[wire.Row]:
-        return [wire.Row(k, msgspec.Raw(v), s) for k, (v, s, _) in sorted(self.data.items()) if k.startswith(ROOT)]
+    def rows(self) -> list[wire.KeyValue]:
+        return [wire.KeyValue(k, msgspec.Raw(v), s) for k, (v, s, _) in sorted(self.data.items()) if k.startswith(ROOT)]
 
-    def since(self, epoch: int) -> list[wire.Change]:
-        return [change for change in self.log if change.stamp > epoch]
+    def since(self, revision: int) -> list[wire.WatchEvent]:
+        return [change for change in self.log if change.revision > revision]
 
 
 class SimNode:
@@ -354,7 +356,7 @@
 
         def settle(answer) -> None:
             if life == self.life:
-                if answer is TooLarge:
+                if answer is TransactionTooLargeError:
                     (too_large or fail)()
                 elif answer is None:
                     fail()
@@ -365,10 +367,10 @@
         def carry_out(answered: bool) -> None:
             try:
                 answer = method(*args)
-            except Refused:
+            except StoreRefusedError:
                 answer = None
-            except TooLarge:
-                answer = TooLarge
+            except TransactionTooLargeError:
+                answer = TransactionTooLargeError
             if answered:
                 world.after(rng.uniform(0.001, 0.01), settle, answer)
 
@@ -397,24 +399,24 @@
 
     def hold(self) -> None:
         node, store, world, sent = self.node, self.world.store, self.world, self.world.t
-        hold = node.membership.hold
+        hold = node.membership.store_lease
 
         def extend():
             store.check()
-            if hold.permit not in store.holds:
+            if hold.lease_id not in store.holds:
                 return False
-            store.holds[hold.permit] = world.t + hold.ttl_s
+            store.holds[hold.lease_id] = world.t + hold.ttl_s
             return True
 
         def extended(good):
             if good:
-                hold.renewed(hold.permit, sent)
+                hold.renewed(hold.lease_id, sent)
             else:
                 hold.lost()
 
         if node.membership.removed():
             hold.lost()
-        if hold.permit:
+        if hold.lease_id:
             self.call(extended, lambda: None, extend)
         elif not self.entering:
             self.entering = True
@@ -435,30 +437,30 @@
 
         def take() -> int:
             store.check()
-            permit = next(store.permits)
-            store.holds[permit] = world.t + node.membership.hold.ttl_s
-            return permit
+            lease_id = next(store.lease_ids)
+            store.holds[lease_id] = world.t + node.membership.store_lease.ttl_s
+            return lease_id
 
-        def got(permit: int) -> None:
-            presence = Presence(permit, 1 if self.old else c.GENERATION)
+        def got(lease_id: int) -> None:
+            presence = Presence(lease_id, 1 if self.old else c.GENERATION)
             self.call(
-                lambda answer: entered(permit, answer),
+                lambda answer: entered(lease_id, answer),
                 failed,
                 store.commit,
-                {key: before.stamp if before else 0},
+                {key: before.revision if before else 0},
                 {key: presence},
                 (),
-                permit,
+                lease_id,
             )
 
-        def entered(permit: int, answer: wire.Committed) -> None:
+        def entered(lease_id: int, answer: wire.TransactionResult) -> None:
             self.entering = False
             if answer.failed:
                 return
-            node.held(permit, sent, world.t)
+            node.held(lease_id, sent, world.t)
             if before is not None:
-                permit = msgspec.json.decode(before.data, type=Presence).permit
-                self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(permit) or True)
+                lease_id = msgspec.json.decode(before.data, type=Presence).lease_id
+                self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
 
         self.call(looked, failed, self.read, key)
 
@@ -472,22 +474,22 @@
         def read(since: int | None = None):
             store.check()
             if since is None and (self.reads_all or not node.loaded):
-                return self.seen(store.rows()), [], store.epoch
-            return None, self.seen(store.since(node.replica.epoch if since is None else since)), store.epoch
+                return self.seen(store.rows()), [], store.revision
+            return None, self.seen(store.since(node.replica.revision if since is None else since)), store.revision
 
         def done(answer, rows=None, sent=sent):
-            rows, changes, epoch = answer if rows is None else (rows, *answer[1:])
+            rows, changes, revision = answer if rows is None else (rows, *answer[1:])
             if rows is not None and node.loaded and self.reads_all:  # then what has changed since the first row
                 self.reads_all = False
-                self.call(lambda answer, sent=world.t: done(answer, rows, sent), failed, read, epoch)
+                self.call(lambda answer, sent=world.t: done(answer, rows, sent), failed, read, revision)
                 return
             self.follow_busy = False
             node.membership.followed(sent)
             if rows is None:
                 node.apply(changes, world.t, world.t + self.ahead_s)
-                node.replica.epoch = epoch
+                node.replica.revision = revision
             else:
-                node.load(rows, changes, epoch, world.t, world.t + self.ahead_s)
+                node.load(rows, changes, revision, world.t, world.t + self.ahead_s)
             world.followed(self, [*(rows or ()), *changes])
 
         def failed():
@@ -502,7 +504,7 @@
             return rows
         return [
             row
-            if isinstance(row, wire.Change) and row.put is None
+            if isinstance(row, wire.WatchEvent) and row.put is None
             else msgspec.structs.replace(
                 row, data=msgspec.Raw(production.value(getattr(row, "key", None) or row.put, bytes(row.data)))
             )
@@ -537,7 +539,7 @@
                             lambda row, key=key: node.reread(batch, key, row[0], world.t), lambda: None, self.read, key
                         )
             else:
-                node.batch_done(batch, answer.epoch, world.t)
+                node.batch_done(batch, answer.revision, world.t)
             self.tell_users()
 
         def failed():
@@ -563,7 +565,7 @@
     def read(self, key: str):
         self.world.store.check()
         found = self.world.store.data.get(key)
-        return self.seen([wire.Row(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
+        return self.seen([wire.KeyValue(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
 
     def tell_users(self) -> None:
         while self.node.news:
@@ -579,21 +581,23 @@
         """Empty ``/commands`` to the machines of a new view; some are held back, and arrive late."""
         node, world, life = self.node, self.world, self.life
         while node.may_act() and (machine := node.part.next_to_ask(world.t)) is not None:
-            name, _, tenure = machine
-            mandate = node.membership.mandate
+            name, _, incarnation = machine
+            fencing_token = node.membership.fencing_token
 
-            def answered(raw: bytes, mandate: int = mandate) -> None:
-                if life == self.life and mandate == node.membership.mandate:
-                    node.asked(wire.parse_beat(raw), world.t)
+            def answered(raw: bytes, fencing_token: int = fencing_token) -> None:
+                if life == self.life and fencing_token == node.membership.fencing_token:
+                    node.asked(wire.parse_heartbeat(raw), world.t)
                     self.flush()
 
-            def arrive(name: str = name, mandate: int = mandate, tenure: int = tenure, reply=answered) -> None:
+            def arrive(
+                name: str = name, fencing_token: int = fencing_token, incarnation: int = incarnation, reply=answered
+            ) -> None:
                 worker = world.machines.get(name)
                 if worker is not None and worker.alive and world.reaches(worker, self.label):
                     if world.t < worker.held_up_until:
-                        world.after(worker.way(), worker.command, mandate, tenure, reply)
+                        world.after(worker.way(), worker.command, fencing_token, incarnation, reply)
                     else:
-                        worker.command(mandate, tenure, reply)
+                        worker.command(fencing_token, incarnation, reply)
 
             cut = world.t < self.cut_workers_until
             if not cut or world.rng.random() < 0.5:
@@ -685,8 +689,8 @@
         node, world, life = self.node, self.world, self.life
         try:
             spec = wire.parse_job(body)
-        except wire.Malformed:
-            job = wire.named(body)
+        except wire.MalformedBodyError:
+            job = wire.job_id_in(body)
             if job:
                 self.status(job, told)
             else:
@@ -789,22 +793,22 @@
             self.node.on_frame(msgspec.msgpack.decode(data, type=m.Frame), self.world.t)
             self.flush()
 
-    def beat(self, raw: bytes, reply) -> None:
+    def heartbeat(self, raw: bytes, reply) -> None:
         """``reply(status, body)`` after the grants had a moment to arrive."""
         world, life = self.world, self.life
         if self.node is None or world.t < self.cut_workers_until:
             return
         node = self.node
-        beat = wire.parse_beat(raw)
+        heartbeat = wire.parse_heartbeat(raw)
         if not node.loaded or not node.membership.may_act(world.t):
             return reply(503, b"")
-        owner = node.membership.report_to(beat.machine)
+        owner = node.membership.report_to(heartbeat.machine)
         if owner != self.label:
             return reply(421, owner.encode())
-        mandate = node.membership.mandate
-        if beat.mandate > mandate:
+        fencing_token = node.membership.fencing_token
+        if heartbeat.fencing_token > fencing_token:
             return reply(503, b"")
-        machine = node.beat(beat, world.t)
+        machine = node.on_heartbeat(heartbeat, world.t)
         self.flush()
         if machine is None:
             return reply(503, b"")
@@ -812,9 +816,9 @@
         def finish() -> None:
             if life != self.life:
                 return
-            if mandate != node.membership.mandate or not node.membership.may_act(world.t):
+            if fencing_token != node.membership.fencing_token or not node.membership.may_act(world.t):
                 return reply(503, b"")
-            reply(200, wire.beat_answer(mandate, node.part.orders(machine)))
+            reply(200, wire.heartbeat_response(fencing_token, node.part.orders(machine)))
 
         world.after(0.02, finish)
         return None
@@ -828,7 +832,7 @@
 class SimWorker:
     def __init__(self, world: World, name: str, kind) -> None:
         self.world, self.name, self.kind = world, name, kind
-        self.tenure, self.counter, self.mandate = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[str, SimTask] = {}
         self.answered_at = world.t  # when the last answered report was sent
         self.node = world.rng.choice(world.labels)
@@ -858,8 +862,8 @@
             return
         if world.t - self.answered_at > LEASE_S:  # holds on a hanging machine too
             self.kill()
-            self.tenure += 1
-            self.counter = 0
+            self.incarnation += 1
+            self.sequence = 0
             self.answered_at = world.t
         if world.t < self.hangs_until:
             return
@@ -885,9 +889,9 @@
             world.after(self.hangs_until - world.t, self.send_beat)
             return
         self.tick()
-        self.counter += 1
+        self.sequence += 1
         self.in_flight += 1
-        number, tenure, sent, to = self.in_flight, self.tenure, world.t, self.node
+        number, incarnation, sent, to = self.in_flight, self.incarnation, world.t, self.node
         if world.t < self.mute_until:
             world.after(4.0, self.timeout, number)
             return
@@ -897,18 +901,20 @@
 
         def reply(status: int, body: bytes) -> None:
             if world.t >= max(self.cut_until, self.deaf_until) and world.reaches(self, to):
-                world.after(self.way(), self.answered, number, tenure, sent, status, body)
+                world.after(self.way(), self.answered, number, incarnation, sent, status, body)
 
         def arrive() -> None:
-            world.nodes[self.node].beat(raw, reply)
+            world.nodes[self.node].heartbeat(raw, reply)
 
         if world.t < world.copies_until and world.rng.random() < world.copied_share:
             late = world.rng.uniform(2.0, 2 * LEASE_S)
-            world.after(late, world.nodes[self.node].beat, raw, lambda status, body: None)
+            world.after(late, world.nodes[self.node].heartbeat, raw, lambda status, body: None)
         if world.t >= self.cut_until and world.reaches(self, to):
             world.after(world.rng.uniform(0.001, 0.01), arrive)
             if world.rng.random() < 0.02:  # again, and nobody listens to the answer any more
-                world.after(world.rng.uniform(0.1, 60.0), world.nodes[self.node].beat, raw, lambda status, body: None)
+                world.after(
+                    world.rng.uniform(0.1, 60.0), world.nodes[self.node].heartbeat, raw, lambda status, body: None
+                )
         elif world.rng.random() < 0.3:
             world.after(world.rng.uniform(1.0, 40.0), arrive)  # held back, and delivered late
         world.after(4.0, self.timeout, number)
@@ -920,35 +926,37 @@
 
     def report(self) -> bytes:
         world = self.world
-        beat = {
+        heartbeat = {
             "host": self.name,
             "address": "x",
             "flavour": self.kind.type,
             "site": self.kind.zone,
             "standby": self.kind.spot,
-            "tenure": self.tenure,
-            "counter": self.counter,
-            "mandate": self.mandate,
+            "tenure": self.incarnation,
+            "counter": self.sequence,
+            "mandate": self.fencing_token,
             "recall_s": None if self.recall_at is None else max(0.0, self.recall_at - world.t),
             "parts": [
                 {"part": p, "try": k.attempt, "status": k.status, "cause": k.cause} for p, k in self.tasks.items()
             ],
         }
-        return json.dumps(beat).encode()
+        return json.dumps(heartbeat).encode()
 
-    def command(self, mandate: int, tenure: int, reply) -> None:
+    def command(self, fencing_token: int, incarnation: int, reply) -> None:
         """An empty ``/commands``: carried out late where the machine hangs; it does not renew the lease."""
         world = self.world
         if world.t < self.deaf_until:
             return
         if world.t < max(self.hangs_until, self.cut_until):
-            world.after(max(self.hangs_until, self.cut_until) - world.t + 0.001, self.command, mandate, tenure, reply)
+            world.after(
+                max(self.hangs_until, self.cut_until) - world.t + 0.001, self.command, fencing_token, incarnation, reply
+            )
             return
         self.tick()
-        if not self.alive or tenure != self.tenure or mandate < self.mandate:
+        if not self.alive or incarnation != self.incarnation or fencing_token < self.fencing_token:
             return
-        self.mandate = mandate
-        self.counter += 1
+        self.fencing_token = fencing_token
+        self.sequence += 1
         world.after(self.way() if world.rng.random() < 0.8 else world.rng.uniform(0.1, 5.0), reply, self.report())
 
     def timeout(self, number: int) -> None:
@@ -961,12 +969,12 @@
         self.node = labels[(labels.index(self.node) + 1) % len(labels)]
         self.world.after(1.0, self.send_beat)
 
-    def answered(self, number: int, tenure: int, sent: float, status: int, body: bytes) -> None:
+    def answered(self, number: int, incarnation: int, sent: float, status: int, body: bytes) -> None:
         world = self.world
         if number != self.in_flight or not self.alive:
             return
         if world.t < self.hangs_until:  # read when it goes on, unless that is too late
-            world.after(self.hangs_until - world.t + 0.001, self.answered, number, tenure, sent, status, body)
+            world.after(self.hangs_until - world.t + 0.001, self.answered, number, incarnation, sent, status, body)
             return
         self.in_flight += 1
         if status == 421 and body.decode() in world.labels:
@@ -978,9 +986,9 @@
             return
         self.tick()
         answer = json.loads(body)
-        higher = answer["mandate"] > self.mandate
-        if tenure == self.tenure and answer["mandate"] >= self.mandate:
-            self.mandate = answer["mandate"]
+        higher = answer["mandate"] > self.fencing_token
+        if incarnation == self.incarnation and answer["mandate"] >= self.fencing_token:
+            self.fencing_token = answer["mandate"]
             self.answered_at = sent
             for order in answer["orders"]:
                 self.carry_out(order)
@@ -997,7 +1005,7 @@
                 raise Broken(f"busy: {part} on {self.name}")
         elif held is not None and held.attempt == order["try"]:
             if order["verb"] == "halt" and held.status != "ended":
-                job = wire.split_task(part)[0]
+                job = wire.split_task_id(part)[0]
                 if job not in self.world.cancelled_at:
                     self.world.halted_needed.append(part)
                     self.world.halted(part, held, self)
@@ -1247,7 +1255,7 @@
         """It saves, with so much left to run."""
 
     def run_time(self, part: str) -> float:
-        spec = self.specs[wire.split_task(part)[0]]
+        spec = self.specs[wire.split_task_id(part)[0]]
         if spec.job_class == "long":
             return self.rng.uniform(20.0, 110.0)
         return math.inf if spec.service else spec.estimate_s * self.rng.uniform(0.5, 1.5)
@@ -1398,7 +1406,7 @@
             and home is not sim
             and home.node is not None
             and home.label not in sim.dead_links
-            and home.node.membership.mandate == sim.node.membership.mandate
+            and home.node.membership.fencing_token == sim.node.membership.fencing_token
             and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
         ):
             state = home.node.state_here(job, self.t)
@@ -1470,14 +1478,14 @@
         """A worker carries the order to run it out; for worlds with more rules than this one."""
 
     def entered(self, part: str, worker: SimWorker) -> None:
-        job = wire.split_task(part)[0]
+        job = wire.split_task_id(part)[0]
         spec = self.specs[job]
         if part in self.on:
             raise Broken(f"ran_twice: {part} on {self.on[part]} and {worker.name} at {self.t:.2f}")
         zones = [
             self.machines[name].kind.zone
             for p, name in self.on.items()
-            if wire.split_task(p)[0] == job and self.machines.get(name)
+            if wire.split_task_id(p)[0] == job and self.machines.get(name)
         ]
         zones.append(worker.kind.zone)
         if not self.may_use(spec, worker.kind, zones):
@@ -1493,9 +1501,9 @@
         self.began.setdefault(job, self.t)
         for team in TEAMS:
             used = sum(
-                self.specs[wire.split_task(p)[0]].cpus
+                self.specs[wire.split_task_id(p)[0]].cpus
                 for p in self.on
-                if self.specs[wire.split_task(p)[0]].team == team.name
+                if self.specs[wire.split_task_id(p)[0]].team == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-9:
                 raise Broken(f"quota: {team.name} uses {used}")
@@ -1527,7 +1535,7 @@
             kind = TYPES[worker.kind.type]
             cpus, memory = kind.cpus, kind.memory_gb
             for part, task in worker.tasks.items():
-                job = wire.split_task(part)[0]
+                job = wire.split_task_id(part)[0]
                 spec = self.specs[job]
                 there[part] = worker
                 if task.status != "ended":
@@ -1591,7 +1599,7 @@
                 if worker.recall_at is not None and self.t >= worker.recall_at:
                     self.remove([worker.name])
         for part, machine in self.on.items():
-            if self.t > self.cancelled_at.get(wire.split_task(part)[0], math.inf) + CANCEL_S:
+            if self.t > self.cancelled_at.get(wire.split_task_id(part)[0], math.inf) + CANCEL_S:
                 raise Broken(f"ran_cancelled: {part} on {machine}")
         for sim in self.nodes.values():
             if sim.node is not None:
@@ -1709,9 +1717,9 @@
                 self.machines[name] = None
             self.kinds.pop(name, None)
 
-    def listing(self) -> list[wire.Listed]:
+    def listing(self) -> list[wire.ListedMachine]:
         now = [
-            wire.Listed(
+            wire.ListedMachine(
                 name,
                 kind.type,
                 "running" if self.machines[name] else "booting",
@@ -1892,10 +1900,10 @@
         for raw in kept:
             late = self.rng.choice([0.005, 0.3, 2.0, 8.0]) * self.rng.random()
             for sim in self.nodes.values():
-                self.after(late + 0.01 * self.rng.random(), sim.beat, raw, lambda status, body: None)
+                self.after(late + 0.01 * self.rng.random(), sim.heartbeat, raw, lambda status, body: None)
 
     def task_done(self, part: str) -> None:
-        job = wire.split_task(part)[0]
+        job = wire.split_task_id(part)[0]
         if (
             self.t < self.at_end_until
             and self.rng.random() < self.at_end_share
@@ -1909,10 +1917,10 @@
     def cancel_now(self, count: int, hang_s: float) -> None:
         """Jobs that run, within a fifth of a second; with ``hang_s`` up to eight of their machines hang so long."""
         rng = self.rng
-        running = sorted({wire.split_task(part)[0] for part in self.on})
+        running = sorted({wire.split_task_id(part)[0] for part in self.on})
         running = [job for job in running if job not in self.said and job not in self.cancelled_at]
         jobs = rng.sample(running, min(count, len(running)))
-        machines = sorted({name for part, name in self.on.items() if wire.split_task(part)[0] in jobs})
+        machines = sorted({name for part, name in self.on.items() if wire.split_task_id(part)[0] in jobs})
         for name in rng.sample(machines, min(8, len(machines))) if hang_s else ():
             self.machines[name].hangs_until = self.t + hang_s
         for job in jobs:
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -41,7 +41,7 @@
     def __init__(self, machines: int, load: float, seed: int) -> None:
         self.data: dict[str, tuple[bytes, int]] = {}
         self.down_from = self.down_until = -1.0
-        self.permits = 100
+        self.lease_ids = 100
         self.orders: dict[str, collections.Counter] = collections.defaultdict(collections.Counter)  # verb -> second
         self.users = random.Random(seed)  # so that what is asked for does not hang on what happens
         self.lost = self.again = self.rented = 0
@@ -59,11 +59,11 @@
         return not self.down_from <= self.now < self.down_until
 
     def commit(self, conditions, puts, drops) -> int:
-        for key, stamp in (conditions or {}).items():
-            if (self.data[key][1] if key in self.data else 0) != stamp:
+        for key, revision in (conditions or {}).items():
+            if (self.data[key][1] if key in self.data else 0) != revision:
                 return 0
         for key, value in puts.items():
-            self.data[key] = (msgspec.json.encode(value), self.epoch + 1)
+            self.data[key] = (msgspec.json.encode(value), self.revision + 1)
         for key in drops:
             self.data.pop(key, None)
         return super().commit(conditions, puts, drops)
@@ -72,8 +72,8 @@
 
     def hold(self, label: str) -> None:
         if self.nodes[label] is not None and self.store_up:
-            super().hold(label)
-            hold = self.nodes[label].membership.hold
+            super().store_lease(label)
+            hold = self.nodes[label].membership.store_lease
             hold.renewed(json.loads(self.data[MEMBERS + label][0])["permit"], self.now)
 
     def follow(self, label: str) -> None:
@@ -106,7 +106,7 @@
             asked = node.part.next_to_ask(self.now)
             if asked is None:
                 break
-            self.at(self.now + self.rng.uniform(0.01, 0.2), self.ask, label, asked[0], node.membership.mandate)
+            self.at(self.now + self.rng.uniform(0.01, 0.2), self.ask, label, asked[0], node.membership.fencing_token)
         self.carry(label)
 
     def write(self, label: str) -> None:
@@ -114,9 +114,9 @@
         batch = self.clock("records", node.next_batch, self.now) if node is not None and self.store_up else None
         if batch is None:
             return
-        stamp = self.commit(batch.conditions, batch.puts, batch.drops)
-        if stamp:
-            self.clock("records", node.batch_done, batch, stamp, self.now)
+        revision = self.commit(batch.conditions, batch.puts, batch.drops)
+        if revision:
+            self.clock("records", node.batch_done, batch, revision, self.now)
         else:
             node.batch_failed(batch, self.now)
         self.carry(label)
@@ -127,7 +127,7 @@
                 continue
             node.leader.on_listing(
                 [
-                    wire.Listed(w.name, base.KIND.name, "running", self.now, w.zone, w.spot)
+                    wire.ListedMachine(w.name, base.KIND.name, "running", self.now, w.zone, w.spot)
                     for w in self.workers
                     if not w.gone
                 ],
@@ -173,13 +173,13 @@
             worker.dead = True
 
     def come_back(self, label: str) -> None:
-        self.permits += 1
+        self.lease_ids += 1
         node = self.nodes[label] = Node(self.platform(label), config.Tuning(), self.now)
-        node.membership.hold.renewed(self.permits, self.now)
-        self.commit({}, {MEMBERS + label: Presence(self.permits, base.GENERATION)}, [])
-        rows = [wire.Row(key, msgspec.Raw(raw), stamp) for key, (raw, stamp) in sorted(self.data.items())]
+        node.membership.store_lease.renewed(self.lease_ids, self.now)
+        self.commit({}, {MEMBERS + label: Presence(self.lease_ids, base.GENERATION)}, [])
+        rows = [wire.KeyValue(key, msgspec.Raw(raw), revision) for key, (raw, revision) in sorted(self.data.items())]
         node.membership.followed(self.now)
-        self.clock("load", node.load, rows, [], self.epoch, self.now, self.now)
+        self.clock("load", node.load, rows, [], self.revision, self.now, self.now)
         node.learn_types({base.KIND.name: base.KIND})
 
     # -- workers
@@ -188,7 +188,7 @@
         name = super().add_machine(spot, zone, boot_s)
         worker = self.workers[-1]
         worker.dead = worker.gone = False
-        worker.tenure, worker.answered_at = 1, self.now + boot_s
+        worker.incarnation, worker.answered_at = 1, self.now + boot_s
         return name
 
     def end(self, worker) -> None:
@@ -205,7 +205,7 @@
     def lease(self, worker) -> None:
         if self.now - worker.answered_at > LEASE_S:
             self.lost += self.forget(worker)
-            worker.tenure, worker.counter, worker.answered_at = worker.tenure + 1, 0, self.now
+            worker.incarnation, worker.sequence, worker.answered_at = worker.incarnation + 1, 0, self.now
 
     def text(self, worker) -> dict:
         report = json.loads(worker.report(self.now))
@@ -213,19 +213,19 @@
             if part["status"] == "ended" and self.ran.get(part["part"]) is worker:
                 del self.ran[part["part"]]
                 self.ended.add(part["part"])
-        return report | {"tenure": worker.tenure, "address": worker.name}
+        return report | {"tenure": worker.incarnation, "address": worker.name}
 
-    def ask(self, label: str, name: str, mandate: int) -> None:
+    def ask(self, label: str, name: str, fencing_token: int) -> None:
         worker = next(w for w in self.workers if w.name == name)
         node = self.nodes[label]
-        if worker.dead or worker.gone or node is None or node.membership.mandate != mandate:
+        if worker.dead or worker.gone or node is None or node.membership.fencing_token != fencing_token:
             if node is not None:
                 node.part.asking.unanswered(name, self.now + c.ASK_WORKER_S)
             return
         self.lease(worker)
-        worker.mandate = max(worker.mandate, mandate)
-        beat = wire.parse_beat(json.dumps(self.text(worker)).encode())
-        self.clock("asked", node.asked, beat, self.now)
+        worker.fencing_token = max(worker.fencing_token, fencing_token)
+        heartbeat = wire.parse_heartbeat(json.dumps(self.text(worker)).encode())
+        self.clock("asked", node.asked, heartbeat, self.now)
         self.carry(label)
 
     def report(self, worker) -> None:
@@ -237,18 +237,18 @@
         self.lease(worker)
         up = [node for node in self.nodes.values() if node is not None and node.membership.view.members]
         node = next((n for n in up if n.me == up[0].membership.part_of(worker.name)), None) if up else None
-        if node is None or not node.may_act() or node.membership.mandate < worker.mandate:
+        if node is None or not node.may_act() or node.membership.fencing_token < worker.fencing_token:
             self.at(self.now + 1.0, self.report, worker)
             return
-        beat = self.clock("http", wire.parse_beat, json.dumps(self.text(worker)).encode())
-        machine = self.clock("report", node.beat, beat, self.now)
+        heartbeat = self.clock("http", wire.parse_heartbeat, json.dumps(self.text(worker)).encode())
+        machine = self.clock("report", node.on_heartbeat, heartbeat, self.now)
         self.carry(node.me)
         if machine is None:
             self.at(self.now + 1.0, self.report, worker)
             return
         worker.answered_at = self.now
-        newer = node.membership.mandate > worker.mandate
-        worker.mandate = node.membership.mandate
+        newer = node.membership.fencing_token > worker.fencing_token
+        worker.fencing_token = node.membership.fencing_token
         orders = self.clock("orders", node.part.orders, machine)
         for order in orders:
             self.orders[order["verb"]][int(self.now)] += 1
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -147,7 +147,7 @@
     def __init__(self, name: str, zone: str, spot: bool) -> None:
         self.name, self.zone, self.spot = name, zone, spot
         self.wire = Wire(SERVER)
-        self.mandate = self.counter = 0
+        self.fencing_token = self.counter = 0
         self.tasks: dict[str, list] = {}  # part -> attempt, status, ends at
 
     def report(self, now: float) -> bytes:
@@ -168,7 +168,7 @@
                 "standby": self.spot,
                 "tenure": 1,
                 "counter": self.counter,
-                "mandate": self.mandate,
+                "mandate": self.fencing_token,
                 "recall_s": None,
                 "parts": parts,
             }
@@ -219,8 +219,8 @@
         self.specs: dict[str, wire.JobSpec] = {}
         self.submitted_at: dict[str, float] = {}  # of jobs of which nothing has started
         self.rng, self.size, self.load, self.clock = random.Random(seed), machines, load, Clock(profile)
-        self.now, self.epoch = 0.0, 0
-        self.log: list[wire.Change] = []
+        self.now, self.revision = 0.0, 0
+        self.log: list[wire.WatchEvent] = []
         self.events: list = []
         self.order = itertools.count()
         self.jobs, self.left = itertools.count(1), {}
@@ -229,13 +229,13 @@
         self.encoders = {label: mesh.Encoder() for label in self.labels}
         self.nodes = {label: Node(self.platform(label), config.Tuning(), 0.0) for label in self.labels}
         for label, node in self.nodes.items():
-            node.membership.hold.renewed(self.labels.index(label) + 1, 0.0)
+            node.membership.store_lease.renewed(self.labels.index(label) + 1, 0.0)
             node.loaded = True
             node.learn_types({KIND.name: KIND})
             node.leader.on_listing([], 0.0)
         members = {label: number + 1 for number, label in enumerate(self.labels)}
-        for label, permit in members.items():
-            self.commit({}, {MEMBERS + label: Presence(permit, GENERATION)}, [])
+        for label, lease_id in members.items():
+            self.commit({}, {MEMBERS + label: Presence(lease_id, GENERATION)}, [])
         self.commit({}, {VIEW: {"leader": self.labels[0], "members": members}}, [])
         for label in self.labels:
             self.at(0.0, self.follow, label)
@@ -281,13 +281,13 @@
             call(*args)
 
     def commit(self, _conditions, puts, drops) -> int:
-        self.epoch += 1
+        self.revision += 1
         self.log += [
-            wire.Change(put=key, data=msgspec.Raw(msgspec.json.encode(value)), stamp=self.epoch)
+            wire.WatchEvent(put=key, data=msgspec.Raw(msgspec.json.encode(value)), revision=self.revision)
             for key, value in puts.items()
         ]
-        self.log += [wire.Change(drop=key, stamp=self.epoch) for key in drops]
-        return self.epoch
+        self.log += [wire.WatchEvent(drop=key, revision=self.revision) for key in drops]
+        return self.revision
 
     def add_machine(self, spot: bool, zone: str, boot_s: float) -> str:
         worker = Worker(f"n-{next(self.names):06d}", zone, spot)
@@ -338,19 +338,19 @@
         clock.owner = owner
         report = worker.report(self.now)
         body = clock("http", worker.wire.read, report)
-        beat = clock("http", wire.parse_beat, body)
-        mandate = node.membership.mandate
-        machine = clock("report", node.beat, beat, self.now)
+        heartbeat = clock("http", wire.parse_heartbeat, body)
+        fencing_token = node.membership.fencing_token
+        machine = clock("report", node.on_heartbeat, heartbeat, self.now)
         self.carry(owner)
         assert machine is not None and not machine.reserved
         orders = clock("orders", node.part.orders, machine)
-        answer = clock("http", wire.beat_answer, mandate, orders)
+        answer = clock("http", wire.heartbeat_response, fencing_token, orders)
         clock("http", worker.wire.answer, (200, answer, []))
         self.counts.reports += 1
         self.counts.worker_bytes_in += len(report)
         self.counts.worker_bytes_out += len(answer)
         told = json.loads(answer)
-        worker.mandate = told["mandate"]
+        worker.fencing_token = told["mandate"]
         for order in told["orders"]:
             if order["verb"] == "clear":
                 worker.tasks.pop(order["part"], None)
@@ -418,19 +418,19 @@
         self.counts = Counts()
 
     def hold(self, label: str) -> None:
-        self.nodes[label].membership.hold.renewed(self.labels.index(label) + 1, self.now)
+        self.nodes[label].membership.store_lease.renewed(self.labels.index(label) + 1, self.now)
 
     def follow(self, label: str) -> None:
         node, self.clock.owner = self.nodes[label], label
         node.membership.followed(self.now)
-        since = node.replica.epoch
+        since = node.replica.revision
         changes = []
         for change in reversed(self.log):
-            if change.stamp <= since:
+            if change.revision <= since:
                 break
             changes.append(change)
         self.clock("follow", node.apply, changes[::-1], self.now, self.now)
-        node.replica.epoch = self.epoch
+        node.replica.revision = self.revision
         self.carry(label)
         self.at(self.now + 0.1, self.follow, label)
 
--- a/tools/bench_replica.py
+++ b/tools/bench_replica.py
@@ -25,7 +25,7 @@
 from alderbridge.replica import Replica  # noqa: E402
 from alderbridge.store import JOBS  # noqa: E402
 from alderbridge.view import Membership  # noqa: E402
-from alderbridge.wire import Change  # noqa: E402
+from alderbridge.wire import WatchEvent  # noqa: E402
 
 RECORD = msgspec.Raw(b'{"state":"done","done_at":1764650000.5}')
 
@@ -37,7 +37,7 @@
     gc.collect()
     before, began = process.memory_info().rss, time.process_time()
     for number in range(jobs):
-        replica.apply(Change(put=f"{JOBS}wk-{number:08d}", data=RECORD, stamp=number + 1))
+        replica.apply(WatchEvent(put=f"{JOBS}wk-{number:08d}", data=RECORD, revision=number + 1))
     spent = time.process_time() - began
     gc.collect()
     return (process.memory_info().rss - before) / 2**20, spent
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -124,14 +124,14 @@
         self.at(at, self.hand_in, base.LABELS[self.number % 5], spec)
 
     def commit(self, conditions, puts, drops) -> int:
-        stamp = super().commit(conditions, puts, drops)
-        if stamp and self.way == "fall" and not self.fell and any(key.startswith(CLAIMS) for key in puts):
+        revision = super().commit(conditions, puts, drops)
+        if revision and self.way == "fall" and not self.fell and any(key.startswith(CLAIMS) for key in puts):
             self.fell = True
             self.at(self.now + 0.3, self.fall, 4.0, 0.0)
-        return stamp
+        return revision
 
     def run_s(self, part: str) -> float:
-        spec = self.specs[wire.split_task(part)[0]]
+        spec = self.specs[wire.split_task_id(part)[0]]
         if spec.priority == "high":
             self.first.setdefault(part, self.now)
         whole = (
@@ -142,7 +142,7 @@
         return self.left.setdefault(part, whole)
 
     def stop(self, worker, part: str, order: dict) -> None:
-        spec, task = self.specs[wire.split_task(part)[0]], worker.tasks[part]
+        spec, task = self.specs[wire.split_task_id(part)[0]], worker.tasks[part]
         if task[1] != "running" or task[2] <= self.now:
             return
         left = task[2] - self.now
@@ -182,7 +182,7 @@
     began = time.process_time()
     while bench.now < LAST_S and not bench.over():
         bench.play(bench.now + 1.0)
-    waits = sorted(at - bench.asked[wire.split_task(part)[0]] for part, at in bench.first.items())
+    waits = sorted(at - bench.asked[wire.split_task_id(part)[0]] for part, at in bench.first.items())
     urgent = sum(spec.tasks for spec in bench.specs.values() if spec.priority == "high")
     routine = [at - bench.asked[job] for job, at in bench.done_at.items() if bench.specs[job].priority != "high"]
     return {
