--- a/alderbridge/allowances.py
+++ b/alderbridge/allowances.py
@@ -56,7 +56,7 @@
         """New allowances by home, of the teams for which they differ; ``order`` gives the order of placement now."""
         if not self.teams or any(label not in queues for label in self.members):
             return {}
-        if any(queues[label].allots != self.sent[label] for label in self.members):
+        if any(queues[label].allocations_received != self.sent[label] for label in self.members):
             return {}
         if now - self.all_at >= c.LEADER_ROUND_S:
             self.all_at, self.changed = now, set(self.teams)
@@ -79,9 +79,9 @@
         shares = []
         for part, (limit, needs) in enumerate(((team.cpus_max, cpus), (team.gpus_max, gpus))):
             used = {label: queues[label].used.get(team.name, _NONE)[part] for label in self.members}
-            held = {label: queues[label].held.get(team.name, _NONE)[part] for label in self.members}
+            reserved = {label: queues[label].reserved.get(team.name, _NONE)[part] for label in self.members}
             given = {label: self.given[label].get(team.name, _NONE)[part] for label in self.members}
-            shares.append(policy.divide(limit, used, held, given, needs) if limit > 0 else given)
+            shares.append(policy.divide(limit, used, reserved, given, needs) if limit > 0 else given)
         return {label: (shares[0].get(label, 0.0), shares[1].get(label, 0.0)) for label in self.members}
 
     def _needs(
--- a/alderbridge/claims/desk.py
+++ b/alderbridge/claims/desk.py
@@ -14,7 +14,7 @@
 
 from .. import constants as c
 from ..leader import Leader
-from ..mesh import QueueRow, TaskRow, Tasks
+from ..mesh import MachineTaskList, MachineTasks, QueueRow
 from ..placement import fits
 from ..policy import Kind
 from ..recovery import Knowledge
@@ -39,7 +39,7 @@
     def shown(self, spec: JobSpec) -> bool: ...
 
     def told(
-        self, rows: Sequence[TaskRow], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
     ) -> None: ...
 
     def choose(
@@ -67,15 +67,15 @@
     def enter(self, members: list[str]) -> None:
         """A new view: nothing that was told or asked under the one before counts."""
         self.members = members
-        self.told: dict[str, tuple[Tasks, float]] = {}  # label -> its answer to ``Show``
-        self.rows: dict[str, TaskRow] = {}  # machines with a claim, as last told
+        self.told: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer to ``Show``
+        self.rows: dict[str, MachineTasks] = {}  # machines with a claim, as last told
         self.looked_at = self.asked_at = float("-inf")
         self.wanted: list[tuple[Source, list[Need]]] = []
         self.since: dict[str, float] = {}  # machine -> since when its claim serves nothing more
 
     # -- what is known -------------------------------------------------------
 
-    def on_tasks(self, label: str, tasks: Tasks, now: float) -> None:
+    def on_tasks(self, label: str, tasks: MachineTaskList, now: float) -> None:
         if label not in self.members:
             return
         if tasks.whole:
@@ -167,7 +167,7 @@
         if groups:
             self.ledger.plan(groups)
 
-    def _victims(self, row: TaskRow, source: Source, wall: float) -> list[Victim]:
+    def _victims(self, row: MachineTasks, source: Source, wall: float) -> list[Victim]:
         result, ledger = [], self.ledger
         for job, index, attempt, ran_s, sure in row.tasks:
             spec = self.leader.replica.spec(job)
--- a/alderbridge/controller.py
+++ b/alderbridge/controller.py
@@ -62,7 +62,7 @@
         self.waiters: dict[object, list[curio.Event]] = {}  # submission or job -> who waits for it
         self.taking: dict[Machine, list[tuple[int, Callable[[Answer], None]]]] = {}  # reports not answered yet
         self.takes: deque[tuple[float, Machine]] = deque()  # until when their answers wait for grants
-        self.asks: dict[int, tuple[curio.Event, list[m.Reply]]] = {}
+        self.asks: dict[int, tuple[curio.Event, list[m.JobQueryReply]]] = {}
         self.polls: dict[int, tuple[str, Callable[[Answer], None]]] = {}  # users' questions that others answer
         self.poll_ends: deque[tuple[float, int]] = deque()
         # Numbers of questions go on from the time of day: an answer to an earlier life of this label, on its way
@@ -88,7 +88,7 @@
             await self.work.set()
         while node.questions:
             label, ask = node.questions.popleft()
-            if ask.what == "status":
+            if ask.kind == "status":
                 self.answer_status(label, ask)
             else:
                 await curio.spawn(self.answer_ask, label, ask, daemon=True)
@@ -100,9 +100,9 @@
             self.mesh.put(label, frame)
         while node.replies:
             reply = node.replies.popleft()
-            waiting = self.asks.get(reply.ask)
-            if reply.ask in self.polls:
-                await self.told(reply.ask, reply)
+            waiting = self.asks.get(reply.query_id)
+            if reply.query_id in self.polls:
+                await self.told(reply.query_id, reply)
             elif waiting is not None:
                 waiting[1].append(reply)
                 await waiting[0].set()
@@ -639,10 +639,10 @@
         self.ask_count += 1
         self.polls[self.ask_count] = (job, reply)
         self.poll_ends.append((now() + c.ASK_S, self.ask_count))
-        self.node.tell(home, m.Ask(self.ask_count, "status", job))
+        self.node.tell(home, m.JobQuery(self.ask_count, "status", job))
         return None
 
-    async def told(self, number: int, answer: m.Reply | None) -> None:
+    async def told(self, number: int, answer: m.JobQueryReply | None) -> None:
         """The job's home has answered a user's question, or not in time."""
         if number not in self.polls:
             return
@@ -740,7 +740,7 @@
         self.ask_count += 1
         number, event, replies = self.ask_count, curio.Event(), []
         self.asks[number] = (event, replies)
-        self.node.tell(label, m.Ask(number, what, job))
+        self.node.tell(label, m.JobQuery(number, what, job))
         await self.after()
         try:
             await curio.timeout_after(c.ASK_S if what == "status" else c.SUBMIT_WAIT_S, event.wait)
@@ -753,15 +753,15 @@
             return None
         return reply.status, reply.body, []
 
-    def answer_status(self, label: str, ask: m.Ask) -> None:
+    def answer_status(self, label: str, ask: m.JobQuery) -> None:
         """From memory, so nothing has to wait for it."""
         state = self.node.state_here(ask.job, now())
         status, body = (503, b"") if state is None else (200, wire.job_status_body(ask.job, *state))
-        self.node.tell(label, m.Reply(ask.ask, status, body))
+        self.node.tell(label, m.JobQueryReply(ask.query_id, status, body))
 
-    async def answer_ask(self, label: str, ask: m.Ask) -> None:
+    async def answer_ask(self, label: str, ask: m.JobQuery) -> None:
         status, body, _ = await self.withdraw_here(ask.job)
-        self.node.tell(label, m.Reply(ask.ask, status, body))
+        self.node.tell(label, m.JobQueryReply(ask.query_id, status, body))
         await self.after()
 
 
--- a/alderbridge/jobs.py
+++ b/alderbridge/jobs.py
@@ -26,7 +26,16 @@
 from . import constants as c
 from .config import Team
 from .hours.gate import Gate
-from .mesh import Clear, Grant, Halt, Message, QueueRow, Seen, SeenTask, Take
+from .mesh import (
+    AcknowledgeFinished,
+    MachineTaskReport,
+    Message,
+    QueueRow,
+    StopTask,
+    TaskGrant,
+    TaskRequest,
+    TaskStatusReport,
+)
 from .recovery import Barrier, Known, Told, Verdict, verdict
 from .wire import JobSpec, MachineRecord
 
@@ -429,7 +438,7 @@
         self.attempts = 0
         self.fencing_token = 0
         self.barrier = Barrier({})  # machines that inherited tasks may still be on
-        self.allots = 0
+        self.allocations_received = 0
         self.settled = False  # every member acts under this view, or not at all
         self.due_at = 0.0  # see ``due_writes``
         self.joined = 0  # jobs, ever
@@ -460,7 +469,7 @@
             self.join(job)
         self.barrier = Barrier(machines)
         self.usage.allowed = {}
-        self.allots = 0
+        self.allocations_received = 0
         self.stopping = set()  # parts have forgotten what they were told
         for job in jobs.values():
             for index, run in list(job.runs.items()):
@@ -515,7 +524,7 @@
         self.tally.teams = counted.teams
         return dict(counted.teams)
 
-    def held(self, used: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
+    def reserved(self, used: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
         """Per team with a limit, the larger of what is used and what is allowed."""
         result = {team: taken for team, taken in used.items() if self.usage.limited(team)}
         for team, (cpus, gpus) in self.usage.allowed.items():
@@ -524,7 +533,7 @@
                 result[team] = (max(cpus, taken[0]), max(gpus, taken[1]))
         return result
 
-    def want(self, used: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
+    def demand(self, used: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
         """Per team with a limit, what all its tasks here would take."""
         result = Tally()
         bound = self.usage.bound
@@ -549,7 +558,7 @@
         """An allowance of the leader: of all teams, or of those for which it differs from the last."""
         allowed = teams if whole else self.usage.allowed | teams
         self.usage.allowed = {team: amounts for team, amounts in allowed.items() if amounts != (0.0, 0.0)}
-        self.allots += 1
+        self.allocations_received += 1
 
     # -- queue and grants --------------------------------------------------
 
@@ -583,7 +592,7 @@
             due, late = due_in(job, now, guaranteed)
             # Before its turn nothing of it is on offer. A slot that is kept for it is taken until its run ends.
             ahead = max(0.0, job.arrived - now)
-            offer, turn = self._turn(job, now, offer if fits and ahead <= 0 else 0, late)
+            offer, turn = self._priority_boost(job, now, offer if fits and ahead <= 0 else 0, late)
             rows.append(
                 QueueRow(
                     spec.id,
@@ -604,7 +613,7 @@
         return rows[: c.QUEUE_ROWS]
 
     @staticmethod
-    def _turn(job: Job, now: float, offer: int, late: bool) -> tuple[int, int]:
+    def _priority_boost(job: Job, now: float, offer: int, late: bool) -> tuple[int, int]:
         """What is offered, and the turn that keeps a large job from starving (see ``QueueRow``).
 
         A large job takes longer to start, so it is late sooner, and behind all that comes in time for as long as
@@ -622,7 +631,7 @@
             job.mark_wanted = mark
             job.touch(now)
 
-    def on_take(self, label: str, take: Take, now: float, entitled: bool) -> None:
+    def on_take(self, label: str, take: TaskRequest, now: float, entitled: bool) -> None:
         job = self.jobs.get(take.job)
         tasks: list[tuple[int, int]] = []
         # Asked for some moments ago: its hours may have closed since.
@@ -641,13 +650,13 @@
                 runs.append(run)
                 log.debug("task=%s/%d state=granted machine=%s", job.spec.id, index, take.machine)
                 tasks.append((index, attempt))
-            seq = self.send(label, Grant(take.take, take.job, take.machine, tasks))
+            seq = self.send(label, TaskGrant(take.request_id, take.job, take.machine, tasks))
             if runs:
                 job.granted_at, job.turn_left = now, max(0, job.turn_left - len(runs))
             for run in runs:
                 run.seq = seq
             return
-        self.send(label, Grant(take.take, take.job, take.machine, tasks))
+        self.send(label, TaskGrant(take.request_id, take.job, take.machine, tasks))
 
     def _attempt(self, job: Job) -> int:
         """A number never used before; tasks of a gang find each other by a common one."""
@@ -663,7 +672,7 @@
 
     # -- reports -----------------------------------------------------------
 
-    def on_seen(self, label: str, seen: Seen, now: float) -> None:
+    def on_seen(self, label: str, seen: MachineTaskReport, now: float) -> None:
         """A part's proof of what is, and what is not, on one machine."""
         present = set()
         jobs, machine = self.jobs, seen.machine
@@ -683,11 +692,13 @@
                     job.progress(index, state)  # what nearly all tell: live, and known HERE; see the table
                     continue
             self._seen_task(label, seen, task, now)
-        for name, index, attempt in seen.held:
+        for name, index, attempt in seen.pending:
             present.add((name, index))
             job = self.jobs.get(name)
             if job is not None and index not in job.runs:  # ordered under an older view, by a part that went on
-                self._conclude(label, seen, SeenTask(name, index, attempt, "granted", None), job, Told.HELD, now)
+                self._conclude(
+                    label, seen, TaskStatusReport(name, index, attempt, "granted", None), job, Told.HELD, now
+                )
         here = self.there.get(machine)
         for name in list(here or ()):
             job = jobs.get(name)
@@ -696,7 +707,7 @@
                 here.discard(name)
                 continue
             for index in [*there]:
-                if (name, index) not in present and job.runs[index].seq <= seen.upto:
+                if (name, index) not in present and job.runs[index].seq <= seen.processed_seq:
                     job.free(index)
         if here is not None and not here:
             del self.there[machine]
@@ -705,7 +716,7 @@
                 log.info("barrier state=lifted mandate=%d", self.fencing_token)
             self._lift()
 
-    def _seen_task(self, label: str, seen: Seen, task: SeenTask, now: float) -> None:
+    def _seen_task(self, label: str, seen: MachineTaskReport, task: TaskStatusReport, now: float) -> None:
         job = self.jobs.get(task.job)
         if task.status != "ended":
             told = Told.LIVE
@@ -735,7 +746,9 @@
             return Known.OVER
         return Known.POSSIBLE if index in job.unknown else Known.WAITING
 
-    def _conclude(self, label: str, seen: Seen, task: SeenTask, job: Job | None, told: Told, now: float) -> None:
+    def _conclude(
+        self, label: str, seen: MachineTaskReport, task: TaskStatusReport, job: Job | None, told: Told, now: float
+    ) -> None:
         """What the table says of the task on that machine, done."""
         what = verdict(self.known(job, task.index, seen.machine, task.attempt), told)
         index, attempt = task.index, task.attempt
@@ -754,12 +767,12 @@
             elif what is Verdict.FREE_CLEAR:
                 job.free(index)
         if _CLEARS[what]:
-            self.send(label, Clear(seen.machine, task.job, index, attempt))
+            self.send(label, AcknowledgeFinished(seen.machine, task.job, index, attempt))
         elif _HALTS[what]:
-            self.send(label, Halt(seen.machine, task.job, index, attempt, 0.0))
+            self.send(label, StopTask(seen.machine, task.job, index, attempt, 0.0))
 
     @staticmethod
-    def _run(seen: Seen, task: SeenTask, now: float) -> Run:
+    def _run(seen: MachineTaskReport, task: TaskStatusReport, now: float) -> Run:
         state = TaskState.GRANTED if task.status == "granted" else _LIVE.get(task.status, TaskState.RUNNING)
         return Run(seen.machine, seen.zone, task.attempt, 0, state, now)
 
@@ -768,7 +781,7 @@
     def halt_all(self, job: Job) -> None:
         """The store holds the withdrawal: stop what runs."""
         for index, run in job.runs.items():
-            self.send(self.part_of(run.machine), Halt(run.machine, job.spec.id, index, run.attempt, 0.0))
+            self.send(self.part_of(run.machine), StopTask(run.machine, job.spec.id, index, run.attempt, 0.0))
 
     def stop_closed(self) -> None:
         """At closing, for classes that say so: what runs saves and waits for the next opening."""
@@ -782,7 +795,7 @@
                 kept.add(key)
                 if key not in self.stopping:
                     fresh += 1
-                    self.send(self.part_of(run.machine), Halt(run.machine, *key, job.spec.save_s))
+                    self.send(self.part_of(run.machine), StopTask(run.machine, *key, job.spec.save_s))
             if fresh:
                 log.info("job=%s state=stopping cause=closing tasks=%d", job.spec.id, fresh)
         self.stopping = kept
@@ -830,7 +843,7 @@
         for key in cleared:
             machine, index, attempt = key
             job.to_clear.pop(key, None)
-            self.send_later(self.part_of(machine), Clear(machine, job.spec.id, index, attempt))
+            self.send_later(self.part_of(machine), AcknowledgeFinished(machine, job.spec.id, index, attempt))
         job.changed_at = now if job.to_clear or job.state is not job.stored_state else None
         if job.changed_at is not None or job.stored_state is not JobState.ACTIVE:
             self.tally.lagging[job.spec.id] = job
--- a/alderbridge/leader.py
+++ b/alderbridge/leader.py
@@ -22,7 +22,7 @@
 from . import placement, policy
 from .allowances import Allowances
 from .config import Team, Tuning
-from .mesh import Queue, QueueChanges, QueueRow, Room, RoomRow, TeamChanges
+from .mesh import MachineSummaries, MachineSummary, QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
 from .policy import Demand, Kind, Market, Resource
 from .queues import HomeQueues
 from .recovery import HoldBack, Knowledge
@@ -79,7 +79,7 @@
         self.members = members
         self.since = now
         self.queues = HomeQueues()
-        self.rooms: dict[str, tuple[Room, float]] = {}
+        self.rooms: dict[str, tuple[MachineSummaries, float]] = {}
         self.allowances.enter(members)
         self.hard_at = now
         self.listed = False
@@ -89,27 +89,27 @@
 
     # -- news ----------------------------------------------------------------
 
-    def on_queue(self, label: str, queue: Queue, now: float) -> None:
+    def on_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """The whole queue of a home that tells no changes."""
         if label in self.members and self.queues.of(label).take_queue(queue, now):
             self.queues.arrived(label)
             self.allowances.changed.update(self.allowances.teams)
 
-    def on_queue_changes(self, label: str, changes: QueueChanges, now: float) -> None:
+    def on_queue_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """Rows of a home's queue that are news."""
         if label in self.members:
             self.queues.of(label).take_rows(changes, now)
             self.queues.arrived(label)
             self.allowances.rows_changed([*(row.job for row in changes.rows), *changes.gone])
 
-    def on_team_changes(self, label: str, changes: TeamChanges) -> None:
+    def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
         """Sums of a home's teams that are news."""
         if label in self.members:
             self.queues.of(label).take_sums(changes)
             self.queues.arrived(label)
             self.allowances.sums_changed(changes.teams)
 
-    def on_room(self, label: str, room: Room, now: float) -> None:
+    def on_room(self, label: str, room: MachineSummaries, now: float) -> None:
         if label not in self.members:
             return
         self.rooms[label] = (room, now)
@@ -217,9 +217,9 @@
         limits = {team.name: team.cpus_max for team in self.teams if team.cpus_max > 0}
         left = dict(limits)
         for queue in self.queues.values():
-            for team, (want, _) in queue.want.items():
+            for team, (cpus, _) in queue.demand.items():
                 if team in left:
-                    left[team] -= want
+                    left[team] -= cpus
         # ``want`` counts what waits as well: give that back.
         for demand in demands:
             if demand.spec.team in left:
@@ -235,7 +235,7 @@
                 result.append(Demand(demand.spec, count, demand.due_in_s, demand.run_s, demand.zone))
         return result
 
-    def _rows(self) -> dict[str, tuple[RoomRow, float]]:
+    def _rows(self) -> dict[str, tuple[MachineSummary, float]]:
         return {row.machine: (row, at) for room, at in self.rooms.values() for row in room.rows}
 
     def outlook(self, now: float, without: Container[str]) -> list[Resource]:
@@ -297,7 +297,7 @@
         decision.rent = [(kind, min(count, c.RENT_BATCH)) for kind, count in Counter(wanted).items()]
         return decision
 
-    def _look(self, rows: dict[str, tuple[RoomRow, float]], now: float) -> None:
+    def _look(self, rows: dict[str, tuple[MachineSummary, float]], now: float) -> None:
         """Whether the rows account for the fleet; one line a second until they do, and one when they do."""
         before = self.hold_back.knowledge
         unheard = [(name, row.silent_s + now - at) for name, (row, at) in rows.items() if row.state == "expected"]
@@ -321,7 +321,7 @@
         self,
         name: str,
         rental: Rental,
-        row: RoomRow,
+        row: MachineSummary,
         at: float,
         now: float,
         decision: Decision,
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -16,7 +16,7 @@
 from ..claims import Budget, Claim, Group, Held, Limit, Need, Teams, Victim, loss_s
 from ..config import Team
 from ..jobs import JobState
-from ..mesh import QueueRow, TaskRow
+from ..mesh import MachineTasks, QueueRow
 from ..placement import Offer, allowed, fits, order
 from ..policy import Kind, Resource
 from ..wire import JobSpec, MachineType
@@ -230,7 +230,9 @@
         """Whether parts tell the leader of such a task: it may stop, or it is a replica."""
         return self.preemptible(spec) or self.serves(spec)
 
-    def told(self, rows: Sequence[TaskRow], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]) -> None:
+    def told(
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+    ) -> None:
         sites = {}
         for row in rows:
             replicas = Counter(job for job, *_ in row.tasks if (spec := specs(job)) is not None and self.serves(spec))
--- a/alderbridge/machines.py
+++ b/alderbridge/machines.py
@@ -24,7 +24,7 @@
 from . import constants as c
 from . import placement
 from .hours.gate import Gate
-from .mesh import Grant, Halt, RoomRow, Seen, SeenTask, TaskRow
+from .mesh import MachineSummary, MachineTaskReport, MachineTasks, StopTask, TaskGrant, TaskStatusReport
 from .placement import Candidate
 from .recovery import Asking, Squaring
 from .wire import (
@@ -60,7 +60,7 @@
     status: str
     cause: str | None
     since: float
-    seen: SeenTask  # what homes are told of it
+    seen: TaskStatusReport  # what homes are told of it
 
 
 class Pending(msgspec.Struct):
@@ -181,7 +181,7 @@
         self.send = self.send_later = send  # later: with the next message to that member, or the next round
         self.spec_of = spec_of  # None: unknown, or ended for good
         self.home_of = home_of
-        self.upto: Callable[[str], int] = lambda label: 0
+        self.processed_seq_of: Callable[[str], int] = lambda label: 0
         self.cancelled: Callable[[str], bool] = lambda job: False  # the store says so, as far as this process has read
         self.keep_record: Callable[[str], bool] = lambda name: False  # whether no drop of its record has been sent yet
         self.listens_since: float | None = None  # since when reports could be answered; None: not now
@@ -391,7 +391,7 @@
                     task.status,
                     task.cause,
                     now,
-                    SeenTask(job, index, task.attempt, task.status, task.cause),
+                    TaskStatusReport(job, index, task.attempt, task.status, task.cause),
                 )
                 log.debug("machine=%s task=%s status=%s cause=%s", machine.name, task.task_id, task.status, task.cause)
                 self._learn(machine, job, task.status, task.cause, now)
@@ -528,7 +528,9 @@
         """
         if not machine.proven:
             return
-        news: dict[str, tuple[list[SeenTask], list[tuple[str, int, int]]]] = {label: ([], []) for label in self.members}
+        news: dict[str, tuple[list[TaskStatusReport], list[tuple[str, int, int]]]] = {
+            label: ([], []) for label in self.members
+        }
         of: dict[str, tuple[list, list] | None] = {}  # job -> what its home is told; None: no member is its home
         for (job, _), on in machine.tasks.items():
             lists = of[job] if job in of else of.setdefault(job, news.get(self.home_of(job)))
@@ -541,7 +543,9 @@
         for label, lists in news.items():
             if label in machine.owed or machine.told.get(label) != lists:
                 machine.told[label] = lists
-                (send or self.send)(label, Seen(machine.name, machine.zone, self.upto(label), *lists))
+                (send or self.send)(
+                    label, MachineTaskReport(machine.name, machine.zone, self.processed_seq_of(label), *lists)
+                )
         machine.owed.clear()
 
     @staticmethod
@@ -553,14 +557,14 @@
 
     # -- messages of homes -------------------------------------------------
 
-    def on_grant(self, label: str, grant: Grant, now: float) -> Machine | None:
+    def on_grant(self, label: str, grant: TaskGrant, now: float) -> Machine | None:
         """The machine that it is for, if that is still here."""
         machine = self.machines.get(grant.machine)
         if machine is None:
             if grant.tasks and grant.machine in self.returned:  # gone while the grant was on its way
-                self.send(label, Seen(grant.machine, "", self.upto(label), [], []))
+                self.send(label, MachineTaskReport(grant.machine, "", self.processed_seq_of(label), [], []))
             return None
-        machine.reserved.pop(grant.take, None)
+        machine.reserved.pop(grant.request_id, None)
         machine.changed()
         if not grant.tasks:
             if machine.idle and machine.idle_since is None:
@@ -575,7 +579,7 @@
         machine.idle_since = None
         return machine
 
-    def on_halt(self, halt: Halt) -> None:
+    def on_halt(self, halt: StopTask) -> None:
         machine = self.machines.get(halt.machine)
         if machine is None:
             return
@@ -609,7 +613,7 @@
 
     def task_rows(
         self, now: float, claimed: Container[str], may_stop: Callable[[JobSpec], bool] | None
-    ) -> list[TaskRow]:
+    ) -> list[MachineTasks]:
         """Machines that are up: all tasks of claimed ones; of others those that may stop, or no row without that."""
         rows = []
         for machine in self.machines.values():
@@ -634,7 +638,7 @@
                         if (spec := self.spec_of(job)) is not None
                     ),
                 )
-            rows.append(TaskRow(machine.name, self.free(machine), tasks, sorted(images)))
+            rows.append(MachineTasks(machine.name, self.free(machine), tasks, sorted(images)))
         return rows
 
     def on_clear(self, machine_name: str, job: str, index: int, attempt: int) -> None:
@@ -848,7 +852,7 @@
             machine.busy = found
         return found
 
-    def room(self, now: float, run_time: Callable[[JobSpec], float]) -> list[RoomRow]:
+    def room(self, now: float, run_time: Callable[[JobSpec], float]) -> list[MachineSummary]:
         rows, ceil, nothing = [], math.ceil, (0.0, 0.0, 0.0)
         loads: dict[str, Load | None] = {}
         for machine in self.machines.values():
@@ -864,7 +868,7 @@
             if now < machine.aside_until and machine.state is MachineState.UP:
                 state = "aside"
             rows.append(
-                RoomRow(
+                MachineSummary(
                     machine.name,
                     machine.type,
                     machine.zone,
--- a/alderbridge/mesh.py
+++ b/alderbridge/mesh.py
@@ -27,10 +27,10 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True):
-    """Base of all messages; the tag is the class name."""
+    """Base of all messages; each names its tag, which goes over the wire."""
 
 
-class Pulse(Message):
+class KeepAlive(Message, tag="Pulse"):
     """Nothing to say: carries the acknowledgement."""
 
 
@@ -48,23 +48,23 @@
     guaranteed: bool  # lies within its team's guarantee
     rank: int = -1  # priority of the jobs that need it, where higher than its own
     inherited: int = 0  # tasks behind the barrier: they may be on a machine that has not been heard
-    turn: int = 0  # 1: it goes first among its priority, 2: before all that is not guaranteed
+    priority_boost: int = 0  # 1: it goes first among its priority, 2: before all that is not guaranteed
 
 
-class Queue(Message):
+class QueueSnapshot(Message, tag="Queue"):
     """A home's waiting jobs and what its teams hold; sent every round."""
 
     rows: list[QueueRow]
     used: dict[str, tuple[float, float]]
-    held: dict[str, tuple[float, float]]  # the larger of what is used and what is allowed
-    want: dict[str, tuple[float, float]]
-    allots: int  # allotments received under this mandate
-    silent: list[str] = []  # members that the sender does not hear
-    given_up: list[str] = []  # of these, those that it hears no more under this mandate, whatever comes
+    reserved: dict[str, tuple[float, float]]  # the larger of what is used and what is allowed
+    demand: dict[str, tuple[float, float]]
+    allocations_received: int  # allotments received under this mandate
+    suspected: list[str] = []  # members that the sender does not hear
+    failed: list[str] = []  # of these, those that it hears no more under this mandate, whatever comes
     changes: int = -1  # of the store, that it made in a second lately; -1: it may make all of its share
 
 
-class QueueChanges(Message):
+class QueueDelta(Message, tag="QueueChanges"):
     """Rows of a home's queue that are news, in order after the ones before. Only among members of generation 6."""
 
     at: float  # when this was made, s of the sender's steady clock; the times of the rows are as they stood then
@@ -73,37 +73,37 @@
     whole: bool  # all rows: what was told before is void
 
 
-class TeamSums(msgspec.Struct, array_like=True, frozen=True):
+class TeamUsage(msgspec.Struct, array_like=True, frozen=True):
     """One team's sums at one home; each is cpus, gpus."""
 
     used: tuple[float, float]
-    held: tuple[float, float]  # the larger of what is used and what is allowed
-    want: tuple[float, float]
+    reserved: tuple[float, float]  # the larger of what is used and what is allowed
+    demand: tuple[float, float]
 
 
-class TeamChanges(Message):
+class TeamUsageDelta(Message, tag="TeamChanges"):
     """A home's sums that differ from what the leader was told. Only among members of generation 6."""
 
-    teams: dict[str, TeamSums]  # nothing but zeros: the team has none any more
-    allots: int  # allowances received under this mandate, on which these sums rest
+    teams: dict[str, TeamUsage]  # nothing but zeros: the team has none any more
+    allocations_received: int  # allowances received under this mandate, on which these sums rest
     whole: bool  # all teams: what was told before is void
 
 
-class Status(Message):
+class PeerStatus(Message, tag="Status"):
     """What each member needs to know of another in each round. Only among members of generation 6."""
 
-    silent: list[str]  # members that the sender does not hear
-    given_up: list[str]  # of these, those that it hears no more under this mandate, whatever comes
+    suspected: list[str]  # members that the sender does not hear
+    failed: list[str]  # of these, those that it hears no more under this mandate, whatever comes
     changes: int  # of the store, that it made in a second lately
 
 
-class AllotChanges(Message):
+class QuotaDelta(Message, tag="AllotChanges"):
     """Allowances of one home that differ from the ones before. Only among members of generation 6."""
 
     teams: dict[str, tuple[float, float]]
 
 
-class RoomRow(msgspec.Struct, array_like=True, frozen=True):
+class MachineSummary(msgspec.Struct, array_like=True, frozen=True):
     """One machine as its part sees it."""
 
     machine: str
@@ -117,32 +117,32 @@
     silent_s: float
 
 
-class Room(Message):
+class MachineSummaries(Message, tag="Room"):
     """A part's machines, for the leader."""
 
-    rows: list[RoomRow]
+    rows: list[MachineSummary]
 
 
-class Take(Message):
+class TaskRequest(Message, tag="Take"):
     """A part with room asks a job's home for tasks."""
 
-    take: int
+    request_id: int
     job: str
     machine: str
     zone: str
     count: int
 
 
-class Grant(Message):
+class TaskGrant(Message, tag="Grant"):
     """The home's answer: tasks (index, attempt) for that machine; may be none."""
 
-    take: int
+    request_id: int
     job: str
     machine: str
     tasks: list[tuple[int, int]]
 
 
-class SeenTask(msgspec.Struct, array_like=True, frozen=True):
+class TaskStatusReport(msgspec.Struct, array_like=True, frozen=True):
     job: str
     index: int
     attempt: int
@@ -150,7 +150,7 @@
     cause: str | None
 
 
-class Seen(Message):
+class MachineTaskReport(Message, tag="Seen"):
     """All that is known of one home's tasks on one machine; a proof of absence.
 
     ``upto`` is the last message of the home that the part had handled.
@@ -158,19 +158,19 @@
 
     machine: str
     zone: str
-    upto: int
-    tasks: list[SeenTask]
-    held: list[tuple[str, int, int]]  # granted, and not yet seen in a report
+    processed_seq: int
+    tasks: list[TaskStatusReport]
+    pending: list[tuple[str, int, int]]  # granted, and not yet seen in a report
 
 
-class Clear(Message):
+class AcknowledgeFinished(Message, tag="Clear"):
     machine: str
     job: str
     index: int
     attempt: int
 
 
-class Halt(Message):
+class StopTask(Message, tag="Halt"):
     machine: str
     job: str
     index: int
@@ -178,29 +178,29 @@
     wind_down_s: float
 
 
-class Allot(Message):
+class QuotaAllocation(Message, tag="Allot"):
     """The leader's allowance for one home: team -> cpus, gpus."""
 
     teams: dict[str, tuple[float, float]]
 
 
-class Drain(Message):
+class DrainMachines(Message, tag="Drain"):
     """The leader wants these machines back; nothing may be placed on them again."""
 
     machines: list[str]
 
 
-class Gone(Message):
+class MachinesTerminated(Message, tag="Gone"):
     """The cloud has confirmed that these machines and all on them are gone."""
 
     machines: list[str]
 
 
-class Show(Message):
+class ListMachineTasks(Message, tag="Show"):
     """The leader may have to stop tasks: parts tell it of theirs, once. Only among members of generation 4."""
 
 
-class TaskRow(msgspec.Struct, array_like=True, frozen=True):
+class MachineTasks(msgspec.Struct, array_like=True, frozen=True):
     """Tasks on one machine that might be stopped, or are victims of its claim."""
 
     machine: str
@@ -209,54 +209,54 @@
     images: list[str] = []  # of a machine with GPUs: cached, or being fetched
 
 
-class Tasks(Message):
-    """A part's tasks, for the leader: on machines with a claim only, or, asked by ``Show``, on all that are up."""
+class MachineTaskList(Message, tag="Tasks"):
+    """A machine shard's tasks, for the leader: on machines with a claim, or on all that are up if it asked so."""
 
-    rows: list[TaskRow]
+    rows: list[MachineTasks]
     whole: bool
 
 
-class Keep(Message):
+class GpuReservation(Message, tag="Keep"):
     """GPUs that lending work leaves free, by machine, for a few seconds. Only among members of generation 4."""
 
     gpus: dict[str, float]
 
 
-class Ask(Message):
+class JobQuery(Message, tag="Ask"):
     """A user's question, passed to the job's home."""
 
-    ask: int
-    what: str  # "status" or "withdraw"
+    query_id: int
+    kind: str  # "status" or "withdraw"
     job: str
 
 
-class Reply(Message):
-    ask: int
+class JobQueryReply(Message, tag="Reply"):
+    query_id: int
     status: int
     body: bytes
 
 
 Body = (
-    Pulse
-    | Queue
-    | QueueChanges
-    | TeamChanges
-    | Status
-    | AllotChanges
-    | Room
-    | Take
-    | Grant
-    | Seen
-    | Clear
-    | Halt
-    | Allot
-    | Drain
-    | Gone
-    | Show
-    | Tasks
-    | Keep
-    | Ask
-    | Reply
+    KeepAlive
+    | QueueSnapshot
+    | QueueDelta
+    | TeamUsageDelta
+    | PeerStatus
+    | QuotaDelta
+    | MachineSummaries
+    | TaskRequest
+    | TaskGrant
+    | MachineTaskReport
+    | AcknowledgeFinished
+    | StopTask
+    | QuotaAllocation
+    | DrainMachines
+    | MachinesTerminated
+    | ListMachineTasks
+    | MachineTaskList
+    | GpuReservation
+    | JobQuery
+    | JobQueryReply
 )
 
 
--- a/alderbridge/node.py
+++ b/alderbridge/node.py
@@ -128,7 +128,7 @@
         self.part = Part(
             self.me, shared.workers.lease_s, self.send, self.spec_of, self.home_of, rng or Random(platform.label)
         )
-        self.part.upto = self.upto
+        self.part.processed_seq_of = self.processed_seq_of
         self.part.cancelled, self.part.keep_record = self.cancelled, self.keep_record
         self.part.send_later = self.home.send_later = self.send_later
         self.busy: placement.Busy | None = None  # made when first asked for in a round
@@ -175,8 +175,8 @@
         self.teller = Teller(self.me)
         self.sender_clocks: dict[str, SenderClock] = {}
         self.renewals: list[str] = []  # peers to be connected anew
-        self.questions: deque[tuple[str, m.Ask]] = deque()
-        self.replies: deque[m.Reply] = deque()
+        self.questions: deque[tuple[str, m.JobQuery]] = deque()
+        self.replies: deque[m.JobQueryReply] = deque()
         # submissions decided, jobs whose end is stored, machines that have all grants they asked for
         self.news: deque[Submission | str | Machine] = deque()
 
@@ -202,7 +202,7 @@
         label = self.replica.home_label(job)
         return self.membership.home_of(label) if label else ""
 
-    def upto(self, label: str) -> int:
+    def processed_seq_of(self, label: str) -> int:
         return self.local_done if label == self.me else self.channels[label].received
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
@@ -297,7 +297,7 @@
         if frame.fencing_token != membership.fencing_token or membership.contact.takes(frame.sender):
             if membership.standing(now) is Standing.OUTSIDE:
                 self.inside = False  # its hold is lost: its acknowledgement would count for who it was
-            if self.inside or isinstance(frame.body, m.Ask | m.Reply):
+            if self.inside or isinstance(frame.body, m.JobQuery | m.JobQueryReply):
                 body = channel.receive(frame, now)
             else:
                 # What the view's members say is meant for an earlier life of this label, which acknowledgements do not
@@ -316,8 +316,8 @@
         contact.avoided.discard(frame.sender)
         if frame.sender_lease_id and frame.sender_lease_id == self.membership.view.members.get(frame.sender):
             contact.hear(frame.sender, acked_at, now)
-            if isinstance(frame.body, m.Queue | m.Status):
-                contact.told(frame.sender, frame.body.silent, frame.body.given_up)
+            if isinstance(frame.body, m.QueueSnapshot | m.PeerStatus):
+                contact.told(frame.sender, frame.body.suspected, frame.body.failed)
 
     def pump(self) -> None:
         """Deliver messages to this controller itself, until none is left."""
@@ -328,67 +328,67 @@
 
     def dispatch(self, label: str, body: m.Message) -> None:
         match body:
-            case m.Seen():
+            case m.MachineTaskReport():
                 self.home.on_seen(label, body, self.now)
-            case m.Clear():
+            case m.AcknowledgeFinished():
                 self.part.on_clear(body.machine, body.job, body.index, body.attempt)
-            case m.Take():
+            case m.TaskRequest():
                 self.home.on_take(label, body, self.now, self.may_act())
                 self.teller.publisher.tell_again(label, body.job)
-            case m.Grant():
+            case m.TaskGrant():
                 machine = self.part.on_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
                     self.news.append(machine)
-            case m.Queue():
+            case m.QueueSnapshot():
                 self.on_queue(label, body)
-            case m.QueueChanges():
+            case m.QueueDelta():
                 self.on_queue_changes(label, body)
-            case m.TeamChanges():
+            case m.TeamUsageDelta():
                 self.leader.on_team_changes(label, body)
-            case m.Status():
+            case m.PeerStatus():
                 self.store_share.peer_told(label, body.changes, self.now)
-            case m.Room():
+            case m.MachineSummaries():
                 self.leader.on_room(label, body, self.now)
-            case m.Halt():
+            case m.StopTask():
                 self.part.on_halt(body)
-            case m.Allot():
+            case m.QuotaAllocation():
                 self.home.allot(body.teams)
-            case m.AllotChanges():
+            case m.QuotaDelta():
                 self.home.allot(body.teams, whole=False)
-            case m.Drain():
+            case m.DrainMachines():
                 self.part.drain(body.machines)
-            case m.Gone():
+            case m.MachinesTerminated():
                 self.dropping += self.part.on_gone(body.machines)
-            case m.Show():
+            case m.ListMachineTasks():
                 sources = self.sources()
                 self.tell(
                     label,
-                    m.Tasks(
+                    m.MachineTaskList(
                         self.part.task_rows(
                             self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
                         ),
                         True,
                     ),
                 )
-            case m.Keep():
+            case m.GpuReservation():
                 self.held_gpus, self.held_until = body.gpus, self.now + c.LEND_KEEP_S
-            case m.Tasks():
+            case m.MachineTaskList():
                 self.desk.on_tasks(label, body, self.now)
-            case m.Ask():
+            case m.JobQuery():
                 self.questions.append((label, body))
-            case m.Reply():
+            case m.JobQueryReply():
                 self.replies.append(body)
             case _:
                 pass
 
-    def on_queue(self, label: str, queue: m.Queue) -> None:
+    def on_queue(self, label: str, queue: m.QueueSnapshot) -> None:
         """The whole queue of a home that tells no changes."""
         self.offer_book.take_queue(label, queue, self.now)
         self.leader.on_queue(label, queue, self.now)
         if label != self.me:
             self.store_share.peer_told(label, queue.changes, self.now)
 
-    def on_queue_changes(self, label: str, changes: m.QueueChanges) -> None:
+    def on_queue_changes(self, label: str, changes: m.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
         at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.now)
         self.offer_book.take_changes(label, changes, at)
@@ -994,7 +994,7 @@
             candidate, self.offers, lambda spec: self.part.fetch_s(machine, spec), room_elsewhere, keep, now
         ):
             take = self.part.reserve(machine, want.job, want.count)
-            self.send(want.home, m.Take(take, want.job, want.machine, want.zone, want.count))
+            self.send(want.home, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
         self.pump()
 
     # -- claims ------------------------------------------------------------------------
@@ -1043,7 +1043,7 @@
         room = candidate.free
         for want in placement.keep(candidate, self.offers, claim.job, claim.count - used):
             take = self.part.reserve(machine, want.job, want.count)
-            self.send(want.home, m.Take(take, want.job, want.machine, want.zone, want.count))
+            self.send(want.home, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
             used, room = used + want.count, placement.minus(room, spec, want.count)
         self.claim_takes[machine.name] = (entry.revision, used)
         return msgspec.structs.replace(candidate, free=placement.minus(room, spec, claim.count - used))
@@ -1062,13 +1062,13 @@
         sources = self.sources()
         if self.desk.round(now, now + self.wall, sources, teams, self.most_changes):
             for label in self.membership.view.members:
-                self.tell(label, m.Show())
+                self.tell(label, m.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= c.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
             gpus = self.lender.keep(self.desk, now)
             if gpus or self.held_gpus:
                 for label in self.membership.view.members:
-                    self.tell(label, m.Keep(gpus))
+                    self.tell(label, m.GpuReservation(gpus))
 
     # -- rounds ----------------------------------------------------------------------
 
@@ -1081,7 +1081,7 @@
             self.send_held(label)
         if self.membership.standing(now) is Standing.OUTSIDE:
             for label in self.channels:
-                self.tell(label, m.Pulse())
+                self.tell(label, m.KeepAlive())
             return
         self.membership.contact.look(now)
         self.look_at_view(now)
@@ -1123,13 +1123,13 @@
         rows = self.home.rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
         if self.hours is not None and self.may_act():
             self.home.stop_closed()
-        return Snapshot(rows, used, self.home.held(used), self.home.want(used), self.home.allots)
+        return Snapshot(rows, used, self.home.reserved(used), self.home.demand(used), self.home.allocations_received)
 
     def tell_queue(self, now: float, snapshot: Snapshot) -> None:
         """The members are told of the queue, and whoever is none that this process is there."""
         membership, contact = self.membership, self.membership.contact
         links = {label: self.channels[label] for label in self.told_queues()}
-        status = m.Status(contact.missing(), contact.dropped(), self.store_share.told)
+        status = m.PeerStatus(contact.missing(), contact.dropped(), self.store_share.told)
         one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
         for told in self.teller.tell(one, membership.all_run(c.QUEUE_CHANGES)):
             if told.numbered:
@@ -1138,7 +1138,7 @@
                 self.tell(told.label, told.message)
         for label in self.channels:
             if label not in links:
-                self.tell(label, m.Pulse())
+                self.tell(label, m.KeepAlive())
 
     def told_queues(self) -> list[str]:
         """The other members of the view; but for older processes in a member's place, once changes are told."""
@@ -1151,7 +1151,7 @@
         """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
         for label, channel in self.channels.items():
             if label in self.membership.view.members and channel.quiet(now):
-                self.send(label, m.Pulse())
+                self.send(label, m.KeepAlive())
             if channel.stalled(now):
                 self.renewals.append(label)
             self.outgoing += [(label, frame) for frame in channel.resend(now)]
@@ -1160,18 +1160,18 @@
         """The leader is told of this part's machines, once a second."""
         leader = self.membership.view.leader
         self.part.check_silence(now)
-        self.tell(leader, m.Room(self.part.room(now, self.run_time)))
+        self.tell(leader, m.MachineSummaries(self.part.room(now, self.run_time)))
         if self.ledger.entries and self.membership.all_run(c.DECLARED):
-            self.tell(leader, m.Tasks(self.part.task_rows(now, self.ledger.entries, None), False))
+            self.tell(leader, m.MachineTaskList(self.part.task_rows(now, self.ledger.entries, None), False))
 
     def tell_allowances(self, now: float) -> None:
         """New allowances, in the form that all members read."""
         by_changes = self.membership.all_run(c.QUEUE_CHANGES)
         for label, teams in self.leader.allots(now).items():
             if by_changes:
-                self.send(label, m.AllotChanges(teams))
+                self.send(label, m.QuotaDelta(teams))
             else:
-                self.send(label, m.Allot(dict(self.leader.allowances.given[label])))
+                self.send(label, m.QuotaAllocation(dict(self.leader.allowances.given[label])))
 
     def guaranteed(self) -> set[str]:
         """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs, on any home."""
@@ -1211,7 +1211,7 @@
         self.now = now
         self.leader.on_returned(names)
         for label in self.membership.view.members:
-            self.send(label, m.Gone(names))
+            self.send(label, m.MachinesTerminated(names))
         self.pump()
 
     def learn_types(self, types: dict[str, wire.MachineType]) -> None:
@@ -1233,7 +1233,7 @@
         for name in names:
             by_part.setdefault(self.membership.part_of(name), []).append(name)
         for label, part in by_part.items():
-            self.send(label, m.Drain(part))
+            self.send(label, m.DrainMachines(part))
         self.pump()
 
     # -- users -------------------------------------------------------------------------
--- a/alderbridge/placement.py
+++ b/alderbridge/placement.py
@@ -107,8 +107,8 @@
     the highest. A job that others need has the priority of the highest of them.
     Where there is room for all, this is the paper's order.
     """
-    rank = _GUARANTEED if row.guaranteed else _GUARANTEED - 1 if row.turn > 1 else max(row.rank, spec.rank)
-    if row.turn:
+    rank = _GUARANTEED if row.guaranteed else _GUARANTEED - 1 if row.priority_boost > 1 else max(row.rank, spec.rank)
+    if row.priority_boost:
         return False, -rank, -row.waited_s  # before all dates, who has waited longest first
     return row.late, -rank, due_in_s
 
@@ -120,7 +120,7 @@
 
     def __init__(self, label: str, row: QueueRow, spec: JobSpec, now: float, gather_s: float) -> None:
         late, rank, due = order(row, spec, now + row.due_in_s)  # by the clock: it holds while time passes
-        self.key = (late, rank, now + due - TURN_AHEAD_S) if row.turn else (late, rank, due)
+        self.key = (late, rank, now + due - TURN_AHEAD_S) if row.priority_boost else (late, rank, due)
         self.label, self.row, self.spec, self.left = label, row, spec, row.offer
         self.young_until = now - row.waited_s + gather_s
         self.patient_until = now - row.waited_s + c.KEEP_S  # no room is kept for it before
--- a/alderbridge/queues/home_queue.py
+++ b/alderbridge/queues/home_queue.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..mesh import Queue, QueueChanges, QueueRow, TeamChanges
+from ..mesh import QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
 
 Amounts = tuple[float, float]  # cpus, gpus
 _NOTHING: Amounts = (0.0, 0.0)
@@ -31,9 +31,9 @@
         """Nothing is known."""
         self.told: dict[str, tuple[QueueRow, float]] = {}  # job -> its row, and when it arrived
         self.used: dict[str, Amounts] = {}
-        self.held: dict[str, Amounts] = {}
-        self.want: dict[str, Amounts] = {}
-        self.allots = 0
+        self.reserved: dict[str, Amounts] = {}
+        self.demand: dict[str, Amounts] = {}
+        self.allocations_received = 0
         self.has_rows = self.has_sums = False
         self.by_changes = False  # whole queues are from before: late frames
 
@@ -57,16 +57,21 @@
         for job in self.told:
             yield self.row(job, now)
 
-    def take_queue(self, queue: Queue, now: float) -> bool:
+    def take_queue(self, queue: QueueSnapshot, now: float) -> bool:
         """The whole of it, from a member that tells no changes; False: it is older than what is known."""
         if self.by_changes:
             return False
         self.told = {row.job: (row, now) for row in queue.rows}
-        self.used, self.held, self.want, self.allots = queue.used, queue.held, queue.want, queue.allots
+        self.used, self.reserved, self.demand, self.allocations_received = (
+            queue.used,
+            queue.reserved,
+            queue.demand,
+            queue.allocations_received,
+        )
         self.has_rows = self.has_sums = True
         return True
 
-    def take_rows(self, changes: QueueChanges, now: float) -> None:
+    def take_rows(self, changes: QueueDelta, now: float) -> None:
         """Rows that are new or differ, and jobs that have none any more."""
         self.by_changes = self.has_rows = True
         if changes.whole:
@@ -76,14 +81,14 @@
         for row in changes.rows:
             self.told[row.job] = (row, now)
 
-    def take_sums(self, changes: TeamChanges) -> None:
+    def take_sums(self, changes: TeamUsageDelta) -> None:
         """The sums of teams that differ."""
         self.by_changes = self.has_sums = True
         if changes.whole:
-            self.used, self.held, self.want = {}, {}, {}
-        self.allots = changes.allots
+            self.used, self.reserved, self.demand = {}, {}, {}
+        self.allocations_received = changes.allocations_received
         for team, sums in changes.teams.items():
-            for known, amounts in ((self.used, sums.used), (self.held, sums.held), (self.want, sums.want)):
+            for known, amounts in ((self.used, sums.used), (self.reserved, sums.reserved), (self.demand, sums.demand)):
                 if amounts == _NOTHING:
                     known.pop(team, None)
                 else:
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 
 from .. import constants as c
-from ..mesh import Queue, QueueChanges, QueueRow
+from ..mesh import QueueDelta, QueueRow, QueueSnapshot
 from ..placement import Offer, Offers
 from ..wire import JobSpec
 
@@ -29,12 +29,12 @@
         self.by_changes.clear()
         self.unknown.clear()
 
-    def take_queue(self, label: str, queue: Queue, now: float) -> None:
+    def take_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """All that a home offers, told in each round."""
         if label not in self.by_changes:
             self.offers.tell(label, self._offers_of(label, queue.rows, now))
 
-    def take_changes(self, label: str, changes: QueueChanges, now: float) -> None:
+    def take_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """What a home offers otherwise than before."""
         self.by_changes.add(label)
         unknown = self.unknown.setdefault(label, {})
--- a/alderbridge/queues/publisher.py
+++ b/alderbridge/queues/publisher.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from .. import constants as c
-from ..mesh import QueueChanges, QueueRow, TeamChanges, TeamSums
+from ..mesh import QueueDelta, QueueRow, TeamUsage, TeamUsageDelta
 from .home_queue import Amounts
 
 _NOTHING: Amounts = (0.0, 0.0)
@@ -23,9 +23,9 @@
 
     rows: list[QueueRow]
     used: dict[str, Amounts]
-    held: dict[str, Amounts]
-    want: dict[str, Amounts]
-    allots: int
+    reserved: dict[str, Amounts]
+    demand: dict[str, Amounts]
+    allocations_received: int
 
 
 class _Published(NamedTuple):
@@ -46,12 +46,12 @@
 def _is_news(known: _Published, row: QueueRow, now: float) -> bool:
     """Whether a member would decide otherwise by the row than by what it was told."""
     told, passed = known.row, now - known.at
-    if (row.zone, row.late, row.guaranteed, row.rank, row.turn) != (
+    if (row.zone, row.late, row.guaranteed, row.rank, row.priority_boost) != (
         told.zone,
         told.late,
         told.guaranteed,
         told.rank,
-        told.turn,
+        told.priority_boost,
     ):
         return True
     if _counts_differ(told.offer, row.offer) or _counts_differ(told.waiting, row.waiting):
@@ -80,9 +80,9 @@
         self.gone: dict[str, int] = {}  # jobs without a row -> the version since which
         self.told: dict[str, int] = {}  # member -> the version that it knows
         self.again: dict[str, set[str]] = defaultdict(set)  # member -> jobs of which it has asked for tasks
-        self.built: dict[tuple[int, bool], QueueChanges | None] = {}  # of this round: most members are at one version
-        self.sums: dict[str, TeamSums] | None = None  # as the leader knows them
-        self.allots = -1
+        self.built: dict[tuple[int, bool], QueueDelta | None] = {}  # of this round: most members are at one version
+        self.sums: dict[str, TeamUsage] | None = None  # as the leader knows them
+        self.allocations_received = -1
 
     def update(self, rows: Iterable[QueueRow], now: float) -> None:
         """The queue as it stands in this round."""
@@ -111,20 +111,20 @@
         """A member has asked for tasks of the job: it has taken them off what it was told, granted or not."""
         self.again[label].add(job)
 
-    def changes_for(self, label: str, all_rows: bool) -> QueueChanges | None:
+    def changes_for(self, label: str, all_rows: bool) -> QueueDelta | None:
         """What the member does not know yet; None: nothing. Without ``all_rows`` only what is on offer."""
         since, again = self.told.get(label), self.again.pop(label, None)
         self.told[label] = self.version
         if since is None:
             rows = [row for row in self.current.values() if all_rows or row.offer > 0]
-            return QueueChanges(self.now, rows, [], True)
+            return QueueDelta(self.now, rows, [], True)
         key = (since, all_rows)
         if key not in self.built:
             self.built[key] = self._since(since, all_rows)
         changes = self.built[key]
         return changes if again is None else self._with(changes, again)
 
-    def _since(self, since: int, all_rows: bool) -> QueueChanges | None:
+    def _since(self, since: int, all_rows: bool) -> QueueDelta | None:
         rows, gone = [], [job for job, version in self.gone.items() if version > since]
         for job, (_, _, version) in self.published.items():
             if version <= since:
@@ -134,36 +134,37 @@
                 rows.append(row)
             else:
                 gone.append(job)
-        return QueueChanges(self.now, rows, gone, False) if rows or gone else None
+        return QueueDelta(self.now, rows, gone, False) if rows or gone else None
 
-    def _with(self, changes: QueueChanges | None, again: set[str]) -> QueueChanges | None:
+    def _with(self, changes: QueueDelta | None, again: set[str]) -> QueueDelta | None:
         """The changes, and the rows of jobs that are to be told again."""
         known = {row.job for row in changes.rows} if changes is not None else set()
         more = [self.current[job] for job in sorted(again - known) if job in self.current]
         if changes is None:
-            return QueueChanges(self.now, more, [], False) if more else None
-        return QueueChanges(self.now, [*changes.rows, *more], changes.gone, False) if more else changes
+            return QueueDelta(self.now, more, [], False) if more else None
+        return QueueDelta(self.now, [*changes.rows, *more], changes.gone, False) if more else changes
 
-    def sums_for_leader(self, snapshot: Snapshot) -> TeamChanges | None:
+    def sums_for_leader(self, snapshot: Snapshot) -> TeamUsageDelta | None:
         """The sums that the leader does not know yet, with the count of allowances that they rest on."""
         sums = _sums(snapshot)
         known, whole = self.sums or {}, self.sums is None
         changed = {team: one for team, one in sums.items() if known.get(team) != one}
         for team in known:
             if team not in sums:
-                changed[team] = TeamSums(_NOTHING, _NOTHING, _NOTHING)
-        if not changed and not whole and snapshot.allots == self.allots:
+                changed[team] = TeamUsage(_NOTHING, _NOTHING, _NOTHING)
+        if not changed and not whole and snapshot.allocations_received == self.allocations_received:
             return None
-        self.sums, self.allots = sums, snapshot.allots
-        return TeamChanges(changed, snapshot.allots, whole)
+        self.sums, self.allocations_received = sums, snapshot.allocations_received
+        return TeamUsageDelta(changed, snapshot.allocations_received, whole)
 
 
-def _sums(snapshot: Snapshot) -> Mapping[str, TeamSums]:
+def _sums(snapshot: Snapshot) -> Mapping[str, TeamUsage]:
     """One entry for each team of which anything is used, held or wanted."""
-    used, held, want = snapshot.used, snapshot.held, snapshot.want
-    teams = dict.fromkeys((*used, *held, *want))
+    used, reserved, demand = snapshot.used, snapshot.reserved, snapshot.demand
+    teams = dict.fromkeys((*used, *reserved, *demand))
     sums = {
-        team: TeamSums(used.get(team, _NOTHING), held.get(team, _NOTHING), want.get(team, _NOTHING)) for team in teams
+        team: TeamUsage(used.get(team, _NOTHING), reserved.get(team, _NOTHING), demand.get(team, _NOTHING))
+        for team in teams
     }
-    empty = TeamSums(_NOTHING, _NOTHING, _NOTHING)
+    empty = TeamUsage(_NOTHING, _NOTHING, _NOTHING)
     return {team: one for team, one in sums.items() if one != empty}
--- a/alderbridge/queues/teller.py
+++ b/alderbridge/queues/teller.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple, Protocol
 
 from .. import constants as c
-from ..mesh import Message, Pulse, Queue, Status
+from ..mesh import KeepAlive, Message, PeerStatus, QueueSnapshot
 from .publisher import Publisher, Snapshot
 
 
@@ -51,7 +51,7 @@
     leader: str
     links: Mapping[str, Link]  # the channels to the other members of the view
     snapshot: Snapshot
-    status: Status
+    status: PeerStatus
 
 
 class Teller:
@@ -78,7 +78,7 @@
             yield from self._to_each(one, one.status)
         else:
             self.publisher.again.clear()  # the next queue says it all
-            queue = Queue(*one.snapshot, one.status.silent, one.status.given_up, one.status.changes)
+            queue = QueueSnapshot(*one.snapshot, one.status.suspected, one.status.failed, one.status.changes)
             yield Told(self.me, queue, False)
             yield from self._to_each(one, queue)
 
@@ -105,15 +105,15 @@
             message, at, _ = self.last[label]
             self.last[label] = (message, at, one.links[label].received)
 
-    def _to_each(self, one: Round, message: Queue | Status) -> Iterator[Told]:
+    def _to_each(self, one: Round, message: QueueSnapshot | PeerStatus) -> Iterator[Told]:
         """To whom it is news; the same is told again only now and then, or with an acknowledgement to pass on."""
         for label, link in one.links.items():
-            last, at, received = self.last.get(label, (Pulse(), float("-inf"), 0))
+            last, at, received = self.last.get(label, (KeepAlive(), float("-inf"), 0))
             if (
                 last != message
                 or received != link.received
                 or one.now - at >= c.MESH_PROBE_S
-                or (isinstance(message, Queue) and message.rows)
+                or (isinstance(message, QueueSnapshot) and message.rows)
             ):
                 self.last[label] = (message, one.now, link.received)
                 yield Told(label, message, False)
--- a/alderbridge/urgency/rules.py
+++ b/alderbridge/urgency/rules.py
@@ -8,7 +8,7 @@
 from ..claims.budget import Budget, Limit
 from ..claims.choosing import Group, Held, Need, Victim, choose, loss
 from ..claims.preemption import Teams, allowed
-from ..mesh import TaskRow
+from ..mesh import MachineTasks
 from ..policy import Kind
 from ..wire import JobSpec
 from .declaration import PriorityClass, Text
@@ -80,7 +80,9 @@
 
     shown = preemptible  # parts tell the leader of these
 
-    def told(self, rows: Sequence[TaskRow], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]) -> None:
+    def told(
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+    ) -> None:
         """Nothing beside the victims is of use here."""
 
     def choose(self, needs: list[Need], machines: list[Held], budget: Budget, wall: float, most: int) -> list[Group]:
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -82,7 +82,7 @@
     guaranteed=False,
     rank=3,
     inherited=2,
-    turn=1,
+    priority_boost=1,
 )
 QUEUE_ROW_OLDER = mesh.QueueRow(
     job="wk-000017",
@@ -98,26 +98,28 @@
 
 # Messages between controllers, each in a frame.
 MESSAGES = {
-    "message-pulse": mesh.Pulse(),
-    "message-queue": mesh.Queue(
+    "message-pulse": mesh.KeepAlive(),
+    "message-queue": mesh.QueueSnapshot(
         rows=[QUEUE_ROW],
         used={"forecasts": (1.5, 2.5)},
-        held={"forecasts": (3.5, 4.5)},
-        want={"forecasts": (5.5, 6.5)},
-        allots=7,
-        silent=["host-2"],
-        given_up=["host-3"],
+        reserved={"forecasts": (3.5, 4.5)},
+        demand={"forecasts": (5.5, 6.5)},
+        allocations_received=7,
+        suspected=["host-2"],
+        failed=["host-3"],
         changes=55,
     ),
-    "message-queue-changes": mesh.QueueChanges(at=812.5, rows=[QUEUE_ROW], gone=["wk-000009"], whole=True),
-    "message-team-changes": mesh.TeamChanges(
-        teams={"forecasts": mesh.TeamSums(used=(1.5, 2.5), held=(3.5, 4.5), want=(5.5, 6.5))}, allots=7, whole=True
+    "message-queue-changes": mesh.QueueDelta(at=812.5, rows=[QUEUE_ROW], gone=["wk-000009"], whole=True),
+    "message-team-changes": mesh.TeamUsageDelta(
+        teams={"forecasts": mesh.TeamUsage(used=(1.5, 2.5), reserved=(3.5, 4.5), demand=(5.5, 6.5))},
+        allocations_received=7,
+        whole=True,
     ),
-    "message-status": mesh.Status(silent=["host-2"], given_up=["host-3"], changes=55),
-    "message-allot-changes": mesh.AllotChanges(teams={"forecasts": (7.5, 8.5)}),
-    "message-room": mesh.Room(
+    "message-status": mesh.PeerStatus(suspected=["host-2"], failed=["host-3"], changes=55),
+    "message-allot-changes": mesh.QuotaDelta(teams={"forecasts": (7.5, 8.5)}),
+    "message-room": mesh.MachineSummaries(
         rows=[
-            mesh.RoomRow(
+            mesh.MachineSummary(
                 machine="vm-1",
                 type="g4",
                 zone="north-1",
@@ -130,24 +132,24 @@
             )
         ]
     ),
-    "message-take": mesh.Take(take=4, job="wk-000017", machine="vm-1", zone="north-1", count=6),
-    "message-grant": mesh.Grant(take=4, job="wk-000017", machine="vm-1", tasks=[(5, 2)]),
-    "message-seen": mesh.Seen(
+    "message-take": mesh.TaskRequest(request_id=4, job="wk-000017", machine="vm-1", zone="north-1", count=6),
+    "message-grant": mesh.TaskGrant(request_id=4, job="wk-000017", machine="vm-1", tasks=[(5, 2)]),
+    "message-seen": mesh.MachineTaskReport(
         machine="vm-1",
         zone="north-1",
-        upto=31,
-        tasks=[mesh.SeenTask(job="wk-000017", index=5, attempt=2, status="ended", cause="error")],
-        held=[("wk-000018", 6, 3)],
+        processed_seq=31,
+        tasks=[mesh.TaskStatusReport(job="wk-000017", index=5, attempt=2, status="ended", cause="error")],
+        pending=[("wk-000018", 6, 3)],
     ),
-    "message-clear": mesh.Clear(machine="vm-1", job="wk-000017", index=5, attempt=2),
-    "message-halt": mesh.Halt(machine="vm-1", job="wk-000017", index=5, attempt=2, wind_down_s=3.5),
-    "message-allot": mesh.Allot(teams={"forecasts": (7.5, 8.5)}),
-    "message-drain": mesh.Drain(machines=["vm-1", "vm-2"]),
-    "message-gone": mesh.Gone(machines=["vm-1", "vm-2"]),
-    "message-show": mesh.Show(),
-    "message-tasks": mesh.Tasks(
+    "message-clear": mesh.AcknowledgeFinished(machine="vm-1", job="wk-000017", index=5, attempt=2),
+    "message-halt": mesh.StopTask(machine="vm-1", job="wk-000017", index=5, attempt=2, wind_down_s=3.5),
+    "message-allot": mesh.QuotaAllocation(teams={"forecasts": (7.5, 8.5)}),
+    "message-drain": mesh.DrainMachines(machines=["vm-1", "vm-2"]),
+    "message-gone": mesh.MachinesTerminated(machines=["vm-1", "vm-2"]),
+    "message-show": mesh.ListMachineTasks(),
+    "message-tasks": mesh.MachineTaskList(
         rows=[
-            mesh.TaskRow(
+            mesh.MachineTasks(
                 machine="vm-1",
                 free=(2.5, 3.5, 4.5),
                 tasks=[("wk-000017", 5, 2, 61.5, True)],
@@ -156,9 +158,9 @@
         ],
         whole=True,
     ),
-    "message-keep": mesh.Keep(gpus={"vm-1": 2.5}),
-    "message-ask": mesh.Ask(ask=14, what="withdraw", job="wk-000017"),
-    "message-reply": mesh.Reply(ask=14, status=404, body=b'{"error":"no such job"}'),
+    "message-keep": mesh.GpuReservation(gpus={"vm-1": 2.5}),
+    "message-ask": mesh.JobQuery(query_id=14, kind="withdraw", job="wk-000017"),
+    "message-reply": mesh.JobQueryReply(query_id=14, status=404, body=b'{"error":"no such job"}'),
 }
 FRAMES = {
     name: mesh.Frame(version="0.9.1", sender="host-1", fencing_token=21, seq=33, ack=32, body=body, sender_lease_id=5)
@@ -169,16 +171,16 @@
 OLDER_FRAMES = {
     name: mesh.Frame(version="0.1.0", sender="host-1", fencing_token=21, seq=33, ack=32, body=body)
     for name, body in {
-        "older-message-pulse": mesh.Pulse(),
-        "older-message-queue": mesh.Queue(
+        "older-message-pulse": mesh.KeepAlive(),
+        "older-message-queue": mesh.QueueSnapshot(
             rows=[QUEUE_ROW_OLDER],
             used={"forecasts": (1.5, 2.5)},
-            held={"forecasts": (3.5, 4.5)},
-            want={"forecasts": (5.5, 6.5)},
-            allots=7,
+            reserved={"forecasts": (3.5, 4.5)},
+            demand={"forecasts": (5.5, 6.5)},
+            allocations_received=7,
         ),
-        "older-message-tasks": mesh.Tasks(
-            rows=[mesh.TaskRow(machine="vm-1", free=(2.5, 3.5, 4.5), tasks=[("wk-000017", 5, 2, 61.5, True)])],
+        "older-message-tasks": mesh.MachineTaskList(
+            rows=[mesh.MachineTasks(machine="vm-1", free=(2.5, 3.5, 4.5), tasks=[("wk-000017", 5, 2, 61.5, True)])],
             whole=True,
         ),
     }.items()
--- a/tests/test_bench_tools.py
+++ b/tests/test_bench_tools.py
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize(
     "command, told",
     [
-        (["bench_node.py", "--machines", "20", "--controllers", "3", "--teams", "6", "--seconds", "5"], "QueueChanges"),
+        (["bench_node.py", "--machines", "20", "--controllers", "3", "--teams", "6", "--seconds", "5"], "QueueDelta"),
         (["bench_fall.py", "--machines", "20"], "starts"),
         (["bench_replica.py", "--jobs", "500", "1000", "2000"], "2000 jobs predicted"),
     ],
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -101,7 +101,7 @@
         asked.append(b" ".join([method.encode(), target.encode(), body]).rstrip())
         return 200, content(answers[len(asked) - 1])
 
-    client.client = client.follower = SimpleNamespace(request=request)
+    client.client = client.watch_client = SimpleNamespace(request=request)
     return asked
 
 
@@ -123,7 +123,7 @@
         await store.grant_lease(4.5),
         await store.watch(77, 1.5),
         await store.renew_lease(7),
-        await store.end(7),
+        await store.revoke_lease(7),
     ]
 
 
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -88,12 +88,14 @@
     while not (node := world.nodes[home].node).loaded:
         world.run(world.t + 0.01)
     assert not node.inside and node.membership.fencing_token == owner.membership.fencing_token
-    seen = m.Seen(run.machine, run.zone, 0, [m.SeenTask(name, index, run.attempt, "running", None)], [])
+    seen = m.MachineTaskReport(
+        run.machine, run.zone, 0, [m.TaskStatusReport(name, index, run.attempt, "running", None)], []
+    )
     node.on_frame(owner.channels[home].post(seen, world.t), world.t)
-    assert not [body for _, body in node.outgoing if not isinstance(body.body, m.Pulse)], "no halt of what it ran"
+    assert not [body for _, body in node.outgoing if not isinstance(body.body, m.KeepAlive)], "no halt of what it ran"
     assert node.channels[part].received == 0, "nor an acknowledgement"
-    node.on_frame(owner.channels[home].tell(m.Ask(7, "status", name)), world.t)
-    assert [ask.ask for _, ask in node.questions] == [7], "questions are taken; 503 has the asker read the store"
+    node.on_frame(owner.channels[home].tell(m.JobQuery(7, "status", name)), world.t)
+    assert [ask.query_id for _, ask in node.questions] == [7], "questions are taken; 503 has the asker read the store"
 
 
 def test_the_view_may_arrive_before_the_process_knows_its_hold():
@@ -168,7 +170,7 @@
         async def deliver():
             while not second.asks:
                 await curio.sleep(0)
-            second.node.replies.append(m.Reply(next(iter(second.asks)), 200, body))
+            second.node.replies.append(m.JobQueryReply(next(iter(second.asks)), 200, body))
             await second.after()
 
         task = await curio.spawn(deliver)
@@ -248,22 +250,22 @@
         found = home.rows(
             now, lambda job, now, guaranteed: (60.0, now > 40.0), lambda spec: 20.0, lambda spec: -1, (), {}
         )[0]
-        return found.offer, found.turn
+        return found.offer, found.priority_boost
 
     assert told(10.0) == (400, 0) and told(c.BEGIN_TURN_S) == (1, 2)
-    home.on_take("host-0", m.Take(1, SMALL.id, "n-1", "a", 1), 121.0, True)
+    home.on_take("host-0", m.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.begun = True
     assert told(122.0) == (399, 0) and told(121.0 + c.LATE_TURN_S) == (50, 1)
-    home.on_take("host-0", m.Take(2, SMALL.id, "n-1", "a", 20), 182.0, True)
+    home.on_take("host-0", m.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
     assert told(183.0) == (30, 1), "the turn lasts until its share is granted"
-    home.on_take("host-0", m.Take(3, SMALL.id, "n-1", "a", 30), 184.0, True)
+    home.on_take("host-0", m.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
     assert told(185.0) == (349, 0)
     first, other = Offers(), msgspec.structs.replace(LARGE, priority="high")
     first.tell(
         "host-0",
         [
             Offer("host-0", row(other, 5.0, 1.0), other, 100.0, 4.0),
-            Offer("host-0", row(SMALL, 121.0, 60.0, turn=2), SMALL, 100.0, 4.0),
+            Offer("host-0", row(SMALL, 121.0, 60.0, priority_boost=2), SMALL, 100.0, 4.0),
         ],
     )
     assert [entry[-1].row.job for entry in first.in_order()] == [SMALL.id, LARGE.id]
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -12,7 +12,7 @@
 from alderbridge.hours.declaration import Calendar, Class
 from alderbridge.hours.timetable import DAY, NEVER
 from alderbridge.jobs import Home
-from alderbridge.mesh import Take
+from alderbridge.mesh import TaskRequest
 from alderbridge.node import Node
 
 BASE = 20752 * DAY - 180.0  # three minutes before midnight, UTC
@@ -195,7 +195,7 @@
     assert not [order for order in sim.node.part.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.node.home for other in world.nodes.values() if spec.id in other.node.home.jobs)
-    home.on_take(sim.label, Take(0, spec.id, machine.name, machine.zone, 1), world.t, True)  # of an older offer
+    home.on_take(sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True)  # of an older offer
     assert not home.jobs[spec.id].runs
     assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
     for other in world.nodes.values():
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -22,7 +22,7 @@
 from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, check_lines, hold, parse
 from alderbridge.lending.lender import Site
 from alderbridge.lending.reserve import Free
-from alderbridge.mesh import Queue, QueueRow, Room, RoomRow, TaskRow, Tasks
+from alderbridge.mesh import MachineSummaries, MachineSummary, MachineTaskList, MachineTasks, QueueRow, QueueSnapshot
 from alderbridge.placement import Offer, fits
 from alderbridge.policy import Kind, Resource
 from alderbridge.replica import Replica
@@ -443,12 +443,15 @@
 
     def tell(self, now, waiting, free=0.0):
         rows = [QueueRow("wk-9", waiting, waiting, 10.0, 3600.0, None, now, False, True)] if waiting else []
-        self.leader.on_queue("host-0", Queue(rows, {"data": (64.0, 16.0 - free)}, {}, {}, 0), now)
+        self.leader.on_queue("host-0", QueueSnapshot(rows, {"data": (64.0, 16.0 - free)}, {}, {}, 0), now)
         full = [(100.0, 32.0, 512.0, 8.0 - free)]
         self.leader.on_room(
             "host-0",
-            Room(
-                [RoomRow(name, "g8", "a", False, "up", 0.0, (64.0, 256.0, free), full, 1.0) for name in ("n-0", "n-1")]
+            MachineSummaries(
+                [
+                    MachineSummary(name, "g8", "a", False, "up", 0.0, (64.0, 256.0, free), full, 1.0)
+                    for name in ("n-0", "n-1")
+                ]
             ),
             now,
         )
@@ -459,7 +462,7 @@
         asked = self.desk.round(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
         if asked:
             rows = [
-                TaskRow(
+                MachineTasks(
                     f"n-{i}",
                     (64.0, 256.0, 0.0),
                     [("wk-1", 8 * i + n, 7, 60.0, True) for n in range(8)],
@@ -467,7 +470,7 @@
                 )
                 for i in range(2)
             ]
-            self.desk.on_tasks("host-0", Tasks(rows, True), now)
+            self.desk.on_tasks("host-0", MachineTaskList(rows, True), now)
             self.desk.round(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
         return asked
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -4,7 +4,7 @@
 
 from alderbridge import constants as c
 from alderbridge.machines import Part
-from alderbridge.mesh import Grant, Seen
+from alderbridge.mesh import MachineTaskReport, TaskGrant
 from alderbridge.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
 
 SPEC = JobSpec(
@@ -32,7 +32,7 @@
         lambda job: "host-1",
         Random(1),
     )
-    part.upto = lambda label: 7
+    part.processed_seq_of = lambda label: 7
     part.enter(5, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 0.0)
     part.settle(0.0)
     return part, sent
@@ -55,9 +55,9 @@
 def test_a_grant_that_came_to_nothing_is_told_though_the_machine_looks_as_before():
     part, sent = part_with_machine()
     heartbeat(part, 1)
-    part.on_grant("host-1", Grant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
+    part.on_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
     part.drain(["n-1"])  # not sent yet: dropped
-    assert sent[2:] == [("host-1", Seen("n-1", "a", 7, [], []))]
+    assert sent[2:] == [("host-1", MachineTaskReport("n-1", "a", 7, [], []))]
 
 
 def test_a_grant_for_a_machine_gone_meanwhile_is_answered():
@@ -65,8 +65,8 @@
     heartbeat(part, 1)
     part.on_gone(["n-1"])
     before = len(sent)
-    part.on_grant("host-1", Grant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
-    assert sent[before:] == [("host-1", Seen("n-1", "", 7, [], []))]
+    part.on_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
+    assert sent[before:] == [("host-1", MachineTaskReport("n-1", "", 7, [], []))]
 
 
 def test_an_asked_acknowledgement_is_proof_only_before_any_order_of_this_view():
@@ -77,7 +77,7 @@
     part.on_asked(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
     assert {label for label, _ in sent} == {"host-0", "host-1"}, "the first one is proof, as a report would be"
     machine = part.machines["n-1"]
-    part.on_grant("host-1", Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 77)]), 2.0)
+    part.on_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 77)]), 2.0)
     assert [order["verb"] for order in part.orders(machine)] == ["run"]
     told = len(sent)
     part.on_asked(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
@@ -108,7 +108,7 @@
     machine = part.machines["n-1"]
     part.on_clear("n-1", "wk-1", 0, 70)
     assert part.orders(machine) == []
-    part.on_grant("host-1", Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(1, 71)]), 1.5)
+    part.on_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(1, 71)]), 1.5)
     assert [order["verb"] for order in part.orders(machine)] == ["clear", "run"], "they were to be sent anyway"
     heartbeat(part, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
     assert part.orders(machine) == []
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -142,13 +142,15 @@
     alone.follow()
     at_once(alone, shown)
     alone.node.home.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
-    assert stored(alone).done == [(0, 1)] and not [body for body in sent if isinstance(body, m.Clear)]
+    assert stored(alone).done == [(0, 1)] and not [body for body in sent if isinstance(body, m.AcknowledgeFinished)]
     at_same_time(alone, there)
     assert there.node.replica.left[SPEC.id] == SPEC.tasks - 1
     alone.t += 1.0
     alone.follow()
     alone.write()
-    assert [body.index for body in sent if isinstance(body, m.Clear)] == [0], "once: it has read its own write"
+    assert [body.index for body in sent if isinstance(body, m.AcknowledgeFinished)] == [0], (
+        "once: it has read its own write"
+    )
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     at_same_time(alone, there)
     assert there.node.home.jobs[SPEC.id].state_of(0) is TaskState.DONE
@@ -465,9 +467,9 @@
             super().follow()
 
     def frame(self, data: bytes) -> None:
-        if self.world.halts_lost and isinstance(msgspec.msgpack.decode(data, type=m.Frame).body, m.Halt):
+        if self.world.halts_lost and isinstance(msgspec.msgpack.decode(data, type=m.Frame).body, m.StopTask):
             frame = msgspec.msgpack.decode(data, type=m.Frame)
-            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.Pulse()))
+            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.KeepAlive()))
         super().frame(data)
 
 
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -122,7 +122,7 @@
     before = one.channels["host-1"].received
     one.membership.store_lease.lost()
     for _ in range(2):
-        one.on_frame(other.channels["host-0"].post(m.Pulse(), world.t), world.t)
+        one.on_frame(other.channels["host-0"].post(m.KeepAlive(), world.t), world.t)
     assert one.channels["host-1"].received == before
 
 
@@ -347,7 +347,7 @@
         control.clock[0] += c.ASK_S + 0.1
         await control.after()
         await curio.sleep(0.05)
-        control.node.replies.append(m.Reply(number, 200, wire.job_status_body(job, "running", 0, 1)))
+        control.node.replies.append(m.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1)))
         await control.after()
         await curio.sleep(0.05)
 
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -10,7 +10,7 @@
 from world import CANCEL_S, LEASE_S, Broken, SimNode, World
 
 from alderbridge import mesh as m
-from alderbridge.mesh import Grant
+from alderbridge.mesh import TaskGrant
 from alderbridge.node import Node
 from alderbridge.store import VIEW
 from alderbridge.view import Membership, View
@@ -61,8 +61,8 @@
             self.world.after(self.still_until - self.world.t, self.frame, data)
             return
         frame = msgspec.msgpack.decode(data, type=m.Frame)
-        if self.world.halts_lost and isinstance(frame.body, m.Halt):
-            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.Pulse()))
+        if self.world.halts_lost and isinstance(frame.body, m.StopTask):
+            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.KeepAlive()))
         super().frame(data)
 
     def heartbeat(self, raw: bytes, reply) -> None:
@@ -232,7 +232,7 @@
 def test_a_grant_is_not_ordered_any_more_once_its_job_is_known_to_be_cancelled():
     """It may have waited here for the machine's next report while its home was cut off."""
     part, machine, sent = part_of_a_cancelled_job(False)
-    part.on_grant("host-1", Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
+    part.on_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
     part.cancelled = lambda job: True
     assert verbs(part, machine) in ([("halt", "wk-1/0", 70)], [])
     assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -63,7 +63,7 @@
     put = alone.batch()
     assert MACHINES + name in put.puts
     alone.node.part.on_grant(
-        "host-0", m.Grant(alone.node.part.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]), alone.t
+        "host-0", m.TaskGrant(alone.node.part.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]), alone.t
     )
     assert not alone.node.part.orders(machine), "not before the store holds its record"
     if carried_out == "before the view":
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -20,7 +20,7 @@
 from alderbridge.dependencies import Graph
 from alderbridge.jobs import Home, Job, JobState, Record, Run, TaskState
 from alderbridge.leader import Leader
-from alderbridge.mesh import Grant, Queue, QueueRow, Seen, SeenTask, Take
+from alderbridge.mesh import MachineTaskReport, QueueRow, QueueSnapshot, TaskGrant, TaskRequest, TaskStatusReport
 from alderbridge.recovery import TABLE, Barrier, Known, Verdict
 from alderbridge.recovery import Told as Column
 from alderbridge.replica import Replica
@@ -51,9 +51,9 @@
         self.home.settled = True
 
     def told(self, machine, live=(), held=(), now=1.0):
-        tasks = [SeenTask(BOUND.id, index, 70 + index, "running", None) for index in live]
+        tasks = [TaskStatusReport(BOUND.id, index, 70 + index, "running", None) for index in live]
         held = [(BOUND.id, index, 70 + index) for index in held]
-        self.home.on_seen("host-0", Seen(machine, "a", 0, tasks, held), now)
+        self.home.on_seen("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
 
     @property
     def used(self):
@@ -125,10 +125,10 @@
     heir.home.allot({"bound": (2 * CPUS, 0.0)})
     assert heir.home._team_room(job) == 2
     heir.home.enter(7, {"wk-2": job}, {})
-    heir.home.on_take("host-0", Take(1, "wk-2", "n-1", "a", 2), 1.0, True)
-    assert heir.sent[-1] == Grant(1, "wk-2", "n-1", []) and not job.runs
+    heir.home.on_take("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
+    assert heir.sent[-1] == TaskGrant(1, "wk-2", "n-1", []) and not job.runs
     heir.home.allot({"bound": (CPUS, 0.0)})
-    heir.home.on_take("host-0", Take(2, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.home.on_take("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
     assert len(job.runs) == 1
 
 
@@ -166,9 +166,11 @@
         for _ in range(rounds):
             for label, home in self.homes.items():
                 used = home.used()
-                queue = Queue(self.rows[label], used, home.held(used), home.want(used), home.allots)
+                queue = QueueSnapshot(
+                    self.rows[label], used, home.reserved(used), home.demand(used), home.allocations_received
+                )
                 self.leader.on_queue(label, queue, 1.0)
-            held = sum(home.held(home.used()).get("t", (0.0, 0.0))[0] for home in self.homes.values())
+            held = sum(home.reserved(home.used()).get("t", (0.0, 0.0))[0] for home in self.homes.values())
             assert held <= self.leader.teams[0].cpus_max + 1e-6
             for label, teams in self.leader.allots(1.0).items():
                 self.homes[label].allot(teams)
@@ -198,9 +200,9 @@
     shares = Shares(10.0)
     shares.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
     home = shares.homes["host-1"]
-    shares.leader.on_queue("host-1", Queue(shares.rows["host-1"], {}, {}, home.want({}), 0), 1.0)
+    shares.leader.on_queue("host-1", QueueSnapshot(shares.rows["host-1"], {}, {}, home.demand({}), 0), 1.0)
     assert shares.leader.allots(1.0) == {}
-    shares.leader.on_queue("host-0", Queue([], {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, 0), 1.0)
+    shares.leader.on_queue("host-0", QueueSnapshot([], {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, 0), 1.0)
     assert shares.leader.allots(1.0)["host-1"]["t"][0] == 2.0
 
 
@@ -414,7 +416,7 @@
     def allots(self, now):
         for label in self.members:
             if label not in self.queues:
-                self.on_queue(label, Queue([], {}, {}, {}, 0), now)
+                self.on_queue(label, QueueSnapshot([], {}, {}, {}, 0), now)
         return real(self, now)
 
     monkeypatch.setattr(Leader, "allots", allots)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -313,7 +313,9 @@
             if one is not None and (ended or one.state is JobState.ACTIVE) and node.membership.may_act(self.t):
                 self.run(one)
                 node.home.on_seen(
-                    node.me, m.Seen(MACHINE, "a", 1 << 40, [m.SeenTask(job, 0, 7, "ended", "done")], []), self.t
+                    node.me,
+                    m.MachineTaskReport(MACHINE, "a", 1 << 40, [m.TaskStatusReport(job, 0, 7, "ended", "done")], []),
+                    self.t,
                 )
                 return True
         return False
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -10,7 +10,7 @@
 from alderbridge import constants as c
 from alderbridge.jobs import Home, Job, JobState, Record, TaskState
 from alderbridge.machines import MachineState, Part
-from alderbridge.mesh import Clear, Grant, Halt, Seen, SeenTask, Take
+from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, StopTask, TaskGrant, TaskRequest, TaskStatusReport
 from alderbridge.recovery import State
 from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
 
@@ -32,7 +32,7 @@
             lambda job: "host-1",
             Random(1),
         )
-        self.part.upto = lambda label: 7
+        self.part.processed_seq_of = lambda label: 7
         self.enter(5, 0.0, continued=False)
 
     def enter(self, fencing_token, now, continued=True, settle=True, carry=False):
@@ -52,7 +52,7 @@
 
     def grant(self, index, attempt, now=0.0):
         self.part.on_grant(
-            "host-1", Grant(self.part.reserve(self.machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)]), now
+            "host-1", TaskGrant(self.part.reserve(self.machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)]), now
         )
 
     def orders(self):
@@ -61,7 +61,7 @@
     def told_home(self):
         """What its home was told since the last look."""
         told, self.sent[:] = [body for label, body in self.sent if label == "host-1"], []
-        return [(sorted(task.index for task in body.tasks), body.held) for body in told]
+        return [(sorted(task.index for task in body.tasks), body.pending) for body in told]
 
 
 # -- a change of view while machines are deaf -----------------------------------
@@ -351,7 +351,7 @@
     one.heartbeat(2.0, 4, incarnation=2, tasks=[RUNNING])
     one.grant(1, 71)
     one.orders()
-    one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))
+    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
     one.told_home()
     machine = one.machine
     before = (
@@ -375,7 +375,7 @@
 def test_the_first_report_that_a_new_owner_hears_may_be_a_copy():
     """It bears an older mandate: it shows no task, frees none and gets no orders, whatever has been granted."""
     one = Told()
-    one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))
+    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
     assert one.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
     assert not one.machine.tasks and not one.told_home() and not one.orders()
     one.grant(0, 71)
@@ -423,7 +423,7 @@
         for index, run in job.runs.items()
         if sim.node.membership.part_of(run.machine) != sim.label and run.state is TaskState.RUNNING
     )
-    old = part.channels[home.me].tell(Seen(run.machine, run.zone, 10**6, [], []))
+    old = part.channels[home.me].tell(MachineTaskReport(run.machine, run.zone, 10**6, [], []))
     fencing_token = home.membership.fencing_token
     world.end(next(sim for sim in world.nodes.values() if sim.node not in (home, part)), 1.0)
     while home.membership.fencing_token == fencing_token:
@@ -470,11 +470,11 @@
 def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
     one = Told()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
-    one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))
+    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
     one.heartbeat(2.0, 2)
     one.grant(0, 80)
     assert one.orders() == [("run", "wk-1/0", 80)], "70 is gone, its halt as well"
-    one.part.on_halt(Halt("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
+    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
     assert ("halt", "wk-1/0", 80) not in one.orders()
     one.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 80, "running")])
     assert not one.orders() and one.machine.tasks[("wk-1", 0)].attempt == 80
@@ -550,11 +550,15 @@
     def seen(self, machine, *tasks):
         """What a part tells: (index, attempt, status, cause) each; the clears and halts that follow."""
         self.sent.clear()
-        self.home.on_seen("host-1", Seen(machine, "a", 10**6, [SeenTask("wk-1", *task) for task in tasks], []), 1.0)
-        return [body for body in self.sent if isinstance(body, Clear | Halt)]
+        self.home.on_seen(
+            "host-1",
+            MachineTaskReport(machine, "a", 10**6, [TaskStatusReport("wk-1", *task) for task in tasks], []),
+            1.0,
+        )
+        return [body for body in self.sent if isinstance(body, AcknowledgeFinished | StopTask)]
 
     def grant(self, machine):
-        self.home.on_take("host-1", Take(1, "wk-1", machine, "a", 1), 1.0, True)
+        self.home.on_take("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
         return self.sent[-1].tasks
 
 
@@ -572,11 +576,11 @@
     assert not one.seen("n-1", done[0]) and one.job.done.count == 1
     one.store(answered=False)
     one.change(settled=False)  # stored, but its clear was lost
-    assert one.job.unknown == {1, 2} and one.seen("n-1", done[0]) == [Clear("n-1", "wk-1", 0, first[1])]
+    assert one.job.unknown == {1, 2} and one.seen("n-1", done[0]) == [AcknowledgeFinished("n-1", "wk-1", 0, first[1])]
     assert not one.seen("n-2", done[1]) and not one.seen("n-3", live[2])
     assert one.job.state is JobState.ACTIVE and not one.job.unknown
     one.store()
-    assert Clear("n-2", "wk-1", 1, second[1]) in one.sent
+    assert AcknowledgeFinished("n-2", "wk-1", 1, second[1]) in one.sent
     assert not one.seen("n-3", done[2]) and one.job.state is JobState.DONE
     one.store()
     assert one.ends == 0 and one.job.stored_state is JobState.ACTIVE, "an earlier home may still deny it"
@@ -584,7 +588,9 @@
     one.store()
     one.store()
     assert one.ends == 1 and one.job.stored_state is JobState.DONE and one.job.drained
-    assert one.seen("n-3", done[2]) == [Clear("n-3", "wk-1", 2, third[1])], "told again: cleared again, no more"
+    assert one.seen("n-3", done[2]) == [AcknowledgeFinished("n-3", "wk-1", 2, third[1])], (
+        "told again: cleared again, no more"
+    )
     assert one.ends == 1
 
 
@@ -607,7 +613,9 @@
     assert not one.job.unknown and one.job.waiting == 1
     (again,) = one.grant("n-1")
     assert again[0] == 2 and again[1] != tasks[2][1]
-    assert one.seen("n-3", done[2]) == [Clear("n-3", "wk-1", 2, tasks[2][1])], "held up: it runs elsewhere by now"
+    assert one.seen("n-3", done[2]) == [AcknowledgeFinished("n-3", "wk-1", 2, tasks[2][1])], (
+        "held up: it runs elsewhere by now"
+    )
     assert one.job.state is JobState.ACTIVE
     one.seen("n-1", (*again, "ended", "done"))
     one.store()
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -544,7 +544,7 @@
     monkeypatch.setattr(
         Part,
         "on_grant",
-        lambda self, label, grant, now: on_grant(self, label, msgspec.structs.replace(grant, take=-1), now),
+        lambda self, label, grant, now: on_grant(self, label, msgspec.structs.replace(grant, request_id=-1), now),
     )
 
 
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -163,7 +163,7 @@
         self.node.home.there.setdefault(machine, set()).add(job.spec.id)
 
     def ended(self, machine: str, index: int, job: str = SPEC.id):
-        return m.Seen(machine, "a", 1 << 40, [m.SeenTask(job, index, 7, "ended", "done")], [])
+        return m.MachineTaskReport(machine, "a", 1 << 40, [m.TaskStatusReport(job, index, 7, "ended", "done")], [])
 
 
 def machine_of(part: str, *members: str) -> str:
@@ -331,10 +331,12 @@
     batch = alone.batch()
     assert batch.jobs
     alone.node.home.on_seen("host-0", seen, alone.t)  # told again with whatever is news on the machine
-    assert not [body for body in sent if isinstance(body, m.Clear)], "the worker would forget what nobody has yet"
+    assert not [body for body in sent if isinstance(body, m.AcknowledgeFinished)], (
+        "the worker would forget what nobody has yet"
+    )
     alone.node.batch_failed(batch, alone.t)
     alone.write()
-    assert [body.index for body in sent if isinstance(body, m.Clear)] == [0]
+    assert [body.index for body in sent if isinstance(body, m.AcknowledgeFinished)] == [0]
     alone.go(2.0)
     alone.write()
     assert not job.to_clear and job.changed_at is None
@@ -655,7 +657,7 @@
     async def poll():
         assert control.status_now(SPEC.id, answers.append) is None
         control.node.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
-        await control.told(control.ask_count, m.Reply(control.ask_count, 200, body))
+        await control.told(control.ask_count, m.JobQueryReply(control.ask_count, 200, body))
 
     async def known():
         async def ask(label, what, job):
@@ -749,7 +751,7 @@
     async def commit(self, conditions, puts, drops=(), lease_id=None):
         return self.step("commit", lambda: self.sim.commit(conditions, puts, drops, lease_id))
 
-    async def end(self, lease_id):
+    async def revoke_lease(self, lease_id):
         self.step("end", lambda: self.sim.end(lease_id))
 
 
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -46,7 +46,7 @@
 
     def hold(self):
         self.step = "hold"
-        super().store_lease()
+        super().hold()
         self.step = ""
         if self.still_s:  # between the sending of both and their answers
             self.follow()
@@ -314,7 +314,7 @@
         self.thawed(functools.partial(super().call, too_large=too_large), then, fail, method, *args)
 
     def flush(self):
-        if self.node is not None and any(isinstance(frame.body, m.Grant) for _, frame in self.node.outgoing):
+        if self.node is not None and any(isinstance(frame.body, m.TaskGrant) for _, frame in self.node.outgoing):
             self.jump(0.1)
         super().flush()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
 
 
 def frames(count):
-    return [m.Frame("v", "host-1", 7, seq, 0, m.Drain([f"n-{seq}"] * seq)) for seq in range(1, count + 1)]
+    return [m.Frame("v", "host-1", 7, seq, 0, m.DrainMachines([f"n-{seq}"] * seq)) for seq in range(1, count + 1)]
 
 
 def wired(frame):
@@ -284,14 +284,14 @@
 
 def test_a_body_for_several_peers_is_encoded_once_into_the_same_bytes():
     encode = m.Encoder()
-    body = m.Drain(["n-1", "n-2"])
+    body = m.DrainMachines(["n-1", "n-2"])
     for frame in (m.Frame("v", "host-1", 7, 0, 3, body), m.Frame("v", "host-1", 7, 9, 4, body), *frames(3)):
         assert encode(frame) == wired(frame)
 
 
 def test_what_a_full_socket_does_not_take_is_written_later_in_order():
     """Written past a task's wake-up, nothing may be lost or swapped when the socket is full."""
-    sent = [m.Frame("v", "host-0", 7, seq, 0, m.Drain(["n" * 100_000])) for seq in range(1, 60)]
+    sent = [m.Frame("v", "host-0", 7, seq, 0, m.DrainMachines(["n" * 100_000])) for seq in range(1, 60)]
 
     poll = Poll()
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,7 @@
 from alderbridge.dependencies import Graph
 from alderbridge.jobs import JobState, Record
 from alderbridge.leader import Leader
-from alderbridge.mesh import Queue, QueueRow, Room, RoomRow
+from alderbridge.mesh import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
 from alderbridge.policy import Demand, Kind, Market, Resource
 from alderbridge.replica import Replica
 from alderbridge.view import Membership
@@ -254,10 +254,14 @@
     for label, one in (("host-1", other), ("host-0", first)):
         known.saw_job(one.id, Record(JobState.ACTIVE, label, 0.0, one.tasks, [], one), 1)
         row = QueueRow(one.id, one.tasks, 0, 120.0, 10.0, None, 300.0, True, False)
-        leader.on_queue(label, Queue([row], {}, {}, {"t": (one.tasks * one.cpus, 0.0)}, 0), 1.0)
-        leader.on_room(label, Room([]), 1.0)
+        leader.on_queue(label, QueueSnapshot([row], {}, {}, {"t": (one.tasks * one.cpus, 0.0)}, 0), 1.0)
+        leader.on_room(label, MachineSummaries([]), 1.0)
     leader.on_rented(Kind("large", "a", True), ["n-1"], 0.0)
-    leader.on_room("host-0", Room([RoomRow("n-1", "large", "a", True, "up", 9.0, (16.0, 64.0, 0.0), [], 1.0)]), 1.0)
+    leader.on_room(
+        "host-0",
+        MachineSummaries([MachineSummary("n-1", "large", "a", True, "up", 9.0, (16.0, 64.0, 0.0), [], 1.0)]),
+        1.0,
+    )
     allowed = leader.allots(1.0)
     assert allowed["host-0"]["t"][0] == 16.0
     assert [kind for kind, _ in leader.decide(1.0).rent] == [Kind("large", "a", False)]
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -15,7 +15,7 @@
 
 TEAMS = ("a", "b", "c")
 OLDER = c.QUEUE_CHANGES - 1
-NEW_MESSAGES = (m.QueueChanges, m.TeamChanges, m.Status, m.AllotChanges)
+NEW_MESSAGES = (m.QueueDelta, m.TeamUsageDelta, m.PeerStatus, m.QuotaDelta)
 
 
 def row(job, waiting=5, offer=5, due=30.0, waited=1.0, **more):
@@ -44,7 +44,7 @@
         self.teller = Teller("home")
         self.jobs: dict[str, dict] = {}
         self.sums: dict[str, tuple[float, float]] = {}
-        self.allots = 0
+        self.allocations_received = 0
         self.links = {"leader": Link(), "part": Link()}
         self.known = {label: HomeQueue() for label in ("home", *self.links)}
         self.clocks = {label: SenderClock() for label in self.known}
@@ -66,20 +66,20 @@
                 one["offer"] = min(one["offer"], one["waiting"])
         if rng.random() < 0.4:
             self.sums[rng.choice(TEAMS)] = (float(rng.choice([0, 0, 4, 8])), 0.0)
-        self.allots += rng.random() < 0.1
+        self.allocations_received += rng.random() < 0.1
 
     def snapshot(self):
         rows = [
             row(job, one["waiting"], one["offer"], one["arrived"] + 60.0 - self.now, self.now - one["arrived"])
             for job, one in self.jobs.items()
         ]
-        held = {team: amounts for team, amounts in self.sums.items() if amounts != (0.0, 0.0)}
-        return Snapshot(rows, held, held, {}, self.allots)
+        reserved = {team: amounts for team, amounts in self.sums.items() if amounts != (0.0, 0.0)}
+        return Snapshot(rows, reserved, reserved, {}, self.allocations_received)
 
     def step(self):
         self.now += c.ROUND_S
         self.change()
-        one = Round(self.now, 1, "leader", self.links, self.snapshot(), m.Status([], [], 0))
+        one = Round(self.now, 1, "leader", self.links, self.snapshot(), m.PeerStatus([], [], 0))
         for told in self.teller.tell(one, True):
             if told.label in self.links and told.numbered:
                 self.in_flight[told.label].append(told.message)
@@ -97,9 +97,9 @@
 
     def take(self, label, message):
         self.messages += 1
-        if isinstance(message, m.QueueChanges):
+        if isinstance(message, m.QueueDelta):
             self.known[label].take_rows(message, self.clocks[label].moment(message.at + 7.0, self.now))
-        elif isinstance(message, m.TeamChanges):
+        elif isinstance(message, m.TeamUsageDelta):
             self.known[label].take_sums(message)
 
     def check(self, label, offered_only):
@@ -112,8 +112,8 @@
             assert abs(known[job].waiting - now.waiting) * c.QUEUE_SHARE <= max(known[job].waiting, c.QUEUE_SHARE)
         if not offered_only:
             snapshot = self.snapshot()
-            assert (self.known[label].used, self.known[label].held) == (snapshot.used, snapshot.held)
-            assert self.known[label].allots == snapshot.allots
+            assert (self.known[label].used, self.known[label].reserved) == (snapshot.used, snapshot.reserved)
+            assert self.known[label].allocations_received == snapshot.allocations_received
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -196,16 +196,20 @@
 
 def test_a_late_whole_queue_hides_no_change():
     known, book = HomeQueue(), OfferBook(spec)
-    stale = m.Queue([row("wk-1"), row("wk-2")], {"t": (4.0, 0.0)}, {"t": (4.0, 0.0)}, {}, 1)
+    stale = m.QueueSnapshot([row("wk-1"), row("wk-2")], {"t": (4.0, 0.0)}, {"t": (4.0, 0.0)}, {}, 1)
     assert known.take_queue(stale, 1.0)
     book.take_queue("a", stale, 1.0)
-    changes = m.QueueChanges(0.0, [row("wk-2", offer=1)], [], True)
+    changes = m.QueueDelta(0.0, [row("wk-2", offer=1)], [], True)
     known.take_rows(changes, 2.0)
     book.take_changes("a", changes, 2.0)
-    known.take_sums(m.TeamChanges({"t": m.TeamSums((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True))
+    known.take_sums(m.TeamUsageDelta({"t": m.TeamUsage((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True))
     assert not known.take_queue(stale, 2.1)
     book.take_queue("a", stale, 2.1)
-    assert [one.job for one in known.rows] == ["wk-2"] and known.held == {"t": (9.0, 0.0)} and known.allots == 2
+    assert (
+        [one.job for one in known.rows] == ["wk-2"]
+        and known.reserved == {"t": (9.0, 0.0)}
+        and known.allocations_received == 2
+    )
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-2"]
 
 
@@ -213,13 +217,13 @@
     """It is told once: passed over, its job would have waited until something of it changed."""
     records = {}
     book = OfferBook(records.get)
-    book.take_changes("a", m.QueueChanges(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
+    book.take_changes("a", m.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
     book.look()
     assert not book.offers.in_order()
     records["wk-1"] = spec("wk-1")
     book.look()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
-    book.take_changes("a", m.QueueChanges(0.0, [], ["wk-2"], False), 6.0)
+    book.take_changes("a", m.QueueDelta(0.0, [], ["wk-2"], False), 6.0)
     records["wk-2"] = spec("wk-2")
     book.look()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
@@ -229,18 +233,20 @@
 def test_offers_that_change_stand_in_the_order_of_all_told_anew(seed):
     rng = random.Random(seed)
     changed, anew, rows = OfferBook(spec), OfferBook(spec), {}
-    changed.take_changes("a", m.QueueChanges(0.0, [], [], True), 0.0)
+    changed.take_changes("a", m.QueueDelta(0.0, [], [], True), 0.0)
     for step in range(200):
         job = f"wk-{rng.randint(0, 20)}"
         if rng.random() < 0.3:
             rows.pop(job, None)
-            changed.take_changes("a", m.QueueChanges(0.0, [], [job], False), 0.0)
+            changed.take_changes("a", m.QueueDelta(0.0, [], [job], False), 0.0)
         else:
-            rows[job] = row(job, offer=rng.randint(0, 3), due=rng.choice([5.0, 9.0, 30.0]), turn=rng.choice([0, 0, 1]))
-            changed.take_changes("a", m.QueueChanges(0.0, [rows[job]], [], False), 0.0)
+            rows[job] = row(
+                job, offer=rng.randint(0, 3), due=rng.choice([5.0, 9.0, 30.0]), priority_boost=rng.choice([0, 0, 1])
+            )
+            changed.take_changes("a", m.QueueDelta(0.0, [rows[job]], [], False), 0.0)
         if step % 3 == 0:
             changed.offers.in_order()  # from here on it is kept in order
-        anew.take_queue("a", m.Queue(list(rows.values()), {}, {}, {}, 0), 0.0)
+        anew.take_queue("a", m.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
         told = [entry[:5] for entry in changed.offers.in_order()]
         assert told == [entry[:5] for entry in anew.offers.in_order()]
         assert changed.offers.least_cpus == anew.offers.least_cpus
@@ -301,12 +307,12 @@
 def test_changes_are_told_once_the_last_older_controller_has_gone_and_not_again_when_one_is_back(seed):
     world = MixedWorld(seed, ["host-2"], jobs=20, trouble=False)
     world.run(60.0)
-    assert m.Queue in world.sent and not world.sent & set(NEW_MESSAGES)
+    assert m.QueueSnapshot in world.sent and not world.sent & set(NEW_MESSAGES)
     world.nodes["host-2"].crash()
     world.older.clear()
     world.restart(world.nodes["host-2"])
     world.run(100.0)
-    assert {m.QueueChanges, m.TeamChanges, m.Status} <= world.sent
+    assert {m.QueueDelta, m.TeamUsageDelta, m.PeerStatus} <= world.sent
     assert all(sim.node.teller.form.name == "CHANGES" for sim in world.nodes.values())
     world.nodes["host-1"].crash()
     world.older.add("host-1")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,7 +10,7 @@
 from alderbridge import constants as c
 from alderbridge import policy, recovery
 from alderbridge.jobs import Home, Job, JobState, Record, Run, TaskState
-from alderbridge.mesh import Clear, Grant, Halt, QueueRow, Seen, SeenTask
+from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, QueueRow, StopTask, TaskGrant, TaskStatusReport
 from alderbridge.recovery import TABLE, Asking, Barrier, HoldBack, Knowledge, Known, Squaring, State, Told, Verdict
 from alderbridge.view import Membership, Presence
 from alderbridge.wire import Heartbeat, MachineRecord
@@ -61,8 +61,8 @@
         Told.ERROR: ("ended", "error"),
         Told.STOPPED: ("ended", "halted"),
     }.get(told, ("", None))
-    tasks = [SeenTask(SPEC.id, 0, ATTEMPT, status, cause)] if status else []
-    return Seen(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if told is Told.HELD else [])
+    tasks = [TaskStatusReport(SPEC.id, 0, ATTEMPT, status, cause)] if status else []
+    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if told is Told.HELD else [])
 
 
 @pytest.mark.parametrize("told", Told)
@@ -74,11 +74,13 @@
     before = job.runs.get(0) if job is not None else None
     home.on_seen("host-1", told_as(told), 2.0)
     what = TABLE[known][told]
-    assert [body for body in sent if isinstance(body, Clear)] == (
-        [Clear(HERE, SPEC.id, 0, ATTEMPT)] if what in (Verdict.CLEAR, Verdict.FREE_CLEAR, Verdict.FAIL_CLEAR) else []
+    assert [body for body in sent if isinstance(body, AcknowledgeFinished)] == (
+        [AcknowledgeFinished(HERE, SPEC.id, 0, ATTEMPT)]
+        if what in (Verdict.CLEAR, Verdict.FREE_CLEAR, Verdict.FAIL_CLEAR)
+        else []
     )
-    assert [body for body in sent if isinstance(body, Halt)] == (
-        [Halt(HERE, SPEC.id, 0, ATTEMPT, 0.0)]
+    assert [body for body in sent if isinstance(body, StopTask)] == (
+        [StopTask(HERE, SPEC.id, 0, ATTEMPT, 0.0)]
         if what in (Verdict.HALT, Verdict.ADOPT_HALT, Verdict.PROGRESS_HALT)
         else []
     )
@@ -96,7 +98,7 @@
         assert run is before
         if what is Verdict.STRIKE and known is Known.POSSIBLE:
             assert 0 in job.unknown, "the other machine may hold it"
-            home.on_seen("host-1", Seen("n-2", "a", 9, [], []), 2.0)
+            home.on_seen("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
             assert 0 in job.again and not job.unknown
 
 
@@ -133,7 +135,7 @@
     heartbeat(part, 1)
     machine = part.machines["n-1"]
     for index, attempt in ((0, 70), (1, 71)):
-        grant = Grant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
+        grant = TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
         part.on_grant("host-1", grant, 1.5)
         if index == 0:
             part.orders(machine)  # sent; the second never is
@@ -141,11 +143,14 @@
     part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, carry=True)
     assert not sent
     part.settle(2.2)
-    assert sent == [("host-0", Seen("n-1", "a", 7, [], [])), ("host-1", Seen("n-1", "a", 7, [], [("wk-1", 0, 70)]))]
+    assert sent == [
+        ("host-0", MachineTaskReport("n-1", "a", 7, [], [])),
+        ("host-1", MachineTaskReport("n-1", "a", 7, [], [("wk-1", 0, 70)])),
+    ]
     assert part.squaring.states == {"n-1": State.SQUARED}
     assert part.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
     part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
-    assert sent[-1] == ("host-1", Seen("n-1", "a", 7, [], [])), "its report settles what was ordered"
+    assert sent[-1] == ("host-1", MachineTaskReport("n-1", "a", 7, [], [])), "its report settles what was ordered"
 
 
 def test_a_part_that_began_anew_or_has_older_members_carries_nothing_over():
@@ -439,7 +444,7 @@
     world.run(5.0)
     node = world.nodes["host-0"].node
     node.outgoing.clear()
-    clears = [Clear("n-1", "wk-1", index, 7) for index in range(3)]
+    clears = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
     node.send_later("host-1", clears[0])
     node.send_later("host-1", clears[1])
     assert not node.outgoing
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -57,7 +57,7 @@
     tags = set()
     for raw in production.FRAMES:
         frame = msgspec.msgpack.decode(raw, type=m.Frame)
-        tags.add(type(frame.body).__name__)
+        tags.add(frame.body.__struct_config__.tag)
         assert frame.version == "0.1.0" and frame.sender == "host-1"
     new = {
         "Show",
@@ -68,7 +68,7 @@
         "Status",
         "AllotChanges",
     }  # which no controller sends while an older one takes part
-    assert tags == {kind.__name__ for kind in m.Body.__args__} - new  # no other message that the old version lacks
+    assert tags == {kind.__struct_config__.tag for kind in m.Body.__args__} - new
 
 
 def test_what_this_version_writes_is_read_by_the_old_one():
@@ -86,7 +86,7 @@
     assert production.value(JOBS + "wk-1", done) == b'{"state":"done"}'
     assert msgspec.json.decode(msgspec.json.encode(Presence(7, c.PIPELINES)), type=production.Presence).permit == 7
     row = m.QueueRow("wk-1", 3, 2, 1.5, 2.0, "a", 0.5, True, False, 2)
-    frame = m.Frame("0.2.0", "host-0", 5, 0, 0, m.Queue([row, row], {}, {}, {}, 1))
+    frame = m.Frame("0.2.0", "host-0", 5, 0, 0, m.QueueSnapshot([row, row], {}, {}, {}, 1))
     seen = msgspec.msgpack.decode(msgspec.msgpack.encode(frame), type=production.Frame)
     assert len(seen.body.rows) == 2 and seen.body.rows[1].guaranteed is False and seen.body.allots == 1
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -659,7 +659,7 @@
 
         world.asking[number] = (self.label, life, world.t + c.ASK_S, answered)
         world.after(c.ASK_S, given_up)
-        node.tell(home, m.Ask(number, "status", job))
+        node.tell(home, m.JobQuery(number, "status", job))
         self.flush()
 
     def status_stored(self, job: str, told) -> None:
@@ -747,16 +747,16 @@
         while node.questions:
             label, ask = node.questions.popleft()
 
-            def told(state: str | None, label: str = label, ask: m.Ask = ask) -> None:
-                node.tell(label, m.Reply(ask.ask, 200 if state else 503, (state or "").encode()))
+            def told(state: str | None, label: str = label, ask: m.JobQuery = ask) -> None:
+                node.tell(label, m.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode()))
 
-            if ask.what == "withdraw":
+            if ask.kind == "withdraw":
                 self.withdraw(ask.job, told)
             else:
                 told((node.state_here(ask.job, world.t) or (None,))[0])
         while node.replies:
             reply = node.replies.popleft()
-            label, life, until, told = world.asking.pop(reply.ask, ("", 0, 0.0, None))
+            label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
             if label == self.label and life == self.life and world.t <= until:
                 told(reply.body.decode() if reply.status == 200 else None)
 
@@ -1461,7 +1461,7 @@
                 self.t + c.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
-            node.tell(home, m.Ask(number, "withdraw", job))
+            node.tell(home, m.JobQuery(number, "withdraw", job))
             sim.flush()
         else:
             sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -72,7 +72,7 @@
 
     def hold(self, label: str) -> None:
         if self.nodes[label] is not None and self.store_up:
-            super().store_lease(label)
+            super().hold(label)
             hold = self.nodes[label].membership.store_lease
             hold.renewed(json.loads(self.data[MEMBERS + label][0])["permit"], self.now)
 
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -390,9 +390,9 @@
         counts.sent[kind].count(size)
         if peer == self.labels[0]:
             counts.leader_received[kind].count(size)
-        if isinstance(body, mesh.Take):
+        if isinstance(body, mesh.TaskRequest):
             counts.asked += body.count
-        elif isinstance(body, mesh.Grant):
+        elif isinstance(body, mesh.TaskGrant):
             counts.granted += len(body.tasks)
 
     def sample(self, _label: str) -> None:
