--- a/alderbridge/controller.py
+++ b/alderbridge/controller.py
@@ -1,4 +1,4 @@
-"""One controller: the I/O around a ``Node``, to store, cloud, workers, users and peers."""
+"""One controller: the I/O around a ``ControllerCore``, to store, cloud, workers, users and peers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from . import placement, wire
 from .cloud import Cloud, CloudError, NoCapacityError
 from .config import Platform, Tuning, address
+from .core import ControllerCore, WriteBatch
 from .declared import Declared
 from .jobs import JobState, Record
 from .leader import Decision
 from .machines import Machine
-from .net import Answer, Budget, Exchange, Reading, Server, UnansweredError
-from .node import Batch, Node
+from .net import Answer, Exchange, Reading, Server, TokenBucket, UnansweredError
 from .poll import Poll
 from .store import (
     JOBS,
@@ -36,7 +36,7 @@
     TransactionTooLargeError,
     WatchCompactedError,
 )
-from .view import Presence, Standing
+from .view import MemberRecord, MemberStatus
 
 log = logging.getLogger("controller")
 now = time.monotonic
@@ -54,8 +54,8 @@
     def __init__(self, platform: Platform, tuning: Tuning, poll: Poll, own: dict[str, Declared] | None = None) -> None:
         shared = platform.settings
         self.platform, self.poll = platform, poll
-        self.node = Node(platform, tuning, now(), own=own)
-        self.membership = self.node.membership
+        self.core = ControllerCore(platform, tuning, now(), own=own)
+        self.membership = self.core.membership
         self.store = Store(platform.endpoints.state)
         self.cloud = Cloud(platform.endpoints.cloud)
         self.mesh = m.Mesh(platform.mesh_addr, {peer.label: peer.addr for peer in platform.peers}, self.on_frames, poll)
@@ -69,7 +69,7 @@
         # when that ended, told the user of a question with the same number about another job.
         self.ask_count = time.time_ns()
         self.unanswered: dict[str, tuple[float, float]] = {}  # job -> since when nothing was answered here, when said
-        self.cloud_budget = Budget(shared.cloud.rps * c.BUDGET_SHARE, shared.cloud.rps * c.BUDGET_SHARE, now())
+        self.cloud_rate_limit = TokenBucket(shared.cloud.rps * c.BUDGET_SHARE, shared.cloud.rps * c.BUDGET_SHARE, now())
         self.store_bad_until = 0.0
         self.asking: set[Exchange] = set()  # with workers, for their acknowledgement
         self.work = curio.Event()  # set when there may be something to write, while ``writer_waits``
@@ -79,35 +79,35 @@
 
     def on_frames(self, frames: list[m.Frame]) -> None:
         for frame in frames:
-            self.node.on_frame(frame, now())
+            self.core.on_frame(frame, now())
 
     async def after(self) -> None:
         """Move what the node has left for others."""
-        node = self.node
-        if self.writer_waits and not node.nothing_to_write():
+        core = self.core
+        if self.writer_waits and not core.nothing_to_write():
             await self.work.set()
-        while node.questions:
-            label, ask = node.questions.popleft()
+        while core.queries:
+            label, ask = core.queries.popleft()
             if ask.kind == "status":
                 self.answer_status(label, ask)
             else:
                 await curio.spawn(self.answer_ask, label, ask, daemon=True)
-        renewals, node.renewals = node.renewals, []
+        renewals, core.channel_renewals = core.channel_renewals, []
         for label in renewals:
             self.mesh.renew(label)
-        outgoing, node.outgoing = node.outgoing, []
+        outgoing, core.outgoing_frames = core.outgoing_frames, []
         for label, frame in outgoing:
             self.mesh.put(label, frame)
-        while node.replies:
-            reply = node.replies.popleft()
+        while core.query_replies:
+            reply = core.query_replies.popleft()
             waiting = self.asks.get(reply.query_id)
             if reply.query_id in self.polls:
                 await self.told(reply.query_id, reply)
             elif waiting is not None:
                 waiting[1].append(reply)
                 await waiting[0].set()
-        while node.news:
-            what = node.news.popleft()
+        while core.notifications:
+            what = core.notifications.popleft()
             for event in self.waiters.pop(what, ()):
                 await event.set()
             self.settle(what)
@@ -176,17 +176,17 @@
             await self.acquire_store_lease()
         while store_lease.lease_id:
             await curio.sleep(store_lease.ttl_s / c.HOLD_RENEWALS)
-            if self.membership.removed():
+            if self.membership.is_removed():
                 log.info("hold=%d state=lost cause=removed from the view by a majority", store_lease.lease_id)
-                store_lease.lost()
+                store_lease.mark_expired()
                 return
             sent = now()
             try:
                 await self.store.renew_lease(store_lease.lease_id)
-                store_lease.renewed(store_lease.lease_id, sent)
+                store_lease.record_renewal(store_lease.lease_id, sent)
             except LeaseExpiredError:
                 log.info("hold=%d state=lost", store_lease.lease_id)
-                store_lease.lost()
+                store_lease.mark_expired()
             except _TROUBLE as error:
                 self.store_trouble()
                 log.info("hold=%d state=unsure cause=%s", store_lease.lease_id, error)
@@ -200,15 +200,15 @@
         # The key passes from one hold to the other in one step: were it gone for a moment, the
         # others would change the view twice, and workers are slow to see a second new mandate.
         condition = {key: row.revision if row is not None else 0}
-        done = await self.store.commit(condition, {key: Presence(lease_id, c.GENERATION)}, lease_id=lease_id)
+        done = await self.store.commit(condition, {key: MemberRecord(lease_id, c.PROTOCOL_VERSION)}, lease_id=lease_id)
         if done.failed:
             await self.store.revoke_lease(lease_id)
             raise StoreRefusedError("the key of this label has changed meanwhile")
-        self.node.held(lease_id, sent, now())
+        self.core.lease_acquired(lease_id, sent, now())
         log.info("hold=%d state=held", lease_id)
         if row is not None:
             try:
-                await self.store.revoke_lease(msgspec.json.decode(row.data, type=Presence).lease_id)
+                await self.store.revoke_lease(msgspec.json.decode(row.data, type=MemberRecord).lease_id)
             except _TROUBLE as error:  # no key hangs on it any more: it ends by itself, and costs no second entry
                 log.debug("hold state=left behind cause=%s", error)
 
@@ -219,13 +219,13 @@
             try:
                 # Well within the ttl, however short the deployment makes it: answers keep the view fresh.
                 wait_s = min(c.FOLLOW_WAIT_S, self.membership.store_lease.ttl_s / c.HOLD_RENEWALS)
-                changes = await self.store.watch(self.node.replica.revision, wait_s)
+                changes = await self.store.watch(self.core.replica.revision, wait_s)
             except WatchCompactedError:
                 await self.load_replica()
                 continue
             self.followed(sent)
-            self.node.apply(changes.events, now(), time.time())
-            self.node.replica.revision = max(self.node.replica.revision, changes.revision)
+            self.core.apply_events(changes.events, now(), time.time())
+            self.core.replica.revision = max(self.core.replica.revision, changes.revision)
             await self.ask_workers()
             await curio.sleep(c.FOLLOW_PAUSE_S)
 
@@ -239,7 +239,7 @@
         sent = now()
         changes = await self.store.watch_now(revision)
         self.followed(sent)
-        self.node.load(rows, changes.events, changes.revision, now(), time.time())
+        self.core.load(rows, changes.events, changes.revision, now(), time.time())
 
     def followed(self, sent: float) -> None:
         """The store has answered what it was asked at ``sent``.
@@ -249,8 +249,8 @@
         Users ask one controller after the other, so nobody may ask here again before the next outage: the line for an
         unanswered job told of 121 s, in 21 of which it could be answered here.
         """
-        before = self.membership.asked_at
-        self.membership.followed(sent)
+        before = self.membership.synced_at
+        self.membership.record_sync(sent)
         if sent - before >= c.CONTACT_STORE_S and now() - sent < c.STATE_TIMEOUT_S:
             # What began before that was no matter of the store.
             self.unanswered = {job: times for job, times in self.unanswered.items() if times[0] < before}
@@ -268,7 +268,7 @@
         while (
             len(self.asking) < c.ASK_WORKERS
             and self.membership.may_act(now())
-            and (machine := self.node.part.next_to_ask(now())) is not None
+            and (machine := self.core.machine_shard.next_to_ask(now())) is not None
         ):
             self.ask_worker(self.membership.fencing_token, *machine)
 
@@ -283,10 +283,10 @@
                 if status == 409 and heartbeat.incarnation != incarnation and again:
                     return self.ask_worker(fencing_token, name, worker, heartbeat.incarnation, False)
                 if status == 200 and heartbeat.machine == name and fencing_token == self.membership.fencing_token:
-                    self.node.asked(heartbeat, now())
+                    self.core.on_probe_answered(heartbeat, now())
             except wire.MalformedBodyError as error:
                 if fencing_token == self.membership.fencing_token:
-                    self.node.part.asking.unanswered(name, now())
+                    self.core.machine_shard.asking.unanswered(name, now())
                 log.debug("machine=%s state=not asked cause=%s", name, error)
             self.ask_more()
 
@@ -295,7 +295,7 @@
             reading = Reading(host, "POST", "/commands", wire.acknowledge_request(fencing_token, incarnation))
             exchange = Exchange(self.poll, host, port, reading, done)
         except (OSError, ValueError, h11.ProtocolError) as error:
-            self.node.part.asking.unanswered(name, now())
+            self.core.machine_shard.asking.unanswered(name, now())
             log.debug("machine=%s state=not asked cause=%s", name, error)
         else:
             self.asking.add(exchange)
@@ -303,7 +303,7 @@
     async def keep_view(self) -> None:
         while True:
             await curio.sleep(c.ROUND_S)
-            change = self.node.next_view(now())
+            change = self.core.next_view(now())
             if change is None:
                 continue
             view, conditions, drops = change
@@ -320,7 +320,7 @@
     async def keep_records(self) -> None:
         while True:
             await curio.sleep(c.WRITER_PAUSE_S)
-            batch = self.node.next_batch(now())
+            batch = self.core.next_batch(now())
             if batch is None:
                 await self.wait_for_work()
                 continue
@@ -329,30 +329,32 @@
                 if done.failed:
                     await self.settle_conflict(batch, done.failed)
                 else:
-                    self.node.batch_done(batch, done.revision, now())
+                    self.core.on_batch_written(batch, done.revision, now())
                     self.store_bad_until = 0.0
                 await self.after()
             except TransactionTooLargeError as error:
-                self.node.batch_too_large(batch, now())
+                self.core.on_batch_too_large(batch, now())
                 await self.after()
                 log.error("records state=too large changes=%d cause=%s", batch.changes, error)
                 await curio.sleep(c.ROUND_S)
             except (*_TROUBLE, LeaseExpiredError) as error:
-                self.node.batch_failed(batch, now())
+                self.core.on_batch_failed(batch, now())
                 if isinstance(error, RateLimitedError):
-                    self.node.store_share.budget.spend(now(), max(0.0, self.node.store_share.budget.available(now())))
+                    self.core.write_rate_limit.budget.spend(
+                        now(), max(0.0, self.core.write_rate_limit.budget.available(now()))
+                    )
                 else:
                     self.store_trouble()
                     if isinstance(error, StoreRefusedError):
-                        self.node.refuse_submissions()
+                        self.core.refuse_submissions()
                         await self.after()
                 log.info("records state=unsure cause=%s", error)
                 await curio.sleep(c.ROUND_S)
 
     async def wait_for_work(self) -> None:
         """Until there may be something to write: looking again and again costs more than all the writing."""
-        pause = self.node.next_write_in(now())
-        if pause > c.WRITER_PAUSE_S and self.node.nothing_to_write():
+        pause = self.core.next_write_in(now())
+        if pause > c.WRITER_PAUSE_S and self.core.nothing_to_write():
             self.writer_waits = True
             try:
                 await curio.timeout_after(pause - c.WRITER_PAUSE_S, self.work.wait)
@@ -361,33 +363,33 @@
             self.writer_waits = False
             self.work.clear()
 
-    async def settle_conflict(self, batch: Batch, failed: list[str]) -> None:
+    async def settle_conflict(self, batch: WriteBatch, failed: list[str]) -> None:
         """Something else is in the store: read it and decide anew."""
         log.info("records state=conflict failed=%s", failed)
-        self.node.batch_failed(batch, now())
+        self.core.on_batch_failed(batch, now())
         if VIEW in failed:
             await curio.sleep(c.FOLLOW_PAUSE_S)
             return
         for key in failed:
-            self.node.reread(batch, key, await self.store.get(key), now())
+            self.core.resolve_conflict(batch, key, await self.store.get(key), now())
 
     async def keep_rounds(self) -> None:
         while True:
             await curio.sleep(c.ROUND_S)
-            self.node.round(now())
+            self.core.round(now())
             await self.ask_workers()
 
     # -- the cloud -------------------------------------------------------------------
 
     async def keep_types(self) -> None:
         """Machine types; the leader reads the prices again and again, others until they know."""
-        node = self.node
+        core = self.core
         asked = False
         while True:
-            if not asked or self.membership.leads(now()):
+            if not asked or self.membership.is_leader(now()):
                 try:
-                    if self.cloud_budget.take(now()):
-                        node.learn_types(await self.cloud.machine_types())
+                    if self.cloud_rate_limit.try_take(now()):
+                        core.set_machine_types(await self.cloud.machine_types())
                         asked = True
                         await self.store_types()
                 except (
@@ -403,13 +405,13 @@
 
     async def store_types(self) -> None:
         """A controller that starts while the cloud is out of reach reads them there."""
-        machine_types = self.node.types_to_store()
+        machine_types = self.core.types_to_store()
         if machine_types is not None:
-            conditions = {VIEW: self.membership.fencing_token, TYPES: self.node.replica.types_revision}
+            conditions = {VIEW: self.membership.fencing_token, TYPES: self.core.replica.types_revision}
             try:
                 await self.store.commit(conditions, {TYPES: machine_types})
             except TransactionTooLargeError:
-                self.node.value_too_large(len(wire.encode(machine_types)))
+                self.core.reduce_value_limit(len(wire.encode(machine_types)))
 
     async def keep_machines(self) -> None:
         """The leader's round: list, decide, rent, give back."""
@@ -417,16 +419,18 @@
         fencing_token = 0
         while True:
             await curio.sleep(c.LEADER_ROUND_S)
-            if not self.membership.leads(now()) or not self.node.types:
+            if not self.membership.is_leader(now()) or not self.core.types:
                 continue
             if fencing_token != self.membership.fencing_token:
                 fencing_token, listed_at = self.membership.fencing_token, float("-inf")
             try:
-                if now() - listed_at >= c.LIST_S and self.cloud_budget.take(now()):
+                if now() - listed_at >= c.LIST_S and self.cloud_rate_limit.try_take(now()):
                     listed_at = now()
                     await self.list_machines()
                 # What one call did not fill, another kind may: at once, while the budget lasts.
-                while await self.carry_out(self.node.leader.decide(now())) and self.cloud_budget.available(now()) >= 1:
+                while (
+                    await self.carry_out(self.core.leader.decide(now())) and self.cloud_rate_limit.available(now()) >= 1
+                ):
                     pass
             except (CloudError, UnansweredError, msgspec.DecodeError) as error:
                 log.info("cloud state=trouble cause=%s", error)
@@ -440,17 +444,17 @@
             if not page.has_next or not page.hosts:
                 break
             after = page.hosts[-1].id
-        known = self.node.part.returned
-        self.node.leader.on_listing([host for host in hosts if host.id not in known], now())
+        known = self.core.machine_shard.returned
+        self.core.leader.on_listing([host for host in hosts if host.id not in known], now())
 
     async def carry_out(self, decision: Decision) -> bool:
         """True if a rental was refused in part or whole."""
         short = False
-        self.node.drain(decision.drain, now())
+        self.core.drain_machines(decision.drain, now())
         await self.after()
-        leader = self.node.leader
+        leader = self.core.leader
         for kind, count in decision.rent:
-            if not self.membership.leads(now()) or not self.cloud_budget.take(now()):
+            if not self.membership.is_leader(now()) or not self.cloud_rate_limit.try_take(now()):
                 break
             self.rent_names += 1
             name = f"{self.platform.label}-{self.membership.fencing_token}-{self.rent_names}"
@@ -467,10 +471,10 @@
                 log.info("rent type=%s zone=%s spot=%s state=refused", kind.type, kind.zone, kind.spot)
                 short = True
                 leader.on_refused(kind, now())
-        if decision.give_back and self.membership.leads(now()) and self.cloud_budget.take(now()):
+        if decision.give_back and self.membership.is_leader(now()) and self.cloud_rate_limit.try_take(now()):
             names = decision.give_back[:100]
             await self.cloud.give_back(names)
-            self.node.returned(names, now())
+            self.core.on_terminated(names, now())
             await self.after()
         return short
 
@@ -495,13 +499,13 @@
         return 404, wire.error_body("no such path"), []
 
     def health(self) -> Answer:
-        standing = self.membership.standing(now())
+        status = self.membership.status(now())
         # Lapsed in an outage that all share it stays: it can tell of ended jobs, and is there when the store is. Not so
         # one that others may have replaced: users whose connections stay with it would be told nothing of any job.
         overtaken = any(
-            ch.peer_fencing_token > self.membership.fencing_token for ch in self.node.channels.values()
-        ) or self.membership.contact.alone(now())
-        if not self.node.loaded or standing is Standing.OUTSIDE or (standing is Standing.LAPSED and overtaken):
+            ch.peer_fencing_token > self.membership.fencing_token for ch in self.core.channels.values()
+        ) or self.membership.failure_detector.is_isolated(now())
+        if not self.core.loaded or status is MemberStatus.OUTSIDE or (status is MemberStatus.EXPIRED and overtaken):
             return later("not taking part")
         return 200, b'{"status":"ok"}', []
 
@@ -512,16 +516,16 @@
             heartbeat = wire.parse_heartbeat(body)
         except wire.MalformedBodyError as error:
             return 400, wire.error_body(str(error)), []
-        node = self.node
-        if not node.loaded or not self.membership.may_act(now()):
+        core = self.core
+        if not core.loaded or not self.membership.may_act(now()):
             return later("not entitled")
         owner = self.membership.report_to(heartbeat.machine)
         if heartbeat.fencing_token > self.membership.fencing_token:
             return later("a newer view has begun")  # a 200 would be dropped, and hold the worker here for its lease
-        if owner != node.me:
+        if owner != core.me:
             return 421, wire.encode({"steward": owner}), []
         fencing_token = self.membership.fencing_token
-        machine = node.on_heartbeat(heartbeat, now())
+        machine = core.on_heartbeat(heartbeat, now())
         if machine is None:
             return later("not the newest report")
         if machine.reserved:  # other homes answer within a few ms
@@ -533,7 +537,7 @@
     def heartbeat_response(self, machine: Machine, fencing_token: int) -> Answer:
         if fencing_token != self.membership.fencing_token or not self.membership.may_act(now()):
             return later("not entitled")
-        return 200, wire.heartbeat_response(fencing_token, self.node.part.orders(machine)), []
+        return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.orders(machine)), []
 
     def settle(self, machine: object) -> None:
         """Answer the reports that wait for its grants."""
@@ -554,10 +558,10 @@
             # Whatever has become of the body of a retry: an accepted job is never refused, here or elsewhere.
             job = wire.job_id_in(body)
             return await self.never(job, str(error), 400) if job else (400, wire.error_body(str(error)), [])
-        node = self.node
-        if node.known(spec.id):
+        core = self.core
+        if core.knows_job(spec.id):
             return await self.known(spec.id)
-        if not node.loaded or not node.types:
+        if not core.loaded or not core.types:
             return later("not ready")
         why = self.never_runs(spec)
         if why:
@@ -567,7 +571,7 @@
         answer = await self.check_needs(spec) if spec.needs else None
         if answer is not None:
             return answer
-        submission = node.submit(spec, now(), time.time())
+        submission = core.submit(spec, now(), time.time())
         if submission is None:
             return await self.never(spec.id, "the job's description is too long", 400)
         await self.after()
@@ -578,19 +582,19 @@
         if submission.outcome == "too long":
             return await self.never(spec.id, "the job's description is too long", 400)
         if submission.outcome == "accepted":
-            ended = node.replica.ended.get(spec.id)
+            ended = core.replica.ended.get(spec.id)
             return 201, wire.accepted_body(spec.id, "pending" if ended is None else ended.value), []
         return await self.known(spec.id)
 
     async def check_needs(self, spec: wire.JobSpec) -> Answer | None:
         """The answer to a submission that waits for others, where it can't be taken."""
-        node = self.node
-        if not self.membership.all_run(c.PIPELINES):
+        core = self.core
+        if not self.membership.all_support(c.PIPELINES):
             return later("a controller still runs a version that knows of no dependencies")
         for need in spec.needs or ():
             if need == spec.id:
                 return await self.never(spec.id, f"waits_on: {need} is this job")
-            if node.known(need):
+            if core.knows_job(need):
                 continue
             # Another node may have accepted it a moment ago: only the store can tell.
             try:
@@ -600,7 +604,7 @@
                 return later("the state service is out of reach")
             if row is None:
                 return await self.never(spec.id, f"waits_on: {need} was never accepted")
-            node.saw_end(need, _record.decode(row.data), row.revision)
+            core.observe_end(need, _record.decode(row.data), row.revision)
         return None
 
     async def never(self, job: str, why: str, refusal: int = 422) -> Answer:
@@ -612,7 +616,7 @@
         team = next((team for team in self.platform.settings.teams if team.name == spec.team), None)
         if team is None:
             return "unknown team"
-        if not placement.runnable(spec, self.node.types.values()):
+        if not placement.runnable(spec, self.core.types.values()):
             return "a task fits no allowed machine type"
         tasks = spec.tasks if spec.service else 1
         if (team.cpus_max > 0 and spec.cpus * tasks > team.cpus_max + 1e-9) or (
@@ -630,16 +634,16 @@
         """``status`` without a task where memory has the answer, here or at the job's home."""
         if not wire.JOB_ID.match(job):
             return 404, wire.error_body("no such job"), []
-        state = self.node.state_here(job, now())
+        state = self.core.local_job_state(job, now())
         if state is not None:
             return self.noted(job, (200, wire.job_status_body(job, *state), []))
-        home = self.node.home_of(job)
-        if not home or home == self.node.me:
+        owner = self.core.job_owner(job)
+        if not owner or owner == self.core.me:
             return self.status_stored(job)
         self.ask_count += 1
         self.polls[self.ask_count] = (job, reply)
         self.poll_ends.append((now() + c.ASK_S, self.ask_count))
-        self.node.tell(home, m.JobQuery(self.ask_count, "status", job))
+        self.core.send_unreliable(owner, m.JobQuery(self.ask_count, "status", job))
         return None
 
     async def told(self, number: int, answer: m.JobQueryReply | None) -> None:
@@ -662,11 +666,11 @@
     async def status(self, job: str) -> Answer:
         if not wire.JOB_ID.match(job):
             return 404, wire.error_body("no such job"), []
-        state = self.node.state_here(job, now())
+        state = self.core.local_job_state(job, now())
         if state is not None:
             return self.noted(job, (200, wire.job_status_body(job, *state), []))
-        home = self.node.home_of(job)
-        reply = await self.ask(home, "status", job) if home and home != self.node.me else None
+        owner = self.core.job_owner(job)
+        reply = await self.ask(owner, "status", job) if owner and owner != self.core.me else None
         return self.noted(job, reply) if reply is not None else await self.status_stored(job)
 
     def noted(self, job: str, answer: Answer) -> Answer:
@@ -677,7 +681,7 @@
 
         A job about which nothing is answered counts as forgotten, whatever else works: said, and seldom.
         """
-        ended = self.node.replica.ended.get(job)
+        ended = self.core.replica.ended.get(job)
         if ended is not None:
             answer = 200, wire.job_status_body(job, ended.value, 0, 0), []
         if answer[0] != 503:
@@ -701,37 +705,41 @@
         except _TROUBLE:
             self.store_trouble()
             return later("the state service is out of reach")
-        if row is None and self.node.known(job):
+        if row is None and self.core.knows_job(job):
             return later("stored a moment ago")  # read before that, and its user may have been told since
         if row is None:
             return 404, wire.error_body("no such job"), []
         record = _record.decode(row.data)
         if record.state is not JobState.ACTIVE:
             return 200, wire.job_status_body(job, record.state.value, 0, 0), []
-        if record.spec is not None and (record.spec.needs or record.more) and not self.node.surely_pending(job, now()):
+        if (
+            record.spec is not None
+            and (record.spec.needs or record.more)
+            and not self.core.is_certainly_pending(job, now())
+        ):
             return later("not known here yet")  # a job before it may be aborted, and others may have told so
         return 200, wire.job_status_body(job, "pending", sum(b - a for a, b in record.done), 0), []
 
     async def withdraw(self, job: str) -> Answer:
         if not wire.JOB_ID.match(job):
             return 404, wire.error_body("no such job"), []
-        home = self.node.home_of(job)
-        if home == self.node.me or job in self.node.replica.ended:
+        owner = self.core.job_owner(job)
+        if owner == self.core.me or job in self.core.replica.ended:
             return await self.withdraw_here(job)
-        if home:
-            return await self.ask(home, "withdraw", job) or later("the job's controller is out of reach")
+        if owner:
+            return await self.ask(owner, "withdraw", job) or later("the job's controller is out of reach")
         stored = await self.status_stored(job)
         return stored if stored[0] != 200 else later("not known here yet")
 
     async def withdraw_here(self, job: str) -> Answer:
-        state = self.node.withdraw(job, now())
+        state = self.core.cancel(job, now())
         if state is None:
             return later("not entitled")
         if not state:
             await self.after()
             if not await self.wait_for(job, c.SUBMIT_WAIT_S):
                 return later("the state service is slow")
-            state = self.node.replica.ended[job].value
+            state = self.core.replica.ended[job].value
         return 200, wire.accepted_body(job, state), []
 
     # -- questions between controllers
@@ -740,7 +748,7 @@
         self.ask_count += 1
         number, event, replies = self.ask_count, curio.Event(), []
         self.asks[number] = (event, replies)
-        self.node.tell(label, m.JobQuery(number, what, job))
+        self.core.send_unreliable(label, m.JobQuery(number, what, job))
         await self.after()
         try:
             await curio.timeout_after(c.ASK_S if what == "status" else c.SUBMIT_WAIT_S, event.wait)
@@ -755,13 +763,13 @@
 
     def answer_status(self, label: str, ask: m.JobQuery) -> None:
         """From memory, so nothing has to wait for it."""
-        state = self.node.state_here(ask.job, now())
+        state = self.core.local_job_state(ask.job, now())
         status, body = (503, b"") if state is None else (200, wire.job_status_body(ask.job, *state))
-        self.node.tell(label, m.JobQueryReply(ask.query_id, status, body))
+        self.core.send_unreliable(label, m.JobQueryReply(ask.query_id, status, body))
 
     async def answer_ask(self, label: str, ask: m.JobQuery) -> None:
         status, body, _ = await self.withdraw_here(ask.job)
-        self.node.tell(label, m.JobQueryReply(ask.query_id, status, body))
+        self.core.send_unreliable(label, m.JobQueryReply(ask.query_id, status, body))
         await self.after()
 
 
--- a/alderbridge/node.py
+++ b/alderbridge/core.py
@@ -31,20 +31,20 @@
 from .hours.declaration import Text as Hours
 from .hours.gate import Gate
 from .hours.timetable import NEVER
-from .jobs import Home, Job, JobState, Record
+from .jobs import Job, JobShard, JobState, Record
 from .leader import Leader
-from .machines import Machine, Part
-from .queues import Form, OfferBook, Round, SenderClock, Snapshot, Teller
+from .machines import Machine, MachineShard
+from .queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
 from .replica import Replica, list_keys
-from .shares import StoreShare
+from .shares import WriteRateLimit
 from .store import JOBS, LISTS, MACHINES, MEMBERS, VIEW
 from .urgency import Rules, Text
-from .view import Membership, Standing, View
+from .view import Membership, MemberStatus, View
 
 if TYPE_CHECKING:
     from .lending import Lender
 
-log = logging.getLogger("node")
+log = logging.getLogger("core")
 
 
 def _nothing_lent(row: m.QueueRow, spec: wire.JobSpec) -> int:
@@ -79,7 +79,7 @@
 
 
 @dataclass
-class Batch:
+class WriteBatch:
     """One transaction, and whose records it carries."""
 
     fencing_token: int
@@ -87,20 +87,20 @@
     puts: dict[str, object] = field(default_factory=dict)
     drops: list[str] = field(default_factory=list)
     jobs: list[tuple[Job, Record, list[tuple[str, int, int]]]] = field(default_factory=list)
-    fresh: list[tuple[Submission, Record]] = field(default_factory=list)
+    submissions: list[tuple[Submission, Record]] = field(default_factory=list)
     machines: list[str] = field(default_factory=list)
-    gone: list[str] = field(default_factory=list)
+    dropped_machines: list[str] = field(default_factory=list)
     lists: list[tuple[Submission, str]] = field(default_factory=list)
-    old_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
+    dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
     proposal: Proposal | None = None  # then nothing else
     claims: Transaction | None = None  # then nothing else is in it
 
     @property
     def changes(self) -> int:
-        return len(self.puts) + max(len(self.gone), len(self.drops))
+        return len(self.puts) + max(len(self.dropped_machines), len(self.drops))
 
 
-class Node:
+class ControllerCore:
     def __init__(
         self,
         platform: Platform,
@@ -123,62 +123,67 @@
         self.declared = Declarations(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
-        self.home = Home(shared.teams, self.send, int(self.limits.value_kb * 1024))
-        self.home.part_of = self.membership.part_of
-        self.part = Part(
-            self.me, shared.workers.lease_s, self.send, self.spec_of, self.home_of, rng or Random(platform.label)
+        self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
+        self.job_shard.machine_owner = self.membership.machine_owner
+        self.machine_shard = MachineShard(
+            self.me, shared.workers.lease_s, self.send, self.spec_of, self.job_owner, rng or Random(platform.label)
         )
-        self.part.processed_seq_of = self.processed_seq_of
-        self.part.cancelled, self.part.keep_record = self.cancelled, self.keep_record
-        self.part.send_later = self.home.send_later = self.send_later
+        self.machine_shard.processed_seq_of = self.processed_seq_of
+        self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
+        self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
         self.busy: placement.Busy | None = None  # made when first asked for in a round
-        self.kept: tuple[str, float] = ("", float("-inf"))  # machine whose room is kept, and when last for something
+        self.reserved_machine: tuple[str, float] = (
+            "",
+            float("-inf"),
+        )  # machine whose room is kept, and when last for something
         self.leader = Leader(
             shared.teams, shared.zones, tuning, self.replica, shared.cloud.list_lag_s, shared.workers.lease_s
         )
-        self.ledger, self.desk = self.replica.ledger, Desk(self.leader, self.replica.ledger)
+        self.ledger, self.preemption_planner = self.replica.ledger, Desk(self.leader, self.replica.ledger)
         self.priorities: Callable[[float], list[Text]] = lambda now: self.declared.in_force("priorities", now)
         self.rules = Rules([])
         self.lendings: Callable[[float], list] = lambda now: self.declared.in_force("lending", now)
         self.lender: Lender | None = None
-        self.held_gpus: dict[str, float] = {}  # machine -> GPUs that lending work leaves free, as the leader told last
-        self.held_until = self.kept_at = float("-inf")
-        self.claim_takes: dict[str, tuple[int, int]] = {}  # machine -> its claim's stamp, tasks asked for its room
+        self.reserved_gpus: dict[
+            str, float
+        ] = {}  # machine -> GPUs that lending work leaves free, as the leader told last
+        self.reserved_gpus_until = self.kept_at = float("-inf")
+        self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> its claim's stamp, tasks asked for its room
         self.channels = {peer.label: m.Channel(self.me) for peer in platform.peers}
         self.inbox: deque[tuple[int, m.Message]] = deque()
-        self.later: dict[str, list[m.Message]] = {}  # before the next message there, or in the next round
-        self.local_sent = self.local_done = 0
+        self.deferred: dict[str, list[m.Message]] = {}  # before the next message there, or in the next round
+        self.local_seq = self.local_processed_seq = 0
         self.now = now
         self.loaded = False
         self.entered_lease_id = 0  # the permit under which home and part were last built
-        self.inside = False  # home, part and channels were built for the view as of one of its members
+        self.is_member = False  # home, part and channels were built for the view as of one of its members
         self.types: dict[str, wire.MachineType] = {}
         self.offer_book = OfferBook(self.spec_of)
         self.offers = self.offer_book.offers
         self.submissions: dict[str, Submission] = {}
-        self.dropping: list[str] = []  # machines whose records go
-        self.claims_wait = False  # the last transaction of claims failed: what else is due goes first, once
-        self.drops_sent: set[str] = set()  # machines whose drop was sent, and that were not recorded since
-        self.dropping_lists: list[str] = []  # keys of lists whose jobs are over
+        self.machine_records_to_drop: list[str] = []  # machines whose records go
+        self.claims_deferred = False  # the last transaction of claims failed: what else is due goes first, once
+        self.drops_in_flight: set[str] = set()  # machines whose drop was sent, and that were not recorded since
+        self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
         self.doomed_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
-        self.wall = 0.0  # time of day less ``now``
-        self.hours: Gate | None = None  # None: nothing is declared
-        self.most_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
-        self.fresh = False  # a submission has come since the last look for what to write
+        self.wall_offset_s = 0.0  # time of day less ``now``
+        self.calendars: Gate | None = None  # None: nothing is declared
+        self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
+        self.has_new_submission = False  # a submission has come since the last look for what to write
         # Until a view says who else writes, all controllers share what the store takes.
-        self.store_share = StoreShare(self.limits.write_rps * c.BUDGET_SHARE, len(self.labels), now)
-        self.room_at = 0.0
+        self.write_rate_limit = WriteRateLimit(self.limits.write_rps * c.BUDGET_SHARE, len(self.labels), now)
+        self.machines_reported_at = 0.0
         self.guaranteed_at, self.guaranteed_jobs = float("-inf"), set()
         self.entered_at = now  # when the view arrived here
         # left for the controller
-        self.outgoing: list[tuple[str, m.Frame]] = []
-        self.teller = Teller(self.me)
+        self.outgoing_frames: list[tuple[str, m.Frame]] = []
+        self.queue_publisher = QueuePublisher(self.me)
         self.sender_clocks: dict[str, SenderClock] = {}
-        self.renewals: list[str] = []  # peers to be connected anew
-        self.questions: deque[tuple[str, m.JobQuery]] = deque()
-        self.replies: deque[m.JobQueryReply] = deque()
+        self.channel_renewals: list[str] = []  # peers to be connected anew
+        self.queries: deque[tuple[str, m.JobQuery]] = deque()
+        self.query_replies: deque[m.JobQueryReply] = deque()
         # submissions decided, jobs whose end is stored, machines that have all grants they asked for
-        self.news: deque[Submission | str | Machine] = deque()
+        self.notifications: deque[Submission | str | Machine] = deque()
 
     # -- small questions ---------------------------------------------------
 
@@ -186,7 +191,7 @@
         return self.loaded and self.membership.may_act(self.now)
 
     def spec_of(self, job: str) -> wire.JobSpec | None:
-        known = self.home.jobs.get(job)
+        known = self.job_shard.jobs.get(job)
         if known is not None:
             return known.spec
         stored = self.replica.active.get(job)
@@ -196,14 +201,14 @@
         """Whether the store says so, as far as it has been read here: never taken back."""
         return self.replica.ended.get(job) is JobState.ABORTED
 
-    def home_of(self, job: str) -> str:
-        if job in self.home.jobs:
+    def job_owner(self, job: str) -> str:
+        if job in self.job_shard.jobs:
             return self.me
-        label = self.replica.home_label(job)
-        return self.membership.home_of(label) if label else ""
+        label = self.replica.accepted_by(job)
+        return self.membership.job_owner(label) if label else ""
 
     def processed_seq_of(self, label: str) -> int:
-        return self.local_done if label == self.me else self.channels[label].received
+        return self.local_processed_seq if label == self.me else self.channels[label].received
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
         needed = self.graph.needed_by(job.spec.id)
@@ -217,7 +222,7 @@
                     self.shared.objectives,
                     guaranteed,
                     job.arrived - job.submitted,
-                    [by - self.wall - job.arrived for by in needed],
+                    [by - self.wall_offset_s - job.arrived for by in needed],
                 ),
             )
             if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
@@ -225,20 +230,20 @@
                 job.queue_times = basis, [(floor, floor)]
         return policy.due_in(now - job.arrived, job.queue_times[1])
 
-    def follow_hours(self) -> None:
+    def refresh_calendars(self) -> None:
         """Texts come into force with what arrives, and with time."""
         if "hours" in self.declared.kinds:
-            self.declare_hours(self.declared.in_force("hours", self.now))
+            self.apply_calendars(self.declared.in_force("hours", self.now))
 
-    def declare_hours(self, texts: list[Hours]) -> None:
+    def apply_calendars(self, texts: list[Hours]) -> None:
         """The texts of hours that hold now, all of them: the one in force, and one that is about to be."""
-        if self.hours is not None:
+        if self.calendars is not None:
             texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
-        if texts != (self.hours.texts if self.hours is not None else []):
+        if texts != (self.calendars.texts if self.calendars is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.shared.skew_ms / 1000 + c.CLOCK_DRIFT * self.membership.store_lease.ttl_s
-            self.hours = Gate(texts, lambda: self.now + self.wall, skew, self.rank)
-            self.home.hours = self.part.hours = self.hours
+            self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
+            self.job_shard.calendars = self.machine_shard.calendars = self.calendars
             log.info("hours state=hold texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts))
 
     def rank(self, spec: wire.JobSpec) -> int:
@@ -249,44 +254,44 @@
     def run_time(self, spec: wire.JobSpec) -> float:
         return policy.expected_run_time(spec, self.tuning)
 
-    def known(self, job: str) -> bool:
-        return job in self.replica.ended or job in self.replica.active or job in self.home.jobs
+    def knows_job(self, job: str) -> bool:
+        return job in self.replica.ended or job in self.replica.active or job in self.job_shard.jobs
 
     # -- messages ------------------------------------------------------------
 
     def send(self, label: str, body: m.Message) -> int:
         """A message that must arrive; its number in the channel to that member."""
         if label == self.me:
-            self.local_sent += 1
-            self.inbox.append((self.local_sent, body))
-            return self.local_sent
+            self.local_seq += 1
+            self.inbox.append((self.local_seq, body))
+            return self.local_seq
         channel = self.channels.get(label)
         if channel is None:
             return 0
-        if label in self.later:
-            self.send_held(label)
+        if label in self.deferred:
+            self.flush_deferred(label)
         frame = channel.post(body, self.now)
-        self.outgoing.append((label, frame))
+        self.outgoing_frames.append((label, frame))
         return frame.seq
 
-    def send_later(self, label: str, body: m.Message) -> int:
+    def send_deferred(self, label: str, body: m.Message) -> int:
         """One that must arrive, and may wait for company: a write for each wakes the peer, which costs more than it."""
         if label == self.me:
             return self.send(label, body)
         if label in self.channels:
-            self.later.setdefault(label, []).append(body)
+            self.deferred.setdefault(label, []).append(body)
         return 0
 
-    def send_held(self, label: str) -> None:
+    def flush_deferred(self, label: str) -> None:
         channel = self.channels[label]
-        self.outgoing += [(label, channel.post(body, self.now)) for body in self.later.pop(label, ())]
+        self.outgoing_frames += [(label, channel.post(body, self.now)) for body in self.deferred.pop(label, ())]
 
-    def tell(self, label: str, body: m.Message) -> None:
+    def send_unreliable(self, label: str, body: m.Message) -> None:
         """A message that may be lost."""
         if label == self.me:
             self.dispatch(label, body)
         elif label in self.channels:
-            self.outgoing.append((label, self.channels[label].tell(body)))
+            self.outgoing_frames.append((label, self.channels[label].post_unreliable(body)))
 
     def on_frame(self, frame: m.Frame, now: float) -> None:
         self.now = now
@@ -294,51 +299,51 @@
         if channel is None:
             return
         body = None
-        if frame.fencing_token != membership.fencing_token or membership.contact.takes(frame.sender):
-            if membership.standing(now) is Standing.OUTSIDE:
-                self.inside = False  # its hold is lost: its acknowledgement would count for who it was
-            if self.inside or isinstance(frame.body, m.JobQuery | m.JobQueryReply):
+        if frame.fencing_token != membership.fencing_token or membership.failure_detector.accepts(frame.sender):
+            if membership.status(now) is MemberStatus.OUTSIDE:
+                self.is_member = False  # its hold is lost: its acknowledgement would count for who it was
+            if self.is_member or isinstance(frame.body, m.JobQuery | m.JobQueryReply):
                 body = channel.receive(frame, now)
             else:
                 # What the view's members say is meant for an earlier life of this label, which acknowledgements do not
                 # tell from this one. Taken, the home of that life, empty here, had the peers' machines halt all that it
                 # ran, and clear results that were not stored (docs/incidents/former-life.md).
-                channel.hear(frame)
+                channel.observe_view(frame)
             if frame.fencing_token == membership.fencing_token:
-                self.hear(frame, channel.acked_at, now)
+                self.observe_frame(frame, channel.acked_at, now)
         if body is not None:
             self.dispatch(frame.sender, body)
             self.pump()
 
-    def hear(self, frame: m.Frame, acked_at: float, now: float) -> None:
+    def observe_frame(self, frame: m.Frame, acked_at: float, now: float) -> None:
         """A frame under this mandate: whose sender may have restarted, and know nothing of whom it had given up."""
-        contact = self.membership.contact
-        contact.avoided.discard(frame.sender)
+        failure_detector = self.membership.failure_detector
+        failure_detector.excluded.discard(frame.sender)
         if frame.sender_lease_id and frame.sender_lease_id == self.membership.view.members.get(frame.sender):
-            contact.hear(frame.sender, acked_at, now)
+            failure_detector.record_frame(frame.sender, acked_at, now)
             if isinstance(frame.body, m.QueueSnapshot | m.PeerStatus):
-                contact.told(frame.sender, frame.body.suspected, frame.body.failed)
+                failure_detector.record_peer_report(frame.sender, frame.body.suspected, frame.body.failed)
 
     def pump(self) -> None:
         """Deliver messages to this controller itself, until none is left."""
         while self.inbox:
             seq, body = self.inbox.popleft()
-            self.local_done = seq
+            self.local_processed_seq = seq
             self.dispatch(self.me, body)
 
     def dispatch(self, label: str, body: m.Message) -> None:
         match body:
             case m.MachineTaskReport():
-                self.home.on_seen(label, body, self.now)
+                self.job_shard.on_seen(label, body, self.now)
             case m.AcknowledgeFinished():
-                self.part.on_clear(body.machine, body.job, body.index, body.attempt)
+                self.machine_shard.on_clear(body.machine, body.job, body.index, body.attempt)
             case m.TaskRequest():
-                self.home.on_take(label, body, self.now, self.may_act())
-                self.teller.publisher.tell_again(label, body.job)
+                self.job_shard.on_take(label, body, self.now, self.may_act())
+                self.queue_publisher.delta_tracker.tell_again(label, body.job)
             case m.TaskGrant():
-                machine = self.part.on_grant(label, body, self.now)
+                machine = self.machine_shard.on_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
-                    self.news.append(machine)
+                    self.notifications.append(machine)
             case m.QueueSnapshot():
                 self.on_queue(label, body)
             case m.QueueDelta():
@@ -346,38 +351,38 @@
             case m.TeamUsageDelta():
                 self.leader.on_team_changes(label, body)
             case m.PeerStatus():
-                self.store_share.peer_told(label, body.changes, self.now)
+                self.write_rate_limit.record_peer_rate(label, body.changes, self.now)
             case m.MachineSummaries():
                 self.leader.on_room(label, body, self.now)
             case m.StopTask():
-                self.part.on_halt(body)
+                self.machine_shard.on_halt(body)
             case m.QuotaAllocation():
-                self.home.allot(body.teams)
+                self.job_shard.allot(body.teams)
             case m.QuotaDelta():
-                self.home.allot(body.teams, whole=False)
+                self.job_shard.allot(body.teams, whole=False)
             case m.DrainMachines():
-                self.part.drain(body.machines)
+                self.machine_shard.drain(body.machines)
             case m.MachinesTerminated():
-                self.dropping += self.part.on_gone(body.machines)
+                self.machine_records_to_drop += self.machine_shard.on_gone(body.machines)
             case m.ListMachineTasks():
-                sources = self.sources()
-                self.tell(
+                sources = self.preemption_policies()
+                self.send_unreliable(
                     label,
                     m.MachineTaskList(
-                        self.part.task_rows(
+                        self.machine_shard.task_rows(
                             self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
                         ),
                         True,
                     ),
                 )
             case m.GpuReservation():
-                self.held_gpus, self.held_until = body.gpus, self.now + c.LEND_KEEP_S
+                self.reserved_gpus, self.reserved_gpus_until = body.gpus, self.now + c.LEND_KEEP_S
             case m.MachineTaskList():
-                self.desk.on_tasks(label, body, self.now)
+                self.preemption_planner.on_tasks(label, body, self.now)
             case m.JobQuery():
-                self.questions.append((label, body))
+                self.queries.append((label, body))
             case m.JobQueryReply():
-                self.replies.append(body)
+                self.query_replies.append(body)
             case _:
                 pass
 
@@ -386,7 +391,7 @@
         self.offer_book.take_queue(label, queue, self.now)
         self.leader.on_queue(label, queue, self.now)
         if label != self.me:
-            self.store_share.peer_told(label, queue.changes, self.now)
+            self.write_rate_limit.record_peer_rate(label, queue.changes, self.now)
 
     def on_queue_changes(self, label: str, changes: m.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
@@ -397,39 +402,39 @@
 
     # -- view ------------------------------------------------------------------
 
-    def held(self, lease_id: int, sent_at: float, now: float) -> None:
+    def lease_acquired(self, lease_id: int, sent_at: float, now: float) -> None:
         """This process is that incarnation; its hold counts from ``sent_at``.
 
         The view that has it may have arrived before the store's answer. What was built for that view was an
         outsider's: acting on it, a home without its jobs halted all their tasks and served none until the next view.
         """
         self.now = now
-        self.membership.store_lease.renewed(lease_id, sent_at, now)
-        if not self.inside and self.membership.standing(now) is not Standing.OUTSIDE:
-            self.enter_view(now, now + self.wall)
+        self.membership.store_lease.record_renewal(lease_id, sent_at, now)
+        if not self.is_member and self.membership.status(now) is not MemberStatus.OUTSIDE:
+            self.enter_view(now, now + self.wall_offset_s)
 
-    def apply(self, changes: list[wire.WatchEvent], now: float, wall: float) -> None:
+    def apply_events(self, changes: list[wire.WatchEvent], now: float, wall: float) -> None:
         """Changes of the store, in order."""
-        self.now, self.wall = now, wall - now
+        self.now, self.wall_offset_s = now, wall - now
         shown: list[str] = []
         for change in changes:
             if self.replica.apply(change):
                 self.enter_view(now, wall)
             elif change.put is not None and change.put.startswith(JOBS):
-                self.take_in(change.put[len(JOBS) :])
+                self.adopt_late_record(change.put[len(JOBS) :])
             elif change.put is not None and change.put.startswith(MACHINES):
                 shown.append(change.put[len(MACHINES) :])
-        self.look_at_shown(shown)
-        self.follow_graph()
-        self.follow_declared()
+        self.observe_recorded_machines(shown)
+        self.process_dependency_events()
+        self.process_configuration()
 
-    def look_at_shown(self, names: Iterable[str]) -> None:
+    def observe_recorded_machines(self, names: Iterable[str]) -> None:
         """Records of machines that have arrived, some of them gone again."""
         for name in names:
-            if name in self.replica.machines and self.membership.part_of(name) == self.me:
-                self.part.on_shown(name)
+            if name in self.replica.machines and self.membership.machine_owner(name) == self.me:
+                self.machine_shard.on_shown(name)
 
-    def take_in(self, name: str) -> None:
+    def adopt_late_record(self, name: str) -> None:
         """A job that this process stored under this view and does not serve: its submission was given up meanwhile.
 
         Its transaction had no answer and was carried out late, after a refusal had ended the submission, or another
@@ -439,17 +444,17 @@
         record, revision = self.replica.active.get(name, (None, 0))
         if (
             record is None
-            or not self.inside
+            or not self.is_member
             or revision <= self.membership.fencing_token
-            or name in self.home.jobs
+            or name in self.job_shard.jobs
             or name in self.submissions
             or record.state is not JobState.ACTIVE
-            or self.membership.home_of(record.home) != self.me
+            or self.membership.job_owner(record.accepted_by) != self.me
         ):
             return
-        job = Job(record, revision, self.now, max(0.0, self.now + self.wall - record.at), fresh=True)
-        self.home.join(job)
-        self.place_in_graph(job)
+        job = Job(record, revision, self.now, max(0.0, self.now + self.wall_offset_s - record.at), fresh=True)
+        self.job_shard.join(job)
+        self.apply_dependencies(job)
         log.info("job=%s state=taken in cause=stored after its submission was given up", name)
 
     def load(
@@ -459,11 +464,11 @@
 
         Nothing is built on the rows before the changes have caught up with them.
         """
-        self.now, self.wall = now, wall - now
+        self.now, self.wall_offset_s = now, wall - now
         newer = False
         self.entered_lease_id = 0  # views may have passed unseen: nothing known under them holds any more
         self.replica.machines, self.replica.records = {}, {}
-        self.membership.present.clear()
+        self.membership.registered.clear()
         self.declared.reload()
         self.ledger.clear(revision)
         for row in sorted(rows, key=lambda row: not row.key.startswith(LISTS)):  # before the records that name them
@@ -475,12 +480,12 @@
             self.enter_view(now, wall)
         # Read anew after trouble with following: what was carried out late meanwhile is among the rows, no change.
         for name in list(self.replica.active):
-            self.take_in(name)
-        self.look_at_shown(self.replica.machines)
-        self.follow_graph()
-        self.follow_declared()
+            self.adopt_late_record(name)
+        self.observe_recorded_machines(self.replica.machines)
+        self.process_dependency_events()
+        self.process_configuration()
         if not self.types:
-            self.learn_types(self.replica.types)
+            self.set_machine_types(self.replica.types)
         self.loaded = True
         log.info("replica state=loaded epoch=%d jobs=%d", revision, len(self.replica.active))
 
@@ -490,22 +495,22 @@
         members = sorted(view.members)
         log.info("view mandate=%d leader=%s members=%s", fencing_token, view.leader, members)
         self.entered_at = now
-        inside = self.membership.standing(now) is not Standing.OUTSIDE
+        inside = self.membership.status(now) is not MemberStatus.OUTSIDE
         for channel in self.channels.values():
             channel.reset(fencing_token, now, self.membership.store_lease.lease_id if inside else 0)
         self.inbox.clear()
-        self.later.clear()
-        self.teller.enter()
+        self.deferred.clear()
+        self.queue_publisher.enter()
         self.offer_book.clear()
         self.sender_clocks.clear()
         continued = inside and self.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
-        old = self.home.jobs if continued else {}
+        old = self.job_shard.jobs if continued else {}
         self.entered_lease_id = self.membership.store_lease.lease_id if inside else 0
-        self.inside = inside
+        self.is_member = inside
         jobs: dict[str, Job] = {}
         if inside:
             for name, (record, revision) in self.replica.active.items():
-                if self.membership.home_of(record.home) == self.me:
+                if self.membership.job_owner(record.accepted_by) == self.me:
                     job = old.get(name)
                     if job is None:
                         # Every write asserts the view: what is not done here yet was not when the view changed,
@@ -513,38 +518,40 @@
                         waits = self.graph.waiting(name)
                         job = Job(record, revision, now, max(0.0, wall - record.at), fresh=waits)
                         job.inherited = True
-                        self.place_in_graph(job)
+                        self.apply_dependencies(job)
                     elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
                         # A write of its end had no answer, and was carried out: others may have told it. Taken for
                         # active until the view has settled, it was written so again, with the stamp of its end.
                         job.end(record.state)
                         job.stored_state = record.state
                         job.touch(now)
-                        self.news.append(name)
+                        self.notifications.append(name)
                     job.revision = max(job.revision, revision)
                     jobs[name] = job
         recorded = {name: self.replica.record(name) for name in self.replica.machines} if inside else {}
-        self.home.enter(fencing_token, jobs, recorded)
-        mine = {name: record for name, record in recorded.items() if self.membership.part_of(name) == self.me}
-        self.part.enter(
+        self.job_shard.enter(fencing_token, jobs, recorded)
+        mine = {name: record for name, record in recorded.items() if self.membership.machine_owner(name) == self.me}
+        self.machine_shard.enter(
             fencing_token,
             members if inside else [],
             mine,
             now,
             continued,
-            continued and self.membership.all_run(c.RECOVERY),
+            continued and self.membership.all_support(c.RECOVERY),
         )
         self.leader.enter(members, now)
-        self.store_share.enter(len(members), now)
+        self.write_rate_limit.enter(len(members), now)
         self.ledger.enter()
-        self.desk.enter(members)
-        self.dropping = [name for name in self.dropping if name in self.part.returned]
-        self.drops_sent.clear()  # under an older view: carried out before this one, or never
+        self.preemption_planner.enter(members)
+        self.machine_records_to_drop = [
+            name for name in self.machine_records_to_drop if name in self.machine_shard.returned
+        ]
+        self.drops_in_flight.clear()  # under an older view: carried out before this one, or never
         self.pump()
 
     # -- dependencies ----------------------------------------------------------
 
-    def place_in_graph(self, job: Job) -> None:
+    def apply_dependencies(self, job: Job) -> None:
         """Whether the job waits, from when its times count, or whether it is doomed."""
         name = job.spec.id
         if self.graph.waiting(name):
@@ -553,9 +560,9 @@
                 job.abort(self.now, "a job before it is aborted")
             return
         ready_at = max(job.ready_at, self.graph.ready_at(name))
-        job.release(min(self.now, ready_at - self.wall) if ready_at else job.submitted, ready_at)
+        job.release(min(self.now, ready_at - self.wall_offset_s) if ready_at else job.submitted, ready_at)
 
-    def follow_graph(self) -> None:
+    def process_dependency_events(self) -> None:
         """Facts of the store have arrived: who is ready now, who is doomed."""
         graph = self.graph
         ready, graph.fresh_ready = graph.fresh_ready, []
@@ -563,26 +570,29 @@
         for name in doomed:
             self.doomed_at[name] = self.now
         for name in ready + doomed:
-            job = self.home.jobs.get(name)
+            job = self.job_shard.jobs.get(name)
             if job is not None:
-                self.place_in_graph(job)
+                self.apply_dependencies(job)
         if len(self.doomed_at) > 2 * len(graph.doomed):
             self.doomed_at = {name: at for name, at in self.doomed_at.items() if name in graph.doomed}
 
-    def follow_declared(self) -> None:
+    def process_configuration(self) -> None:
         """What operators declare has arrived, or something in the store that counts can't be read here."""
         if self.declared.changed:
             self.declared.look(self.now)
         if self.declared.unreadable:
-            self.membership.unread()
-        self.follow_hours()
+            self.membership.mark_unreadable()
+        self.refresh_calendars()
 
     def next_view(self, now: float) -> tuple[View, dict[str, int], list[str]] | None:
         """The change of view to try, with the stamps to assert and the keys of members that are removed."""
-        change = self.membership.next_view(now, self.most_changes - 1) if self.loaded else None
+        change = self.membership.next_view(now, self.max_changes - 1) if self.loaded else None
         if change is None:
             return None
-        view, revisions = self.membership.loosely(change[0], self.home.settled and self.inside), change[1]
+        view, revisions = (
+            self.membership.mark_quorum_overlap(change[0], self.job_shard.settled and self.is_member),
+            change[1],
+        )
         drops = [MEMBERS + label for label, revision in revisions.items() if revision and label not in view.members]
         return (
             view,
@@ -592,38 +602,38 @@
 
     # -- records -------------------------------------------------------------------
 
-    def next_batch(self, now: float) -> Batch | None:
+    def next_batch(self, now: float) -> WriteBatch | None:
         """One transaction of what is due, most urgent first, within the write budget."""
         self.now = now
         if not self.may_act():
             return None
         # Users wait for submissions and ends: these may run ahead of an equal share of the changes. The store
         # allows bursts of a second's worth, and what is not urgent pays it back.
-        budget = self.store_share.budget
+        budget = self.write_rate_limit.budget
         available = budget.available(now)
-        room = min(self.most_changes, int(available + c.AHEAD_SHARE * budget.burst))
+        room = min(self.max_changes, int(available + c.AHEAD_SHARE * budget.burst))
         plain = min(room, int(max(0.0, available)))
-        self.fresh = False
+        self.has_new_submission = False
         if room < 1:
             return None
-        batch = Batch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
+        batch = WriteBatch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
         # Claims in doubt meet a conflict until the replica shows them. Tried again and again before all else, they kept
         # the leader's ends, marks and submissions waiting for as long as its watch hung.
-        waits, self.claims_wait = self.claims_wait, False
-        if not waits and not self.ledger.idle and self.membership.leads(now):
-            batch.claims = self.ledger.due(now + self.wall, room, self.home.value_bytes)
+        waits, self.claims_deferred = self.claims_deferred, False
+        if not waits and not self.ledger.idle and self.membership.is_leader(now):
+            batch.claims = self.ledger.due(now + self.wall_offset_s, room, self.job_shard.value_bytes)
             if batch.claims is not None:
                 batch.conditions |= batch.claims.conditions
                 batch.puts, batch.drops = batch.claims.puts, batch.claims.drops
-                self.store_share.spend(batch.changes, self.now)
+                self.write_rate_limit.spend(batch.changes, self.now)
                 return batch
-        if drops := self.part.drops_due(now):
-            self.dropping = list(dict.fromkeys(self.dropping + drops))
-            self.part.to_drop = [name for name in self.part.to_drop if name not in drops]
-        due = sorted(self.home.due_writes(now), key=lambda entry: entry[0])
+        if drops := self.machine_shard.drops_due(now):
+            self.machine_records_to_drop = list(dict.fromkeys(self.machine_records_to_drop + drops))
+            self.machine_shard.to_drop = [name for name in self.machine_shard.to_drop if name not in drops]
+        due = sorted(self.job_shard.due_writes(now), key=lambda entry: entry[0])
         queue: list[Job | Submission] = [job for rank, job in due if rank < 2.0]
         if len(queue) + len(self.submissions) > room:
-            self.store_share.short = True
+            self.write_rate_limit.is_short = True
             # Who has waited longest goes first. Ends before all submissions had users wait for as long as ends alone
             # took all the changes; and small jobs end as fast as they are taken.
             waited = [(job.changed_at if job.changed_at is not None else now, job) for job in queue]
@@ -634,22 +644,26 @@
         if (
             not queue
             and plain
-            and (proposal := self.declared.due(self.membership, now, now + self.wall, plain, self.home.value_bytes))
+            and (
+                proposal := self.declared.due(
+                    self.membership, now, now + self.wall_offset_s, plain, self.job_shard.value_bytes
+                )
+            )
             is not None
         ):
             batch.proposal, batch.puts, batch.drops = proposal, proposal.puts, proposal.drops
             batch.conditions |= proposal.conditions
-            self.store_share.spend(batch.changes, self.now)
+            self.write_rate_limit.spend(batch.changes, self.now)
             return batch
-        for name in [name for name in self.part.to_record if name not in self.dropping][:plain]:
+        for name in [name for name in self.machine_shard.to_record if name not in self.machine_records_to_drop][:plain]:
             batch.machines.append(name)
             batch.conditions[MACHINES + name] = 0
-            batch.puts[MACHINES + name] = self.part.machines[name].record
+            batch.puts[MACHINES + name] = self.machine_shard.machines[name].record
         # Before the progress of running jobs, which alone may take all of the budget for as long as the fleet is busy:
         # each record left behind by a machine that is gone holds up the inherited tasks of every later view.
         urgent = len(queue)
         left = min((plain - len(batch.machines) + 1) // 2, room - len(batch.machines) - urgent)
-        batch.gone = self.dropping[: max(0, left)]
+        batch.dropped_machines = self.machine_records_to_drop[: max(0, left)]
         queue += [job for rank, job in due if rank >= 2.0]
         size = 0
         for number, entry in enumerate(queue):
@@ -665,133 +679,135 @@
                     batch.puts[key] = names
                     # Carried out late, it must not come back when the job is over and its lists are dropped.
                     batch.conditions[JOBS + job.spec.id] = 0
-                    size += self.home.value_bytes
+                    size += self.job_shard.value_bytes
                 if entry.lists:
                     continue  # its record follows when they are stored
-                if any(self.is_doomed(need) for need in self.needs_of(job)):
+                if any(self.is_cascade_aborted(need) for need in self.dependencies_of(job)):
                     job.abort(now, "it needs an aborted job")
-            record = job.record(self.home.value_bytes, self.home.may_end(job))
+            record = job.record(self.job_shard.value_bytes, self.job_shard.may_end(job))
             size += len(msgspec.json.encode(record)) + 100
             if size > c.MAX_BODY * 3 // 4 and batch.puts:
                 break
             batch.conditions[JOBS + job.spec.id] = job.revision
             batch.puts[JOBS + job.spec.id] = record
             if isinstance(entry, Submission):
-                batch.fresh.append((entry, record))
+                batch.submissions.append((entry, record))
             else:
                 job.changed_at = None
                 batch.jobs.append((job, record, list(job.to_clear)))
-        batch.gone = self.dropping[: len(batch.gone) + max(0, plain - batch.changes)]
-        batch.drops = [MACHINES + name for name in batch.gone]
-        self.drops_sent.update(batch.gone)
+        batch.dropped_machines = self.machine_records_to_drop[
+            : len(batch.dropped_machines) + max(0, plain - batch.changes)
+        ]
+        batch.drops = [MACHINES + name for name in batch.dropped_machines]
+        self.drops_in_flight.update(batch.dropped_machines)
         # Carried out late, a drop must not hit a record that has been written again since.
-        batch.conditions |= {MACHINES + name: self.replica.machines.get(name, 0) for name in batch.gone}
+        batch.conditions |= {MACHINES + name: self.replica.machines.get(name, 0) for name in batch.dropped_machines}
         if batch.changes < plain:
             count = plain - batch.changes
-            batch.old_lists = self.dropping_lists[:count]
-            batch.drops += batch.old_lists  # nobody reads them: to drop them twice, or late, takes nothing away
-            del self.dropping_lists[:count]
+            batch.dropped_lists = self.lists_to_drop[:count]
+            batch.drops += batch.dropped_lists  # nobody reads them: to drop them twice, or late, takes nothing away
+            del self.lists_to_drop[:count]
         if not batch.changes:
             return None
-        self.store_share.spend(batch.changes, self.now)
+        self.write_rate_limit.spend(batch.changes, self.now)
         return batch
 
     def nothing_to_write(self) -> bool:
         """Whether nothing has come since the last look that found nothing, or nothing affordable, to write."""
         return not (
-            self.fresh
-            or self.home.tally.changed
-            or self.part.to_record
-            or self.part.drops_due(self.now)
-            or self.dropping
-            or self.dropping_lists
+            self.has_new_submission
+            or self.job_shard.tally.changed
+            or self.machine_shard.to_record
+            or self.machine_shard.drops_due(self.now)
+            or self.machine_records_to_drop
+            or self.lists_to_drop
             or not self.ledger.idle
         )
 
     def next_write_in(self, now: float) -> float:
         """How long a look for what to write can wait, in seconds, if nothing comes."""
-        budget = self.store_share.budget
+        budget = self.write_rate_limit.budget
         available = budget.available(now)
         ahead = available + c.AHEAD_SHARE * budget.burst
-        pause = min(c.ROUND_S, self.home.due_at - now)
+        pause = min(c.ROUND_S, self.job_shard.due_at - now)
         if ahead < 1:
             pause = min(c.ROUND_S, (1 - ahead) / budget.rate)
         elif available < 1:
             pause = min(pause, (1 - available) / budget.rate)
         return max(c.WRITER_PAUSE_S, pause)
 
-    def batch_failed(self, batch: Batch, now: float) -> None:
+    def on_batch_failed(self, batch: WriteBatch, now: float) -> None:
         """Refused, in conflict, or without an answer: all of it is due again."""
         for job, _, _ in batch.jobs:
             job.touch(now)
-        self.dropping_lists += batch.old_lists
-        batch.old_lists = []  # once: a conflict that can't be read fails again
+        self.lists_to_drop += batch.dropped_lists
+        batch.dropped_lists = []  # once: a conflict that can't be read fails again
         if batch.proposal is not None:
             self.declared.failed(batch.proposal, now)
         if batch.claims is not None:
             self.ledger.failed(batch.claims)
-            self.claims_wait = True
+            self.claims_deferred = True
 
-    def batch_too_large(self, batch: Batch, now: float) -> None:
+    def on_batch_too_large(self, batch: WriteBatch, now: float) -> None:
         """The store takes less than the settings said: the same again would never be carried out."""
-        self.batch_failed(batch, now)
+        self.on_batch_failed(batch, now)
         if batch.changes > 1:
-            self.most_changes = max(1, batch.changes // 2)
+            self.max_changes = max(1, batch.changes // 2)
             return
-        self.value_too_large(max((len(msgspec.json.encode(value)) for value in batch.puts.values()), default=0))
-        for submission in [one for one, _ in batch.fresh] + [one for one, _ in batch.lists]:
+        self.reduce_value_limit(max((len(msgspec.json.encode(value)) for value in batch.puts.values()), default=0))
+        for submission in [one for one, _ in batch.submissions] + [one for one, _ in batch.lists]:
             if self.submissions.get(submission.job.spec.id) is submission:
-                self._settle(submission, "too long")
+                self._decide_submission(submission, "too long")
 
     def refuse_submissions(self) -> None:
         """The store carries nothing out: who waits is told at once, and asks again later."""
         for submission in list(self.submissions.values()):
-            self._settle(submission, "refused")
+            self._decide_submission(submission, "refused")
 
-    def value_too_large(self, size: int) -> None:
-        self.home.value_bytes = min(self.home.value_bytes, max(c.LEAST_VALUE, size * 3 // 4))
+    def reduce_value_limit(self, size: int) -> None:
+        self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(c.LEAST_VALUE, size * 3 // 4))
         log.error(
-            "store state=takes less cause=400 values=%d bytes changes=%d", self.home.value_bytes, self.most_changes
+            "store state=takes less cause=400 values=%d bytes changes=%d", self.job_shard.value_bytes, self.max_changes
         )
 
-    def batch_done(self, batch: Batch, revision: int, now: float) -> None:
+    def on_batch_written(self, batch: WriteBatch, revision: int, now: float) -> None:
         self.now = now
         current = batch.fencing_token == self.membership.fencing_token
         if batch.proposal is not None:
             self.declared.done(batch.proposal, revision, now)
         if batch.claims is not None:
             self.ledger.done(batch.claims, revision)
-        for name in batch.gone:
+        for name in batch.dropped_machines:
             if not self._written_since(name, batch):
                 self._dropped(name)
         for name in batch.machines if current else ():
             self._recorded(name, revision)
         for job, record, cleared in batch.jobs:
-            if self.home.jobs.get(job.spec.id) is job:
-                self.home.written(job, record, revision, cleared, now)
+            if self.job_shard.jobs.get(job.spec.id) is job:
+                self.job_shard.written(job, record, revision, cleared, now)
             self._stored(job, record, revision)
         for submission, key in batch.lists:
             self.replica.lists[key] = submission.lists.pop(key, [])
-        for submission, record in batch.fresh:
+        for submission, record in batch.submissions:
             job = submission.job
             job.revision = revision
             self.replica.saw_job(job.spec.id, record, revision)
             if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its home
-                self.home.join(job)
-                self.place_in_graph(job)
-            self._settle(submission, "accepted")
-        self.follow_graph()
+                self.job_shard.join(job)
+                self.apply_dependencies(job)
+            self._decide_submission(submission, "accepted")
+        self.process_dependency_events()
         self.pump()
 
     def _stored(self, job: Job, record: Record, revision: int) -> None:
         self.replica.saw_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
-            self.news.append(job.spec.id)
+            self.notifications.append(job.spec.id)
         if job.more and not record.more:  # from here on nobody reads them
-            self.dropping_lists += list_keys(job.spec.id, job.more)
+            self.lists_to_drop += list_keys(job.spec.id, job.more)
             job.more = ""
-        if job.drained and self.home.jobs.get(job.spec.id) is job:
-            self.home.leave(job)
+        if job.drained and self.job_shard.jobs.get(job.spec.id) is job:
+            self.job_shard.leave(job)
 
     def _recorded(self, name: str, revision: int) -> None:
         """Under the view in force: what was written under an older one the replica had when that ended.
@@ -800,10 +816,10 @@
         later views, from which no part would ever strike it.
         """
         self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
-        self.drops_sent.discard(name)  # all of them are settled, or assert an older record
-        self.part.on_recorded(name)
+        self.drops_in_flight.discard(name)  # all of them are settled, or assert an older record
+        self.machine_shard.on_recorded(name)
 
-    def _written_since(self, name: str, batch: Batch) -> bool:
+    def _written_since(self, name: str, batch: WriteBatch) -> bool:
         """Whether the replica has a newer record than the one that the batch was to drop.
 
         An answer may come after the next view, whose part has recorded the machine anew. Taken for unrecorded, what
@@ -814,7 +830,7 @@
     def _dropped(self, name: str) -> None:
         self.replica.machines.pop(name, None)
         self.replica.records.pop(name, None)
-        self.dropping = [other for other in self.dropping if other != name]
+        self.machine_records_to_drop = [other for other in self.machine_records_to_drop if other != name]
 
     def keep_record(self, name: str) -> bool:
         """A machine that lapsed is back: its record stays where it is, if no drop of it was ever sent under this view.
@@ -823,13 +839,15 @@
         have to arrive in the replica, which shows the record until then: taken for recorded by that, the machine ran
         tasks that no later view waited for (docs/incidents/record-shown-late.md). So only a newer put is an answer.
         """
-        if name in self.drops_sent or not (name in self.part.to_drop or name in self.dropping):
+        if name in self.drops_in_flight or not (
+            name in self.machine_shard.to_drop or name in self.machine_records_to_drop
+        ):
             return False
-        self.part.to_drop = [other for other in self.part.to_drop if other != name]
-        self.dropping = [other for other in self.dropping if other != name]
+        self.machine_shard.to_drop = [other for other in self.machine_shard.to_drop if other != name]
+        self.machine_records_to_drop = [other for other in self.machine_records_to_drop if other != name]
         return True
 
-    def reread(self, batch: Batch, key: str, row: wire.KeyValue | None, now: float) -> None:
+    def resolve_conflict(self, batch: WriteBatch, key: str, row: wire.KeyValue | None, now: float) -> None:
         """What the store holds under a key whose condition failed: decide anew."""
         self.now = now
         current = batch.fencing_token == self.membership.fencing_token
@@ -838,12 +856,12 @@
         if key.startswith(MACHINES):
             # An earlier write of ours had no answer.
             name = key[len(MACHINES) :]
-            if name in batch.gone and row is None:
+            if name in batch.dropped_machines and row is None:
                 if not self._written_since(name, batch):
                     self._dropped(name)
             elif not current:
                 pass  # what was read may be gone again, and the replica tells
-            elif name in batch.gone and row is not None:
+            elif name in batch.dropped_machines and row is not None:
                 self.replica.machines[name] = row.revision
             elif row is not None:
                 self._recorded(name, row.revision)
@@ -852,31 +870,31 @@
             return  # claims in conflict are given up: the replica will show them
         record = _record.decode(row.data)
         name = key[len(JOBS) :]
-        for submission, _ in batch.fresh + batch.lists:
+        for submission, _ in batch.submissions + batch.lists:
             job = submission.job
             if job.spec.id == name and not submission.outcome:
                 self.replica.saw_job(name, record, row.revision)
-                ours = record.home == self.me and record.at == job.at and record.state is JobState.ACTIVE
-                if ours and current and name not in self.home.jobs and job.state is JobState.ACTIVE:
+                ours = record.accepted_by == self.me and record.at == job.at and record.state is JobState.ACTIVE
+                if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
                     job.revision = row.revision  # an earlier write of ours had no answer
-                    self.home.join(job)
-                    self.place_in_graph(job)
-                self._settle(submission, "known")
+                    self.job_shard.join(job)
+                    self.apply_dependencies(job)
+                self._decide_submission(submission, "known")
         for job, _, _ in batch.jobs:
-            if job.spec.id == name and self.home.jobs.get(name) is job:
+            if job.spec.id == name and self.job_shard.jobs.get(name) is job:
                 # Only its home writes it under this view: an earlier write of ours.
                 job.revision = row.revision
                 if record.state is not JobState.ACTIVE:
                     job.end(record.state)
-                    self.home.written(job, record, row.revision, [], now)
+                    self.job_shard.written(job, record, row.revision, [], now)
                     job.touch(now)
                 self._stored(job, record, row.revision)
-        self.follow_graph()
+        self.process_dependency_events()
         self.pump()
 
     def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
         """Queue a job for the store; None where its record would not fit, whatever is put beside it."""
-        self.now, self.wall = now, wall - now
+        self.now, self.wall_offset_s = now, wall - now
         if spec.id in self.submissions:
             return self.submissions[spec.id]
         ended = self.replica.ended
@@ -884,34 +902,34 @@
         spec = msgspec.structs.replace(spec, needs=needs or None)
         record = Record(JobState.ACTIVE, self.me, wall, min(spec.tasks, c.MARK_AHEAD), [], spec)
         lists: dict[str, list[str]] = {}
-        room = self.home.value_bytes - 64
+        room = self.job_shard.value_bytes - 64
         if needs and len(msgspec.json.encode(record)) > room:
             record, lists = beside(record, room)
         if len(msgspec.json.encode(record)) > room:
             return None
         submission = Submission(Job(record, 0, now, 0.0, fresh=True), lists=lists)
         self.submissions[spec.id] = submission
-        self.fresh = True
+        self.has_new_submission = True
         return submission
 
-    def saw_end(self, name: str, record: Record, revision: int) -> None:
+    def observe_end(self, name: str, record: Record, revision: int) -> None:
         """A record that was read from the store ahead of the changes that bring it: an end is one under every view.
 
         Of an active one nothing is taken. It may be written under a newer view than the next that arrives here; by
         that one this member may be home to the label that accepted the job. It then told of it, and could have started
         it, beside its home (docs/incidents/read-ahead.md).
         """
-        if record.state is not JobState.ACTIVE and not self.known(name):
+        if record.state is not JobState.ACTIVE and not self.knows_job(name):
             self.replica.saw_job(name, Record(record.state, done_at=record.done_at), revision)
-            self.follow_graph()
+            self.process_dependency_events()
 
-    def needs_of(self, job: Job) -> list[str]:
+    def dependencies_of(self, job: Job) -> list[str]:
         result = list(job.spec.needs or ())
         for key in list_keys(job.spec.id, job.more):
             result += self.replica.lists.get(key, ())
         return result
 
-    def is_doomed(self, job: str) -> bool:
+    def is_cascade_aborted(self, job: str) -> bool:
         return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.doomed
 
     def _drop_known_lists(self, submission: Submission) -> None:
@@ -919,7 +937,7 @@
         for key in [key for key in submission.lists if key in self.replica.lists]:
             del submission.lists[key]
 
-    def _settle(self, submission: Submission, outcome: str) -> None:
+    def _decide_submission(self, submission: Submission, outcome: str) -> None:
         spec = submission.job.spec
         log.info(
             "job=%s state=%s class=%s team=%s tasks=%d cpus=%g",
@@ -932,52 +950,56 @@
         )
         submission.outcome = outcome
         self.submissions.pop(submission.job.spec.id, None)
-        self.take_in(spec.id)
-        self.news.append(submission)
+        self.adopt_late_record(spec.id)
+        self.notifications.append(submission)
 
     # -- workers -------------------------------------------------------------------
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Machine | None:
         """A report of a machine of this part; None where it must not be answered with 200."""
         self.now = now
-        machine = self.part.on_heartbeat(heartbeat, now)
+        machine = self.machine_shard.on_heartbeat(heartbeat, now)
         self.pump()
         if machine is not None and machine.acked:
-            self.carry_out_claim(machine)
-            self.place(machine, now)
+            self.execute_claim(machine)
+            self.place_tasks(machine, now)
         return machine
 
-    def asked(self, heartbeat: wire.Heartbeat, now: float) -> None:
+    def on_probe_answered(self, heartbeat: wire.Heartbeat, now: float) -> None:
         """What a machine of this part answered to an empty ``/commands`` under this view."""
         self.now = now
         if self.may_act():
-            self.part.on_asked(heartbeat, now)
+            self.machine_shard.on_asked(heartbeat, now)
             self.pump()
 
-    def place(self, machine: Machine, now: float) -> None:
+    def place_tasks(self, machine: Machine, now: float) -> None:
         """Ask homes for tasks that fit this machine."""
-        candidate = self.part.candidate(machine, now)
+        candidate = self.machine_shard.candidate(machine, now)
         if candidate is None:
             return
         idle = machine.idle
         if self.ledger.entries:
-            candidate = self.place_kept(machine, candidate)
+            candidate = self.place_claimed(machine, candidate)
 
         def room_elsewhere(offer: placement.Offer) -> int:
             """An idle machine leaves young tasks to busy ones with room."""
             if not idle or now >= offer.young_until:
                 return 0
             if self.busy is None:
-                self.busy = self.part.busy(now)
+                self.busy = self.machine_shard.busy(now)
             return self.busy.room(offer.spec)
 
-        held = self.held_gpus.get(machine.name, 0.0) if now < self.held_until and self.lender is not None else 0.0
+        held = (
+            self.reserved_gpus.get(machine.name, 0.0)
+            if now < self.reserved_gpus_until and self.lender is not None
+            else 0.0
+        )
         if held:
             room_elsewhere = self.lender.leaving(candidate.free[2] - held, room_elsewhere)
 
         def keep(offer: placement.Offer) -> bool:
             """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
-            name, at = self.kept
+            name, at = self.reserved_machine
             kind, zone = self.types.get(machine.type), offer.row.zone
             if (
                 (name != machine.name and now - at < c.KEEP_QUIET_S)
@@ -987,25 +1009,25 @@
                 or not placement.fits(offer.spec, (kind.cpus, kind.memory_gb, kind.gpus))
             ):
                 return False
-            self.kept = machine.name, now
+            self.reserved_machine = machine.name, now
             return True
 
         for want in placement.fill(
-            candidate, self.offers, lambda spec: self.part.fetch_s(machine, spec), room_elsewhere, keep, now
+            candidate, self.offers, lambda spec: self.machine_shard.fetch_s(machine, spec), room_elsewhere, keep, now
         ):
-            take = self.part.reserve(machine, want.job, want.count)
-            self.send(want.home, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
+            take = self.machine_shard.reserve(machine, want.job, want.count)
+            self.send(want.owner, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
         self.pump()
 
     # -- claims ------------------------------------------------------------------------
 
-    def sources(self) -> list[Source]:
+    def preemption_policies(self) -> list[Source]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
-        texts = self.priorities(self.now) if self.membership.all_run(c.DECLARED) else []
+        texts = self.priorities(self.now) if self.membership.all_support(c.DECLARED) else []
         if texts != self.rules.texts:
             self.rules = Rules(texts)
         result: list[Source] = [self.rules] if texts else []
-        lendings = self.lendings(self.now) if self.membership.all_run(c.DECLARED) else []
+        lendings = self.lendings(self.now) if self.membership.all_support(c.DECLARED) else []
         if not lendings:
             self.lender = None
         elif self.lender is None or self.lender.texts != lendings:
@@ -1018,37 +1040,37 @@
             result.append(self.lender)
         return result
 
-    def carry_out_claim(self, machine: Machine) -> None:
+    def execute_claim(self, machine: Machine) -> None:
         """Halt the victims of its claim, in the answer to the report that has just come."""
         claim = self.ledger.claim_of(machine.name) if self.ledger.entries else None
         if claim is None:
             if machine.claim_halts:
-                self.part.unclaim(machine)
-        elif self.now + self.wall < claim.until:
-            self.part.claim(machine, claim.victims, claim.wind_down_s)
+                self.machine_shard.unclaim(machine)
+        elif self.now + self.wall_offset_s < claim.until:
+            self.machine_shard.claim(machine, claim.victims, claim.wind_down_s)
 
-    def place_kept(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
+    def place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Ask for tasks of the job that a claim keeps room for; the machine with what is left for others."""
         entry = self.ledger.entries.get(machine.name)
-        if entry is None or self.now + self.wall >= entry.claim.until:
+        if entry is None or self.now + self.wall_offset_s >= entry.claim.until:
             return candidate
         claim, spec = entry.claim, self.spec_of(entry.claim.job)
-        revision, used = self.claim_takes.get(machine.name, (0, 0))
+        revision, used = self.claim_requests.get(machine.name, (0, 0))
         if revision != entry.revision:
             used = 0
-            if len(self.claim_takes) > 2 * len(self.ledger.entries) + c.QUEUE_ROWS:
-                self.claim_takes.clear()
+            if len(self.claim_requests) > 2 * len(self.ledger.entries) + c.QUEUE_ROWS:
+                self.claim_requests.clear()
         if spec is None or used >= claim.count:
             return candidate
         room = candidate.free
         for want in placement.keep(candidate, self.offers, claim.job, claim.count - used):
-            take = self.part.reserve(machine, want.job, want.count)
-            self.send(want.home, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
+            take = self.machine_shard.reserve(machine, want.job, want.count)
+            self.send(want.owner, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
             used, room = used + want.count, placement.minus(room, spec, want.count)
-        self.claim_takes[machine.name] = (entry.revision, used)
+        self.claim_requests[machine.name] = (entry.revision, used)
         return msgspec.structs.replace(candidate, free=placement.minus(room, spec, claim.count - used))
 
-    def look_at_claims(self, now: float) -> None:
+    def plan_preemptions(self, now: float) -> None:
         """The leader's look: what is over, who needs room, which tasks are to stop for it."""
 
         def teams() -> Teams:
@@ -1059,127 +1081,133 @@
                     used[team] = (have[0] + cpus, have[1] + gpus)
             return Teams(self.shared.teams, used)
 
-        sources = self.sources()
-        if self.desk.round(now, now + self.wall, sources, teams, self.most_changes):
+        sources = self.preemption_policies()
+        if self.preemption_planner.round(now, now + self.wall_offset_s, sources, teams, self.max_changes):
             for label in self.membership.view.members:
-                self.tell(label, m.ListMachineTasks())
+                self.send_unreliable(label, m.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= c.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
-            gpus = self.lender.keep(self.desk, now)
-            if gpus or self.held_gpus:
+            gpus = self.lender.keep(self.preemption_planner, now)
+            if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
-                    self.tell(label, m.GpuReservation(gpus))
+                    self.send_unreliable(label, m.GpuReservation(gpus))
 
     # -- rounds ----------------------------------------------------------------------
 
     def round(self, now: float) -> None:
         """What is due every fifth of a second."""
         self.now = now
-        self.part.listen(now, self.may_act())
-        self.follow_hours()
-        for label in list(self.later):
-            self.send_held(label)
-        if self.membership.standing(now) is Standing.OUTSIDE:
+        self.machine_shard.listen(now, self.may_act())
+        self.refresh_calendars()
+        for label in list(self.deferred):
+            self.flush_deferred(label)
+        if self.membership.status(now) is MemberStatus.OUTSIDE:
             for label in self.channels:
-                self.tell(label, m.KeepAlive())
+                self.send_unreliable(label, m.KeepAlive())
             return
-        self.membership.contact.look(now)
-        self.look_at_view(now)
-        self.look_at_machines(now)
-        self.store_share.look(now)
-        self.tell_queue(now, self.look_at_queue(now))
-        self.keep_channels(now)
-        if now - self.room_at >= c.LEADER_ROUND_S:
-            self.room_at = now
-            self.tell_room(now)
-        if self.membership.leads(now):
-            self.tell_allowances(now)
-            self.look_at_claims(now)
+        self.membership.failure_detector.refresh(now)
+        self.refresh_settlement(now)
+        self.refresh_machines(now)
+        self.write_rate_limit.refresh(now)
+        self.publish_queue(now, self.queue_snapshot(now))
+        self.maintain_channels(now)
+        if now - self.machines_reported_at >= c.LEADER_ROUND_S:
+            self.machines_reported_at = now
+            self.report_machines(now)
+        if self.membership.is_leader(now):
+            self.send_quota_updates(now)
+            self.plan_preemptions(now)
         self.pump()
 
-    def look_at_view(self, now: float) -> None:
+    def refresh_settlement(self, now: float) -> None:
         """Whether every member is known to act under this view, or not at all."""
         fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.me]
         everyone = all(self.channels[label].peer_fencing_token >= fencing_token for label in others)
         if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + c.PROOF_MARGIN_S:
-            self.part.settle(now)
-            if not self.home.settled:
-                self.home.settle()
+            self.machine_shard.settle(now)
+            if not self.job_shard.settled:
+                self.job_shard.settle()
 
-    def look_at_machines(self, now: float) -> None:
+    def refresh_machines(self, now: float) -> None:
         """Leases that have lapsed; what is known of room and offers may have changed."""
-        self.part.newest_until = self.membership.asked_at
+        self.machine_shard.newest_until = self.membership.synced_at
         if self.may_act():
-            self.part.check_leases(now)
+            self.machine_shard.check_leases(now)
         self.busy = None
         self.offer_book.look()
 
-    def look_at_queue(self, now: float) -> Snapshot:
+    def queue_snapshot(self, now: float) -> Snapshot:
         """This home's queue and sums as they stand."""
-        used = self.home.used(now)
+        used = self.job_shard.used(now)
         if now - self.guaranteed_at >= c.GUARANTEE_S:
-            self.guaranteed_at, self.guaranteed_jobs = now, self.guaranteed()
-        rows = self.home.rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
-        if self.hours is not None and self.may_act():
-            self.home.stop_closed()
-        return Snapshot(rows, used, self.home.reserved(used), self.home.demand(used), self.home.allocations_received)
+            self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
+        rows = self.job_shard.rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
+        if self.calendars is not None and self.may_act():
+            self.job_shard.stop_closed()
+        return Snapshot(
+            rows, used, self.job_shard.reserved(used), self.job_shard.demand(used), self.job_shard.allocations_received
+        )
 
-    def tell_queue(self, now: float, snapshot: Snapshot) -> None:
+    def publish_queue(self, now: float, snapshot: Snapshot) -> None:
         """The members are told of the queue, and whoever is none that this process is there."""
-        membership, contact = self.membership, self.membership.contact
-        links = {label: self.channels[label] for label in self.told_queues()}
-        status = m.PeerStatus(contact.missing(), contact.dropped(), self.store_share.told)
+        membership, failure_detector = self.membership, self.membership.failure_detector
+        links = {label: self.channels[label] for label in self.queue_subscribers()}
+        status = m.PeerStatus(
+            failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
+        )
         one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
-        for told in self.teller.tell(one, membership.all_run(c.QUEUE_CHANGES)):
+        for told in self.queue_publisher.tell(one, membership.all_support(c.QUEUE_CHANGES)):
             if told.numbered:
                 self.send(told.label, told.message)
             else:
-                self.tell(told.label, told.message)
+                self.send_unreliable(told.label, told.message)
         for label in self.channels:
             if label not in links:
-                self.tell(label, m.KeepAlive())
+                self.send_unreliable(label, m.KeepAlive())
 
-    def told_queues(self) -> list[str]:
+    def queue_subscribers(self) -> list[str]:
         """The other members of the view; but for older processes in a member's place, once changes are told."""
         others = [label for label in self.channels if label in self.membership.view.members]
-        if self.teller.form is Form.WHOLE_QUEUES:
+        if self.queue_publisher.form is Form.WHOLE_QUEUES:
             return others
-        return [label for label in others if self.membership.generations.get(label, 0) >= c.QUEUE_CHANGES]
+        return [label for label in others if self.membership.protocol_versions.get(label, 0) >= c.QUEUE_CHANGES]
 
-    def keep_channels(self, now: float) -> None:
+    def maintain_channels(self, now: float) -> None:
         """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
         for label, channel in self.channels.items():
-            if label in self.membership.view.members and channel.quiet(now):
+            if label in self.membership.view.members and channel.is_quiet(now):
                 self.send(label, m.KeepAlive())
-            if channel.stalled(now):
-                self.renewals.append(label)
-            self.outgoing += [(label, frame) for frame in channel.resend(now)]
+            if channel.is_stalled(now):
+                self.channel_renewals.append(label)
+            self.outgoing_frames += [(label, frame) for frame in channel.resend(now)]
 
-    def tell_room(self, now: float) -> None:
+    def report_machines(self, now: float) -> None:
         """The leader is told of this part's machines, once a second."""
         leader = self.membership.view.leader
-        self.part.check_silence(now)
-        self.tell(leader, m.MachineSummaries(self.part.room(now, self.run_time)))
-        if self.ledger.entries and self.membership.all_run(c.DECLARED):
-            self.tell(leader, m.MachineTaskList(self.part.task_rows(now, self.ledger.entries, None), False))
+        self.machine_shard.check_silence(now)
+        self.send_unreliable(leader, m.MachineSummaries(self.machine_shard.room(now, self.run_time)))
+        if self.ledger.entries and self.membership.all_support(c.DECLARED):
+            self.send_unreliable(
+                leader, m.MachineTaskList(self.machine_shard.task_rows(now, self.ledger.entries, None), False)
+            )
 
-    def tell_allowances(self, now: float) -> None:
+    def send_quota_updates(self, now: float) -> None:
         """New allowances, in the form that all members read."""
-        by_changes = self.membership.all_run(c.QUEUE_CHANGES)
+        by_changes = self.membership.all_support(c.QUEUE_CHANGES)
         for label, teams in self.leader.allots(now).items():
             if by_changes:
                 self.send(label, m.QuotaDelta(teams))
             else:
                 self.send(label, m.QuotaAllocation(dict(self.leader.allowances.given[label])))
 
-    def guaranteed(self) -> set[str]:
+    def jobs_within_guarantee(self) -> set[str]:
         """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs, on any home."""
         room = {team.name: (team.cpus, team.gpus) for team in self.shared.teams if team.cpus > 0 or team.gpus > 0}
         result: set[str] = set()
         if not room:
             return result
-        active, left, waiting, jobs = self.replica.active, self.replica.left, self.graph.nodes, self.home.jobs
+        active, left, waiting, jobs = self.replica.active, self.replica.left, self.graph.nodes, self.job_shard.jobs
         warm: list[tuple[float, str]] = []  # closed, about to open: what is left then, so that the leader can tell
         for at, name in itertools.chain(self.replica.oldest_first(), warm):
             known = active.get(name)
@@ -1190,7 +1218,7 @@
             # what waits for others holds no part of the guarantee
             if free is None or known[0].state is not JobState.ACTIVE or (name in waiting and self.graph.waiting(name)):
                 continue
-            if self.hours is not None and at != NEVER and not (look := self.hours.look(spec)).may_start:
+            if self.calendars is not None and at != NEVER and not (look := self.calendars.look(spec)).may_start:
                 if look.warm:
                     warm.append((NEVER, name))
                 continue  # nor does what waits for its hours
@@ -1206,7 +1234,7 @@
                     break
         return result
 
-    def returned(self, names: list[str], now: float) -> None:
+    def on_terminated(self, names: list[str], now: float) -> None:
         """The cloud has confirmed a return: everybody is told."""
         self.now = now
         self.leader.on_returned(names)
@@ -1214,39 +1242,39 @@
             self.send(label, m.MachinesTerminated(names))
         self.pump()
 
-    def learn_types(self, types: dict[str, wire.MachineType]) -> None:
-        self.types = self.part.types = types
+    def set_machine_types(self, types: dict[str, wire.MachineType]) -> None:
+        self.types = self.machine_shard.types = types
         self.leader.on_types(types)
 
     def types_to_store(self) -> wire.MachineTypes | None:
         """The machine types, where the store has none or others; spot prices alone are no news."""
         lasting = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.types.values()]
         known = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
-        if not lasting or lasting == known or not self.membership.leads(self.now):
+        if not lasting or lasting == known or not self.membership.is_leader(self.now):
             return None
         machine_types = wire.MachineTypes(list(self.types.values()))
-        return machine_types if len(msgspec.json.encode(machine_types)) < self.home.value_bytes else None
+        return machine_types if len(msgspec.json.encode(machine_types)) < self.job_shard.value_bytes else None
 
-    def drain(self, names: list[str], now: float) -> None:
+    def drain_machines(self, names: list[str], now: float) -> None:
         self.now = now
         by_part: dict[str, list[str]] = {}
         for name in names:
-            by_part.setdefault(self.membership.part_of(name), []).append(name)
+            by_part.setdefault(self.membership.machine_owner(name), []).append(name)
         for label, part in by_part.items():
             self.send(label, m.DrainMachines(part))
         self.pump()
 
     # -- users -------------------------------------------------------------------------
 
-    def state_here(self, job: str, now: float) -> tuple[str, int, int] | None:
+    def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
         """From memory: an end that the store holds, or this home's own job."""
         self.now = now
         ended = self.replica.ended.get(job)
         if ended is not None:
             return ended.value, 0, 0
         if job in self.graph.doomed:
-            return (JobState.ABORTED.value, 0, 0) if self.doom_is_common(job) else None
-        mine = self.home.jobs.get(job)
+            return (JobState.ABORTED.value, 0, 0) if self.cascade_abort_is_settled(job) else None
+        mine = self.job_shard.jobs.get(job)
         if mine is None or not self.may_act():
             return None
         if mine.stored_state is not JobState.ACTIVE:
@@ -1257,7 +1285,7 @@
         running = mine.running
         return "running" if running else "pending", mine.done.count, running
 
-    def doom_is_common(self, job: str) -> bool:
+    def cascade_abort_is_settled(self, job: str) -> bool:
         """Whether every member that still acts knows, too, that a job before this one is aborted.
 
         Members act only on a view and records that are fresh to within the ttl. Told any sooner,
@@ -1266,18 +1294,18 @@
         at = self.doomed_at.get(job)
         return at is not None and self.now - at > self.membership.store_lease.ttl_s + c.PROOF_MARGIN_S
 
-    def surely_pending(self, job: str, now: float) -> bool:
+    def is_certainly_pending(self, job: str, now: float) -> bool:
         """Whether a record that is active in the store may be told so, a moment after it was read."""
         self.now = now
         spec = self.spec_of(job)
         return spec is not None and job not in self.graph.doomed and self.may_act()
 
-    def withdraw(self, job: str, now: float) -> str | None:
+    def cancel(self, job: str, now: float) -> str | None:
         """The job's stored state, "" while its end is being written, None where this is not its home."""
         self.now = now
         if job in self.replica.ended:
             return self.replica.ended[job].value
-        mine = self.home.jobs.get(job)
+        mine = self.job_shard.jobs.get(job)
         if mine is None or not self.may_act():
             return None
         if mine.stored_state is JobState.ACTIVE:
--- a/alderbridge/declared/declarations.py
+++ b/alderbridge/declared/declarations.py
@@ -181,7 +181,7 @@
             and (head is None or (head.before is None and head.revision < own.revision))
         ):
             return self._due_revision(membership, labels, wall, room, value_bytes)
-        if head is not None and self.kept is State.IN_FORCE and membership.leads(now):
+        if head is not None and self.kept is State.IN_FORCE and membership.is_leader(now):
             if head.before is not None or (self.stale and room > 1):
                 settled = Head(head.revision, head.digest, head.parts, head.at)
                 return Proposal(
@@ -198,8 +198,8 @@
         """The texts that are not there yet, as many as have room; with the last of them, or after it, the head."""
         own, head = self.own, self.head
         assert own is not None
-        missing = [label for label in labels if label not in membership.present] if head is None else []
-        if missing or not membership.all_run(c.DECLARED):
+        missing = [label for label in labels if label not in membership.registered] if head is None else []
+        if missing or not membership.all_support(c.DECLARED):
             why = f"{', '.join(missing)} not here" if missing else f"not all run generation {c.DECLARED}"
             if why != self.told:
                 self.told = why
--- a/alderbridge/jobs.py
+++ b/alderbridge/jobs.py
@@ -73,7 +73,7 @@
     """What the store keeps of a job. Ended ones lose all but their state."""
 
     state: JobState
-    home: str = ""
+    accepted_by: str = msgspec.field(name="home", default="")
     at: float = 0.0  # time of day of the submission
     mark: int = 0  # tasks below this may have been started
     done: list[tuple[int, int]] = []
@@ -135,7 +135,7 @@
         """``fresh``: accepted here just now, so nothing below the mark was started yet."""
         assert record.spec is not None
         self.spec = record.spec
-        self.home_label = record.home
+        self.accepted_by = record.accepted_by
         self.at = record.at
         self.submitted = now - age_s
         self.arrived = self.submitted  # from here its times count: what it needs was done, or it was submitted
@@ -375,7 +375,7 @@
         spec, more = self.spec, self.more
         if not self.waits and (spec.needs or more):
             spec, more = msgspec.structs.replace(spec, needs=None), ""  # all done, for ever
-        bare = Record(state, self.home_label, self.at, self.mark_wanted, [], spec, more, self.ready_at, done_at)
+        bare = Record(state, self.accepted_by, self.at, self.mark_wanted, [], spec, more, self.ready_at, done_at)
         room = value_bytes - len(msgspec.json.encode(bare)) - 16
         return msgspec.structs.replace(bare, done=self.done.fitted(room))
 
@@ -383,7 +383,7 @@
 class Tally:
     """What each team's tasks on machines take here, kept with each change of a task's state.
 
-    ``Home.used`` counts anew each second, so that sums of floats stay exact to far below a task.
+    ``JobShard.used`` counts anew each second, so that sums of floats stay exact to far below a task.
     """
 
     def __init__(self) -> None:
@@ -424,7 +424,7 @@
 Send = Callable[[str, Message], int]
 
 
-class Home:
+class JobShard:
     """The jobs this controller is home to."""
 
     def __init__(self, teams: Iterable[Team], send: Send, value_bytes: int) -> None:
@@ -432,9 +432,9 @@
         self.tally = Tally()
         self.there: dict[str, set[str]] = {}  # machine -> jobs that have, or had, a run there
         self.usage = Usage(teams)
-        self.send = self.send_later = send  # (label, message) -> number of the message in its channel
+        self.send = self.send_deferred = send  # (label, message) -> number of the message in its channel
         self.value_bytes = value_bytes
-        self.part_of: Callable[[str], str] = lambda machine: ""
+        self.machine_owner: Callable[[str], str] = lambda machine: ""
         self.attempts = 0
         self.fencing_token = 0
         self.barrier = Barrier({})  # machines that inherited tasks may still be on
@@ -443,7 +443,7 @@
         self.due_at = 0.0  # see ``due_writes``
         self.joined = 0  # jobs, ever
         self.counted_at = -math.inf  # see ``used``
-        self.hours: Gate | None = None  # None: no hours are declared
+        self.calendars: Gate | None = None  # None: no hours are declared
         self.closed: set[str] = set()  # jobs that wait for their hours, and ask for nothing yet
         self.stopping: set[tuple[str, int, int]] = set()  # tasks told to stop at closing, and not yet proven gone
 
@@ -572,8 +572,8 @@
         used: dict[str, tuple[float, float]],
     ) -> list[QueueRow]:
         rows = []
-        if self.hours is not None:
-            self.closed = self.hours.turns(self.jobs.values(), now)
+        if self.calendars is not None:
+            self.closed = self.calendars.turns(self.jobs.values(), now)
         for job in self.jobs.values():
             if job.waits or job.state is not JobState.ACTIVE or now < job.paused_until:
                 continue
@@ -635,7 +635,7 @@
         job = self.jobs.get(take.job)
         tasks: list[tuple[int, int]] = []
         # Asked for some moments ago: its hours may have closed since.
-        shut = job is not None and self.hours is not None and not self.hours.may_start(job.spec)
+        shut = job is not None and self.calendars is not None and not self.calendars.may_start(job.spec)
         if job is not None and entitled and not job.waits and not shut:
             count = min(take.count, job.room_in(take.zone), self._team_room(job))
             runs = []
@@ -781,13 +781,13 @@
     def halt_all(self, job: Job) -> None:
         """The store holds the withdrawal: stop what runs."""
         for index, run in job.runs.items():
-            self.send(self.part_of(run.machine), StopTask(run.machine, job.spec.id, index, run.attempt, 0.0))
+            self.send(self.machine_owner(run.machine), StopTask(run.machine, job.spec.id, index, run.attempt, 0.0))
 
     def stop_closed(self) -> None:
         """At closing, for classes that say so: what runs saves and waits for the next opening."""
         kept = set()
-        for job in self.jobs.values() if self.hours is not None else ():
-            if not job.runs or job.state is not JobState.ACTIVE or not self.hours.to_stop(job.spec):
+        for job in self.jobs.values() if self.calendars is not None else ():
+            if not job.runs or job.state is not JobState.ACTIVE or not self.calendars.to_stop(job.spec):
                 continue
             fresh = 0
             for index, run in job.runs.items():
@@ -795,7 +795,7 @@
                 kept.add(key)
                 if key not in self.stopping:
                     fresh += 1
-                    self.send(self.part_of(run.machine), StopTask(run.machine, *key, job.spec.save_s))
+                    self.send(self.machine_owner(run.machine), StopTask(run.machine, *key, job.spec.save_s))
             if fresh:
                 log.info("job=%s state=stopping cause=closing tasks=%d", job.spec.id, fresh)
         self.stopping = kept
@@ -843,7 +843,7 @@
         for key in cleared:
             machine, index, attempt = key
             job.to_clear.pop(key, None)
-            self.send_later(self.part_of(machine), AcknowledgeFinished(machine, job.spec.id, index, attempt))
+            self.send_deferred(self.machine_owner(machine), AcknowledgeFinished(machine, job.spec.id, index, attempt))
         job.changed_at = now if job.to_clear or job.state is not job.stored_state else None
         if job.changed_at is not None or job.stored_state is not JobState.ACTIVE:
             self.tally.lagging[job.spec.id] = job
--- a/alderbridge/machines.py
+++ b/alderbridge/machines.py
@@ -164,7 +164,7 @@
         return all(on.status == "ended" for on in self.tasks.values())
 
 
-class Part:
+class MachineShard:
     """The machines that the hash gives to this controller."""
 
     def __init__(
@@ -173,14 +173,14 @@
         lease_s: float,
         send: Callable[[str, object], int],
         spec_of: Callable[[str], JobSpec | None],
-        home_of: Callable[[str], str],
+        job_owner: Callable[[str], str],
         rng: Random,
     ) -> None:
         self.me = me
         self.lease_s = lease_s
-        self.send = self.send_later = send  # later: with the next message to that member, or the next round
+        self.send = self.send_deferred = send  # later: with the next message to that member, or the next round
         self.spec_of = spec_of  # None: unknown, or ended for good
-        self.home_of = home_of
+        self.job_owner = job_owner
         self.processed_seq_of: Callable[[str], int] = lambda label: 0
         self.cancelled: Callable[[str], bool] = lambda job: False  # the store says so, as far as this process has read
         self.keep_record: Callable[[str], bool] = lambda name: False  # whether no drop of its record has been sent yet
@@ -193,7 +193,7 @@
         self.squaring = Squaring(0.0)
         self.to_drop: list[str] = []  # nothing is on them: no new view need wait for them
         self.fencing_token = 0
-        self.hours: Gate | None = None  # None: no hours are declared
+        self.calendars: Gate | None = None  # None: no hours are declared
         self.members: list[str] = []
         self._types: dict[str, MachineType] = {}
         self.settled_at: float | None = None  # since when all members act under this view
@@ -435,7 +435,7 @@
             machine.idle_since = now
         if tell:
             machine.changed()
-            self.tell_homes(machine, self.send if urgent else self.send_later)
+            self.tell_homes(machine, self.send if urgent else self.send_deferred)
             self.squaring.square(machine.name)
 
     def _stop_cancelled(self, machine: Machine, shown: Mapping[Task, tuple[int, str]]) -> None:
@@ -507,7 +507,7 @@
                 on = machine.tasks.get((job, index))
                 if on is not None and on.attempt != pending.attempt:
                     continue  # the old attempt must be cleared first
-                if self.cancelled(job) or (self.hours is not None and self._closed(job)):
+                if self.cancelled(job) or (self.calendars is not None and self._closed(job)):
                     # Granted, but its job is cancelled, or its hours have closed, since. Whatever was sent of it was
                     # not carried out, as the report that this answers would show it: the next one frees it.
                     machine.halts[(job, index)] = (pending.attempt, 0.0)
@@ -519,7 +519,7 @@
     def _closed(self, job: str) -> bool:
         """Asked for with each order: a response that leaves now is carried out within ``ORDER_S``, or never."""
         spec = self.spec_of(job)
-        return spec is not None and not self.hours.may_start(spec)
+        return spec is not None and not self.calendars.may_start(spec)
 
     def tell_homes(self, machine: Machine, send: Callable[[str, object], int] | None = None) -> None:
         """To every home, what of its tasks is on the machine: silence would prove nothing.
@@ -533,11 +533,11 @@
         }
         of: dict[str, tuple[list, list] | None] = {}  # job -> what its home is told; None: no member is its home
         for (job, _), on in machine.tasks.items():
-            lists = of[job] if job in of else of.setdefault(job, news.get(self.home_of(job)))
+            lists = of[job] if job in of else of.setdefault(job, news.get(self.job_owner(job)))
             if lists is not None:
                 lists[0].append(on.seen)
         for (job, index), attempt in self._held(machine):
-            lists = of[job] if job in of else of.setdefault(job, news.get(self.home_of(job)))
+            lists = of[job] if job in of else of.setdefault(job, news.get(self.job_owner(job)))
             if lists is not None:
                 lists[1].append((job, index, attempt))
         for label, lists in news.items():
--- a/alderbridge/mesh.py
+++ b/alderbridge/mesh.py
@@ -349,20 +349,20 @@
         self.next_seq += 1
         return self._frame(self.next_seq - 1, body)
 
-    def tell(self, body: Message) -> Frame:
+    def post_unreliable(self, body: Message) -> Frame:
         """A message that may be lost."""
         return self._frame(0, body)
 
     def _frame(self, seq: int, body: Message) -> Frame:
         return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)
 
-    def hear(self, frame: Frame) -> None:
+    def observe_view(self, frame: Frame) -> None:
         """That the peer knows a view, and nothing else: neither taken nor acknowledged."""
         self.peer_fencing_token = max(self.peer_fencing_token, frame.fencing_token)
 
     def receive(self, frame: Frame, now: float) -> Message | None:
         """The body, if it is new and in order under this mandate."""
-        self.hear(frame)
+        self.observe_view(frame)
         if frame.fencing_token != self.fencing_token:
             return None
         while self.unacked and self.unacked[0][0] <= frame.ack:
@@ -385,11 +385,11 @@
         """How many messages have no acknowledgement yet."""
         return len(self.unacked)
 
-    def quiet(self, now: float) -> bool:
+    def is_quiet(self, now: float) -> bool:
         """Nothing sent lately whose acknowledgement would show that the connection is whole."""
         return now - self.posted_at >= c.MESH_PROBE_S
 
-    def stalled(self, now: float) -> bool:
+    def is_stalled(self, now: float) -> bool:
         """Sent again and again, and never acknowledged: after a cut, the other end may have closed unheard."""
         if not self.unacked or now - self.alive_at < c.MESH_STALL_S:
             return False
@@ -450,7 +450,7 @@
             while True:  # end silent connections; cheaper than a timer for each read
                 await curio.sleep(c.SWEEP_S)
                 listener.resume()
-                for one in [one for one in self.incoming if now() - one.heard_at > c.MESH_SILENCE_S * 2]:
+                for one in [one for one in self.incoming if now() - one.received_at > c.MESH_SILENCE_S * 2]:
                     one.close()
         finally:
             listener.close()
@@ -509,7 +509,7 @@
     def __init__(self, mesh: Mesh, sock: socket.socket) -> None:
         self.mesh, self.sock, self.fd = mesh, sock, sock.fileno()
         self.buffer = bytearray()
-        self.heard_at = now()
+        self.received_at = now()
         mesh.incoming.add(self)
         mesh.poll.watch(self, self.fd)
 
@@ -520,7 +520,7 @@
             size = self.sock.recv_into(_space)
             if not size:
                 return self.close()
-            self.heard_at = now()
+            self.received_at = now()
             self.buffer += _space[:size]
             frames = list(split_frames(self.buffer))
             if frames:
--- a/alderbridge/net.py
+++ b/alderbridge/net.py
@@ -50,7 +50,7 @@
     return sock
 
 
-class Budget:
+class TokenBucket:
     """Token bucket; time is an argument."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
@@ -70,7 +70,7 @@
         self._fill(now)
         self.rate, self.burst = rate, max(1.0, burst)
 
-    def take(self, now: float, amount: float = 1.0) -> bool:
+    def try_take(self, now: float, amount: float = 1.0) -> bool:
         self._fill(now)
         if self.level < amount:
             return False
@@ -227,7 +227,7 @@
                     return
                 except OSError:
                     return self.close()
-                self.take(data)
+                self.try_take(data)
             elif self.through:
                 self.events()
             elif self.data:
@@ -251,7 +251,7 @@
 
     # -- requests
 
-    def take(self, data: bytes) -> None:
+    def try_take(self, data: bytes) -> None:
         """What the client has sent; nothing: no more will come."""
         if self.through:
             if self.request is None and self.raw is not None:
@@ -264,7 +264,7 @@
         elif self.data:
             self.parse()
             if self.state is State.READING:
-                self.take(b"")
+                self.try_take(b"")
         else:
             self.close()
 
--- a/alderbridge/placement.py
+++ b/alderbridge/placement.py
@@ -42,7 +42,7 @@
 class Wanted(msgspec.Struct, frozen=True):
     """Tasks of one job to ask its home for, for one machine."""
 
-    home: str
+    owner: str = msgspec.field(name="home")
     job: str
     machine: str
     zone: str
@@ -184,7 +184,7 @@
     def in_order(self) -> list[Entry]:
         """All offers, whose turn it is first."""
         if self.merged is None:
-            self.merged = sorted(itertools.chain.from_iterable(home.values() for home in self.by_home.values()))
+            self.merged = sorted(itertools.chain.from_iterable(owner.values() for owner in self.by_home.values()))
         return self.merged
 
 
--- a/alderbridge/policy.py
+++ b/alderbridge/policy.py
@@ -453,7 +453,7 @@
 class Need(NamedTuple):
     """What a job's waiting tasks at a home would take of their team's limit."""
 
-    home: str
+    owner: str
     amount: float
     each: float = 0.0  # of one task: less than that is of no use
     kept: bool = False  # less than that is kept for it all the same, until it holds a task
@@ -475,22 +475,22 @@
     homes = sorted(held)
     left = max(0.0, limit - sum(used.values()))
     target = dict(used)
-    for home, amount, each, kept in needs:
+    for owner, amount, each, kept in needs:
         if amount > left:
             whole = math.floor(left / each + 1e-9) * each if each > 0 else left
             amount = left if kept and not whole else whole
-        target[home] += amount
+        target[owner] += amount
         left -= amount
-    for home in homes:
-        target[home] += left / len(homes)
-    free = limit - sum(max(held[home], given.get(home, 0.0)) for home in homes)
+    for owner in homes:
+        target[owner] += left / len(homes)
+    free = limit - sum(max(held[owner], given.get(owner, 0.0)) for owner in homes)
     result = dict(given)
-    for home in homes:
-        have = max(held[home], given.get(home, 0.0))
-        if target[home] < given.get(home, 0.0) - 1e-9:
-            result[home] = target[home]
-        elif target[home] > have + 1e-9 and free > 1e-9:
-            more = min(target[home] - have, free)
-            result[home] = have + more
+    for owner in homes:
+        have = max(held[owner], given.get(owner, 0.0))
+        if target[owner] < given.get(owner, 0.0) - 1e-9:
+            result[owner] = target[owner]
+        elif target[owner] > have + 1e-9 and free > 1e-9:
+            more = min(target[owner] - have, free)
+            result[owner] = have + more
             free -= more
     return result
--- a/alderbridge/queues/__init__.py
+++ b/alderbridge/queues/__init__.py
@@ -4,10 +4,20 @@
 version are told the whole queue in every round, as ever. Why nothing unsafe rests on it: ``docs/design.md``, "Queues".
 """
 
+from .delta_tracker import DeltaTracker, Snapshot
 from .home_queue import HomeQueue, HomeQueues
 from .offer_book import OfferBook
-from .publisher import Publisher, Snapshot
+from .queue_publisher import Form, QueuePublisher, Round
 from .sender_clock import SenderClock
-from .teller import Form, Round, Teller
 
-__all__ = ["Form", "HomeQueue", "HomeQueues", "OfferBook", "Publisher", "Round", "SenderClock", "Snapshot", "Teller"]
+__all__ = [
+    "Form",
+    "HomeQueue",
+    "HomeQueues",
+    "OfferBook",
+    "DeltaTracker",
+    "Round",
+    "SenderClock",
+    "Snapshot",
+    "QueuePublisher",
+]
--- a/alderbridge/queues/publisher.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -65,7 +65,7 @@
     )
 
 
-class Publisher:
+class DeltaTracker:
     """What this home has told each member under this view."""
 
     def __init__(self) -> None:
--- a/alderbridge/queues/teller.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -15,7 +15,7 @@
 
 from .. import constants as c
 from ..mesh import KeepAlive, Message, PeerStatus, QueueSnapshot
-from .publisher import Publisher, Snapshot
+from .delta_tracker import DeltaTracker, Snapshot
 
 
 class Form(Enum):
@@ -54,19 +54,19 @@
     status: PeerStatus
 
 
-class Teller:
+class QueuePublisher:
     """Rounds of one home."""
 
     def __init__(self, me: str) -> None:
         """``me``: the label of this home."""
         self.me = me
-        self.publisher = Publisher()
+        self.delta_tracker = DeltaTracker()
         self.enter()
 
     def enter(self) -> None:
         """A new view."""
         self.form = Form.WHOLE_QUEUES
-        self.publisher.clear()
+        self.delta_tracker.clear()
         self.last: dict[str, tuple[Message, float, int]] = {}  # member -> queue or status, when, what it acknowledged
 
     def tell(self, one: Round, all_read_changes: bool) -> Iterator[Told]:
@@ -77,15 +77,15 @@
             yield from self._changes(one)
             yield from self._to_each(one, one.status)
         else:
-            self.publisher.again.clear()  # the next queue says it all
+            self.delta_tracker.again.clear()  # the next queue says it all
             queue = QueueSnapshot(*one.snapshot, one.status.suspected, one.status.failed, one.status.changes)
             yield Told(self.me, queue, False)
             yield from self._to_each(one, queue)
 
     def _changes(self, one: Round) -> Iterator[Told]:
         """Members one after the other, as equal messages in a row are encoded once."""
-        publisher = self.publisher
-        publisher.update(one.snapshot.rows, one.now)
+        delta_tracker = self.delta_tracker
+        delta_tracker.update(one.snapshot.rows, one.now)
         ready = [
             label
             for label, link in one.links.items()
@@ -93,9 +93,9 @@
         ]
         for label in (self.me, *ready):
             numbered = label != self.me
-            if label == one.leader and (sums := publisher.sums_for_leader(one.snapshot)) is not None:
+            if label == one.leader and (sums := delta_tracker.sums_for_leader(one.snapshot)) is not None:
                 yield Told(label, sums, numbered)
-            if (changes := publisher.changes_for(label, label == one.leader)) is not None:
+            if (changes := delta_tracker.changes_for(label, label == one.leader)) is not None:
                 yield Told(label, changes, numbered)
                 self._acknowledged(label, one)
 
--- a/alderbridge/replica.py
+++ b/alderbridge/replica.py
@@ -16,12 +16,12 @@
 from .dependencies import Graph
 from .jobs import JobState, Record
 from .store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, STOPS, TYPES, VIEW
-from .view import Membership, Presence, View
+from .view import MemberRecord, Membership, View
 from .wire import JobSpec, MachineRecord, MachineType, MachineTypes, WatchEvent
 
 _record = msgspec.json.Decoder(Record)
 _view = msgspec.json.Decoder(View)
-_presence = msgspec.json.Decoder(Presence)
+_member_record = msgspec.json.Decoder(MemberRecord)
 _machine_types = msgspec.json.Decoder(MachineTypes)
 _machine = msgspec.json.Decoder(MachineRecord)
 _list = msgspec.json.Decoder(list[str])
@@ -55,7 +55,7 @@
         """True if this was a newer view."""
         key, gone = (change.put, False) if change.put is not None else (change.drop or "", True)
         if key == VIEW:
-            return not gone and self.membership.saw_view(_view.decode(change.data), change.revision)
+            return not gone and self.membership.observe_view(_view.decode(change.data), change.revision)
         if key == TYPES and not gone:
             self.types = {kind.name: kind for kind in _machine_types.decode(change.data).types}
             self.types_revision = change.revision
@@ -81,8 +81,8 @@
         elif key.startswith((CLAIMS, STOPS, BUDGETS)):
             self.ledger.apply(key, None if gone else change.data, change.revision)
         elif key.startswith(MEMBERS):
-            presence = None if gone else _presence.decode(change.data)
-            self.membership.saw_presence(key[len(MEMBERS) :], presence, change.revision)
+            member = None if gone else _member_record.decode(change.data)
+            self.membership.observe_member(key[len(MEMBERS) :], member, change.revision)
         elif key.startswith(DECLARED):
             self.declared.apply(key, None if gone else bytes(change.data), change.revision)
         return False
@@ -136,6 +136,6 @@
         known = self.active.get(job)
         return known[0].spec if known is not None else None
 
-    def home_label(self, job: str) -> str:
+    def accepted_by(self, job: str) -> str:
         known = self.active.get(job)
-        return known[0].home if known else ""
+        return known[0].accepted_by if known else ""
--- a/alderbridge/shares.py
+++ b/alderbridge/shares.py
@@ -10,19 +10,23 @@
 import math
 
 from . import constants as c
-from .net import Budget
+from .net import TokenBucket
 
 
-class StoreShare:
+class WriteRateLimit:
     """This member's budget of changes, and what the members told of theirs."""
 
     def __init__(self, rate: float, members: int, now: float) -> None:
         """``rate``: changes a second that the store takes; ``members`` share it."""
         self.rate = rate
         self.share = rate / members
-        self.budget = Budget(self.share, self.share, now)
-        self.short = False  # what users wait for was more than the budget allowed, since this was last told
-        self.made, self.counted_at, self.told = 0, now, 0  # changes since then, and how many were told then
+        self.budget = TokenBucket(self.share, self.share, now)
+        self.is_short = False  # what users wait for was more than the budget allowed, since this was last told
+        self.changes_made, self.counted_at, self.reported_rate = (
+            0,
+            now,
+            0,
+        )  # changes since then, and how many were told then
         self.peers: dict[str, tuple[int, float]] = {}  # member -> changes that it told, and when
 
     def enter(self, members: int, now: float) -> None:
@@ -38,20 +42,20 @@
     def spend(self, changes: int, now: float) -> None:
         """That many changes are on their way."""
         self.budget.spend(now, changes)
-        self.made += changes
+        self.changes_made += changes
 
-    def peer_told(self, label: str, changes: int, now: float) -> None:
+    def record_peer_rate(self, label: str, changes: int, now: float) -> None:
         """How many changes another member made lately; below 0: it may make all of its share."""
         self.peers[label] = (changes, now)
 
-    def look(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """What this member makes of its share, and what it may make of the others'."""
         # At once when users wait: who takes what is lent says so, and lends nothing itself, from the same round on.
-        if now - self.counted_at >= c.LEADER_ROUND_S or (self.short and self.told < self.share):
-            made = math.ceil(self.made / max(c.ROUND_S, now - self.counted_at))
-            self.told = max(made, math.ceil(self.share)) if self.short else made
-            self.made, self.counted_at, self.short = 0, now, False
-        if self.told < self.share:
+        if now - self.counted_at >= c.LEADER_ROUND_S or (self.is_short and self.reported_rate < self.share):
+            changes_made = math.ceil(self.changes_made / max(c.ROUND_S, now - self.counted_at))
+            self.reported_rate = max(changes_made, math.ceil(self.share)) if self.is_short else changes_made
+            self.changes_made, self.counted_at, self.is_short = 0, now, False
+        if self.reported_rate < self.share:
             self.budget.change(self.share, self.share, now)
             return
         lent, takers = 0.0, 1
--- a/scale/hollow.py
+++ b/scale/hollow.py
@@ -47,7 +47,7 @@
             time.monotonic(),
             process.on_event,
         )
-        self.node = process.rng.choice(setup["labels"])
+        self.core = process.rng.choice(setup["labels"])
         self.wake = asyncio.Event()
         self.session: aiohttp.ClientSession | None = None
         self.site: web.TCPSite | None = None
@@ -109,7 +109,7 @@
             await asyncio.sleep(ANSWER_S)
             return self.next_node("cut")
         try:
-            url = f"http://{process.setup['addresses'][self.node]}/agent/beat"
+            url = f"http://{process.setup['addresses'][self.core]}/agent/beat"
             async with self.session.post(url, data=body) as response:
                 answer = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -129,8 +129,8 @@
         """Where to go on when a controller does not answer with 200."""
         process = self.process
         steward = json.loads(answer).get("steward") if status == 421 else None
-        if steward in process.setup["addresses"] and steward != self.node:
-            self.node = steward
+        if steward in process.setup["addresses"] and steward != self.core:
+            self.core = steward
             process.counts["sent_on"] += 1
             return process.rng.uniform(0.0, REDIRECT_S)
         return self.next_node(str(status))
@@ -138,7 +138,7 @@
     def next_node(self, why: str) -> float:
         """The next controller, a second later."""
         labels = self.process.setup["labels"]
-        self.node = labels[(labels.index(self.node) + 1) % len(labels)]
+        self.core = labels[(labels.index(self.core) + 1) % len(labels)]
         self.process.refused[why] = self.process.refused.get(why, 0) + 1
         return NEXT_NODE_S
 
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -18,7 +18,7 @@
 from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, ROOT, STOPS, TYPES, VIEW
 from alderbridge.urgency import declaration as priorities
 from alderbridge.urgency import rules
-from alderbridge.view import Presence, View
+from alderbridge.view import MemberRecord, View
 
 JOB = wire.JobSpec(
     id="wk-000017",
@@ -190,7 +190,7 @@
 RECORDS = {
     "record-job": Record(
         state=JobState.ACTIVE,
-        home="host-1",
+        accepted_by="host-1",
         at=1700000000.25,
         mark=8,
         done=[(0, 3), (5, 6)],
@@ -201,8 +201,10 @@
     ),
     "record-job-ended": Record(state=JobState.DONE, done_at=1700000200.75),
     "record-waits-for": ["wk-000003", "wk-000004"],
-    "record-view": View(leader="host-1", members={"host-0": 3, "host-1": 7}, contact_s=4.5, loose=True),
-    "record-presence": Presence(lease_id=7, generation=6),
+    "record-view": View(
+        leader="host-1", members={"host-0": 3, "host-1": 7}, contact_timeout_s=4.5, quorum_may_not_overlap=True
+    ),
+    "record-presence": MemberRecord(lease_id=7, protocol_version=6),
     "record-machine": wire.MachineRecord(address="10.0.0.7:7001", type="g4", zone="north-1", spot=True),
     "record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE]),
     "record-claim": Claim(
@@ -283,9 +285,11 @@
 # Values in the store, written by older versions or with nothing but what has to be there.
 OLDER_RECORDS = {
     "older-record-job": Record(state=JobState.ABORTED),
-    "older-record-job-with-spec": Record(state=JobState.ACTIVE, home="host-1", at=1700000000.25, spec=JOB_REQUIRED),
+    "older-record-job-with-spec": Record(
+        state=JobState.ACTIVE, accepted_by="host-1", at=1700000000.25, spec=JOB_REQUIRED
+    ),
     "older-record-view": View(leader="host-1", members={"host-0": 3}),
-    "older-record-presence": Presence(lease_id=7, generation=1),
+    "older-record-presence": MemberRecord(lease_id=7, protocol_version=1),
     "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
     "older-record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE_REQUIRED]),
     "older-record-spent": Spent(stops={}),
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -79,8 +79,8 @@
             self.after(self.rng.uniform(35.0, 140.0), self.submit, self.urgent(20 + number))
         self.after(0.5, self.count)
 
-    def prepare(self, node) -> None:
-        node.priorities = lambda now: [self.text]
+    def prepare(self, core) -> None:
+        core.priorities = lambda now: [self.text]
 
     def routine(self, number: int) -> wire.JobSpec:
         rng, saves = self.rng, self.rng.random() < 0.5
@@ -229,7 +229,9 @@
             raise Broken(f"budget: {team} at once")
 
     def halted(self, part: str, task, worker) -> None:
-        parts = [sim.node.part.machines.get(worker.name) for sim in self.nodes.values() if sim.node is not None]
+        parts = [
+            sim.core.machine_shard.machines.get(worker.name) for sim in self.nodes.values() if sim.core is not None
+        ]
         ours = any(wire.split_task_id(part) in machine.claim_halts for machine in parts if machine is not None)
         if ours and (part, task.attempt) not in self.claimed:  # homes stop tasks for other reasons, after falls
             raise Broken(f"unclaimed: {part} stopped on {worker.name} at {self.t:.2f}")
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -4,16 +4,16 @@
 
 import msgspec
 import pytest
-from world import Broken, SimNode, World
+from world import Broken, SimController, World
 
 from alderbridge import constants as c
-from alderbridge.contact import Contact, Touch
-from alderbridge.node import Node
+from alderbridge.contact import FailureDetector, PeerState
+from alderbridge.core import ControllerCore
 from alderbridge.store import VIEW
-from alderbridge.view import Membership, Presence, View
+from alderbridge.view import MemberRecord, Membership, View
 
 
-class Tied(SimNode):
+class Tied(SimController):
     """A controller that can stand still, and whose links to others can be cut, one way or both."""
 
     def __init__(self, world, label):
@@ -48,16 +48,16 @@
 
     def flush(self):
         """What a cut link is given is lost, or held back until the cut ends."""
-        if self.node is None or self.world.t < self.frozen_until:
+        if self.core is None or self.world.t < self.frozen_until:
             return
         passing = []
-        for label, frame in self.node.outgoing:
+        for label, frame in self.core.outgoing_frames:
             until, held = self.world.cuts.get((self.label, label), (0.0, False))
             if self.world.t >= until:
                 passing.append((label, frame))
             elif held:
                 self.world.after(until - self.world.t, self.world.nodes[label].frame, msgspec.msgpack.encode(frame))
-        self.node.outgoing = passing
+        self.core.outgoing_frames = passing
         super().flush()
 
 
@@ -81,8 +81,8 @@
                 if change.put == VIEW:
                     self.changed(msgspec.json.decode(change.data, type=View))
             for label, sim in self.nodes.items():
-                if sim.node is not None and (label, sim.node.membership.store_lease.lease_id) in self.out:
-                    if sim.node.membership.may_act(self.t):
+                if sim.core is not None and (label, sim.core.membership.store_lease.lease_id) in self.out:
+                    if sim.core.membership.may_act(self.t):
                         raise Broken(f"left_out: {label} acts at {self.t:.2f}")
 
     def changed(self, view):
@@ -136,43 +136,49 @@
 def test_whom_a_view_has_left_out_acts_no_more_and_all_act_again_in_the_end(seed):
     world = Ties(seed, nodes=3 + 2 * (seed % 2), mishaps=6)
     world.run(230.0)
-    assert all(sim.node.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.nodes.values())
     world.run(400.0)
-    assert world.starts > 0 and not lacking(world) and world.view.contact_s > 0
+    assert world.starts > 0 and not lacking(world) and world.view.contact_timeout_s > 0
 
 
 def given_up_and_heard_again(monkeypatch):
     def hear(self, label, acknowledged, now):
-        self.peers[label].touch = Touch.HEARD
+        self.peers[label].state = PeerState.ALIVE
         real(self, label, acknowledged, now)
 
-    real = Contact.hear
-    monkeypatch.setattr(Contact, "takes", lambda self, label: True)
-    monkeypatch.setattr(Contact, "hear", hear)
+    real = FailureDetector.record_frame
+    monkeypatch.setattr(FailureDetector, "accepts", lambda self, label: True)
+    monkeypatch.setattr(FailureDetector, "record_frame", hear)
 
 
 def counted_from_the_receipt(monkeypatch):
-    real = Contact.hear
-    monkeypatch.setattr(Contact, "hear", lambda self, label, acknowledged, now: real(self, label, now, now))
+    real = FailureDetector.record_frame
+    monkeypatch.setattr(
+        FailureDetector, "record_frame", lambda self, label, acknowledged, now: real(self, label, now, now)
+    )
 
 
 def no_contact_needed(monkeypatch):
-    monkeypatch.setattr(Contact, "_reckon", lambda self: setattr(self, "until", float("inf")))
+    monkeypatch.setattr(
+        FailureDetector, "_compute_contact_until", lambda self: setattr(self, "contact_until", float("inf"))
+    )
 
 
 def given_up_too_soon(monkeypatch):
     def look(self, now):
-        kept, self.contact_s = self.contact_s, min(self.contact_s, 3.0)
+        kept, self.contact_timeout_s = self.contact_timeout_s, min(self.contact_timeout_s, 3.0)
         real(self, now)
-        self.contact_s = kept
+        self.contact_timeout_s = kept
 
-    real = Contact.look
-    monkeypatch.setattr(Contact, "look", look)
+    real = FailureDetector.refresh
+    monkeypatch.setattr(FailureDetector, "refresh", look)
 
 
 def grace_from_later_than_the_view(monkeypatch):
-    real = Contact.enter
-    monkeypatch.setattr(Contact, "enter", lambda self, members, for_s, after: real(self, members, for_s, after + 6.0))
+    real = FailureDetector.enter
+    monkeypatch.setattr(
+        FailureDetector, "enter", lambda self, members, for_s, after: real(self, members, for_s, after + 6.0)
+    )
 
 
 @pytest.mark.parametrize(
@@ -218,7 +224,7 @@
     world.run(36.9)
     world.store.outage(6.0)  # nobody can be removed meanwhile
     world.run(42.5)
-    assert peer.node.membership.contact.gone() == {"host-0"}
+    assert peer.core.membership.failure_detector.failed_by_quorum() == {"host-0"}
     other.frozen_until = 45.0
     peer.crash()
     world.restart(peer)
@@ -229,15 +235,17 @@
 def test_the_acknowledgements_of_a_restarted_peer_are_not_those_of_the_member(monkeypatch):
     for seed in range(13000, 13004):
         world = restarted_peer(seed)
-        assert "host-0" not in world.view.members or world.view.contact_s == 0.0
-    real = Node.hear
+        assert "host-0" not in world.view.members or world.view.contact_timeout_s == 0.0
+    real = ControllerCore.observe_frame
 
     def hear(self, frame, acked_at, now):
         life = self.membership.view.members.get(frame.sender, 0)
         real(self, msgspec.structs.replace(frame, sender_lease_id=life), acked_at, now)
 
-    monkeypatch.setattr(Node, "hear", hear)
-    monkeypatch.setattr(Node, "inside", property(lambda self: True, lambda self, value: None), raising=False)
+    monkeypatch.setattr(ControllerCore, "observe_frame", hear)
+    monkeypatch.setattr(
+        ControllerCore, "is_member", property(lambda self: True, lambda self, value: None), raising=False
+    )
     with pytest.raises(Broken, match="left_out: host-0"):  # an outsider that takes what members say, and is believed
         for seed in range(13000, 13004):
             restarted_peer(seed)
@@ -255,23 +263,23 @@
     world.run(89.0)
     assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
     world.run(100.0)
-    assert len(world.view.members) == 5 and all(sim.node.may_act() for sim in world.nodes.values())
+    assert len(world.view.members) == 5 and all(sim.core.may_act() for sim in world.nodes.values())
 
 
 def test_a_worker_is_sent_on_to_a_member_that_is_heard_while_its_owner_is_silent():
     membership = Membership("host-1", 20.0)
-    membership.store_lease.renewed(2, 0.0)
+    membership.store_lease.record_renewal(2, 0.0)
     members = {f"host-{number}": number + 1 for number in range(4)}
-    membership.saw_view(View("host-0", members, contact_s=8.0), 10)
-    machine = next(f"n-{number}" for number in range(99) if membership.part_of(f"n-{number}") == "host-2")
+    membership.observe_view(View("host-0", members, contact_timeout_s=8.0), 10)
+    machine = next(f"n-{number}" for number in range(99) if membership.machine_owner(f"n-{number}") == "host-2")
     assert membership.report_to(machine) == "host-2"
-    membership.contact.peers["host-2"].fall_silent()
+    membership.failure_detector.peers["host-2"].suspect()
     assert membership.report_to(machine) == "host-3", "the next one that is heard"
-    membership.contact.peers["host-3"].fall_silent()
+    membership.failure_detector.peers["host-3"].suspect()
     assert membership.report_to(machine) == "host-0"
-    membership.contact.peers["host-0"].fall_silent()
+    membership.failure_detector.peers["host-0"].suspect()
     assert membership.report_to(machine) == "host-2", "nobody is heard: this member may be the one that is cut off"
-    own = next(f"n-{number}" for number in range(99) if membership.part_of(f"n-{number}") == "host-1")
+    own = next(f"n-{number}" for number in range(99) if membership.machine_owner(f"n-{number}") == "host-1")
     assert membership.report_to(own) == "host-1"
 
 
@@ -282,46 +290,46 @@
         world.cut([label], 40.0)
     while world.t < 45.0:
         world.run(world.t + 0.1)
-        assert all(sim.node.may_act() for sim in world.nodes.values())
-    assert world.view.contact_s == 0.0 and len(world.view.members) == 5
+        assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert world.view.contact_timeout_s == 0.0 and len(world.view.members) == 5
     world.run(70.0 + c.CONTACT_AGAIN_S + 5.0)
-    assert world.view.contact_s > 0 and world.fencing_tokens == 3
+    assert world.view.contact_timeout_s > 0 and world.fencing_tokens == 3
 
 
 def test_a_member_that_a_minority_gave_up_is_heard_again_under_a_new_mandate():
     world = Ties(14002, jobs=0)
     world.run(30.0)
-    contact = world.nodes["host-1"].node.membership.contact
-    contact.peers["host-2"].give_up()
-    contact.given_up["host-2"].add("host-1")
+    contact = world.nodes["host-1"].core.membership.failure_detector
+    contact.peers["host-2"].mark_failed()
+    contact.failed_by["host-2"].add("host-1")
     before = world.fencing_tokens
     world.run(30.0 + c.CONTACT_STUCK_S + 1.0)
     assert world.fencing_tokens == before + 1 and len(world.view.members) == 3 and not world.early
-    assert world.nodes["host-1"].node.membership.contact.takes("host-2")
+    assert world.nodes["host-1"].core.membership.failure_detector.accepts("host-2")
 
 
 def test_who_stood_still_gives_nobody_up():
-    contact = Contact("a")
+    contact = FailureDetector("a")
     contact.enter({"a": 1, "b": 2, "c": 3}, 8.0, 0.0)
-    contact.look(0.0)
-    contact.look(20.0)
-    assert contact.lost_at == 20.0 and contact.missing() == ["b", "c"] and not contact.dropped()
-    contact.hear("b", 19.5, 20.1)
-    contact.told("b", ["c"], [])
-    contact.look(20.2)
-    assert contact.dropped() == ["c"] and contact.until > 26.9, "b misses it, too"
+    contact.refresh(0.0)
+    contact.refresh(20.0)
+    assert contact.contact_lost_at == 20.0 and contact.unreachable_peers() == ["b", "c"] and not contact.failed_peers()
+    contact.record_frame("b", 19.5, 20.1)
+    contact.record_peer_report("b", ["c"], [])
+    contact.refresh(20.2)
+    assert contact.failed_peers() == ["c"] and contact.contact_until > 26.9, "b misses it, too"
 
 
 @pytest.mark.parametrize(
-    "generations, asked",
+    "protocol_versions, asked",
     [([c.CONTACT] * 3, True), ([c.CONTACT, c.CONTACT, c.CONTACT - 1], False), ([c.CONTACT] * 2, False)],
 )
-def test_a_view_asks_for_contact_only_of_three_that_all_know_of_it(generations, asked):
+def test_a_view_asks_for_contact_only_of_three_that_all_know_of_it(protocol_versions, asked):
     membership = Membership("host-0", 20.0)
-    membership.store_lease.renewed(1, 0.0)
-    for number, generation in enumerate(generations, 1):
-        membership.saw_presence(f"host-{number - 1}", Presence(number, generation), number)
+    membership.store_lease.record_renewal(1, 0.0)
+    for number, protocol_version in enumerate(protocol_versions, 1):
+        membership.observe_member(f"host-{number - 1}", MemberRecord(number, protocol_version), number)
     membership.next_view(0.0)
     view, _ = membership.next_view(2.0)
-    assert (view.contact_s > 0) is asked
+    assert (view.contact_timeout_s > 0) is asked
     assert (b"contact_s" in msgspec.json.encode(view)) is asked, "what older versions wrote stays as it was"
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -12,9 +12,9 @@
 from alderbridge import cli, declared, wire
 from alderbridge import constants as c
 from alderbridge.config import ConfigError, NextState
+from alderbridge.core import ControllerCore
 from alderbridge.declared import Declarations, Head, Revision, records, texts
 from alderbridge.declared import declarations as machine
-from alderbridge.node import Node
 from alderbridge.store import DECLARED
 from alderbridge.view import Membership
 
@@ -146,19 +146,19 @@
 
 
 def test_a_text_that_can_not_be_read_stops_the_process_until_it_can():
-    node = World(1, jobs=0, trouble=False).nodes["host-0"].node
-    node.follow_hours = lambda: None  # the text says nothing of hours
-    node.membership.followed(0.0)
-    named = put_text(node.declared, "hours", 1, ["a"])
+    core = World(1, jobs=0, trouble=False).nodes["host-0"].core
+    core.refresh_calendars = lambda: None  # the text says nothing of hours
+    core.membership.record_sync(0.0)
+    named = put_text(core.declared, "hours", 1, ["a"])
     gone = records.piece_keys("hours", named)[0]
-    piece = node.declared.kinds["hours"].pieces.pop(gone)
-    change(node.declared, 0.0, 5, hours=head_of(named))
-    node.apply([], 0.0, 0.0)
-    assert node.declared.unreadable and node.membership.fresh_until < 0.0
-    node.declared.apply(gone, msgspec.json.encode(piece), 6)
-    node.membership.followed(0.0)
-    node.apply([], 0.0, 0.0)
-    assert not node.declared.unreadable and node.membership.fresh_until > 0.0
+    piece = core.declared.kinds["hours"].pieces.pop(gone)
+    change(core.declared, 0.0, 5, hours=head_of(named))
+    core.apply_events([], 0.0, 0.0)
+    assert core.declared.unreadable and core.membership.fresh_until < 0.0
+    core.declared.apply(gone, msgspec.json.encode(piece), 6)
+    core.membership.record_sync(0.0)
+    core.apply_events([], 0.0, 0.0)
+    assert not core.declared.unreadable and core.membership.fresh_until > 0.0
 
 
 # -- random runs
@@ -230,12 +230,12 @@
             self.declared_at.setdefault(file.revision, self.t)
         self.fell(label)
 
-    def prepare(self, node):
-        node.follow_hours = lambda: None  # the texts of these runs say nothing of hours
+    def prepare(self, core):
+        core.refresh_calendars = lambda: None  # the texts of these runs say nothing of hours
 
     def fell(self, label):
         sim = self.nodes[label]
-        if sim.node is not None:
+        if sim.core is not None:
             sim.crash()
             most = min(60.0, max(0.2, self.quiet_from - self.t))
             self.after(min(self.rng.choice([0.1, 1.0, 5.0, 60.0]), most), self.restart, sim)
@@ -255,8 +255,8 @@
             self.look_at_store()
         lists = {}
         for label, sim in self.nodes.items():
-            if sim.node is not None and sim.node.loaded:
-                lists[label] = [0] if sim.old else sim.node.declared.obeyed("hours", self.t)
+            if sim.core is not None and sim.core.loaded:
+                lists[label] = [0] if sim.old else sim.core.declared.obeyed("hours", self.t)
         alone = {obeyed[0] for obeyed in lists.values() if len(obeyed) == 1 and obeyed[0] > 0}
         for revision in alone:
             behind = [label for label, obeyed in lists.items() if obeyed[-1] < revision]
@@ -268,7 +268,7 @@
                     raise Broken(f"older_alone: {lists}, one of {behind} acts beside {revision} alone at {self.t:.2f}")
 
     def acts(self, labels):
-        return any(self.nodes[label].node.membership.may_act(self.t) for label in labels)
+        return any(self.nodes[label].core.membership.may_act(self.t) for label in labels)
 
     def look_at_store(self):
         row = self.store.data.get(records.head_key("hours"))
@@ -290,12 +290,12 @@
         files = [file.revision for file in self.own.values()]
         expected = max([self.seen[0], *files])
         for label, sim in self.nodes.items():
-            assert sim.node.membership.may_act(self.t), label
-            obeyed = sim.node.declared.obeyed("hours", self.t)
+            assert sim.core.membership.may_act(self.t), label
+            obeyed = sim.core.declared.obeyed("hours", self.t)
             if obeyed != [expected]:
                 raise Broken(f"not_in_force: {label} obeys {obeyed}, {expected} is declared")
-            if sim.node.declared.kinds and sim.node.declared.kinds["hours"].head is not None:
-                assert sim.node.declared.kinds["hours"].head.digest == self.seen[1]
+            if sim.core.declared.kinds and sim.core.declared.kinds["hours"].head is not None:
+                assert sim.core.declared.kinds["hours"].head.digest == self.seen[1]
         left = {key for key in self.store.data if key.startswith(DECLARED + "hours/")}
         assert len(left) <= 60, "texts that no head names are left behind"
 
@@ -330,7 +330,7 @@
 
 
 def alone_from_the_first_load(monkeypatch):
-    real = Node.load
+    real = ControllerCore.load
 
     def load(self, *args):
         real(self, *args)
@@ -338,15 +338,15 @@
             if one.head is not None:
                 one.alone_at = 0.0
 
-    monkeypatch.setattr(Node, "load", load)
+    monkeypatch.setattr(ControllerCore, "load", load)
 
 
 def test_who_starts_in_mid_change_obeys_both(monkeypatch):
     """In random runs who is cut off is replaced too soon to be seen beside one that obeys the newer alone."""
 
     def obeyed():
-        node = World(1, jobs=0, trouble=False).nodes["host-0"].node
-        node.follow_hours = lambda: None
+        core = World(1, jobs=0, trouble=False).nodes["host-0"].core
+        core.refresh_calendars = lambda: None
         first, second = (Revision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
         rows = [
             wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(piece)), 1)
@@ -358,8 +358,8 @@
         rows.append(
             wire.KeyValue(records.head_key("hours"), msgspec.Raw(msgspec.json.encode(head_of(second, first))), 2)
         )
-        node.load(rows, [], 5, 0.0, 0.0)
-        return node.declared.in_force("hours", 1.0)
+        core.load(rows, [], 5, 0.0, 0.0)
+        return core.declared.in_force("hours", 1.0)
 
     assert obeyed() == [Text(["a"]), Text(["b"])]
     alone_from_the_first_load(monkeypatch)
@@ -426,14 +426,16 @@
 
 
 def older_versions_not_waited_for(monkeypatch):
-    real = Membership.all_run
+    real = Membership.all_support
     monkeypatch.setattr(
-        Membership, "all_run", lambda self, generation: generation <= c.DECLARED or real(self, generation)
+        Membership,
+        "all_support",
+        lambda self, protocol_version: protocol_version <= c.DECLARED or real(self, protocol_version),
     )
 
 
 def never_settled(monkeypatch):
-    monkeypatch.setattr(Membership, "leads", lambda self, now: False)
+    monkeypatch.setattr(Membership, "is_leader", lambda self, now: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -10,11 +10,11 @@
 from alderbridge import mesh as m
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
-from alderbridge.jobs import Home, Job, JobState, Record
-from alderbridge.node import Node
+from alderbridge.core import ControllerCore
+from alderbridge.jobs import Job, JobShard, JobState, Record
 from alderbridge.placement import Candidate, Offer, Offers, fill
 from alderbridge.poll import Poll
-from alderbridge.view import Membership, Standing
+from alderbridge.view import Membership, MemberStatus
 
 # The lowest label that is up proposes at once, the others a head start later each: so a view that lacks somebody is
 # followed by another within this, however often members flap, while the store answers: two rounds and the follower.
@@ -70,9 +70,9 @@
     while True:
         world.run(world.t + 0.5)
         for label, sim in world.nodes.items():
-            for name, job in sim.node.home.jobs.items():
+            for name, job in sim.core.job_shard.jobs.items():
                 for index, run in job.runs.items():
-                    part = sim.node.membership.part_of(run.machine)
+                    part = sim.core.membership.machine_owner(run.machine)
                     if part != label and run.state.value == "running":
                         return label, part, name, index, run
 
@@ -81,21 +81,23 @@
     """What the part tells the home that died is told again to the new one under the next view."""
     world = World(8700, trouble=False, jobs=30)
     home, part, name, index, run = a_run(world)
-    owner = world.nodes[part].node
+    owner = world.nodes[part].core
     owner.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
     world.nodes[home].crash()
     world.restart(world.nodes[home])
-    while not (node := world.nodes[home].node).loaded:
+    while not (core := world.nodes[home].core).loaded:
         world.run(world.t + 0.01)
-    assert not node.inside and node.membership.fencing_token == owner.membership.fencing_token
+    assert not core.is_member and core.membership.fencing_token == owner.membership.fencing_token
     seen = m.MachineTaskReport(
         run.machine, run.zone, 0, [m.TaskStatusReport(name, index, run.attempt, "running", None)], []
     )
-    node.on_frame(owner.channels[home].post(seen, world.t), world.t)
-    assert not [body for _, body in node.outgoing if not isinstance(body.body, m.KeepAlive)], "no halt of what it ran"
-    assert node.channels[part].received == 0, "nor an acknowledgement"
-    node.on_frame(owner.channels[home].tell(m.JobQuery(7, "status", name)), world.t)
-    assert [ask.query_id for _, ask in node.questions] == [7], "questions are taken; 503 has the asker read the store"
+    core.on_frame(owner.channels[home].post(seen, world.t), world.t)
+    assert not [body for _, body in core.outgoing_frames if not isinstance(body.body, m.KeepAlive)], (
+        "no halt of what it ran"
+    )
+    assert core.channels[part].received == 0, "nor an acknowledgement"
+    core.on_frame(owner.channels[home].post_unreliable(m.JobQuery(7, "status", name)), world.t)
+    assert [ask.query_id for _, ask in core.queries] == [7], "questions are taken; 503 has the asker read the store"
 
 
 def test_the_view_may_arrive_before_the_process_knows_its_hold():
@@ -104,17 +106,17 @@
     home, *_ = a_run(world)
     world.nodes[home].crash()
     world.restart(world.nodes[home])
-    node = world.nodes[home].node
-    real, late = node.held, []
-    node.held = lambda *told: late.append(told)  # the store's answer takes a while
-    fencing_token = max(sim.node.membership.fencing_token for sim in world.nodes.values() if sim.node)
-    while node.membership.fencing_token <= fencing_token or not late:
+    core = world.nodes[home].core
+    real, late = core.lease_acquired, []
+    core.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
+    fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
+    while core.membership.fencing_token <= fencing_token or not late:
         world.run(world.t + 0.05)
-    assert not node.inside and not node.may_act()
-    node.held = real
-    node.held(*late[0])
-    assert node.may_act() and node.inside and node.home.jobs
-    world.served(node)
+    assert not core.is_member and not core.may_act()
+    core.lease_acquired = real
+    core.lease_acquired(*late[0])
+    assert core.may_act() and core.is_member and core.job_shard.jobs
+    world.served(core)
 
 
 def given_up(world, label):
@@ -122,12 +124,12 @@
     spec = msgspec.structs.replace(
         world.make_job(1), kind="sweep", tasks=2, cpus=1.0, types=None, zone=None, one_zone=False, spread=False
     )
-    node = world.nodes[label].node
+    core = world.nodes[label].core
     world.specs[spec.id] = spec
-    submission = node.submit(spec, world.t, world.t)
-    batch = node.next_batch(world.t)
-    node.batch_failed(batch, world.t)
-    node.refuse_submissions()
+    submission = core.submit(spec, world.t, world.t)
+    batch = core.next_batch(world.t)
+    core.on_batch_failed(batch, world.t)
+    core.refuse_submissions()
     assert submission.outcome == "refused"
     return spec, batch
 
@@ -138,9 +140,9 @@
     world = World(8702, trouble=False, jobs=0)
     world.run(5.0)
     spec, batch = given_up(world, "host-1")
-    node = world.nodes["host-1"].node
+    core = world.nodes["host-1"].core
     if again:  # the user's next try comes first, and meets the record
-        node.submit(spec, world.t + 1.0, world.t + 1.0)
+        core.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
     world.first_asked[spec.id] = world.t
@@ -170,7 +172,7 @@
         async def deliver():
             while not second.asks:
                 await curio.sleep(0)
-            second.node.replies.append(m.JobQueryReply(next(iter(second.asks)), 200, body))
+            second.core.query_replies.append(m.JobQueryReply(next(iter(second.asks)), 200, body))
             await second.after()
 
         task = await curio.spawn(deliver)
@@ -241,7 +243,7 @@
 
 def test_a_large_job_has_its_turn_once_it_has_waited_for_a_share_of_its_time():
     """The first task of what has not begun goes first; what is late and passed over, an eighth of it at a time."""
-    home = Home([], lambda label, body: 1, 4096)
+    home = JobShard([], lambda label, body: 1, 4096)
     home.enter(1, {}, {})
     job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 400, [], SMALL), 1, 0.0, 0.0, fresh=True)
     home.join(job)
@@ -304,23 +306,25 @@
             self.dispatch(frame.sender, body)
             self.pump()
 
-    monkeypatch.setattr(Node, "on_frame", on_frame)
+    monkeypatch.setattr(ControllerCore, "on_frame", on_frame)
 
 
 def takes_itself_for_the_one_before(monkeypatch):
     """A member by its label, whatever its permit; so no view follows its return."""
 
-    def standing(self, now):
+    def status(self, now):
         if self.me not in self.view.members or not self.store_lease.lease_id:
-            return Standing.OUTSIDE
-        return Standing.MEMBER if now < min(self.store_lease.valid_until, self.fresh_until) else Standing.LAPSED
+            return MemberStatus.OUTSIDE
+        return (
+            MemberStatus.MEMBER if now < min(self.store_lease.valid_until, self.fresh_until) else MemberStatus.EXPIRED
+        )
 
     real = Membership.next_view
-    monkeypatch.setattr(Membership, "standing", standing)
+    monkeypatch.setattr(Membership, "status", status)
     monkeypatch.setattr(
         Membership,
         "next_view",
-        lambda self, now, most: None if self.present.keys() == self.view.members.keys() else real(self, now, most),
+        lambda self, now, most: None if self.registered.keys() == self.view.members.keys() else real(self, now, most),
     )
 
 
@@ -329,7 +333,7 @@
     monkeypatch.setattr(
         Job, "abort", lambda self, now, cause="withdrawn": real(self, now, cause) if cause == "withdrawn" else None
     )
-    monkeypatch.setattr(Node, "doom_is_common", lambda self, job: False)
+    monkeypatch.setattr(ControllerCore, "cascade_abort_is_settled", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -8,12 +8,12 @@
 
 from alderbridge import constants as c
 from alderbridge import wire
+from alderbridge.core import ControllerCore
 from alderbridge.hours import Text, Timetable
 from alderbridge.hours.declaration import Calendar, Class
 from alderbridge.hours.timetable import DAY, NEVER
-from alderbridge.jobs import Home
+from alderbridge.jobs import JobShard
 from alderbridge.mesh import TaskRequest
-from alderbridge.node import Node
 
 BASE = 20752 * DAY - 180.0  # three minutes before midnight, UTC
 SKEW_S, KEY, TTL_S = 2.0, "ab/hours", c.OUTLAST_S - w.LEASE_S
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int, falls: bool = True, **more) -> None:
         super().__init__(seed, **more)
-        self.quiet = not (falls or more.get("trouble", True))
+        self.is_quiet = not (falls or more.get("trouble", True))
         rng = self.rng
         self.texts, self.stored = [Text()], [-math.inf]
         for at in (rng.uniform(2.0, 15.0), rng.uniform(50.0, 110.0)):
@@ -36,7 +36,7 @@
             sim.ahead_s = BASE + (rng.uniform(-SKEW_S, SKEW_S) if off is None else off)
         for number in range(6):
             self.after(rng.uniform(40.0, 200.0), self.submit, self.make_job(60 + number))
-        if not self.quiet:
+        if not self.is_quiet:
             self.late_share = 0.03
             for minute in range(1, 4):  # what was asked for or granted before closing arrives after it
                 self.after(60.0 * minute - rng.uniform(4.0, 12.0), self.cut, rng.uniform(6.0, 20.0))
@@ -84,13 +84,13 @@
         for row in rows:
             if KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
-                sim.node.declare_hours(self.texts[number - 1 : number + 1])
+                sim.core.apply_calendars(self.texts[number - 1 : number + 1])
                 self.after(TTL_S + c.PROOF_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
-        known = sim.node is not None and sim.life == life and sim.node.hours is not None
-        if known and sim.node.hours.texts[-1] is self.texts[number]:
-            sim.node.declare_hours([self.texts[number]])
+        known = sim.core is not None and sim.life == life and sim.core.calendars is not None
+        if known and sim.core.calendars.texts[-1] is self.texts[number]:
+            sim.core.apply_calendars([self.texts[number]])
 
     def cut(self, for_s: float) -> None:
         self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + for_s
@@ -132,7 +132,7 @@
 
     def watch(self) -> None:
         super().watch()
-        for part in self.on if self.quiet else ():
+        for part in self.on if self.is_quiet else ():
             spec, text = self.specs[wire.split_task_id(part)[0]], self.texts[-1]
             rule, until = self.open_until(text, spec, LATE_S)
             since = self.open_until(text, spec)[1]
@@ -184,40 +184,40 @@
         pending = [
             (sim, machine)
             for sim in world.nodes.values()
-            for machine in sim.node.part.machines.values()
+            for machine in sim.core.machine_shard.machines.values()
             if (spec.id, 0) in machine.pending
         ]
         if pending:
             break
     (sim, machine), part = pending[0], f"{spec.id}/0"
     for other in world.nodes.values():
-        other.node.declare_hours([shut])
-    assert not [order for order in sim.node.part.orders(machine) if order["verb"] == "run"]
+        other.core.apply_calendars([shut])
+    assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
-    home = next(other.node.home for other in world.nodes.values() if spec.id in other.node.home.jobs)
+    home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
     home.on_take(sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True)  # of an older offer
     assert not home.jobs[spec.id].runs
     assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
     for other in world.nodes.values():
-        assert (other.node.state_here(spec.id, world.t) or ("pending",))[0] == "pending"
-        other.node.declare_hours([])
+        assert (other.core.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
+        other.core.apply_calendars([])
     world.run(world.t + 200.0)  # its team is at its limit
     assert part in world.completed
 
 
 def broken(monkeypatch, what: str) -> None:
-    declare = Node.declare_hours
+    declare = ControllerCore.apply_calendars
     if what == "no cautious clock":
 
-        def careless(node, texts):
-            declare(node, texts)
-            node.hours.skew_s = 0.0
+        def careless(core, texts):
+            declare(core, texts)
+            core.calendars.skew_s = 0.0
 
-        monkeypatch.setattr(Node, "declare_hours", careless)
+        monkeypatch.setattr(ControllerCore, "apply_calendars", careless)
     elif what == "nothing stopped":
-        monkeypatch.setattr(Home, "stop_closed", lambda home: None)
+        monkeypatch.setattr(JobShard, "stop_closed", lambda home: None)
     else:
-        monkeypatch.setattr(Node, "declare_hours", lambda node, texts: declare(node, texts[:1]))
+        monkeypatch.setattr(ControllerCore, "apply_calendars", lambda core, texts: declare(core, texts[:1]))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -525,8 +525,8 @@
 class LendWorld(ClaimsWorld):
     """Tuning holds all GPUs, a load of replicas comes and goes, and controllers end in mid-claim."""
 
-    def prepare(self, node):
-        node.lendings = lambda now: [LENT]
+    def prepare(self, core):
+        core.lendings = lambda now: [LENT]
 
     def routine(self, number):
         return msgspec.structs.replace(
@@ -633,5 +633,5 @@
 
 def test_calm_runs_lend_and_without_a_declaration_nothing_stops(gpus, monkeypatch):
     assert play(103, trouble=False, falls_in_claims=False).made > 0
-    monkeypatch.setattr(LendWorld, "prepare", lambda self, node: None)
+    monkeypatch.setattr(LendWorld, "prepare", lambda self, core: None)
     assert play(101, trouble=False, falls_in_claims=False).made == 0
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from alderbridge import constants as c
-from alderbridge.machines import Part
+from alderbridge.machines import MachineShard
 from alderbridge.mesh import MachineTaskReport, TaskGrant
 from alderbridge.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
 
@@ -24,7 +24,7 @@
 
 def part_with_machine():
     sent = []
-    part = Part(
+    part = MachineShard(
         "host-0",
         17.0,
         lambda label, body: sent.append((label, body)) or len(sent),
@@ -119,7 +119,7 @@
 def test_what_frees_a_task_is_told_at_once_and_progress_with_the_next_message():
     part, sent = part_with_machine()
     later = []
-    part.send_later = lambda label, body: later.append(body.tasks) or 0
+    part.send_deferred = lambda label, body: later.append(body.tasks) or 0
     heartbeat(part, 1)
     del sent[:]
     for number, (status, cause) in enumerate((("fetching", None), ("running", None), ("ended", "done"))):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -7,12 +7,12 @@
 from world import KNOWN_S, ROOM_S, ZONES, Broken, World
 
 from alderbridge import placement, wire
-from alderbridge.contact import Contact
+from alderbridge.contact import FailureDetector
 from alderbridge.controller import Controller
-from alderbridge.jobs import Home, JobState
+from alderbridge.core import ControllerCore
+from alderbridge.jobs import JobShard, JobState
 from alderbridge.leader import Leader
-from alderbridge.machines import Part
-from alderbridge.node import Node
+from alderbridge.machines import MachineShard
 from alderbridge.store import JOBS, VIEW
 from alderbridge.view import Membership, StoreLease
 
@@ -103,8 +103,8 @@
     elif kind == "zone_away":
         zone, inside, until = world.zone_away
         world.run(world.t + 30.0)
-        held = {worker.node for worker in world.machines.values() if worker is not None and worker.kind.zone != zone}
-        assert zone in ZONES and inside == sim.label and until == 90.0 and not sim.node.may_act()
+        held = {worker.core for worker in world.machines.values() if worker is not None and worker.kind.zone != zone}
+        assert zone in ZONES and inside == sim.label and until == 90.0 and not sim.core.may_act()
         assert sim.label not in held
     elif kind == "reports_kept":
         world.kept_share = 1.0
@@ -137,7 +137,7 @@
 
 def acts_past_its_hold(monkeypatch):
     """A member takes its hold, its replica and its contact for good much longer than they are."""
-    renewed, followed = StoreLease.renewed, Membership.followed
+    renewed, followed = StoreLease.record_renewal, Membership.record_sync
 
     def longer(self, *args):
         renewed(self, *args)
@@ -147,37 +147,39 @@
         followed(self, sent_at)
         self.fresh_until += 60.0
 
-    monkeypatch.setattr(StoreLease, "renewed", longer)
-    monkeypatch.setattr(Membership, "followed", fresh)
-    monkeypatch.setattr(Contact, "_reckon", lambda self: setattr(self, "until", math.inf))
+    monkeypatch.setattr(StoreLease, "record_renewal", longer)
+    monkeypatch.setattr(Membership, "record_sync", fresh)
+    monkeypatch.setattr(
+        FailureDetector, "_compute_contact_until", lambda self: setattr(self, "contact_until", math.inf)
+    )
 
 
 def copies_taken_for_new(monkeypatch):
-    real = Part.on_heartbeat
+    real = MachineShard.on_heartbeat
 
     def on_heartbeat(self, heartbeat, now):
         if heartbeat.machine in self.machines:
             self.machines[heartbeat.machine].news = (0, 0)
         return real(self, heartbeat, now)
 
-    monkeypatch.setattr(Part, "on_heartbeat", on_heartbeat)
+    monkeypatch.setattr(MachineShard, "on_heartbeat", on_heartbeat)
 
 
 def told_before_stored(monkeypatch):
     """``withdraw`` is answered at once, though the write may be refused, or lost."""
-    real = Node.withdraw
+    real = ControllerCore.cancel
     monkeypatch.setattr(
-        Node,
-        "withdraw",
+        ControllerCore,
+        "cancel",
         lambda self, job, now: (
-            real(self, job, now) or ("aborted" if job in self.home.jobs and self.may_act() else None)
+            real(self, job, now) or ("aborted" if job in self.job_shard.jobs and self.may_act() else None)
         ),
     )
 
 
 def stamps_not_asserted(monkeypatch):
     """A write carried out late, after newer ones of the same controller, takes their place."""
-    real = Node.next_batch
+    real = ControllerCore.next_batch
 
     def next_batch(self, now):
         batch = real(self, now)
@@ -185,19 +187,19 @@
             batch.conditions = {key: revision for key, revision in batch.conditions.items() if not key.startswith(JOBS)}
         return batch
 
-    monkeypatch.setattr(Node, "next_batch", next_batch)
+    monkeypatch.setattr(ControllerCore, "next_batch", next_batch)
 
 
 def denies_what_is_on_its_way(monkeypatch):
     """A home answers from memory while the write of an end has no answer."""
-    real = Node.state_here
+    real = ControllerCore.local_job_state
 
-    def state_here(self, job, now):
-        mine = self.home.jobs.get(job)
+    def local_job_state(self, job, now):
+        mine = self.job_shard.jobs.get(job)
         ended = mine is not None and mine.state is not JobState.ACTIVE and mine.stored_state is JobState.ACTIVE
         return ("pending", 0, 0) if ended and job not in self.replica.ended and self.may_act() else real(self, job, now)
 
-    monkeypatch.setattr(Node, "state_here", state_here)
+    monkeypatch.setattr(ControllerCore, "local_job_state", local_job_state)
 
 
 def test_a_close_look_sees_an_older_state_told_while_an_end_has_no_answer(monkeypatch):
@@ -324,9 +326,11 @@
     world.run(20.0)
     assert after in world.accepted
     world.run(60.0)
-    real = Node.state_here
-    monkeypatch.setattr(Node, "state_here", lambda self, job, now: None if job == after else real(self, job, now))
-    monkeypatch.setattr(Node, "surely_pending", lambda self, job, now: False)
+    real = ControllerCore.local_job_state
+    monkeypatch.setattr(
+        ControllerCore, "local_job_state", lambda self, job, now: None if job == after else real(self, job, now)
+    )
+    monkeypatch.setattr(ControllerCore, "is_certainly_pending", lambda self, job, now: False)
     with pytest.raises(Broken, match=f"unanswered: {after}"):
         world.run(60.0 + KNOWN_S + 20.0)
     assert world.t > 60.0 + KNOWN_S - 6.0
@@ -349,8 +353,8 @@
     assert world.said[job] == "aborted" and not world.on, "the machine went on, and was halted then"
     assert [part for part, by in world.starts_after if 0.0 < by < 42.0] == [f"{job}/0"]
     never_halted(monkeypatch)
-    monkeypatch.setattr(Part, "on_halt", lambda self, halt: None)
-    monkeypatch.setattr(Part, "_orphans", lambda self, machine: None)
+    monkeypatch.setattr(MachineShard, "on_halt", lambda self, halt: None)
+    monkeypatch.setattr(MachineShard, "_orphans", lambda self, machine: None)
     world, job = cancelled_on_a_hanging_machine()
     with pytest.raises(Broken, match="ran_cancelled"):
         world.run(world.t + 60.0)
@@ -393,9 +397,9 @@
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(Home, "halt_all", lambda self, job: None)
+    monkeypatch.setattr(JobShard, "halt_all", lambda self, job: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
-    monkeypatch.setattr(Part, "_stop_cancelled", lambda self, machine, shown: None)
+    monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
 
 
 @pytest.mark.parametrize(
