--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -10,19 +10,19 @@
 import msgspec
 import pytest
 from test_meetings_store import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
-from world import CANCEL_S, STORE_S, Broken, SimNode, StoreRefusedError, TransactionTooLargeError, World
+from world import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
 
 from alderbridge import constants as c
 from alderbridge import declared, wire
 from alderbridge import mesh as m
 from alderbridge.claims import Claim
-from alderbridge.contact import Contact
+from alderbridge.contact import FailureDetector
+from alderbridge.core import ControllerCore
 from alderbridge.declared import Declarations, texts
 from alderbridge.jobs import JobState, Record, TaskState
 from alderbridge.machines import MachineState
-from alderbridge.node import Node
 from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
-from alderbridge.view import View, choose
+from alderbridge.view import View, rendezvous_owner
 
 # -- one node, one store: what is written is read by others at once ------------------
 
@@ -34,7 +34,7 @@
     if shown:
         alone.follow()
     alone.t += c.STATE_TIMEOUT_S
-    alone.node.batch_failed(batch, alone.t)
+    alone.core.on_batch_failed(batch, alone.t)
     return batch
 
 
@@ -66,14 +66,14 @@
     put = at_once(alone, shown)
     assert MACHINES + name in put.puts
     machine = alone.heartbeat(name, 2)
-    assert not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     alone.store.commit({}, {VIEW: View("host-1", alone.lease_ids)})
     at_same_time(alone, there)
-    assert name in there.node.home.barrier
+    assert name in there.core.job_shard.barrier
     alone.write()  # meets the view, and then its own record
     alone.follow()
     alone.write()
-    assert alone.node.part.machines[name].recorded
+    assert alone.core.machine_shard.machines[name].recorded
 
 
 @pytest.mark.parametrize("how", (Alone.follow, Alone.reload))
@@ -85,12 +85,12 @@
     at_once(alone, shown=False)
     how(alone)
     alone.go(LEASE_S + 2.0)  # the store is read, and takes no changes
-    assert alone.node.part.machines[name].state is MachineState.LAPSED
+    assert alone.core.machine_shard.machines[name].state is MachineState.LAPSED
     alone.write()
     assert MACHINES + name not in alone.store.data
     alone.heartbeat(name, 1, incarnation=2)
     alone.write()
-    assert MACHINES + name in alone.store.data and alone.node.part.machines[name].recorded
+    assert MACHINES + name in alone.store.data and alone.core.machine_shard.machines[name].recorded
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -104,9 +104,9 @@
     drop = at_once(alone, shown)
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
-    assert machine.acked and not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
+    assert machine.acked and not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     at_same_time(alone, there)
-    assert name not in there.node.replica.machines
+    assert name not in there.core.replica.machines
     while not machine.recorded:
         alone.settle(alone.batch())
         alone.follow()
@@ -120,13 +120,13 @@
     alone.up("n-000001")
     there, mark = alone.other("host-1"), job.mark
     job.next = mark
-    alone.node.home.want_mark(job, 10, alone.t)
+    alone.core.job_shard.want_mark(job, 10, alone.t)
     at_once(alone, shown)
     assert stored(alone).mark > mark
     assert job.pick(alone.t) is None, "it has not heard that the store has the mark"
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     at_same_time(alone, there)
-    assert len(there.node.home.jobs[SPEC.id].unknown) == stored(alone).mark > mark
+    assert len(there.core.job_shard.jobs[SPEC.id].unknown) == stored(alone).mark > mark
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -136,15 +136,15 @@
     job = alone.job()
     alone.runs(job, "n-000001", 0)
     sent = []
-    alone.node.home.send = alone.node.home.send_later = lambda label, body: sent.append(body) or len(sent)
-    alone.node.home.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.send = alone.core.job_shard.send_deferred = lambda label, body: sent.append(body) or len(sent)
+    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     at_once(alone, shown)
-    alone.node.home.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
     assert stored(alone).done == [(0, 1)] and not [body for body in sent if isinstance(body, m.AcknowledgeFinished)]
     at_same_time(alone, there)
-    assert there.node.replica.left[SPEC.id] == SPEC.tasks - 1
+    assert there.core.replica.left[SPEC.id] == SPEC.tasks - 1
     alone.t += 1.0
     alone.follow()
     alone.write()
@@ -153,7 +153,7 @@
     )
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     at_same_time(alone, there)
-    assert there.node.home.jobs[SPEC.id].state_of(0) is TaskState.DONE
+    assert there.core.job_shard.jobs[SPEC.id].state_of(0) is TaskState.DONE
 
 
 def end_of(alone, how):
@@ -161,11 +161,11 @@
     job = alone.job()
     if how == "aborted":
         alone.runs(job, "n-000001", 0)
-        assert alone.node.withdraw(SPEC.id, alone.t) == ""
+        assert alone.core.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
-            alone.node.home.on_seen("host-0", alone.ended("n-000001", index), alone.t)
+            alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", index), alone.t)
     return job
 
 
@@ -181,11 +181,11 @@
 
     def ask():
         for one in (alone, there):
-            answer = one.node.state_here(SPEC.id, one.t)
+            answer = one.core.local_job_state(SPEC.id, one.t)
             assert answer is None or answer[0] == state, (one.me, answer)
             told.append(answer is not None)
-            if one.node.home_of(SPEC.id) == one.me or answer is not None:
-                assert one.node.withdraw(SPEC.id, one.t) in ("", None, state)
+            if one.core.job_owner(SPEC.id) == one.me or answer is not None:
+                assert one.core.cancel(SPEC.id, one.t) in ("", None, state)
 
     batch = alone.batch()
     assert not alone.carry_out(batch).failed
@@ -195,13 +195,13 @@
     ask()
     assert told == [shown, True]
     alone.t += c.STATE_TIMEOUT_S
-    alone.node.batch_failed(batch, alone.t)
+    alone.core.on_batch_failed(batch, alone.t)
     at_same_time(alone, there)
     ask()
     if met == "not read":  # the next try meets it, and the store can't be asked for it
         again = alone.batch()
         assert alone.carry_out(again).failed == [JOBS + SPEC.id]
-        alone.node.batch_failed(again, alone.t)
+        alone.core.on_batch_failed(again, alone.t)
         ask()
     elif met != "read":
         labels = ("host-1", "host-0") if met == "same home" else ("host-1",)
@@ -210,17 +210,17 @@
         ask()
         alone.follow()
         ask()
-        assert (SPEC.id in there.node.home.jobs) <= (met == "other home")
+        assert (SPEC.id in there.core.job_shard.jobs) <= (met == "other home")
     home = there if met == "other home" else alone
     home.t = there.t = alone.t = alone.t + SETTLED_S
     for _ in range(3):
         alone.follow()
         there.follow()
-        home.node.round(home.t)
+        home.core.round(home.t)
         home.write()
         ask()
     assert stored(alone).state.value == state
-    assert home.node.state_here(SPEC.id, home.t) == (state, 0, 0) and there.node.withdraw(SPEC.id, there.t) == state
+    assert home.core.local_job_state(SPEC.id, home.t) == (state, 0, 0) and there.core.cancel(SPEC.id, there.t) == state
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -231,15 +231,15 @@
     job = end_of(alone, "done")
     at_once(alone, shown)
     assert stored(alone).spec is None and job.to_clear and not job.drained
-    assert alone.node.withdraw(SPEC.id, alone.t) == ("done" if shown else "")
+    assert alone.core.cancel(SPEC.id, alone.t) == ("done" if shown else "")
     if view:
         alone.view("host-1", "host-0")
-        assert SPEC.id not in alone.node.home.jobs
+        assert SPEC.id not in alone.core.job_shard.jobs
     alone.write()
     alone.go(2.0)
     alone.write()
-    assert SPEC.id not in alone.node.home.jobs and not alone.node.home.tally.lagging
-    assert alone.node.state_here(SPEC.id, alone.t) == ("done", 0, 0)
+    assert SPEC.id not in alone.core.job_shard.jobs and not alone.core.job_shard.tally.lagging
+    assert alone.core.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -248,45 +248,45 @@
     """Refused, its user tries again at the same controller; or the view begins, which gives the job to its home."""
     alone = Alone("host-1")
     there = alone.other("host-1")
-    submission = alone.node.submit(SPEC, alone.t, alone.t)
+    submission = alone.core.submit(SPEC, alone.t, alone.t)
     at_once(alone, shown)
     at_same_time(alone, there)
-    assert there.node.known(SPEC.id) and there.node.home_of(SPEC.id) == "host-0"
-    assert alone.node.withdraw(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
+    assert there.core.knows_job(SPEC.id) and there.core.job_owner(SPEC.id) == "host-0"
+    assert alone.core.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
     if then == "refused":
-        alone.node.refuse_submissions()
-        assert submission.outcome == "refused" and (SPEC.id in alone.node.home.jobs) is shown
-        if not alone.node.known(SPEC.id):
-            submission = alone.node.submit(SPEC, alone.t, alone.t + 1.0)
+        alone.core.refuse_submissions()
+        assert submission.outcome == "refused" and (SPEC.id in alone.core.job_shard.jobs) is shown
+        if not alone.core.knows_job(SPEC.id):
+            submission = alone.core.submit(SPEC, alone.t, alone.t + 1.0)
     elif then == "view":
         alone.view("host-1", "host-0")
     alone.write()
-    assert not alone.node.submissions and submission.outcome in ("known", "refused")
-    job = alone.node.home.jobs[SPEC.id]
+    assert not alone.core.submissions and submission.outcome in ("known", "refused")
+    job = alone.core.job_shard.jobs[SPEC.id]
     assert job.revision == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
-    assert alone.node.state_here(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.local_job_state(SPEC.id, alone.t)[0] == "pending"
     alone.go(2.0)
     alone.write()
-    assert alone.node.home.jobs == {SPEC.id: job}
+    assert alone.core.job_shard.jobs == {SPEC.id: job}
 
 
 @pytest.mark.parametrize("shown", (True, False))
 def test_lists_in_doubt_are_stored_once_and_their_job_waits_for_all_of_them(shown):
     alone = Alone()
-    alone.node.home.value_bytes = 700
+    alone.core.job_shard.value_bytes = 700
     need = msgspec.structs.replace(SPEC, id="wk-000100")
     alone.job(need)
     spec = msgspec.structs.replace(SPEC, needs=[f"wk-{number:06d}" for number in range(100, 250)])
-    submission = alone.node.submit(spec, alone.t, alone.t)
+    submission = alone.core.submit(spec, alone.t, alone.t)
     lists = dict(submission.lists)
     assert len(lists) > 1
     batch = at_once(alone, shown)
     revisions = {key: alone.store.data[key][1] for key in batch.puts}
     alone.write()
-    assert submission.outcome == "accepted" and alone.node.graph.waiting(SPEC.id)
+    assert submission.outcome == "accepted" and alone.core.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
     assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is shown
-    assert not alone.node.home.jobs[SPEC.id].unknown and alone.node.home.jobs[SPEC.id].waits
+    assert not alone.core.job_shard.jobs[SPEC.id].unknown and alone.core.job_shard.jobs[SPEC.id].waits
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -299,26 +299,26 @@
     spec = next(
         spec
         for spec in (msgspec.structs.replace(SPEC, id=f"wk-{number:06d}") for number in range(99))
-        if choose("host-2", ["host-0", "host-1"]) != choose("host-3", ["host-0", "host-1"]) or spec
+        if rendezvous_owner("host-2", ["host-0", "host-1"]) != rendezvous_owner("host-3", ["host-0", "host-1"]) or spec
     )
     job = alone.job(spec)
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     if shown:
         alone.follow()
     at_same_time(alone, there)
-    assert there.node.membership.fencing_token > alone.node.membership.fencing_token or shown
-    assert alone.node.withdraw(spec.id, alone.t) == ""
+    assert there.core.membership.fencing_token > alone.core.membership.fencing_token or shown
+    assert alone.core.cancel(spec.id, alone.t) == ""
     if not shown:
         batch = alone.batch()
         assert alone.carry_out(batch).failed == [VIEW]
-        alone.node.batch_failed(batch, alone.t)
-    assert job.stored_state is JobState.ACTIVE and alone.node.state_here(spec.id, alone.t) is None
+        alone.core.on_batch_failed(batch, alone.t)
+    assert job.stored_state is JobState.ACTIVE and alone.core.local_job_state(spec.id, alone.t) is None
     if not shown:
-        alone.t += alone.node.membership.store_lease.ttl_s
-        assert alone.batch() is None and not alone.node.may_act()
+        alone.t += alone.core.membership.store_lease.ttl_s
+        assert alone.batch() is None and not alone.core.may_act()
         alone.follow()
     alone.write()
-    assert alone.node.state_here(spec.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_is_held_back_for_the_view_that_gave_its_job_to_this_home_and_for_no_later_one():
@@ -327,13 +327,13 @@
     gone, stays = next(
         pair
         for pair in (("host-1", "host-2"), ("host-2", "host-1"))
-        if choose(pair[0], ["host-0", pair[1]]) == "host-0"
+        if rendezvous_owner(pair[0], ["host-0", pair[1]]) == "host-0"
     )
     other = msgspec.structs.replace(SPEC, id="wk-000009")
     for spec in (SPEC, other):
         alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, gone, 0.0, 3, [], spec)})
     alone.view("host-0", stays)
-    assert alone.node.withdraw(SPEC.id, alone.t) == ""
+    assert alone.core.cancel(SPEC.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone).state is JobState.ACTIVE, "its earlier home may deny it"
     alone.view(stays, "host-0")
@@ -343,7 +343,7 @@
     tries(alone, 2)
     assert stored(alone).state is JobState.ABORTED
     alone.view("host-0", stays)
-    assert alone.node.withdraw(other.id, alone.t) == ""
+    assert alone.core.cancel(other.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone, other.id).state is JobState.ABORTED, "nobody else has been its home since a view settled"
 
@@ -355,7 +355,7 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_claims_in_doubt_are_planned_upon_only_when_they_have_been_read(shown):
     alone = Alone()
-    ledger = alone.node.ledger
+    ledger = alone.core.ledger
     ledger.plan([{"n-000001": claim()}])
     at_once(alone, shown)
     assert ledger.busy, "nothing is planned before it is settled"
@@ -372,7 +372,7 @@
 def test_ends_are_written_though_the_drop_of_a_claim_is_in_doubt(shown):
     """Its own watch hangs: the drop met a conflict again and again, and nothing else was written for as long."""
     alone = Alone()
-    ledger = alone.node.ledger
+    ledger = alone.core.ledger
     end_of(alone, "aborted")
     ledger.plan([{"n-000001": claim()}])
     alone.settle(alone.batch())
@@ -391,7 +391,9 @@
     raw = msgspec.json.encode({"words": ["a"]})
     own = declared.Declared("hours", 3, texts.digest_of(raw), raw)
     one, other = (Declarations(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
-    membership = SimpleNamespace(present={"host-0": (1, 1)}, all_run=lambda generation: True, leads=lambda now: True)
+    membership = SimpleNamespace(
+        present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
+    )
     proposal = one.due(membership, 0.0, 0.0, 12, 4096)
     assert DECLARED + "hours" in proposal.puts
 
@@ -418,22 +420,22 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_machine_types_in_doubt_are_written_once(shown):
     alone = Alone()
-    machine_types = alone.node.types_to_store()
-    conditions = {VIEW: alone.node.membership.fencing_token, TYPES: alone.node.replica.types_revision}
+    machine_types = alone.core.types_to_store()
+    conditions = {VIEW: alone.core.membership.fencing_token, TYPES: alone.core.replica.types_revision}
     revision = alone.store.commit(conditions, {TYPES: machine_types}).revision
     if shown:
         alone.follow()
-        assert alone.node.types_to_store() is None
+        assert alone.core.types_to_store() is None
     else:
-        assert alone.node.replica.types_revision == 0, "the next try meets it"
-        assert alone.store.commit(conditions, {TYPES: alone.node.types_to_store()}).failed == [TYPES]
+        assert alone.core.replica.types_revision == 0, "the next try meets it"
+        assert alone.store.commit(conditions, {TYPES: alone.core.types_to_store()}).failed == [TYPES]
     assert alone.store.data[TYPES][1] == revision
 
 
 # -- all of it, in a world
 
 
-class AnswersLost(SimNode):
+class AnswersLost(SimController):
     """Of a share of what it changes in the store the answer alone is lost; now and then its watch hangs meanwhile."""
 
     blind_until = 0.0
@@ -537,16 +539,16 @@
     acted, strange = [], False
     while world.t < until + 25.0:
         world.run(world.t + 0.1)
-        lease_id = sim.node.membership.store_lease.lease_id
+        lease_id = sim.core.membership.store_lease.lease_id
         named = msgspec.json.decode(store.data[VIEW][0], type=View).members.get("host-1", lease_id)
         strange = strange or named not in (lease_id, before)
-        if sim.node.may_act():
+        if sim.core.may_act():
             acted.append(world.t - began)
             assert lease_id == named and lease_id in store.holds
-    assert world.answers_lost and sim.node.may_act() and sim.node.inside
+    assert world.answers_lost and sim.core.may_act() and sim.core.is_member
     assert strange is (step == "key"), "a life that nobody knows was in the view"
     if step == "extend":
-        assert not [at for at in acted if sim.node.membership.store_lease.ttl_s < at < lost_s], (
+        assert not [at for at in acted if sim.core.membership.store_lease.ttl_s < at < lost_s], (
             "the store keeps its hold"
         )
     world.run(world.t + 60.0)
@@ -596,7 +598,7 @@
         return sorted(
             job
             for job in self.accepted
-            if msgspec.json.decode(self.store.data[JOBS + job][0], type=Record).home == label
+            if msgspec.json.decode(self.store.data[JOBS + job][0], type=Record).accepted_by == label
         )
 
     def ask_all(self, job):
@@ -680,24 +682,26 @@
 
 
 def halts_nothing_itself(monkeypatch):
-    monkeypatch.setattr(Node, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(ControllerCore, "cancelled", lambda self, job: False)
 
 
 def needs_no_contact(monkeypatch):
-    monkeypatch.setattr(Contact, "_reckon", lambda self: setattr(self, "until", math.inf))
+    monkeypatch.setattr(
+        FailureDetector, "_compute_contact_until", lambda self: setattr(self, "contact_until", math.inf)
+    )
 
 
 def tells_what_it_last_knew(monkeypatch):
     """The home, of a job whose end is on its way."""
-    real = Node.state_here
+    real = ControllerCore.local_job_state
 
-    def state_here(self, job, now):
-        mine = self.home.jobs.get(job)
+    def local_job_state(self, job, now):
+        mine = self.job_shard.jobs.get(job)
         if job not in self.replica.ended and mine is not None and self.may_act():
             return "pending", mine.done.count, 0
         return real(self, job, now)
 
-    monkeypatch.setattr(Node, "state_here", state_here)
+    monkeypatch.setattr(ControllerCore, "local_job_state", local_job_state)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -11,13 +11,13 @@
 from alderbridge import controller, wire
 from alderbridge import mesh as m
 from alderbridge.config import Tuning
-from alderbridge.contact import Contact
+from alderbridge.contact import FailureDetector
 from alderbridge.controller import Controller
+from alderbridge.core import ControllerCore
 from alderbridge.jobs import JobState, Record
 from alderbridge.machines import Machine
-from alderbridge.node import Node
 from alderbridge.poll import Poll
-from alderbridge.view import Membership, Standing, StoreLease, View
+from alderbridge.view import Membership, MemberStatus, StoreLease, View
 
 
 def dark(world, ones, for_s):
@@ -39,11 +39,11 @@
 def ignorant(world, ones, for_s):
     """They are cut before the view that has just been written arrives there, and the rest goes on without them."""
     fencing_token = world.store.revision
-    assert all(world.nodes[one].node.membership.fencing_token < fencing_token for one in ones)
+    assert all(world.nodes[one].core.membership.fencing_token < fencing_token for one in ones)
     dark(world, ones, for_s)
     at = world.t
     world.run(at + for_s + 20.0)
-    assert all(sim.node.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.nodes.values())
 
 
 def contact_asked_for_again(seed, nodes):
@@ -53,9 +53,9 @@
     for label in world.labels:
         world.cut([label], 12.0)
     world.run(60.0)
-    assert world.view.contact_s == 0.0 and len(world.view.members) == nodes
+    assert world.view.contact_timeout_s == 0.0 and len(world.view.members) == nodes
     next_view(world, 130.0)
-    assert world.view.contact_s > 0
+    assert world.view.contact_timeout_s > 0
     ignorant(world, [max(set(world.labels) - {world.view.leader})], 30.0)
 
 
@@ -89,7 +89,7 @@
 
 
 def test_that_is_seen_when_contact_alone_decides(monkeypatch):
-    monkeypatch.setattr(Membership, "loosely", lambda self, view, settled: view)
+    monkeypatch.setattr(Membership, "mark_quorum_overlap", lambda self, view, settled: view)
     for meeting in MEETINGS:
         with pytest.raises(Broken, match="left_out"):
             meeting()
@@ -105,11 +105,16 @@
         (View("a", members, 8.0), members | {"d": 4}, True, True),
         (View("a", members | {"d": 4}, 8.0), members, True, True),
     ]
-    for before, after, settled, loose in cases:
+    for before, after, settled, quorum_may_not_overlap in cases:
         membership = Membership("a", 20.0)
-        membership.saw_view(before, 1)
-        assert membership.loosely(View("a", after, 8.0), settled).loose is loose, (before, after, settled)
-        assert not membership.loosely(View("a", after), settled).loose, "nothing is asked, nobody is given up"
+        membership.observe_view(before, 1)
+        assert (
+            membership.mark_quorum_overlap(View("a", after, 8.0), settled).quorum_may_not_overlap
+            is quorum_may_not_overlap
+        ), (before, after, settled)
+        assert not membership.mark_quorum_overlap(View("a", after), settled).quorum_may_not_overlap, (
+            "nothing is asked, nobody is given up"
+        )
     assert b"loose" not in msgspec.json.encode(View("a", members, 8.0)), "what older versions wrote stays as it was"
 
 
@@ -117,10 +122,10 @@
     """It enters anew under a view that it may be late to know; till then others counted it as who it was."""
     world = World(15020, trouble=False, jobs=0)
     world.run(20.0)
-    one, other = world.nodes["host-0"].node, world.nodes["host-1"].node
+    one, other = world.nodes["host-0"].core, world.nodes["host-1"].core
     assert one.inside
     before = one.channels["host-1"].received
-    one.membership.store_lease.lost()
+    one.membership.store_lease.mark_expired()
     for _ in range(2):
         one.on_frame(other.channels["host-0"].post(m.KeepAlive(), world.t), world.t)
     assert one.channels["host-1"].received == before
@@ -142,9 +147,9 @@
         if job in self.said:
             return
         for label, sim in self.nodes.items():
-            if label != self.cut and sim.node is not None and sim.node.home_of(job) == label:
+            if label != self.cut and sim.core is not None and sim.core.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, float("inf"))
-                state = sim.node.withdraw(job, self.t)
+                state = sim.core.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
@@ -165,7 +170,7 @@
 def severed(seed, nodes, for_s=45.0, from_peers=True):
     world = Severed(seed, nodes=nodes, jobs=24, trouble=False)
     world.run(60.0)
-    world.cut = next(iter(world.nodes.values())).node.membership.view.leader
+    world.cut = next(iter(world.nodes.values())).core.membership.view.leader
     sim = world.nodes[world.cut]
     sim.cut_store_until = world.t + for_s
     if from_peers:
@@ -175,7 +180,7 @@
         world.after(0.5 * number, world.withdraw, job)
     world.run(60.0 + for_s + 60.0)
     world.remembered()
-    assert all(sim.node.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.nodes.values())
     return world
 
 
@@ -184,7 +189,7 @@
 @pytest.mark.parametrize("from_peers", (True, False))
 def test_a_leader_that_only_users_and_workers_reach_tells_nothing_older(monkeypatch, nodes, waived, from_peers):
     if waived:
-        monkeypatch.setattr(Membership, "_contact_for", lambda self, members: 0.0)
+        monkeypatch.setattr(Membership, "_contact_timeout_for", lambda self, members: 0.0)
     world = severed(15100 + nodes + 2 * waived, nodes, from_peers=from_peers)
     assert "aborted" in world.said.values()
 
@@ -196,17 +201,17 @@
     """Its follow hangs, its calls are refused; the others cancel its jobs; then the store is down, and holds last."""
     world = Severed(seed, nodes=nodes, jobs=24, trouble=False)
     world.run(60.0)
-    world.cut = world.nodes[world.labels[0]].node.membership.view.leader
+    world.cut = world.nodes[world.labels[0]].core.membership.view.leader
     world.nodes[world.cut].cut_store_until = 60.0 + alone_s + all_s
     world.ask_all()
     for number, job in enumerate(sorted(world.accepted - world.said.keys())[::2]):
         world.after(0.5 * number, world.withdraw, job)
     world.after(alone_s, world.store.outage, all_s)
     world.run(60.0 + alone_s + all_s)
-    acted = [sim.label for sim in world.nodes.values() if sim.node.may_act()]
+    acted = [sim.label for sim in world.nodes.values() if sim.core.may_act()]
     world.run(60.0 + alone_s + all_s + 50.0)
     world.remembered()
-    assert all(sim.node.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.nodes.values())
     return world, acted
 
 
@@ -234,7 +239,7 @@
     world.late_share, starts = 0.001, world.starts
     world.run(90.0)
     assert world.starts > starts and world.store.differs_since is None
-    assert all(sim.node.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.nodes.values())
     world.run(200.0)
     world.remembered()
     assert not world.halted_needed
@@ -258,28 +263,30 @@
 
 
 def no_contact_needed(monkeypatch):
-    monkeypatch.setattr(Contact, "_reckon", lambda self: setattr(self, "until", float("inf")))
+    monkeypatch.setattr(
+        FailureDetector, "_compute_contact_until", lambda self: setattr(self, "contact_until", float("inf"))
+    )
 
 
 def stale_for_ever(monkeypatch):
     """Waived, its copy of the store and its hold alone stop it."""
-    monkeypatch.setattr(Membership, "_contact_for", lambda self, members: 0.0)
+    monkeypatch.setattr(Membership, "_contact_timeout_for", lambda self, members: 0.0)
     ever = property(lambda self: float("inf"), lambda self, at: None)
     monkeypatch.setattr(Membership, "fresh_until", ever, raising=False)
     monkeypatch.setattr(StoreLease, "valid_until", ever, raising=False)
 
 
 def memory_without_entitlement(monkeypatch):
-    real = Node.state_here
+    real = ControllerCore.local_job_state
 
-    def state_here(self, job, now):
+    def local_job_state(self, job, now):
         kept, self.may_act = self.may_act, lambda: True
         try:
             return real(self, job, now)
         finally:
             self.may_act = kept
 
-    monkeypatch.setattr(Node, "state_here", state_here)
+    monkeypatch.setattr(ControllerCore, "local_job_state", local_job_state)
 
 
 def test_a_refused_leader_is_seen_to_act_on_when_hold_and_freshness_are_away(monkeypatch):
@@ -307,11 +314,11 @@
     clock = [100.0]
     monkeypatch.setattr(controller, "now", lambda: clock[0])
     one = Controller(platform("host-0", LABELS), Tuning(), Poll())
-    node = one.node
-    node.membership.store_lease.renewed(1, 100.0, 100.0)
-    node.membership.followed(100.0)
+    core = one.core
+    core.membership.store_lease.record_renewal(1, 100.0, 100.0)
+    core.membership.record_sync(100.0)
     members = {label: number for number, label in enumerate(LABELS, 1)}
-    node.load(
+    core.load(
         [wire.KeyValue("ab/view", msgspec.Raw(msgspec.json.encode(View("host-0", members))), 7)], [], 7, 100.0, 100.0
     )
     one.clock = clock
@@ -320,14 +327,14 @@
 
 def test_who_is_cut_off_from_all_leaves_its_users_to_the_others_and_who_shares_an_outage_stays(control):
     """Connections stay with a node that is called healthy: their users would be told nothing for as long as the cut."""
-    contact = control.membership.contact
+    failure_detector = control.membership.failure_detector
     for label in LABELS[1:]:
-        contact.hear(label, 100.0, 100.0)
+        failure_detector.record_frame(label, 100.0, 100.0)
     assert control.health()[0] == 200
     control.clock[0] = 130.0  # the store is down for all, the others are heard
     for label in LABELS[1:]:
-        contact.hear(label, 129.0, 129.0)
-    assert control.membership.standing(130.0) is Standing.LAPSED and control.health()[0] == 200
+        failure_detector.record_frame(label, 129.0, 129.0)
+    assert control.membership.status(130.0) is MemberStatus.EXPIRED and control.health()[0] == 200
     control.clock[0] = 140.0
     assert control.health()[0] == 503
 
@@ -335,7 +342,7 @@
 def test_a_reply_that_comes_after_the_store_was_asked_is_told_to_nobody(control):
     """The home's answer is older than the store's by then."""
     told, job = [], "wk-000001"
-    control.node.replica.active[job] = (msgspec.structs.replace(Record(JobState.ACTIVE, "host-1", 0.0, 1, [], None)), 8)
+    control.core.replica.active[job] = (msgspec.structs.replace(Record(JobState.ACTIVE, "host-1", 0.0, 1, [], None)), 8)
 
     async def store_says(key):
         return wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(Record(JobState.ABORTED))), 9)
@@ -347,7 +354,7 @@
         control.clock[0] += c.ASK_S + 0.1
         await control.after()
         await curio.sleep(0.05)
-        control.node.replies.append(m.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1)))
+        control.core.query_replies.append(m.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1)))
         await control.after()
         await curio.sleep(0.05)
 
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 from test_machines import heartbeat, part_with_machine
-from world import CANCEL_S, LEASE_S, Broken, SimNode, World
+from world import CANCEL_S, LEASE_S, Broken, SimController, World
 
 from alderbridge import mesh as m
+from alderbridge.core import ControllerCore
 from alderbridge.mesh import TaskGrant
-from alderbridge.node import Node
 from alderbridge.store import VIEW
 from alderbridge.view import Membership, View
 from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
@@ -21,7 +21,7 @@
 JOBS, STEP_S = 24, 3.2  # half are cancelled just before the outage, the others one after the other
 
 
-class GapNode(SimNode):
+class GapNode(SimController):
     """May have a watch that only hangs, or stand still."""
 
     hangs_until = still_until = 0.0
@@ -136,23 +136,25 @@
 
 
 def knows_of_no_cancellation(monkeypatch):
-    monkeypatch.setattr(Node, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(ControllerCore, "cancelled", lambda self, job: False)
 
 
 def fresh_for_ever(monkeypatch):
-    followed = Membership.followed
+    followed = Membership.record_sync
 
     def stays(self, sent_at):
         followed(self, sent_at)
         self.fresh_until = float("inf")
 
-    monkeypatch.setattr(Membership, "followed", stays)
+    monkeypatch.setattr(Membership, "record_sync", stays)
 
 
 def acts_for_longer_than_cancellations_allow(monkeypatch):
     """As if ttl and lease together were not kept below ``cancel_s``."""
     init = Membership.__init__
-    monkeypatch.setattr(Membership, "__init__", lambda self, me, ttl_s, older_s=None: init(self, me, CANCEL_S, None))
+    monkeypatch.setattr(
+        Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: init(self, me, CANCEL_S, None)
+    )
     monkeypatch.setattr("alderbridge.constants.OUTLAST_S", CANCEL_S + LEASE_S)  # the world's holds last as long
 
 
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -32,22 +32,22 @@
     alone.heartbeat(name, 1)
     alone.go(LEASE_S + 0.5)  # writes lag, and the machine is silent
     put = alone.batch()
-    revision, since = alone.carry_out(put).revision, alone.node.replica.revision
+    revision, since = alone.carry_out(put).revision, alone.core.replica.revision
     rows, changes = alone.store.rows(), alone.store.since(since)  # what the store answers a reading here
     alone.t += 1.0
-    alone.node.round(alone.t)
-    machine = alone.node.part.machines[name]
+    alone.core.round(alone.t)
+    machine = alone.core.machine_shard.machines[name]
     assert machine.state is MachineState.LAPSED
-    alone.node.batch_done(put, revision, alone.t)
+    alone.core.on_batch_written(put, revision, alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
-        alone.node.apply(changes, alone.t, alone.t)
-        alone.node.replica.revision = revision
+        alone.core.apply_events(changes, alone.t, alone.t)
+        alone.core.replica.revision = revision
     else:
-        alone.node.load(rows, [], revision, alone.t, alone.t)
+        alone.core.load(rows, [], revision, alone.t, alone.t)
     assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
-    assert not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     alone.follow()
     alone.write()
     assert machine.recorded and MACHINES + name in alone.store.data, "put anew"
@@ -62,24 +62,26 @@
     machine = alone.heartbeat(name, 1)
     put = alone.batch()
     assert MACHINES + name in put.puts
-    alone.node.part.on_grant(
-        "host-0", m.TaskGrant(alone.node.part.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]), alone.t
+    alone.core.machine_shard.on_grant(
+        "host-0",
+        m.TaskGrant(alone.core.machine_shard.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]),
+        alone.t,
     )
-    assert not alone.node.part.orders(machine), "not before the store holds its record"
+    assert not alone.core.machine_shard.orders(machine), "not before the store holds its record"
     if carried_out == "before the view":
-        alone.node.batch_done(put, alone.carry_out(put).revision, alone.t)
-        assert [order["verb"] for order in alone.node.part.orders(machine)] == ["run"]
+        alone.core.on_batch_written(put, alone.carry_out(put).revision, alone.t)
+        assert [order["verb"] for order in alone.core.machine_shard.orders(machine)] == ["run"]
     elif carried_out == "before it, unanswered":
         assert not alone.carry_out(put).failed
-        alone.node.batch_failed(put, alone.t)
+        alone.core.on_batch_failed(put, alone.t)
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     if carried_out == "after the view":
         assert VIEW in alone.carry_out(put).failed
-        assert not alone.node.part.orders(machine), "nor ever, though it acts under the older view for a while"
+        assert not alone.core.machine_shard.orders(machine), "nor ever, though it acts under the older view for a while"
     other.follow()
     waits = carried_out != "after the view"
-    assert (name in other.node.part.machines) is waits and (name in other.node.home.barrier) is waits
-    job = other.node.home.jobs["wk-000001"]
+    assert (name in other.core.machine_shard.machines) is waits and (name in other.core.job_shard.barrier) is waits
+    job = other.core.job_shard.jobs["wk-000001"]
     assert job.unknown == ({0, 1, 2} if waits else set())
     if waits:
         other.heartbeat(name, 2, [RUNNING_1])
@@ -96,12 +98,12 @@
     leader, names = world.leader(), world.rent(kind, 3)
     world.end(leader, 40.0)
     world.run(40.0)
-    leads = world.leader()
-    assert leads is not leader
+    is_leader = world.leader()
+    assert is_leader is not leader
     machines = world.known()
     for name in names:
         assert machines[name].state is MachineState.UP and machines[name].recorded
-        assert leads.node.leader.rentals[name].state.value == "up"
+        assert is_leader.core.leader.rentals[name].state.value == "up"
     world.run(130.0)
     assert all(name not in world.kinds or world.ran[name] for name in names), "used, or returned"
     assert any(world.ran[name] for name in names)
@@ -120,25 +122,25 @@
     """Its rentals are carried out at once, their answers come late or, if it has ended, to nobody."""
 
     def lead(self):
-        node, world, rng, life = self.node, self.world, self.world.rng, self.life
-        if not node.membership.leads(world.t):
+        core, world, rng, life = self.core, self.world, self.world.rng, self.life
+        if not core.membership.is_leader(world.t):
             return
-        node.leader.on_listing(world.listing(), world.t)
-        decision = node.leader.decide(world.t)
-        node.drain(decision.drain, world.t)
+        core.leader.on_listing(world.listing(), world.t)
+        decision = core.leader.decide(world.t)
+        core.drain_machines(decision.drain, world.t)
         for kind, count in decision.rent:
             names = world.rent(kind, count)
 
             def told(kind=kind, names=names):
                 if life == self.life:
-                    node.leader.on_rented(kind, names, world.t)
+                    core.leader.on_rented(kind, names, world.t)
 
             world.after(rng.uniform(0.2, 4.0), told)
             world.rented += len(names)
         if decision.give_back:
             world.remove(decision.give_back)
             if rng.random() < 0.7:
-                node.returned(decision.give_back, world.t)
+                core.on_terminated(decision.give_back, world.t)
         if decision.rent and world.t < world.ends_until and rng.random() < 0.8:
             world.ended_leaders += 1
             world.after(rng.uniform(0.0, 2.5), world.end_if_up, self, life)
@@ -183,8 +185,8 @@
         return {
             name: machine
             for sim in self.nodes.values()
-            if sim.node is not None
-            for name, machine in sim.node.part.machines.items()
+            if sim.core is not None
+            for name, machine in sim.core.machine_shard.machines.items()
         }
 
     def make_job(self, number):
@@ -235,8 +237,8 @@
     """Owner under 5 and 7, another under 6; copies and reports held back, first that of the highest mandate."""
     one = Told()
     one.heartbeat(1.0, 50)
-    one.part.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
-    assert "n-1" not in one.part.machines
+    one.machine_shard.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
+    assert "n-1" not in one.machine_shard.machines
     one.enter(7, 10.0, carry=True)
     one.told_home()
     for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
@@ -264,7 +266,7 @@
     one.told_home()
     one.heartbeat(2.1, 2, fencing_token=5, tasks=shows)
     assert not one.told_home()
-    one.part.settle(3.0)
+    one.machine_shard.settle(3.0)
     assert one.told_home() == [([0], [("wk-1", 3, 73)])]
     assert (
         one.heartbeat(3.1, 2, fencing_token=5, tasks=shows) is None and one.heartbeat(3.2, 1, tasks=[RUNNING]) is None
@@ -355,8 +357,8 @@
         return [
             (name, index, run.state)
             for sim in self.nodes.values()
-            if sim.node is not None
-            for name, job in sim.node.home.jobs.items()
+            if sim.core is not None
+            for name, job in sim.core.job_shard.jobs.items()
             for index, run in job.runs.items()
             if run.machine in machines
         ]
@@ -370,22 +372,22 @@
     world.run(45.0)
     world.held_share, kept, world.held_reports = 0.0, world.held_reports, []
     leader = world.leader()
-    fencing_token = leader.node.membership.fencing_token
+    fencing_token = leader.core.membership.fencing_token
     world.end(leader, 30.0)
 
     def newer():
         return [
-            sim.node for sim in world.nodes.values() if sim.node and sim.node.membership.fencing_token > fencing_token
+            sim.core for sim in world.nodes.values() if sim.core and sim.core.membership.fencing_token > fencing_token
         ]
 
-    def known(node):
+    def known(core):
         """What a part knows of its machines, and a home of its tasks."""
         return (
             {
                 name: (one.acked, one.state, dict(one.tasks), dict(one.ordered), dict(one.pending))
-                for name, one in node.part.machines.items()
+                for name, one in core.machine_shard.machines.items()
             },
-            {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in node.home.jobs.items()},
+            {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
         )
 
     while not newer():
@@ -394,12 +396,12 @@
     for pause in (0.0, 0.2, 3.0, 9.0):
         world.run(world.t + pause)
         for raw in kept:
-            for node in newer():
-                machines, jobs = known(node)
-                world.nodes[node.me].heartbeat(raw, lambda status, body: None, True)
-                after, jobs_after = known(node)
+            for core in newer():
+                machines, jobs = known(core)
+                world.nodes[core.me].heartbeat(raw, lambda status, body: None, True)
+                after, jobs_after = known(core)
                 assert jobs_after == jobs and {name: after[name] for name in machines} == machines
-                heard.add(node.me)
+                heard.add(core.me)
     assert len(kept) > 5 and len(heard) == 4
     world.run(world.t + OUT_S)
     assert not world.inherited()
@@ -420,9 +422,9 @@
         one.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
         assert one.machine.state is MachineState.UP and one.told_home() == [([], [])], "its lease is out, by itself"
         return
-    one.part.check_leases(9.0 + OUT_S - 0.1)
+    one.machine_shard.check_leases(9.0 + OUT_S - 0.1)
     assert one.machine.state is MachineState.EXPECTED and not one.told_home()
-    one.part.check_leases(9.0 + OUT_S + 0.1)
+    one.machine_shard.check_leases(9.0 + OUT_S + 0.1)
     assert one.machine.state is MachineState.LAPSED and one.told_home() == [([], [])], "16 s is no beginning"
     for incarnation, sequence in ((1, 5), (2, 1)):
         one.heartbeat(
@@ -435,9 +437,11 @@
         )
         assert one.machine.state is MachineState.LAPSED and not one.told_home() and not one.orders()
     one.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
-    assert one.machine.state is MachineState.UP and one.part.candidate(one.machine, 40.0) is None, "put anew first"
-    one.part.on_recorded("n-1")
-    assert one.part.candidate(one.machine, 40.0) is not None
+    assert one.machine.state is MachineState.UP and one.machine_shard.candidate(one.machine, 40.0) is None, (
+        "put anew first"
+    )
+    one.machine_shard.on_recorded("n-1")
+    assert one.machine_shard.candidate(one.machine, 40.0) is not None
 
 
 def test_a_machine_that_is_heard_by_command_alone_is_given_no_task():
@@ -448,10 +452,10 @@
     alone.t += SETTLED_S
     alone.follow()
     job = alone.job()
-    alone.node.round(alone.t)
-    fencing_token = alone.node.membership.fencing_token
-    machine = alone.node.part.machines[name]
-    alone.node.asked(Heartbeat(name, "x", "small", 1, 7, fencing_token, "a"), alone.t)
+    alone.core.round(alone.t)
+    fencing_token = alone.core.membership.fencing_token
+    machine = alone.core.machine_shard.machines[name]
+    alone.core.on_probe_answered(Heartbeat(name, "x", "small", 1, 7, fencing_token, "a"), alone.t)
     assert machine.acked and machine.recorded and job.waiting and not machine.reserved and not machine.pending
     alone.heartbeat(name, 8)
     assert machine.pending, "its next report brings it"
@@ -483,7 +487,7 @@
     """All their tasks, inherited or not, are free once their leases are out; jobs on them are cancelled meanwhile."""
     world = Many(6, machines=125)
     world.run(45.0)
-    leader, fencing_token = world.leader(), world.leader().node.membership.fencing_token
+    leader, fencing_token = world.leader(), world.leader().core.membership.fencing_token
     busy = sorted(set(world.on.values()))
     mute = {name for name in world.rng.sample(busy, 100)}
     for name in mute:
@@ -492,15 +496,15 @@
     world.end(leader, 30.0)
     for job in sorted({part.split("/")[0] for part, name in world.on.items() if name in mute})[:4]:
         world.withdraw(job)
-    while all(sim.node is None or sim.node.membership.fencing_token == fencing_token for sim in world.nodes.values()):
+    while all(sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.nodes.values()):
         world.run(world.t + 0.25)
     began = world.t
     world.run(began + 4.0)
     known = {
         name: machine
         for sim in world.nodes.values()
-        if sim.node is not None
-        for name, machine in sim.node.part.machines.items()
+        if sim.core is not None
+        for name, machine in sim.core.machine_shard.machines.items()
     }
     acked = [name for name in mute if known[name].acked]
     assert len(acked) > 70, "they are asked, and acknowledge; some of the commands are late"
@@ -509,7 +513,7 @@
     assert not world.inherited()
     world.run(began + 2 * OUT_S + 4.0)  # an acknowledgement that came late, and the lease from there
     assert not world.runs(mute) and not any(name in mute for name in world.on.values())
-    homes = [sim.node.home.jobs for sim in world.nodes.values() if sim.node is not None]
+    homes = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
     assert not [job for jobs in homes for job in jobs.values() if job.state is JobState.ABORTED and job.on_machines]
     aborted = [job for job, at in world.cancelled_at.items() if at < float("inf")]
     assert aborted and all(world.said[job] == "aborted" for job in aborted)
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -18,7 +18,7 @@
 from alderbridge import placement, wire
 from alderbridge.config import Team, Tuning
 from alderbridge.dependencies import Graph
-from alderbridge.jobs import Home, Job, JobState, Record, Run, TaskState
+from alderbridge.jobs import Job, JobShard, JobState, Record, Run, TaskState
 from alderbridge.leader import Leader
 from alderbridge.mesh import MachineTaskReport, QueueRow, QueueSnapshot, TaskGrant, TaskRequest, TaskStatusReport
 from alderbridge.recovery import TABLE, Barrier, Known, Verdict
@@ -38,8 +38,8 @@
 
     def __init__(self, machines=("n-1", "n-2"), state=JobState.ABORTED, spec=BOUND) -> None:
         self.sent: list = []
-        self.home = Home([LIMIT], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
-        self.home.part_of = lambda machine: "host-0"
+        self.job_shard = JobShard([LIMIT], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
+        self.job_shard.machine_owner = lambda machine: "host-0"
         self.records = {name: MachineRecord("x", "c4", "a") for name in machines}
         self.enter(6, state, spec)
 
@@ -47,24 +47,24 @@
         """A new view, and a process that knows nothing but the record."""
         self.job = Job(Record(state, "host-3", 0.0, spec.tasks, [], spec), 8, 0.0, 5.0)
         self.job.inherited = True
-        self.home.enter(fencing_token, {spec.id: self.job}, self.records)
-        self.home.settled = True
+        self.job_shard.enter(fencing_token, {spec.id: self.job}, self.records)
+        self.job_shard.settled = True
 
     def told(self, machine, live=(), held=(), now=1.0):
         tasks = [TaskStatusReport(BOUND.id, index, 70 + index, "running", None) for index in live]
         held = [(BOUND.id, index, 70 + index) for index in held]
-        self.home.on_seen("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
+        self.job_shard.on_seen("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
 
     @property
     def used(self):
-        kept, counted = dict(self.home.tally.teams), self.home.used()
+        kept, counted = dict(self.job_shard.tally.teams), self.job_shard.used()
         assert kept.get("bound", (0.0, 0.0)) == counted.get("bound", (0.0, 0.0))
         return counted.get("bound", (0.0, 0.0))[0] / CPUS
 
     @property
     def shrinks(self):
         """Whether its record loses the description now: nobody would count its tasks from then on."""
-        return any(job is self.job and rank == 3.0 for rank, job in self.home.due_writes(2.0))
+        return any(job is self.job and rank == 3.0 for rank, job in self.job_shard.due_writes(2.0))
 
 
 def test_what_was_ordered_of_a_cancelled_job_counts_under_the_next_home_until_a_report_settles_it():
@@ -73,17 +73,17 @@
     one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
-    one.part.cancelled = lambda job: True
+    one.machine_shard.cancelled = lambda job: True
     one.told_home()
     one.enter(6, 2.0, settle=False, carry=True)
-    one.part.settle(2.5)
+    one.machine_shard.settle(2.5)
     ((told, held),) = one.told_home()
     assert (told, held) == ([], [("wk-1", 0, 70)])
     heir.told("n-2")
     assert heir.used == 2, "both may be on the machine that has not been heard"
     heir.told("n-1", held=[0])
     assert heir.used == 1 and not heir.shrinks, "it may be there"
-    assert heir.home.usage.room("bound", heir.home.tally.teams["bound"], BOUND) == 0
+    assert heir.job_shard.usage.room("bound", heir.job_shard.tally.teams["bound"], BOUND) == 0
     heir.enter(7)
     heir.told("n-1", held=[0])
     heir.told("n-2")
@@ -121,14 +121,14 @@
         0.0,
         fresh=True,
     )
-    heir.home.join(job)
-    heir.home.allot({"bound": (2 * CPUS, 0.0)})
-    assert heir.home._team_room(job) == 2
-    heir.home.enter(7, {"wk-2": job}, {})
-    heir.home.on_take("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.job_shard.join(job)
+    heir.job_shard.allot({"bound": (2 * CPUS, 0.0)})
+    assert heir.job_shard._team_room(job) == 2
+    heir.job_shard.enter(7, {"wk-2": job}, {})
+    heir.job_shard.on_take("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
     assert heir.sent[-1] == TaskGrant(1, "wk-2", "n-1", []) and not job.runs
-    heir.home.allot({"bound": (CPUS, 0.0)})
-    heir.home.on_take("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.job_shard.allot({"bound": (CPUS, 0.0)})
+    heir.job_shard.on_take("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
     assert len(job.runs) == 1
 
 
@@ -143,7 +143,7 @@
         known = Replica(membership, Graph(lambda spec: 1.0, []))
         self.leader = Leader([Team("t", cpus_max=limit)], ["a"], Tuning(), known, 1.0, LEASE_S)
         self.leader.enter(["host-0", "host-1"], 0.0)
-        self.homes = {label: Home(self.leader.teams, lambda label, body: 1, 4096) for label in self.leader.members}
+        self.homes = {label: JobShard(self.leader.teams, lambda label, body: 1, 4096) for label in self.leader.members}
         for home in self.homes.values():
             home.enter(5, {}, {})
         self.rows: dict[str, list[QueueRow]] = {label: [] for label in self.homes}
@@ -282,12 +282,12 @@
             here = sorted({wire.split_task_id(part)[0] for part, machine in self.on.items() if machine == name})
             for job in rng.sample(here, min(len(here), rng.randint(1, 3))):
                 self.after(begin + rng.uniform(-1.0, 4.0) if begin > 1.0 else rng.uniform(0.0, 4.0), self.call_off, job)
-        leads = rng.uniform(0.0, 5.0)
+        is_leader = rng.uniform(0.0, 5.0)
         for _ in range(rng.choice([1, 1, 1, 2, 4])):
             back = rng.choice([rng.uniform(0.1, 0.6), rng.uniform(0.1, 8.0), rng.uniform(5.0, 40.0)])
-            self.after(leads, self.end_one, rng.random() < 0.6, back)
-            leads += rng.choice([rng.uniform(0.2, 1.5), rng.uniform(0.5, 6.0)])
-            self.calm_at = max(self.calm_at, self.t + leads + back)
+            self.after(is_leader, self.end_one, rng.random() < 0.6, back)
+            is_leader += rng.choice([rng.uniform(0.2, 1.5), rng.uniform(0.5, 6.0)])
+            self.calm_at = max(self.calm_at, self.t + is_leader + back)
         if rng.random() < 0.3:
             kind = rng.choice(["cut", "cut_store", "cut_mesh", "cut_workers", "outage", "late_writes", "late_reports"])
             length = rng.uniform(3.0, 35.0)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -23,7 +23,7 @@
 from alderbridge.net import UnansweredError
 from alderbridge.poll import Poll
 from alderbridge.store import JOBS, MEMBERS, VIEW, StoreRefusedError
-from alderbridge.view import Presence, View, choose
+from alderbridge.view import MemberRecord, View, rendezvous_owner
 
 BODY = {
     "workload": "x",
@@ -165,7 +165,7 @@
     def come(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
         self.store.holds[lease_id] = 1e9
-        self.store.commit({}, {MEMBERS + label: Presence(lease_id, c.GENERATION)}, (), lease_id)
+        self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, c.PROTOCOL_VERSION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
         self.store.commit({}, {VIEW: View(labels[0], {label: self.lease_ids[label] for label in labels})})
@@ -178,8 +178,8 @@
         control.store, control.mesh = Gate(self, label), Mesh(self, label)
         control.store.slow = slow
         control.wait_for_work = control.store.rest
-        control.node.learn_types(TYPES)
-        control.node.held(self.lease_ids[label], self.t, self.t)
+        control.core.set_machine_types(TYPES)
+        control.core.lease_acquired(self.lease_ids[label], self.t, self.t)
         self.looks.pop(label, None)
         self.writers[label] = await curio.spawn(control.keep_records, daemon=True)
 
@@ -191,25 +191,25 @@
         return None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1])
 
     def load(self, label: str) -> None:
-        node = self.controls[label].node
-        node.membership.followed(self.t)
-        node.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        core = self.controls[label].core
+        core.membership.record_sync(self.t)
+        core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def look(self, label: str) -> None:
         """Ask the store what has changed, or take in what it said."""
-        node, look = self.controls[label].node, self.looks.pop(label, None)
+        core, look = self.controls[label].core, self.looks.pop(label, None)
         if look is None:
-            rows = None if node.loaded else self.store.rows()
-            self.looks[label] = self.t, rows, self.store.since(node.replica.revision), self.store.revision
+            rows = None if core.loaded else self.store.rows()
+            self.looks[label] = self.t, rows, self.store.since(core.replica.revision), self.store.revision
             return
         sent, rows, changes, revision = look
-        node.membership.store_lease.renewed(self.lease_ids[label], sent)
-        node.membership.followed(sent)
+        core.membership.store_lease.record_renewal(self.lease_ids[label], sent)
+        core.membership.record_sync(sent)
         if rows is not None:
-            node.load(rows, [], revision, self.t, self.t)
+            core.load(rows, [], revision, self.t, self.t)
         else:
-            node.apply(changes, self.t, self.t)
-            node.replica.revision = max(revision, node.replica.revision)
+            core.apply_events(changes, self.t, self.t)
+            core.replica.revision = max(revision, core.replica.revision)
 
     async def deliver(self, way: tuple[str, str]) -> None:
         frame, control = self.frames[way].pop(0), self.controls[way[1]]
@@ -224,7 +224,7 @@
                 self.looks.pop(label, None)
                 self.look(label)
                 self.look(label)
-            control.node.round(self.t)
+            control.core.round(self.t)
             await control.after()
             await control.store.turn.set()
         while ways := [way for way, frames in self.frames.items() if frames]:
@@ -308,12 +308,12 @@
     def finish(self, job: str, ended: bool = False) -> bool:
         """The last task's report reaches its home, if there is one at work; ``ended``: also where it is cancelled."""
         for control in self.controls.values():
-            node = control.node
-            one = node.home.jobs.get(job)
-            if one is not None and (ended or one.state is JobState.ACTIVE) and node.membership.may_act(self.t):
+            core = control.core
+            one = core.job_shard.jobs.get(job)
+            if one is not None and (ended or one.state is JobState.ACTIVE) and core.membership.may_act(self.t):
                 self.run(one)
-                node.home.on_seen(
-                    node.me,
+                core.job_shard.on_seen(
+                    core.me,
                     m.MachineTaskReport(MACHINE, "a", 1 << 40, [m.TaskStatusReport(job, 0, 7, "ended", "done")], []),
                     self.t,
                 )
@@ -335,26 +335,26 @@
 # -- asked at each node, right after another has told it
 
 
-async def bring(service: Service, state: str, home: str, teller: str, trouble) -> str:
+async def bring(service: Service, state: str, owner: str, queue_publisher: str, trouble) -> str:
     """A job that the teller has told to be accepted, done or cancelled; the trouble begins when it is stored."""
     job = service.fresh()
-    assert (await service.answer(home, "submit", job))[0] == 201
+    assert (await service.answer(owner, "submit", job))[0] == 201
     for _ in range(2):
         await service.rounds()  # all know it, and what follows they may not
     if state == "accepted":
         job = service.fresh()
         trouble()
-        assert (await service.answer(home, "submit", job))[0] == 201
+        assert (await service.answer(owner, "submit", job))[0] == 201
     else:
         trouble()
         if state == "done":
             assert service.finish(job)
-            await service.controls[home].store.turn.set()  # stored, and nobody else has heard of it
+            await service.controls[owner].store.turn.set()  # stored, and nobody else has heard of it
         else:
-            assert await service.answer(teller, "withdraw", job) == (200, "aborted")
+            assert await service.answer(queue_publisher, "withdraw", job) == (200, "aborted")
     for _ in range(3):
         await curio.sleep(0)
-    told = await service.answer(teller, "poll", job)
+    told = await service.answer(queue_publisher, "poll", job)
     assert told == (200, {"accepted": "pending", "done": "done", "cancelled": "aborted"}[state])
     return job
 
@@ -373,12 +373,14 @@
 
     async def play():
         await service.start()
-        for number, teller in enumerate(LABELS):
+        for number, queue_publisher in enumerate(LABELS):
             for asked in LABELS:
-                if asked == teller:
+                if asked == queue_publisher:
                     continue
-                home = LABELS[number - 1] if asked != LABELS[number - 1] else teller
-                job = await bring(service, state, home, teller, lambda asked=asked: befall(service, trouble, asked))
+                owner = LABELS[number - 1] if asked != LABELS[number - 1] else queue_publisher
+                job = await bring(
+                    service, state, owner, queue_publisher, lambda asked=asked: befall(service, trouble, asked)
+                )
                 if trouble in ("loading", "back"):
                     service.lag.add(asked)
                     service.come(asked)
@@ -425,13 +427,13 @@
 
     async def play():
         await service.start()
-        job, home = service.fresh(), LABELS[1]
-        others = [label for label in LABELS if label != home]
-        assert (await service.answer(home, "submit", job))[0] == 201
+        job, owner = service.fresh(), LABELS[1]
+        others = [label for label in LABELS if label != owner]
+        assert (await service.answer(owner, "submit", job))[0] == 201
         await service.rounds()
-        await away(service, home)
+        await away(service, owner)
         service.view(*others)
-        await away(service, home, for_s=3.0)
+        await away(service, owner, for_s=3.0)
         if end == "done":
             assert service.finish(job)
         else:
@@ -439,11 +441,11 @@
         for _ in range(3):
             await service.rounds()
         assert await service.answer(others[1], "poll", job) == (200, end)
-        service.cut.add(home)
+        service.cut.add(owner)
         for what in ("poll", "submit", "withdraw"):
-            assert (await service.answer(home, what, job))[0] == 503
+            assert (await service.answer(owner, what, job))[0] == 503
         service.cut.clear()
-        assert await service.answer(home, "poll", job) == (200, end), "from the store"
+        assert await service.answer(owner, "poll", job) == (200, end), "from the store"
 
     curio.run(play)
 
@@ -457,16 +459,16 @@
             (gone, new)
             for gone in LABELS
             for new in LABELS
-            if gone != new and choose(gone, sorted({*LABELS} - {gone})) == new
+            if gone != new and rendezvous_owner(gone, sorted({*LABELS} - {gone})) == new
         )
-        old = choose(gone, sorted({*LABELS} - {gone, new}))
+        old = rendezvous_owner(gone, sorted({*LABELS} - {gone, new}))
         job = service.fresh()
         assert (await service.answer(gone, "submit", job))[0] == 201
         await service.rounds()
         service.view(*sorted({*LABELS} - {gone, new}))
         service.lag.add(gone)
         await away(service, gone, for_s=25.0)
-        assert job in service.controls[old].node.home.jobs
+        assert job in service.controls[old].core.job_shard.jobs
         service.view(*sorted({*LABELS} - {gone}))
         service.lag.add(old)
         service.looks.pop(old, None)
@@ -478,7 +480,7 @@
             for label in {*LABELS} - {old, gone}:
                 service.look(label)
                 service.look(label)
-                service.controls[label].node.round(service.t)
+                service.controls[label].core.round(service.t)
                 await service.controls[label].after()
                 await service.controls[label].store.turn.set()
             await curio.sleep(0)
@@ -502,23 +504,23 @@
     async def play():
         await service.start()
         first, second = service.fresh(), service.fresh()
-        home, lagging = LABELS[1], LABELS[2]
+        owner, lagging = LABELS[1], LABELS[2]
         service.needs[second] = [first]
         assert (await service.answer(LABELS[0], "submit", first))[0] == 201
         await service.rounds()
-        assert (await service.answer(home, "submit", second, waits_on=[first]))[0] == 201
+        assert (await service.answer(owner, "submit", second, waits_on=[first]))[0] == 201
         await service.rounds()
-        service.cut.add(home)
-        service.lag.add(home)
+        service.cut.add(owner)
+        service.lag.add(owner)
         service.lag.add(lagging)
         assert await service.answer(LABELS[0], "withdraw", first) == (200, "aborted")
         for label in LABELS:
             await service.answer(label, "poll", second)
-        await away(service, home, lagging, for_s=23.0)
+        await away(service, owner, lagging, for_s=23.0)
         assert msgspec.json.decode(service.store.data[JOBS + second][0])["state"] == "active"
         for label in (LABELS[0], LABELS[3], LABELS[4]):
             assert await service.answer(label, "poll", second) == (200, "aborted")
-        for label in (home, lagging):
+        for label in (owner, lagging):
             for what in ("poll", "submit"):
                 assert (await service.answer(label, what, second))[0] == 503
 
@@ -531,7 +533,7 @@
     async def play():
         await service.start()
         back = LABELS[0]
-        reader = choose(back, LABELS[1:])  # home to its jobs while it was gone
+        reader = rendezvous_owner(back, LABELS[1:])  # home to its jobs while it was gone
         service.lag.add(reader)
         service.view(*LABELS[1:])
         service.look(reader)  # what it is told of has the view without the member, and is on its way
@@ -546,10 +548,10 @@
         await curio.sleep(0)
         assert await service.answer(back, "withdraw", job) == (200, "aborted")
         service.look(reader)
-        assert service.controls[reader].node.membership.view.members.keys() == {*LABELS[1:]}
-        assert service.controls[reader].node.may_act()
+        assert service.controls[reader].core.membership.view.members.keys() == {*LABELS[1:]}
+        assert service.controls[reader].core.may_act()
         assert (await service.answer_now(reader, "poll", job))[1] in ("", "aborted")
-        assert job not in service.controls[reader].node.home.jobs, "it would start tasks that its home starts, too"
+        assert job not in service.controls[reader].core.job_shard.jobs, "it would start tasks that its home starts, too"
         service.lag.clear()
         for _ in range(5):
             await service.rounds()
@@ -572,20 +574,20 @@
 
     async def play():
         await service.start()
-        job, home, other = service.fresh(), LABELS[1], LABELS[3]
-        assert (await service.answer(home, "submit", job))[0] == 201
+        job, owner, other = service.fresh(), LABELS[1], LABELS[3]
+        assert (await service.answer(owner, "submit", job))[0] == 201
         await service.rounds()
-        service.run(service.controls[home].node.home.jobs[job])
-        gate = service.controls[home].store
+        service.run(service.controls[owner].core.job_shard.jobs[job])
+        gate = service.controls[owner].store
         gate.slow = True
         asked = []
 
         async def users(*what: str) -> None:
             for one in what:
-                asked.extend([await service.ask(label, one, job) for label in (home, other)])
+                asked.extend([await service.ask(label, one, job) for label in (owner, other)])
 
         async def cancel() -> None:
-            asked.append(await service.ask(other if cut_in else home, "withdraw", job))
+            asked.append(await service.ask(other if cut_in else owner, "withdraw", job))
             for _ in range(3):
                 await (service.rounds() if cut_in else curio.sleep(0))
 
@@ -639,9 +641,9 @@
 
     async def play():
         await service.start()
-        for home in LABELS:
+        for owner in LABELS:
             job = service.fresh()
-            assert (await service.answer(home, "submit", job))[0] == 201
+            assert (await service.answer(owner, "submit", job))[0] == 201
             await service.rounds()
             assert service.finish(job)
             began = service.t
@@ -682,7 +684,7 @@
         elif kind < 0.9:
             control = service.controls[rng.choice(LABELS)]
             if rng.random() < 0.1:
-                control.node.round(service.t)
+                control.core.round(service.t)
             await control.after()
             await control.store.turn.set()
         elif kind < 0.995:
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -8,8 +8,8 @@
 from world import LEASE_S, SimWorker, World
 
 from alderbridge import constants as c
-from alderbridge.jobs import Home, Job, JobState, Record, TaskState
-from alderbridge.machines import MachineState, Part
+from alderbridge.jobs import Job, JobShard, JobState, Record, TaskState
+from alderbridge.machines import MachineShard, MachineState
 from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, StopTask, TaskGrant, TaskRequest, TaskStatusReport
 from alderbridge.recovery import State
 from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.sent: list = []
-        self.part = Part(
+        self.machine_shard = MachineShard(
             "host-0",
             LEASE_S,
             lambda label, body: self.sent.append((label, body)) or len(self.sent),
@@ -32,31 +32,33 @@
             lambda job: "host-1",
             Random(1),
         )
-        self.part.processed_seq_of = lambda label: 7
+        self.machine_shard.processed_seq_of = lambda label: 7
         self.enter(5, 0.0, continued=False)
 
     def enter(self, fencing_token, now, continued=True, settle=True, carry=False):
-        self.part.enter(
+        self.machine_shard.enter(
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, carry
         )
         if settle:
-            self.part.settle(now)
+            self.machine_shard.settle(now)
 
     @property
     def machine(self):
-        return self.part.machines["n-1"]
+        return self.machine_shard.machines["n-1"]
 
     def heartbeat(self, now, sequence, fencing_token=5, incarnation=1, tasks=(), asked=False):
         heartbeat = Heartbeat("n-1", "x", "c4", incarnation, sequence, fencing_token, "a", tasks=list(tasks))
-        return (self.part.on_asked if asked else self.part.on_heartbeat)(heartbeat, now)
+        return (self.machine_shard.on_asked if asked else self.machine_shard.on_heartbeat)(heartbeat, now)
 
     def grant(self, index, attempt, now=0.0):
-        self.part.on_grant(
-            "host-1", TaskGrant(self.part.reserve(self.machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)]), now
+        self.machine_shard.on_grant(
+            "host-1",
+            TaskGrant(self.machine_shard.reserve(self.machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)]),
+            now,
         )
 
     def orders(self):
-        return [(order["verb"], order["part"], order["try"]) for order in self.part.orders(self.machine)]
+        return [(order["verb"], order["part"], order["try"]) for order in self.machine_shard.orders(self.machine)]
 
     def told_home(self):
         """What its home was told since the last look."""
@@ -74,16 +76,16 @@
         assert one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING]) is not None, (
             "its answer may be the one that it hears"
         )
-        one.part.check_leases(now)
+        one.machine_shard.check_leases(now)
         assert one.machine.state is MachineState.EXPECTED and not one.told_home()
     assert one.heartbeat(OUT_S + 0.1, 4, fencing_token=4) is one.machine, "answered: else it could never acknowledge"
-    assert one.machine.state is MachineState.LAPSED and one.part.squaring.states["n-1"] is State.LAPSED
-    assert one.told_home() == [([], [])] and one.part.to_drop == ["n-1"]
+    assert one.machine.state is MachineState.LAPSED and one.machine_shard.squaring.states["n-1"] is State.LAPSED
+    assert one.told_home() == [([], [])] and one.machine_shard.to_drop == ["n-1"]
     assert one.orders() == []
     one.heartbeat(OUT_S + 1.0, 5, fencing_token=4)
-    assert one.part.to_drop == ["n-1"] and not one.told_home(), "said once"
+    assert one.machine_shard.to_drop == ["n-1"] and not one.told_home(), "said once"
     one.heartbeat(OUT_S + 2.0, 1, incarnation=2)
-    assert one.machine.state is MachineState.UP and one.machine.acked and one.part.to_record == ["n-1"]
+    assert one.machine.state is MachineState.UP and one.machine.acked and one.machine_shard.to_record == ["n-1"]
 
 
 def test_until_its_lease_is_provably_out_reports_of_a_deaf_machine_prove_nothing():
@@ -101,7 +103,7 @@
     one.enter(6, 100.0, continued=False, settle=False)
     one.heartbeat(100.0 + 2 * OUT_S, 1, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED, "whoever acts under the older view may answer it"
-    one.part.settle(100.0 + 2 * OUT_S)
+    one.machine_shard.settle(100.0 + 2 * OUT_S)
     one.heartbeat(100.0 + 3 * OUT_S - 0.1, 2, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED
     one.heartbeat(100.0 + 3 * OUT_S + 0.1, 3, fencing_token=5)
@@ -181,7 +183,7 @@
     while one.machine.state is not MachineState.LAPSED and now < 3 * OUT_S:
         sequence += 1
         one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING])
-        one.part.check_leases(now)
+        one.machine_shard.check_leases(now)
         now += 2.0
     assert one.machine.state is MachineState.LAPSED and now < OUT_S + 5.0
     assert one.told_home() == [([], [])]
@@ -191,13 +193,17 @@
     """Cut off from the store at 5 s, it still acted: the newer view's owner may have renewed the lease since."""
     for deaf in (False, True):
         one = Told()
-        one.part.newest_until = 5.0
+        one.machine_shard.newest_until = 5.0
         if not deaf:
             one.heartbeat(1.0, 1, tasks=[RUNNING])
-        one.heartbeat(1.0 + OUT_S + 0.2, 2, fencing_token=4) if deaf else one.part.check_leases(1.0 + OUT_S + 0.2)
+        one.heartbeat(1.0 + OUT_S + 0.2, 2, fencing_token=4) if deaf else one.machine_shard.check_leases(
+            1.0 + OUT_S + 0.2
+        )
         assert one.machine.state is not MachineState.LAPSED
-        one.part.newest_until = 1.0 + OUT_S
-        one.heartbeat(1.0 + OUT_S + 0.4, 3, fencing_token=4) if deaf else one.part.check_leases(1.0 + OUT_S + 0.4)
+        one.machine_shard.newest_until = 1.0 + OUT_S
+        one.heartbeat(1.0 + OUT_S + 0.4, 3, fencing_token=4) if deaf else one.machine_shard.check_leases(
+            1.0 + OUT_S + 0.4
+        )
         assert one.machine.state is MachineState.LAPSED, "it stays due"
 
 
@@ -256,13 +262,15 @@
         return sum(
             len(job.unknown)
             for sim in self.nodes.values()
-            if sim.node is not None
-            for job in sim.node.home.jobs.values()
+            if sim.core is not None
+            for job in sim.core.job_shard.jobs.values()
             if job.state is JobState.ACTIVE
         )
 
     def leader(self):
-        return next(sim for sim in self.nodes.values() if sim.node is not None and sim.node.membership.leads(self.t))
+        return next(
+            sim for sim in self.nodes.values() if sim.core is not None and sim.core.membership.is_leader(self.t)
+        )
 
 
 @pytest.mark.parametrize("seed", (4, 5))
@@ -275,7 +283,7 @@
     world.run(60.0)
     world.copies = 0.2
     leader = world.leader()
-    deaf = [world.machines[machine] for job in leader.node.home.jobs.values() for machine in job.on]
+    deaf = [world.machines[machine] for job in leader.core.job_shard.jobs.values() for machine in job.on]
     for worker in deaf:
         worker.deaf_until = world.t + 150.0
     world.run(61.0)
@@ -306,7 +314,7 @@
     while world.t < 150.0:
         world.run(world.t + 1.0)
         for sim in world.nodes.values():
-            for name, job in sim.node.home.jobs.items():
+            for name, job in sim.core.job_shard.jobs.items():
                 for index, run in job.runs.items():
                     if run.state is TaskState.GRANTED:
                         first = since.setdefault((name, index, run.attempt), world.t)
@@ -325,8 +333,8 @@
     one.told_home()
     one.heartbeat(11.0, 7)
     assert one.told_home() == [([], [])] and not one.orders(), "neither, as both are settled by this report"
-    assert one.part.candidate(one.machine, 11.0) is None, "nor is anything placed there for a while"
-    assert one.part.candidate(one.machine, 11.0 + LEASE_S) is not None
+    assert one.machine_shard.candidate(one.machine, 11.0) is None, "nor is anything placed there for a while"
+    assert one.machine_shard.candidate(one.machine, 11.0 + LEASE_S) is not None
     other = Told()
     other.heartbeat(1.0, 1)
     other.grant(0, 70)
@@ -334,7 +342,7 @@
     other.heartbeat(6.0, 4)
     other.orders()
     other.heartbeat(7.0, 5, tasks=[RUNNING])
-    assert other.told_home()[-1] == ([0], []) and other.part.candidate(other.machine, 7.0) is not None
+    assert other.told_home()[-1] == ([0], []) and other.machine_shard.candidate(other.machine, 7.0) is not None
 
 
 # -- old reports ------------------------------------------------------------------
@@ -346,12 +354,12 @@
     one = Told()
     one.heartbeat(1.0, 3, incarnation=2)
     one.grant(0, 70)
-    one.part.reserve(one.machine, "wk-1", 2)
+    one.machine_shard.reserve(one.machine, "wk-1", 2)
     one.orders()
     one.heartbeat(2.0, 4, incarnation=2, tasks=[RUNNING])
     one.grant(1, 71)
     one.orders()
-    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
+    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
     one.told_home()
     machine = one.machine
     before = (
@@ -368,14 +376,14 @@
     ), "a 200 would carry orders"
     assert before == (machine.heard_at, machine.news, machine.tasks, machine.pending, machine.reserved, machine.halts)
     assert not one.told_home()
-    one.part.check_leases(2.0 + OUT_S + 0.1)
+    one.machine_shard.check_leases(2.0 + OUT_S + 0.1)
     assert machine.state is MachineState.LAPSED, "its lease counts from the newest"
 
 
 def test_the_first_report_that_a_new_owner_hears_may_be_a_copy():
     """It bears an older mandate: it shows no task, frees none and gets no orders, whatever has been granted."""
     one = Told()
-    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
+    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
     assert one.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
     assert not one.machine.tasks and not one.told_home() and not one.orders()
     one.grant(0, 71)
@@ -387,13 +395,13 @@
 def test_copies_of_a_returned_machine_s_reports_bring_nothing_back():
     one = Told()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
-    one.part.on_gone(["n-1"])
+    one.machine_shard.on_gone(["n-1"])
     one.told_home()
     for fencing_token in (4, 5):
         assert one.heartbeat(2.0, 9, fencing_token=fencing_token, incarnation=3, tasks=[RUNNING]) is None
-    assert "n-1" not in one.part.machines and not one.told_home()
+    assert "n-1" not in one.machine_shard.machines and not one.told_home()
     one.enter(6, 3.0)  # its record has yet to go
-    assert one.part.to_drop == ["n-1"]
+    assert one.machine_shard.to_drop == ["n-1"]
     assert one.told_home() == [([], [])], "what others inherit did wait for the lease of a machine that was returned"
     assert one.heartbeat(4.0, 10, fencing_token=5) is None and not one.told_home()
 
@@ -403,7 +411,7 @@
     one.heartbeat(1.0, 8, tasks=[RUNNING])
     one.grant(3, 73)
     one.orders()
-    one.part.check_leases(1.0 + OUT_S + 0.1)
+    one.machine_shard.check_leases(1.0 + OUT_S + 0.1)
     assert one.machine.state is MachineState.LAPSED
     one.told_home()
     one.heartbeat(20.0, 1, incarnation=2)
@@ -417,21 +425,21 @@
     world = Meetings(7, jobs=6)
     world.run(40.0)
     home, part, name, index, run = next(
-        (sim.node, world.nodes[sim.node.membership.part_of(run.machine)].node, name, index, run)
+        (sim.core, world.nodes[sim.core.membership.machine_owner(run.machine)].core, name, index, run)
         for sim in world.nodes.values()
-        for name, job in sim.node.home.jobs.items()
+        for name, job in sim.core.job_shard.jobs.items()
         for index, run in job.runs.items()
-        if sim.node.membership.part_of(run.machine) != sim.label and run.state is TaskState.RUNNING
+        if sim.core.membership.machine_owner(run.machine) != sim.label and run.state is TaskState.RUNNING
     )
-    old = part.channels[home.me].tell(MachineTaskReport(run.machine, run.zone, 10**6, [], []))
+    old = part.channels[home.me].post_unreliable(MachineTaskReport(run.machine, run.zone, 10**6, [], []))
     fencing_token = home.membership.fencing_token
-    world.end(next(sim for sim in world.nodes.values() if sim.node not in (home, part)), 1.0)
+    world.end(next(sim for sim in world.nodes.values() if sim.core not in (home, part)), 1.0)
     while home.membership.fencing_token == fencing_token:
         world.run(world.t + 0.05)
     home.on_frame(old, world.t)
-    assert index in home.home.jobs[name].runs, "an older proof says nothing of what was granted since"
+    assert index in home.job_shard.jobs[name].runs, "an older proof says nothing of what was granted since"
     home.on_frame(msgspec.structs.replace(old, fencing_token=home.membership.fencing_token), world.t)
-    assert index not in home.home.jobs[name].runs
+    assert index not in home.job_shard.jobs[name].runs
 
 
 # -- late commands, and answers to them ------------------------------------------------
@@ -470,11 +478,11 @@
 def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
     one = Told()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
-    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
+    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
     one.heartbeat(2.0, 2)
     one.grant(0, 80)
     assert one.orders() == [("run", "wk-1/0", 80)], "70 is gone, its halt as well"
-    one.part.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
+    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
     assert ("halt", "wk-1/0", 80) not in one.orders()
     one.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 80, "running")])
     assert not one.orders() and one.machine.tasks[("wk-1", 0)].attempt == 80
@@ -484,11 +492,11 @@
     one = Told()
     ended = ReportedTask("wk-1/0", 70, "ended", "halted")
     one.heartbeat(1.0, 1, tasks=[ended])
-    one.part.on_clear("n-1", "wk-1", 0, 70)
+    one.machine_shard.on_clear("n-1", "wk-1", 0, 70)
     one.grant(0, 80)
     assert one.orders() == [("clear", "wk-1/0", 70)], "the old attempt goes first"
     one.heartbeat(2.0, 2)
-    one.part.on_clear("n-1", "wk-1", 0, 70)  # told twice
+    one.machine_shard.on_clear("n-1", "wk-1", 0, 70)  # told twice
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 80)]
     done = ReportedTask("wk-1/0", 80, "ended", "done")
     one.heartbeat(3.0, 3, tasks=[done])
@@ -501,7 +509,7 @@
     """All tasks of a gang have one attempt: the clear of what ended before took the result that was not stored."""
     one = Told()
     one.heartbeat(1.0, 1, tasks=[ReportedTask("wk-1/0", 70, "ended", "error")])
-    one.part.on_clear("n-1", "wk-1", 0, 70)
+    one.machine_shard.on_clear("n-1", "wk-1", 0, 70)
     one.grant(0, 70)
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 70)]
     if between is not None:
@@ -530,27 +538,27 @@
 
     def change(self, fresh=False, settled=True):
         self.fencing_token += 1
-        self.home = Home([], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
+        self.job_shard = JobShard([], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
         self.job = Job(self.record, self.revision, 0.0, 0.0, fresh=fresh)
         self.job.inherited = not fresh
-        self.home.enter(self.fencing_token, {"wk-1": self.job}, MACHINES)
-        self.home.settled = settled
+        self.job_shard.enter(self.fencing_token, {"wk-1": self.job}, MACHINES)
+        self.job_shard.settled = settled
         self.sent.clear()
 
     def store(self, answered=True):
         """The record is written; without an answer nobody here knows."""
-        due = [job for _, job in self.home.due_writes(1e9)]
+        due = [job for _, job in self.job_shard.due_writes(1e9)]
         if due:
-            record, cleared = self.job.record(4096, self.home.may_end(self.job)), list(self.job.to_clear)
+            record, cleared = self.job.record(4096, self.job_shard.may_end(self.job)), list(self.job.to_clear)
             self.ends += record.state is not self.record.state
             self.record, self.revision, self.job.changed_at = record, self.revision + 1, None
             if answered:
-                self.home.written(self.job, record, self.revision, cleared, 1.0)
+                self.job_shard.written(self.job, record, self.revision, cleared, 1.0)
 
     def seen(self, machine, *tasks):
         """What a part tells: (index, attempt, status, cause) each; the clears and halts that follow."""
         self.sent.clear()
-        self.home.on_seen(
+        self.job_shard.on_seen(
             "host-1",
             MachineTaskReport(machine, "a", 10**6, [TaskStatusReport("wk-1", *task) for task in tasks], []),
             1.0,
@@ -558,7 +566,7 @@
         return [body for body in self.sent if isinstance(body, AcknowledgeFinished | StopTask)]
 
     def grant(self, machine):
-        self.home.on_take("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
+        self.job_shard.on_take("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
         return self.sent[-1].tasks
 
 
@@ -584,7 +592,7 @@
     assert not one.seen("n-3", done[2]) and one.job.state is JobState.DONE
     one.store()
     assert one.ends == 0 and one.job.stored_state is JobState.ACTIVE, "an earlier home may still deny it"
-    one.home.settled = True
+    one.job_shard.settled = True
     one.store()
     one.store()
     assert one.ends == 1 and one.job.stored_state is JobState.DONE and one.job.drained
@@ -651,8 +659,10 @@
     for number in range(10):
 
         def trouble(number=number):
-            leads = [sim for sim in world.nodes.values() if sim.node is not None and sim.node.membership.leads(world.t)]
-            for sim in leads:
+            is_leader = [
+                sim for sim in world.nodes.values() if sim.core is not None and sim.core.membership.is_leader(world.t)
+            ]
+            for sim in is_leader:
                 world.end(sim, (0.2, 3.0)[number % 2])
             for worker in world.rng.sample(world.workers(), len(world.workers()) // 4):
                 worker.deaf_until = world.t + world.rng.uniform(5.0, 40.0)
@@ -671,9 +681,9 @@
 
     def just_heard():
         for sim in world.nodes.values():
-            membership = sim.node.membership
+            membership = sim.core.membership
             acts_until = min(membership.store_lease.valid_until, membership.fresh_until)
-            for machine in sim.node.part.machines.values():
+            for machine in sim.core.machine_shard.machines.values():
                 worker = world.machines.get(machine.name)
                 if machine.acked and worker is not None and machine.heard_at + OUT_S + 0.5 < acts_until:
                     return sim, machine, worker
@@ -682,9 +692,11 @@
     while (found := just_heard()) is None:
         world.run(world.t + 0.02)
     sim, machine, worker = found
-    part, began = sim.node.part, world.t
+    part, began = sim.core.machine_shard, world.t
     sim.cut_store_until, worker.cut_until = began + 60.0, began + 60.0
-    while sim.node.membership.may_act(world.t):
+    while sim.core.membership.may_act(world.t):
         assert machine.state is not MachineState.LAPSED
         world.run(world.t + 0.05)
-    assert world.t > machine.heard_at + OUT_S and sim.node.part is part and part.machines[machine.name] is machine
+    assert (
+        world.t > machine.heard_at + OUT_S and sim.core.machine_shard is part and part.machines[machine.name] is machine
+    )
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -5,8 +5,8 @@
 from world import World
 
 from alderbridge import constants as c
+from alderbridge.core import ControllerCore
 from alderbridge.machines import MachineState
-from alderbridge.node import Node
 from alderbridge.store import MACHINES
 
 DOWN_S = c.OUTLAST_S + c.LOST_S  # hold and lease are over, and a silence of ``LOST_S`` after them
@@ -37,7 +37,7 @@
     world, there, over, returned, dropped = outage(seed)
     assert len(there) >= 5 and not set(returned) & set(there)
     assert not set(dropped) & {MACHINES + name for name in there}
-    assert world.began and all(sim.node.may_act() for sim in world.nodes.values())
+    assert world.began and all(sim.core.may_act() for sim in world.nodes.values())
     world.run(over + 240.0)
     world.remembered()
     assert not [job for job in world.accepted if job not in world.said and not world.specs[job].service]
@@ -60,20 +60,22 @@
 def test_a_drop_that_had_no_answer_is_not_taken_back():
     world = World(5, trouble=False, jobs=3)
     world.run(40.0)
-    node, name = next(
-        (sim.node, name)
+    core, name = next(
+        (sim.core, name)
         for sim in world.nodes.values()
-        for name in sorted(sim.node.part.machines)
-        if sim.node.part.machines[name].recorded
+        for name in sorted(sim.core.machine_shard.machines)
+        if sim.core.machine_shard.machines[name].recorded
     )
-    node.part.machines[name].lapse()
-    node.part._unrecord(node.part.machines[name])
-    assert Node.keep_record(node, name) and not node.keep_record(name), "once: nothing is to be dropped any more"
-    node.part.to_drop.append(name)
-    batch = node.next_batch(world.t)
-    assert batch is not None and name in batch.gone
-    assert not node.keep_record(name)
-    node.batch_failed(batch, world.t)
-    assert not node.keep_record(name), "unanswered, it may yet be carried out"
-    node.enter_view(world.t, world.t)
-    assert name not in node.dropping and not node.drops_sent
+    core.machine_shard.machines[name].lapse()
+    core.machine_shard._unrecord(core.machine_shard.machines[name])
+    assert ControllerCore.keep_record(core, name) and not core.keep_record(name), (
+        "once: nothing is to be dropped any more"
+    )
+    core.machine_shard.to_drop.append(name)
+    batch = core.next_batch(world.t)
+    assert batch is not None and name in batch.dropped_machines
+    assert not core.keep_record(name)
+    core.on_batch_failed(batch, world.t)
+    assert not core.keep_record(name), "unanswered, it may yet be carried out"
+    core.enter_view(world.t, world.t)
+    assert name not in core.machine_records_to_drop and not core.drops_in_flight
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -9,14 +9,14 @@
 
 import msgspec
 import pytest
-from world import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimNode, SimWorker, World
+from world import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimController, SimWorker, World
 
 from alderbridge import constants as c
 from alderbridge import placement, wire
 from alderbridge.config import NextState
-from alderbridge.jobs import Home, Job, JobState, Record, Run, TaskState
-from alderbridge.machines import Part
-from alderbridge.node import Submission
+from alderbridge.core import Submission
+from alderbridge.jobs import Job, JobShard, JobState, Record, Run, TaskState
+from alderbridge.machines import MachineShard
 from alderbridge.recovery import Barrier
 from alderbridge.store import VIEW
 from alderbridge.view import View
@@ -37,7 +37,7 @@
         self.rooms: dict[str, deque[placement.Room]] = {}  # what each machine had free at the last looks
         world.after(max(0.0, since - world.t), self.look)
 
-    def standing(self, worker) -> placement.Room:
+    def status(self, worker) -> placement.Room:
         """What it has had free for ``STANDING_S``: what ended a moment ago is told, and given, with its reports."""
         seen = self.rooms.setdefault(worker.name, deque(maxlen=STANDING_S))
         seen.append(self.free(worker))
@@ -57,7 +57,7 @@
         for worker in world.machines.values():
             if worker is None or not worker.alive:
                 continue
-            free = self.standing(worker)
+            free = self.status(worker)
             for part, task in worker.tasks.items():
                 if task.status != "ended":
                     job = wire.split_task_id(part)[0]
@@ -106,7 +106,7 @@
         world.after(1.0, self.look)
 
 
-class RoomsNode(SimNode):
+class RoomsNode(SimController):
     """Its store refuses changes beyond its rate, for a moment; its users hear of it when their jobs are taken."""
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
@@ -114,7 +114,7 @@
             if (
                 isinstance(answer, wire.TransactionResult) and answer.revision < 0
             ):  # 429, as ``Controller.keep_records`` takes it
-                budget = self.node.store_share.budget
+                budget = self.core.write_rate_limit.budget
                 budget.spend(self.world.t, max(0.0, budget.available(self.world.t)))
                 answer = wire.TransactionResult(0, [VIEW])
             then(answer)
@@ -122,7 +122,7 @@
         super().call(answered, fail, method, *args, too_large=too_large)
 
     def tell_users(self) -> None:
-        for item in self.node.news:
+        for item in self.core.notifications:
             if isinstance(item, Submission):
                 self.world.decided(item)
         super().tell_users()
@@ -173,19 +173,19 @@
         if spec.id in self.accepted_at:  # its user was told; the store may have had it before
             return
         healthy = [
-            label for label in self.takes_users if (node := self.nodes[label].node) is not None and node.may_act()
+            label for label in self.takes_users if (core := self.nodes[label].core) is not None and core.may_act()
         ]
         if not healthy:
             self.after(1.0, self.attempt, spec)
             return
         sim = self.nodes[self.rng.choice(healthy)]
-        if sim.node.known(spec.id):
+        if sim.core.knows_job(spec.id):
             if self.question(sim, spec.id) is not None:
                 self.taken(spec.id)
             else:
                 self.after(2.0, self.attempt, spec)
             return
-        submission = sim.node.submit(spec, self.t, self.t + sim.ahead_s)
+        submission = sim.core.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
         self.hopes[submission] = (spec, life)
         self.after(c.SUBMIT_WAIT_S, self.given_up, submission)
@@ -271,8 +271,8 @@
         super().taken(job)
 
     def backlog(self):
-        nodes = [sim.node for sim in self.nodes.values() if sim.node is not None]
-        return sum(len(node.submissions) + len(node.home.tally.lagging) for node in nodes)
+        nodes = [sim.core for sim in self.nodes.values() if sim.core is not None]
+        return sum(len(core.submissions) + len(core.job_shard.tally.lagging) for core in nodes)
 
 
 def stream(seed, users=None, alone=False, until=0.0, leader_ends=True, **more):
@@ -309,10 +309,12 @@
     # nothing is left of them but a word each: no record to be written, no order, no task held or counted
     assert world.backlog() == 0 and not world.on
     for sim in world.nodes.values():
-        node = sim.node
-        assert not (node.home.jobs or node.replica.active or node.replica.left or node.home.there or node.submissions)
-        assert not any(node.home.used().values()) and len(node.replica.by_age) <= c.QUEUE_ROWS // 10
-        assert not any(one.halts or one.pending or one.reserved for one in node.part.machines.values())
+        core = sim.core
+        assert not (
+            core.job_shard.jobs or core.replica.active or core.replica.left or core.job_shard.there or core.submissions
+        )
+        assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= c.QUEUE_ROWS // 10
+        assert not any(one.halts or one.pending or one.reserved for one in core.machine_shard.machines.values())
 
 
 @pytest.mark.parametrize("alone", (False, True))
@@ -321,29 +323,29 @@
     world, _ = stream(2, users=["host-2"], alone=alone, write_rps=35.0, for_s=60.0, leader_ends=False)
     found = waits(world)
     assert len(world.accepted) == 240 and found[int(0.9 * len(found))] < 2.0 and found[-1] < 5.0
-    assert world.backlog() == 0 and not world.nodes["host-2"].node.home.jobs, "all ended in the store"
+    assert world.backlog() == 0 and not world.nodes["host-2"].core.job_shard.jobs, "all ended in the store"
     assert world.too_fast <= 3, "the store is hardly ever asked for more than it takes"
 
 
 def test_submissions_have_their_turn_among_ends_where_both_are_more_than_the_budget():
     world = Rooms(3)
     world.run(5.0)
-    node = world.nodes["host-1"].node
+    core = world.nodes["host-1"].core
     for number in range(40):
-        node.submit(array(number), world.t, world.t)
-    while node.submissions:
+        core.submit(array(number), world.t, world.t)
+    while core.submissions:
         world.run(world.t + 0.5)
-    submission = node.submit(array(99), world.t, world.t)
+    submission = core.submit(array(99), world.t, world.t)
     for number in range(40):
-        node.home.jobs[f"wk-{number:06d}"].abort(world.t + 1.0 + (number > 20))
-    node.submit(array(98), world.t + 1.5, world.t + 1.5)
+        core.job_shard.jobs[f"wk-{number:06d}"].abort(world.t + 1.0 + (number > 20))
+    core.submit(array(98), world.t + 1.5, world.t + 1.5)
     taken = []
-    node.store_share.budget.available(world.t + 2.0)
+    core.write_rate_limit.budget.available(world.t + 2.0)
     while len(taken) < 42:
-        node.store_share.budget.level = 2.0 - c.AHEAD_SHARE * node.store_share.budget.burst
-        batch = node.next_batch(world.t + 2.0)
-        taken += [job.spec.id for job, _, _ in batch.jobs] + [one.job.spec.id for one, _ in batch.fresh]
-        node.batch_done(batch, world.store.revision, world.t + 2.0)
+        core.write_rate_limit.budget.level = 2.0 - c.AHEAD_SHARE * core.write_rate_limit.budget.burst
+        batch = core.next_batch(world.t + 2.0)
+        taken += [job.spec.id for job, _, _ in batch.jobs] + [one.job.spec.id for one, _ in batch.submissions]
+        core.on_batch_written(batch, world.store.revision, world.t + 2.0)
     assert submission.outcome == "accepted" and taken.index("wk-000099") < 2
     assert taken.index("wk-000098") in (22, 23), "behind the ends before it, two to a transaction"
 
@@ -419,10 +421,10 @@
                 worker.die()
 
 
-def zone_away(seed, leads, for_s, dead=0.2, until=150.0, **more):
+def zone_away(seed, is_leader, for_s, dead=0.2, until=150.0, **more):
     world = Zones(seed, **more)
     world.run(45.0)
-    label = world.leader.label if leads else min(set(LABELS) - {world.leader.label})
+    label = world.leader.label if is_leader else min(set(LABELS) - {world.leader.label})
     there = [part for part, name in world.on.items() if world.machines[name].kind.zone == AWAY]
     world.cut_zone(label, for_s, dead)
     world.run(45.0 + for_s + 15.0)
@@ -431,10 +433,10 @@
     return world, judge, there
 
 
-@pytest.mark.parametrize("seed, leads, for_s", [(1, True, 30.0), (2, False, 50.0)])
-def test_a_zone_with_workers_and_a_controller_is_away_for_longer_than_a_lease(seed, leads, for_s):
+@pytest.mark.parametrize("seed, is_leader, for_s", [(1, True, 30.0), (2, False, 50.0)])
+def test_a_zone_with_workers_and_a_controller_is_away_for_longer_than_a_lease(seed, is_leader, for_s):
     """Nothing runs outside its zone, or where tasks may still run inside; when the zone is back all of it is done."""
-    world, judge, there = zone_away(seed, leads, for_s)
+    world, judge, there = zone_away(seed, is_leader, for_s)
     assert len(there) >= 5, "tasks ran in there"
     assert {world.said.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == 30
     assert judge.longest < ROOM_WAIT_S
@@ -458,14 +460,14 @@
 
 def test_inherited_tasks_wait_for_the_machines_of_a_zone_that_is_away(monkeypatch):
     """The guard taken out: without the barrier they start while they run on in there."""
-    enter = Home.enter
+    enter = JobShard.enter
 
     def no_barrier(self, fencing_token, jobs, machines):
         enter(self, fencing_token, jobs, machines)
         self.barrier = Barrier({})
         self._lift()
 
-    monkeypatch.setattr(Home, "enter", no_barrier)
+    monkeypatch.setattr(JobShard, "enter", no_barrier)
     with pytest.raises(Broken, match="ran_twice"):
         zone_away(2, False, 50.0)
 
@@ -532,17 +534,19 @@
 
 
 def no_room_in_a_zone(monkeypatch):
-    candidate = Part.candidate
+    candidate = MachineShard.candidate
     monkeypatch.setattr(
-        Part, "candidate", lambda self, machine, now: None if machine.zone == "b" else candidate(self, machine, now)
+        MachineShard,
+        "candidate",
+        lambda self, machine, now: None if machine.zone == "b" else candidate(self, machine, now),
     )
 
 
 def reservations_stay(monkeypatch):
     """What was asked of a home counts as taken for ever, whatever it granted."""
-    on_grant = Part.on_grant
+    on_grant = MachineShard.on_grant
     monkeypatch.setattr(
-        Part,
+        MachineShard,
         "on_grant",
         lambda self, label, grant, now: on_grant(self, label, msgspec.structs.replace(grant, request_id=-1), now),
     )
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 import pytest
-from world import LABELS, TYPES, SimNode, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
+from world import LABELS, TYPES, SimController, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
 
 from alderbridge import constants as c
 from alderbridge import controller, declared, store, wire
@@ -18,14 +18,14 @@
 from alderbridge.claims import Claim, Ledger
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
+from alderbridge.core import ControllerCore
 from alderbridge.declared import Declarations, Head, Revision, records, texts
 from alderbridge.jobs import JobState, Record, Run, TaskState
 from alderbridge.machines import MachineState
 from alderbridge.net import UnansweredError
-from alderbridge.node import Node
 from alderbridge.poll import Poll
 from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
-from alderbridge.view import Presence, View, choose
+from alderbridge.view import MemberRecord, View, rendezvous_owner
 
 SPEC = wire.JobSpec(
     id="wk-000001",
@@ -51,30 +51,30 @@
         self.t = 0.0
         self.store = SimStore(self)
         self.me = "host-0"
-        self.node = Node(platform(self.me, LABELS[:3]), Tuning(), self.t)
-        self.node.learn_types(TYPES)
+        self.core = ControllerCore(platform(self.me, LABELS[:3]), Tuning(), self.t)
+        self.core.set_machine_types(TYPES)
         self.lease_ids: dict[str, int] = {}
         for label in (self.me, *others):
             self.come(label)
-        self.node.held(self.lease_ids[self.me], self.t, self.t)
-        self.node.membership.followed(self.t)
-        self.node.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        self.core.lease_acquired(self.lease_ids[self.me], self.t, self.t)
+        self.core.membership.record_sync(self.t)
+        self.core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
         self.view(self.me, *others)
 
     def other(self, label: str) -> "Alone":
         """The node of another member, at the same store."""
         other = object.__new__(Alone)
         other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
-        other.node = Node(platform(label, LABELS[:3]), Tuning(), self.t)
-        other.node.learn_types(TYPES)
-        other.node.held(self.lease_ids[label], self.t, self.t)
+        other.core = ControllerCore(platform(label, LABELS[:3]), Tuning(), self.t)
+        other.core.set_machine_types(TYPES)
+        other.core.lease_acquired(self.lease_ids[label], self.t, self.t)
         other.reload()
         return other
 
     def come(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
         self.store.holds[lease_id] = 1e9
-        self.store.commit({}, {MEMBERS + label: Presence(lease_id, c.GENERATION)}, (), lease_id)
+        self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, c.PROTOCOL_VERSION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
         """A newer view of these, and it has arrived here."""
@@ -82,16 +82,16 @@
         self.follow()
 
     def follow(self) -> None:
-        node = self.node
-        node.membership.store_lease.renewed(self.lease_ids[self.me], self.t)
-        node.membership.followed(self.t)
-        node.apply(self.store.since(node.replica.revision), self.t, self.t)
-        node.replica.revision = self.store.revision
+        core = self.core
+        core.membership.store_lease.record_renewal(self.lease_ids[self.me], self.t)
+        core.membership.record_sync(self.t)
+        core.apply_events(self.store.since(core.replica.revision), self.t, self.t)
+        core.replica.revision = self.store.revision
 
     def reload(self) -> None:
         """As after any trouble with following: all is read anew."""
-        self.node.membership.followed(self.t)
-        self.node.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        self.core.membership.record_sync(self.t)
+        self.core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def go(self, for_s: float) -> None:
         """Time passes, and the store answers what is read."""
@@ -99,24 +99,24 @@
         while self.t < end:
             self.t = min(end, self.t + 0.5)
             self.follow()
-            self.node.round(self.t)
+            self.core.round(self.t)
 
     def batch(self):
-        return self.node.next_batch(self.t)
+        return self.core.next_batch(self.t)
 
     def carry_out(self, batch) -> wire.TransactionResult:
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
 
     def settle(self, batch) -> wire.TransactionResult:
         """Carried out, and answered at once; a conflict is read as ``Controller.settle_conflict`` does."""
-        node, answer = self.node, self.carry_out(batch)
+        core, answer = self.core, self.carry_out(batch)
         if not answer.failed:
-            node.batch_done(batch, answer.revision, self.t)
+            core.on_batch_written(batch, answer.revision, self.t)
             return answer
-        node.batch_failed(batch, self.t)
+        core.on_batch_failed(batch, self.t)
         for key in answer.failed if VIEW not in answer.failed else ():
             found = self.store.data.get(key)
-            node.reread(
+            core.resolve_conflict(
                 batch, key, None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]), self.t
             )
         return answer
@@ -131,15 +131,15 @@
         """What is due, sent and without an answer: the test carries it out when it likes."""
         batch = self.batch()
         assert batch is not None
-        self.node.batch_failed(batch, self.t)
+        self.core.on_batch_failed(batch, self.t)
         self.t += c.STATE_TIMEOUT_S
         self.follow()
         return batch
 
     def heartbeat(self, name: str, sequence: int, tasks=(), incarnation: int = 1):
-        return self.node.on_heartbeat(
+        return self.core.on_heartbeat(
             wire.Heartbeat(
-                name, "x", "small", incarnation, sequence, self.node.membership.fencing_token, "a", tasks=list(tasks)
+                name, "x", "small", incarnation, sequence, self.core.membership.fencing_token, "a", tasks=list(tasks)
             ),
             self.t,
         )
@@ -148,26 +148,28 @@
         """A machine of this part that has reported and is in the store."""
         self.heartbeat(name, 1)
         self.write()
-        assert self.node.part.machines[name].recorded
+        assert self.core.machine_shard.machines[name].recorded
 
     def job(self, spec=SPEC):
         """One that this home serves."""
-        submission = self.node.submit(spec, self.t, self.t)
+        submission = self.core.submit(spec, self.t, self.t)
         self.write()
         assert submission.outcome == "accepted"
-        return self.node.home.jobs[spec.id]
+        return self.core.job_shard.jobs[spec.id]
 
     def runs(self, job, machine: str, index: int) -> None:
         job.next = max(job.next, index + 1)
         job.grant(index, Run(machine, "a", 7, 0, TaskState.RUNNING, self.t))
-        self.node.home.there.setdefault(machine, set()).add(job.spec.id)
+        self.core.job_shard.there.setdefault(machine, set()).add(job.spec.id)
 
     def ended(self, machine: str, index: int, job: str = SPEC.id):
         return m.MachineTaskReport(machine, "a", 1 << 40, [m.TaskStatusReport(job, index, 7, "ended", "done")], [])
 
 
 def machine_of(part: str, *members: str) -> str:
-    return next(name for name in (f"n-{number:06d}" for number in range(99)) if choose(name, sorted(members)) == part)
+    return next(
+        name for name in (f"n-{number:06d}" for number in range(99)) if rendezvous_owner(name, sorted(members)) == part
+    )
 
 
 # -- records of machines
@@ -185,16 +187,16 @@
     alone.write()
     if end == "lapsed":
         alone.go(LEASE_S + 2.0)
-        assert alone.node.part.machines[name].state is MachineState.LAPSED
+        assert alone.core.machine_shard.machines[name].state is MachineState.LAPSED
     else:
-        alone.node.returned([name], alone.t)
+        alone.core.on_terminated([name], alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
     assert not alone.carry_out(first).failed, "it asserts the view, and that there is no record"
     how(alone)
     alone.write()
     assert MACHINES + name not in alone.store.data
-    assert name not in alone.node.replica.machines
+    assert name not in alone.core.replica.machines
 
 
 def test_a_machine_that_went_before_its_record_was_carried_out_leaves_none():
@@ -203,7 +205,7 @@
     name = "n-000001"
     alone.heartbeat(name, 1)
     first = alone.lost()
-    alone.node.returned([name], alone.t)
+    alone.core.on_terminated([name], alone.t)
     alone.write()
     assert not alone.carry_out(first).failed
     alone.follow()
@@ -224,7 +226,7 @@
     machine = alone.heartbeat(name, 1, incarnation=2)
     assert machine.acked and not machine.recorded
     alone.follow()
-    assert not machine.recorded and alone.node.part.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both late, one after the other
     alone.follow()
     assert not machine.recorded, "the record may go by the drop that is repeated"
@@ -251,8 +253,8 @@
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its part under this view
     alone.follow()
     alone.runs(job, name, 0)
-    alone.node.batch_done(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
-    assert name in alone.node.replica.machines
+    alone.core.on_batch_written(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
+    assert name in alone.core.replica.machines
     alone.view("host-1", "host-0")
     assert 0 in job.runs, "its machine is recorded, so only a report, its lease or its return frees it"
 
@@ -271,8 +273,8 @@
     alone.view("host-1", "host-0")
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})
     alone.follow()
-    alone.node.reread(drop, MACHINES + name, None, alone.t)  # as it was when it was read
-    assert name in alone.node.replica.machines
+    alone.core.resolve_conflict(drop, MACHINES + name, None, alone.t)  # as it was when it was read
+    assert name in alone.core.replica.machines
 
 
 @pytest.mark.parametrize("how", ("answer", "read"))
@@ -286,14 +288,14 @@
     alone.view("host-1", "host-0")
     alone.store.commit({}, {}, [MACHINES + name])
     alone.follow()
-    assert name not in alone.node.replica.machines
+    assert name not in alone.core.replica.machines
     if how == "answer":
-        alone.node.batch_done(put, answer.revision, alone.t)
+        alone.core.on_batch_written(put, answer.revision, alone.t)
     else:
-        alone.node.reread(
+        alone.core.resolve_conflict(
             put, MACHINES + name, wire.KeyValue(MACHINES + name, msgspec.Raw(b"{}"), answer.revision), alone.t
         )
-    assert name not in alone.node.replica.machines
+    assert name not in alone.core.replica.machines
 
 
 def test_a_new_view_does_not_wait_for_a_machine_whose_return_is_confirmed():
@@ -302,13 +304,13 @@
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
     put = alone.lost()
-    alone.node.returned([name], alone.t)
+    alone.core.on_terminated([name], alone.t)
     alone.write()
     assert not alone.carry_out(put).failed
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
-    alone.node.pump()
-    assert not alone.node.home.barrier, "nothing is on it"
+    alone.core.pump()
+    assert not alone.core.job_shard.barrier, "nothing is on it"
     alone.write()
     assert MACHINES + name not in alone.store.data
 
@@ -323,18 +325,18 @@
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
     sent = []
-    alone.node.home.send = alone.node.home.send_later = lambda label, body: sent.append(body) or len(sent)
+    alone.core.job_shard.send = alone.core.job_shard.send_deferred = lambda label, body: sent.append(body) or len(sent)
     seen = alone.ended("n-000001", 0)
-    alone.node.home.on_seen("host-0", seen, alone.t)
+    alone.core.job_shard.on_seen("host-0", seen, alone.t)
     alone.t += 1.0
     alone.follow()
     batch = alone.batch()
     assert batch.jobs
-    alone.node.home.on_seen("host-0", seen, alone.t)  # told again with whatever is news on the machine
+    alone.core.job_shard.on_seen("host-0", seen, alone.t)  # told again with whatever is news on the machine
     assert not [body for body in sent if isinstance(body, m.AcknowledgeFinished)], (
         "the worker would forget what nobody has yet"
     )
-    alone.node.batch_failed(batch, alone.t)
+    alone.core.on_batch_failed(batch, alone.t)
     alone.write()
     assert [body.index for body in sent if isinstance(body, m.AcknowledgeFinished)] == [0]
     alone.go(2.0)
@@ -346,11 +348,11 @@
     """A job whose end was sent, and had no answer."""
     job = alone.job()
     if how == "withdrawn":
-        assert alone.node.withdraw(SPEC.id, alone.t) == ""
+        assert alone.core.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
-            alone.node.home.on_seen("host-0", alone.ended("n-000001", index), alone.t)
+            alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", index), alone.t)
     return job, alone.lost()
 
 
@@ -359,20 +361,20 @@
 def test_an_end_without_an_answer_is_told_once_the_store_has_it_and_never_otherwise(how, state, late):
     alone = Alone()
     job, end = late_end(alone, how)
-    node = alone.node
-    assert node.state_here(SPEC.id, alone.t) is None, "others may have read it in the store: not pending"
-    assert node.withdraw(SPEC.id, alone.t) == ""
+    core = alone.core
+    assert core.local_job_state(SPEC.id, alone.t) is None, "others may have read it in the store: not pending"
+    assert core.cancel(SPEC.id, alone.t) == ""
     if late:  # after a newer try, which has been answered
         alone.write()
         assert alone.carry_out(end).failed
     else:  # before it: the replica shows it, and the next try meets it
         assert not alone.carry_out(end).failed
         alone.follow()
-    assert node.state_here(SPEC.id, alone.t)[0] == state and node.withdraw(SPEC.id, alone.t) == state
+    assert core.local_job_state(SPEC.id, alone.t)[0] == state and core.cancel(SPEC.id, alone.t) == state
     alone.write()
     alone.go(2.0)
     alone.write()
-    assert SPEC.id not in node.home.jobs, "all told and cleared"
+    assert SPEC.id not in core.job_shard.jobs, "all told and cleared"
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
     assert stored.state.value == state and stored.spec is None
 
@@ -386,10 +388,10 @@
         alone.carry_out(end)
     alone.view("host-1", "host-0")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = alone.node.state_here(SPEC.id, alone.t)
+    told = alone.core.local_job_state(SPEC.id, alone.t)
     assert told == (("aborted", 0, 0) if carried_out else None)
     alone.write()
-    assert alone.node.state_here(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_that_was_carried_out_is_not_written_active_again():
@@ -399,18 +401,18 @@
     job = alone.job()
     alone.runs(job, "n-000001", 0)  # something is left to stop, so that its record keeps what it asked for
     job.inherited = True
-    assert alone.node.withdraw(SPEC.id, alone.t) == ""
-    alone.node.home.settled = True
+    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    alone.core.job_shard.settled = True
     alone.carry_out(alone.lost())
     alone.view("host-1", "host-0")
-    assert not alone.node.home.settled and SPEC.id in alone.node.home.jobs
+    assert not alone.core.job_shard.settled and SPEC.id in alone.core.job_shard.jobs
     for _ in range(5):
         alone.write(3)
         alone.follow()
         alone.t += 1.0
         record = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
         assert record.state is JobState.ABORTED
-    assert alone.node.state_here(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
@@ -423,12 +425,14 @@
         alone.carry_out(end)
     there.view("host-1")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = there.node.state_here(SPEC.id, there.t)
+    told = there.core.local_job_state(SPEC.id, there.t)
     assert told[0] == ("done" if carried_out else "pending"), "nobody was told of an end that is not stored"
     there.go(2.0)
-    state = there.node.withdraw(SPEC.id, there.t)
+    state = there.core.cancel(SPEC.id, there.t)
     there.write()
-    assert (state, there.node.state_here(SPEC.id, there.t)[0]) == (("done", "done") if carried_out else ("", "aborted"))
+    assert (state, there.core.local_job_state(SPEC.id, there.t)[0]) == (
+        ("done", "done") if carried_out else ("", "aborted")
+    )
     there.go(1.0)
     assert msgspec.json.decode(there.store.data[JOBS + SPEC.id][0], type=Record).state.value == (
         "done" if carried_out else "aborted"
@@ -441,11 +445,11 @@
     job = alone.job()
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
-    alone.node.home.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     first = alone.lost()
-    alone.node.home.on_seen("host-0", alone.ended("n-000001", 1), alone.t)
+    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 1), alone.t)
     alone.write()
     assert alone.carry_out(first).failed
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
@@ -455,13 +459,13 @@
 def test_a_submission_given_up_and_stored_late_is_served_though_the_store_is_read_anew():
     """The store fails: the submission is given up, following breaks off, and what is read then has its record."""
     alone = Alone()
-    alone.node.submit(SPEC, alone.t, alone.t)
+    alone.core.submit(SPEC, alone.t, alone.t)
     late = alone.lost()
-    alone.node.refuse_submissions()
+    alone.core.refuse_submissions()
     assert not alone.carry_out(late).failed
     alone.reload()
-    assert SPEC.id in alone.node.home.jobs, "its user may have been told that it is known: nobody else serves it"
-    assert alone.node.state_here(SPEC.id, alone.t)[0] == "pending"
+    assert SPEC.id in alone.core.job_shard.jobs, "its user may have been told that it is known: nobody else serves it"
+    assert alone.core.local_job_state(SPEC.id, alone.t)[0] == "pending"
 
 
 def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_home():
@@ -470,17 +474,17 @@
     there = alone.other("host-1")
     late = []
     for one in (alone, there):
-        one.node.submit(SPEC, one.t, one.t)
+        one.core.submit(SPEC, one.t, one.t)
         late.append(one.lost())
-        one.node.refuse_submissions()
+        one.core.refuse_submissions()
     assert not there.carry_out(late[1]).failed
-    again = alone.node.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
+    again = alone.core.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
     alone.write()
     assert again.outcome == "known" and alone.carry_out(late[0]).failed
     alone.follow()
     there.follow()
-    assert SPEC.id in there.node.home.jobs and SPEC.id not in alone.node.home.jobs
-    assert there.node.state_here(SPEC.id, there.t)[0] == "pending"
+    assert SPEC.id in there.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
+    assert there.core.local_job_state(SPEC.id, there.t)[0] == "pending"
 
 
 def test_a_submission_stored_late_though_what_it_needs_was_aborted_meanwhile_ends():
@@ -488,7 +492,7 @@
     alone = Alone()
     need = msgspec.structs.replace(SPEC, id="wk-000002")
     alone.job(need)
-    submission = alone.node.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
+    submission = alone.core.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
     first = alone.lost()
     alone.store.commit({}, {JOBS + need.id: Record(JobState.ABORTED)})
     alone.follow()
@@ -497,7 +501,9 @@
     assert submission.outcome == "known"
     alone.follow()
     alone.write()
-    assert alone.node.state_here(SPEC.id, alone.t) == ("aborted", 0, 0) and SPEC.id not in alone.node.home.jobs
+    assert (
+        alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0) and SPEC.id not in alone.core.job_shard.jobs
+    )
 
 
 # -- lists beside records
@@ -508,34 +514,34 @@
     keys = [f"{LISTS}wk-000009/x/{number}" for number in range(3)]
     alone.store.commit({}, dict.fromkeys(keys, ["wk-000008"]))
     alone.follow()
-    alone.node.dropping_lists = list(keys)
+    alone.core.lists_to_drop = list(keys)
     batch = alone.lost()
     assert batch.drops == keys
-    alone.node.batch_failed(batch, alone.t)  # the read that followed a conflict may fail as well
+    alone.core.on_batch_failed(batch, alone.t)  # the read that followed a conflict may fail as well
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
-    assert not alone.node.dropping_lists
+    assert not alone.core.lists_to_drop
 
 
 def test_a_list_that_is_carried_out_late_does_not_come_back_after_its_job():
     """It asserted the view alone. A try that meets the job's record finds it known, and writes no lists."""
     alone = Alone()
-    alone.node.home.value_bytes = 700
+    alone.core.job_shard.value_bytes = 700
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
     spec = msgspec.structs.replace(SPEC, needs=needs)
-    submission = alone.node.submit(spec, alone.t, alone.t)
+    submission = alone.core.submit(spec, alone.t, alone.t)
     assert len(submission.lists) > 1
     late = alone.lost()
     assert all(key.startswith(LISTS) for key in late.puts)
     alone.write()
     assert submission.outcome == "accepted"
-    assert alone.node.withdraw(SPEC.id, alone.t) == ""
+    assert alone.core.cancel(SPEC.id, alone.t) == ""
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
-    alone.node.replica.ended.clear()  # another controller, which has yet to hear of the job
-    alone.node.replica.lists.clear()
-    again = alone.node.submit(spec, alone.t, alone.t)
+    alone.core.replica.ended.clear()  # another controller, which has yet to hear of the job
+    alone.core.replica.lists.clear()
+    again = alone.core.submit(spec, alone.t, alone.t)
     alone.settle(alone.batch())
     assert again.outcome == "known" and not [key for key in alone.store.data if key.startswith(LISTS)]
 
@@ -567,12 +573,12 @@
 def test_what_was_read_before_a_claim_was_stored_does_not_have_it_forgotten():
     """Reading anew was slow, and its own transaction was answered in between: a job that was stopped asked for room."""
     alone = Alone()
-    store, ledger = alone.store, alone.node.ledger
+    store, ledger = alone.store, alone.core.ledger
     rows, revision = store.rows(), store.revision
     ledger.plan([{"n-000001": Claim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}])
     alone.write()
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
-    alone.node.load(rows, [], revision, alone.t, alone.t)
+    alone.core.load(rows, [], revision, alone.t, alone.t)
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
     assert ledger.spent_revision == store.data[BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
@@ -589,7 +595,9 @@
     own = declared.Declared("hours", 3, texts.digest_of(raw), raw)
     one = Declarations({"hours": own}, 20.0, ["host-0"])
     other = Revision(2, "other", 0)
-    membership = SimpleNamespace(present={"host-0": (1, 1)}, all_run=lambda generation: True, leads=lambda now: False)
+    membership = SimpleNamespace(
+        present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: False
+    )
     head = Head(1, "first", 0, 0.0)
     one.apply(DECLARED + "hours", msgspec.json.encode(head), 5)
     one.look(0.0)
@@ -611,10 +619,10 @@
 def asking(monkeypatch):
     """A controller that knows a job's home to be host-1, at work, and what it knows of the job's end."""
     control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
-    node = control.node
+    core = control.core
     record = Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC)
-    node.replica.saw_job(SPEC.id, record, 5)
-    node.membership.saw_view(View("host-1", {"host-0": 1, "host-1": 2}), 4)
+    core.replica.saw_job(SPEC.id, record, 5)
+    core.membership.observe_view(View("host-1", {"host-0": 1, "host-1": 2}), 4)
     return control, record
 
 
@@ -625,7 +633,7 @@
 
     async def slow(key):
         row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
-        control.node.replica.saw_job(SPEC.id, Record(ended), 6)
+        control.core.replica.saw_job(SPEC.id, Record(ended), 6)
         assert (await control.withdraw(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
@@ -637,14 +645,14 @@
 def test_a_job_that_was_stored_while_the_store_was_read_is_not_called_unknown(monkeypatch):
     """Another try of its user's was accepted meanwhile: no 404, and no refusal that rests on one."""
     control, record = asking(monkeypatch)
-    control.node.replica.active.clear()
+    control.core.replica.active.clear()
 
     async def slow(key):
-        control.node.replica.saw_job(SPEC.id, record, 6)
+        control.core.replica.saw_job(SPEC.id, record, 6)
 
     monkeypatch.setattr(control.store, "get", slow)
     assert curio.run(control.status_stored, SPEC.id)[0] == 503
-    control.node.replica.active.clear()
+    control.core.replica.active.clear()
     assert curio.run(control.never, SPEC.id, "unknown team")[0] == 503
 
 
@@ -656,12 +664,12 @@
 
     async def poll():
         assert control.status_now(SPEC.id, answers.append) is None
-        control.node.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
+        control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
         await control.told(control.ask_count, m.JobQueryReply(control.ask_count, 200, body))
 
     async def known():
         async def ask(label, what, job):
-            control.node.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
+            control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
             return 200, body, []
 
         control.ask = ask
@@ -685,11 +693,11 @@
             else None
         )
 
-    node = control.node
-    node.loaded, node.home.value_bytes = True, 200
-    node.learn_types(TYPES)
+    core = control.core
+    core.loaded, core.job_shard.value_bytes = True, 200
+    core.set_machine_types(TYPES)
     monkeypatch.setattr(control.store, "get", get)
-    monkeypatch.setattr(node.membership, "may_act", lambda now: True)
+    monkeypatch.setattr(core.membership, "may_act", lambda now: True)
     body = {
         "id": "wk-000001",
         "workload": "x",
@@ -761,7 +769,7 @@
     control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
     control.store = steps = Steps(lose, late)
     steps.sim.holds[1000] = 1e9
-    steps.sim.commit({}, {MEMBERS + "host-0": Presence(1000, c.GENERATION)}, (), 1000)  # an earlier life's
+    steps.sim.commit({}, {MEMBERS + "host-0": MemberRecord(1000, c.PROTOCOL_VERSION)}, (), 1000)  # an earlier life's
 
     async def enter():
         for _ in range(3):
@@ -776,14 +784,14 @@
         action()  # late, after newer ones
     lease_id = control.membership.store_lease.lease_id
     raw, _, attached = steps.sim.data[MEMBERS + "host-0"]
-    assert lease_id and msgspec.json.decode(raw, type=Presence).lease_id == lease_id == attached
+    assert lease_id and msgspec.json.decode(raw, type=MemberRecord).lease_id == lease_id == attached
     assert lease_id in steps.sim.holds
 
 
 # -- all of it, in a world
 
 
-class LateNode(SimNode):
+class LateNode(SimController):
     """For a while a share of its transactions has no answer and is carried out 2 to 12 s later, after newer ones.
 
     Other answers of the store are slow, and following breaks off now and then: all is read anew.
@@ -793,15 +801,15 @@
         return 20.0 <= self.world.t < 80.0
 
     def follow(self) -> None:
-        node, store, world = self.node, self.world.store, self.world
-        if self.follow_busy or not node.loaded or not self.troubled() or world.rng.random() >= 0.05:
+        core, store, world = self.core, self.world.store, self.world
+        if self.follow_busy or not core.loaded or not self.troubled() or world.rng.random() >= 0.05:
             return super().follow()
         self.follow_busy, sent = True, world.t
 
         def done(answer) -> None:
             self.follow_busy = False
-            node.membership.followed(sent)
-            node.load(*answer, world.t, world.t + self.ahead_s)
+            core.membership.record_sync(sent)
+            core.load(*answer, world.t, world.t + self.ahead_s)
 
         def failed() -> None:
             self.follow_busy = False
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -13,8 +13,8 @@
 
 from alderbridge import constants as c
 from alderbridge import mesh as m
-from alderbridge.contact import Contact, Touch
-from alderbridge.node import Node
+from alderbridge.contact import FailureDetector, PeerState
+from alderbridge.core import ControllerCore
 from alderbridge.store import JOBS, VIEW
 from alderbridge.view import Membership, StoreLease
 
@@ -74,7 +74,7 @@
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
 
     def acts(self, label):
-        return self.nodes[label].node.may_act()
+        return self.nodes[label].core.may_act()
 
     def follower(self):
         """The highest label that does not lead."""
@@ -99,12 +99,14 @@
     label = world.follower()
     sim = world.nodes[label]
     sim.renewals_lost_until = 200.0
-    lease_id = sim.node.membership.store_lease.lease_id
+    lease_id = sim.core.membership.store_lease.lease_id
     world.until(lambda: world.store.holds[lease_id] - world.t < 1.0, 30.0)
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
-    membership = sim.node.membership
-    assert world.t < min(membership.fresh_until, membership.contact.until), "the other two terms would let it act"
+    membership = sim.core.membership
+    assert world.t < min(membership.fresh_until, membership.failure_detector.contact_until), (
+        "the other two terms would let it act"
+    )
     return world, 12.0
 
 
@@ -118,16 +120,18 @@
     away = max(world.labels)
     world.nodes[away].crash()
     world.until(lambda: away not in world.view.members, 40.0)
-    assert world.view.contact_s == 0.0
+    assert world.view.contact_timeout_s == 0.0
     world.run(world.t + 2.0)
     label = min(set(world.view.members) - {world.view.leader})
     sim = world.nodes[label]
     sim.watch_hangs_until = world.t + 120.0
     world.restart(world.nodes[away])
     world.until(lambda: away in world.view.members, 15.0)
-    world.until(lambda: sim.node.membership.fresh_until < world.t, 25.0)
-    membership = sim.node.membership
-    assert world.t < min(membership.store_lease.valid_until, membership.contact.until), "the other two terms let it act"
+    world.until(lambda: sim.core.membership.fresh_until < world.t, 25.0)
+    membership = sim.core.membership
+    assert world.t < min(membership.store_lease.valid_until, membership.failure_detector.contact_until), (
+        "the other two terms let it act"
+    )
     return world, 40.0
 
 
@@ -141,33 +145,35 @@
     world.run(world.t + c.CONTACT_TTL_S - 2.0)
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
-    membership = sim.node.membership
+    membership = sim.core.membership
     assert world.t + 5.0 < min(membership.fresh_until, membership.store_lease.valid_until), "the other two let it act"
     return world, 10.0
 
 
 def without_hold(monkeypatch):
-    renewed = StoreLease.renewed
+    renewed = StoreLease.record_renewal
 
     def stays(self, *args):
         renewed(self, *args)
         self.valid_until = float("inf")
 
-    monkeypatch.setattr(StoreLease, "renewed", stays)
+    monkeypatch.setattr(StoreLease, "record_renewal", stays)
 
 
 def without_freshness(monkeypatch):
-    followed = Membership.followed
+    followed = Membership.record_sync
 
     def stays(self, sent_at):
         followed(self, sent_at)
         self.fresh_until = float("inf")
 
-    monkeypatch.setattr(Membership, "followed", stays)
+    monkeypatch.setattr(Membership, "record_sync", stays)
 
 
 def without_contact(monkeypatch):
-    monkeypatch.setattr(Contact, "_reckon", lambda self: setattr(self, "until", float("inf")))
+    monkeypatch.setattr(
+        FailureDetector, "_compute_contact_until", lambda self: setattr(self, "contact_until", float("inf"))
+    )
 
 
 TERMS = {hold_ends: without_hold, watch_hangs: without_freshness, contact_ends: without_contact}
@@ -225,7 +231,7 @@
             self.cut([label], self.rng.uniform(4.0, 20.0), self.rng.random() < 0.5)
 
     def waived(self):
-        return sum(before.contact_s > after.contact_s == 0.0 for before, after in self.late)
+        return sum(before.contact_timeout_s > after.contact_timeout_s == 0.0 for before, after in self.late)
 
 
 def late(seed):
@@ -249,9 +255,12 @@
     world.nodes[label].cut_store_until = world.t + 40.0
     world.cut([label], c.CONTACT_TTL_S + 1.0)
     world.run(50.0 + c.CONTACT_TTL_S + 1.0)
-    assert label in world.view.members and label in world.nodes[world.view.leader].node.membership.contact.gone()
+    assert (
+        label in world.view.members
+        and label in world.nodes[world.view.leader].core.membership.failure_detector.failed_by_quorum()
+    )
     world.run(50.0 + c.CONTACT_TTL_S + 8.0)
-    membership = world.nodes[label].node.membership
+    membership = world.nodes[label].core.membership
     assert label not in world.view.members and world.late
     assert world.t < min(membership.fresh_until, membership.store_lease.valid_until)
 
@@ -267,19 +276,19 @@
 
 def heard_again(monkeypatch):
     """Giving a member up is not final under its mandate."""
-    real = Contact.hear
+    real = FailureDetector.record_frame
 
     def hear(self, label, acknowledged, now):
-        self.peers[label].touch = Touch.HEARD
+        self.peers[label].state = PeerState.ALIVE
         real(self, label, acknowledged, now)
 
-    monkeypatch.setattr(Contact, "takes", lambda self, label: True)
-    monkeypatch.setattr(Contact, "hear", hear)
+    monkeypatch.setattr(FailureDetector, "accepts", lambda self, label: True)
+    monkeypatch.setattr(FailureDetector, "record_frame", hear)
 
 
 def older_view_not_asserted(monkeypatch):
     """A late view takes the place of a newer one."""
-    real = Node.next_view
+    real = ControllerCore.next_view
 
     def next_view(self, now):
         change = real(self, now)
@@ -287,7 +296,7 @@
             del change[1][VIEW]
         return change
 
-    monkeypatch.setattr(Node, "next_view", next_view)
+    monkeypatch.setattr(ControllerCore, "next_view", next_view)
 
 
 def test_a_late_view_that_takes_the_place_of_a_newer_one_is_seen(monkeypatch):
@@ -314,7 +323,7 @@
         self.thawed(functools.partial(super().call, too_large=too_large), then, fail, method, *args)
 
     def flush(self):
-        if self.node is not None and any(isinstance(frame.body, m.TaskGrant) for _, frame in self.node.outgoing):
+        if self.core is not None and any(isinstance(frame.body, m.TaskGrant) for _, frame in self.core.outgoing_frames):
             self.jump(0.1)
         super().flush()
 
@@ -371,7 +380,7 @@
 def test_hold_and_replica_are_as_old_as_the_question_that_was_sent(monkeypatch):
     """Counted from the answer, a process acts after its jump, though others have taken its place."""
     still_between_question_and_answer(33102)
-    loop, renewed, followed = Dark.loop, StoreLease.renewed, Membership.followed
+    loop, renewed, followed = Dark.loop, StoreLease.record_renewal, Membership.record_sync
     clock = []
 
     def loop_with_clock(self, life, step, pause):
@@ -380,9 +389,9 @@
 
     monkeypatch.setattr(Dark, "loop", loop_with_clock)
     monkeypatch.setattr(
-        StoreLease, "renewed", lambda self, lease_id, sent_at, *more: renewed(self, lease_id, clock[0].t, *more)
+        StoreLease, "record_renewal", lambda self, lease_id, sent_at, *more: renewed(self, lease_id, clock[0].t, *more)
     )
-    monkeypatch.setattr(Membership, "followed", lambda self, sent_at: followed(self, clock[0].t))
+    monkeypatch.setattr(Membership, "record_sync", lambda self, sent_at: followed(self, clock[0].t))
     with pytest.raises(Broken, match="left_out"):
         still_between_question_and_answer(33102)
 
@@ -395,7 +404,7 @@
         (job, label)
         for job in sorted(world.accepted)
         for label in world.labels
-        if world.nodes[label].node.home_of(job) == label != world.view.leader
+        if world.nodes[label].core.job_owner(job) == label != world.view.leader
     )
     sim = world.nodes[label]
     sim.still_before = JOBS + job
@@ -414,7 +423,7 @@
 
 def test_an_end_that_is_sent_after_its_home_was_replaced_is_not_written(monkeypatch):
     still_before_an_end_is_sent(33200)
-    real = Node.next_batch
+    real = ControllerCore.next_batch
 
     def next_batch(self, now):
         batch = real(self, now)
@@ -422,7 +431,7 @@
             batch.conditions.pop(VIEW)
         return batch
 
-    monkeypatch.setattr(Node, "next_batch", next_batch)
+    monkeypatch.setattr(ControllerCore, "next_batch", next_batch)
     with pytest.raises(Broken, match="went_back"):
         for seed in range(33200, 33204):
             still_before_an_end_is_sent(seed)
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_meetings_upgrade.py
@@ -8,18 +8,18 @@
 import production
 import pytest
 from test_meetings_terms import Dark, Terms
-from world import KNOWN_S, Broken, SimNode, World
+from world import KNOWN_S, Broken, SimController, World
 
 from alderbridge import constants as c
 from alderbridge.store import MEMBERS, VIEW
-from alderbridge.view import Membership, Presence, View
+from alderbridge.view import MemberRecord, Membership, View
 
 
-class Versioned(SimNode):
+class Versioned(SimController):
     def start(self):
         super().start()
         if self.old:
-            self.node.membership.store_lease.ttl_s, self.node.membership.less_s = c.HOLD_TTL_S, 0.0
+            self.core.membership.store_lease.ttl_s, self.core.membership.older_version_margin_s = c.HOLD_TTL_S, 0.0
 
     def seen(self, rows):
         """A view as this version reads it."""
@@ -56,13 +56,13 @@
 
     def changed(self, view: View) -> None:
         kinds = {
-            msgspec.json.decode(self.store.data[MEMBERS + label][0], type=Presence).generation
+            msgspec.json.decode(self.store.data[MEMBERS + label][0], type=MemberRecord).protocol_version
             for label in view.members
             if MEMBERS + label in self.store.data
         }
         self.mixed += len(kinds) > 1
-        self.contacts += view.contact_s > 0
-        if len(kinds) > 1 and view.contact_s:
+        self.contacts += view.contact_timeout_s > 0
+        if len(kinds) > 1 and view.contact_timeout_s:
             raise Broken("asked_of_all: a view asks for contact of a version that does not know it")
 
 
@@ -117,7 +117,7 @@
     world.until(lambda: gone in world.view.members, 10.0)
     fencing_token = world.store.data[VIEW][1]
     world.run(world.t + 5.0)
-    workers = [worker for worker in world.machines.values() if worker is not None and worker.node == label]
+    workers = [worker for worker in world.machines.values() if worker is not None and worker.core == label]
     world.run(world.t + 13.0)
     for worker in workers:  # whatever has answered them last, their leases run out from there
         worker.cut_until = world.t + 60.0
@@ -128,13 +128,13 @@
 
 def test_nobody_acts_for_longer_than_an_old_member_believes(monkeypatch):
     old_ones_do_not_wait_for(42026)
-    real = Membership.saw_presence
+    real = Membership.observe_member
 
-    def saw_presence(self, label, presence, revision):
-        real(self, label, presence, revision)
-        self.less_s = 0.0
+    def observe_member(self, label, member, revision):
+        real(self, label, member, revision)
+        self.older_version_margin_s = 0.0
 
-    monkeypatch.setattr(Membership, "saw_presence", saw_presence)
+    monkeypatch.setattr(Membership, "observe_member", observe_member)
     with pytest.raises(Broken, match="ran_twice"):
         for seed in range(42024, 42036):
             old_ones_do_not_wait_for(seed)
@@ -142,6 +142,6 @@
 
 def test_no_view_asks_for_contact_of_a_version_that_does_not_know_it(monkeypatch):
     """That is seen, too: its frames bear no incarnation, so it would never be heard."""
-    monkeypatch.setattr(Membership, "_contact_for", lambda self, members: 8.0 if len(members) > 2 else 0.0)
+    monkeypatch.setattr(Membership, "_contact_timeout_for", lambda self, members: 8.0 if len(members) > 2 else 0.0)
     with pytest.raises(Broken, match="asked_of_all"):
         upgrade(41000, 3)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -108,4 +108,4 @@
 
         expected = brute(machine, rows, fetch_s, elsewhere)
         got = fill(machine, offers, fetch_s, elsewhere, now=100.0)
-        assert [(want.home, want.job, want.count) for want in got] == expected
+        assert [(want.owner, want.job, want.count) for want in got] == expected
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -4,13 +4,13 @@
 
 import msgspec
 import pytest
-from world import Broken, SimNode, World
+from world import Broken, SimController, World
 
 from alderbridge import constants as c
 from alderbridge import mesh as m
-from alderbridge.queues import HomeQueue, OfferBook, Publisher, Round, SenderClock, Snapshot, Teller
-from alderbridge.shares import StoreShare
-from alderbridge.view import Presence
+from alderbridge.queues import DeltaTracker, HomeQueue, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
+from alderbridge.shares import WriteRateLimit
+from alderbridge.view import MemberRecord
 from alderbridge.wire import JobSpec
 
 TEAMS = ("a", "b", "c")
@@ -41,7 +41,7 @@
 
     def __init__(self, seed):
         self.rng, self.now = random.Random(seed), 100.0
-        self.teller = Teller("home")
+        self.queue_publisher = QueuePublisher("home")
         self.jobs: dict[str, dict] = {}
         self.sums: dict[str, tuple[float, float]] = {}
         self.allocations_received = 0
@@ -80,7 +80,7 @@
         self.now += c.ROUND_S
         self.change()
         one = Round(self.now, 1, "leader", self.links, self.snapshot(), m.PeerStatus([], [], 0))
-        for told in self.teller.tell(one, True):
+        for told in self.queue_publisher.tell(one, True):
             if told.label in self.links and told.numbered:
                 self.in_flight[told.label].append(told.message)
                 self.links[told.label].unacknowledged += 1
@@ -156,41 +156,41 @@
 
 
 def test_who_is_far_behind_is_told_the_whole_queue():
-    publisher = Publisher()
-    publisher.update([row(f"wk-{number}") for number in range(3)], 0.0)
-    assert publisher.changes_for("slow", True).whole and publisher.changes_for("quick", True).whole
+    delta_tracker = DeltaTracker()
+    delta_tracker.update([row(f"wk-{number}") for number in range(3)], 0.0)
+    assert delta_tracker.changes_for("slow", True).whole and delta_tracker.changes_for("quick", True).whole
     for at in range(1, c.QUEUE_GONE + 10):
-        publisher.update([row(f"wk-{3 + at}")], float(at))
-        publisher.changes_for("quick", True)
-    assert len(publisher.gone) <= c.QUEUE_GONE
-    changes = publisher.changes_for("slow", True)
+        delta_tracker.update([row(f"wk-{3 + at}")], float(at))
+        delta_tracker.changes_for("quick", True)
+    assert len(delta_tracker.gone) <= c.QUEUE_GONE
+    changes = delta_tracker.changes_for("slow", True)
     assert changes.whole and len(changes.rows) == 1
 
 
 def test_small_differences_wait_for_a_second_and_large_ones_do_not():
-    publisher = Publisher()
-    publisher.update([row("wk-1", 400, 400), row("wk-2", 9, 9)], 0.0)
-    publisher.changes_for("a", True)
-    publisher.update([row("wk-1", 399, 399, due=29.8), row("wk-2", 8, 8, due=29.8)], 0.2)
-    assert [one.job for one in publisher.changes_for("a", True).rows] == ["wk-2"]
-    publisher.update([row("wk-1", 340, 340, due=29.6), row("wk-2", 8, 8, due=29.6)], 0.4)
-    assert [one.job for one in publisher.changes_for("a", True).rows] == ["wk-1"]
-    publisher.update([row("wk-1", 339, 339, due=28.5), row("wk-2", 8, 8, due=28.5)], 1.5)
-    assert [one.job for one in publisher.changes_for("a", True).rows] == ["wk-1"]
-    publisher.update([row("wk-1", 339, 339, due=28.3), row("wk-2", 8, 8, due=28.3)], 1.7)
-    assert publisher.changes_for("a", True) is None, "nothing but the time has passed"
-    publisher.tell_again("a", "wk-2")
-    assert [one.job for one in publisher.changes_for("a", True).rows] == ["wk-2"], "its copy was counted down"
-    assert publisher.changes_for("a", True) is None
+    delta_tracker = DeltaTracker()
+    delta_tracker.update([row("wk-1", 400, 400), row("wk-2", 9, 9)], 0.0)
+    delta_tracker.changes_for("a", True)
+    delta_tracker.update([row("wk-1", 399, 399, due=29.8), row("wk-2", 8, 8, due=29.8)], 0.2)
+    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-2"]
+    delta_tracker.update([row("wk-1", 340, 340, due=29.6), row("wk-2", 8, 8, due=29.6)], 0.4)
+    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-1"]
+    delta_tracker.update([row("wk-1", 339, 339, due=28.5), row("wk-2", 8, 8, due=28.5)], 1.5)
+    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-1"]
+    delta_tracker.update([row("wk-1", 339, 339, due=28.3), row("wk-2", 8, 8, due=28.3)], 1.7)
+    assert delta_tracker.changes_for("a", True) is None, "nothing but the time has passed"
+    delta_tracker.tell_again("a", "wk-2")
+    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-2"], "its copy was counted down"
+    assert delta_tracker.changes_for("a", True) is None
 
 
 def test_parts_are_told_what_is_on_offer_and_the_leader_all():
-    publisher = Publisher()
-    publisher.update([row("wk-1"), row("wk-2", offer=0)], 0.0)
-    assert [one.job for one in publisher.changes_for("part", False).rows] == ["wk-1"]
-    assert [one.job for one in publisher.changes_for("leader", True).rows] == ["wk-1", "wk-2"]
-    publisher.update([row("wk-1", offer=0), row("wk-2")], 0.2)
-    changes = publisher.changes_for("part", False)
+    delta_tracker = DeltaTracker()
+    delta_tracker.update([row("wk-1"), row("wk-2", offer=0)], 0.0)
+    assert [one.job for one in delta_tracker.changes_for("part", False).rows] == ["wk-1"]
+    assert [one.job for one in delta_tracker.changes_for("leader", True).rows] == ["wk-1", "wk-2"]
+    delta_tracker.update([row("wk-1", offer=0), row("wk-2")], 0.2)
+    changes = delta_tracker.changes_for("part", False)
     assert [one.job for one in changes.rows] == ["wk-2"] and changes.gone == ["wk-1"]
 
 
@@ -253,22 +253,22 @@
 
 
 def test_a_member_lends_what_others_left_of_their_share():
-    share = StoreShare(90.0, 3, 0.0)
+    share = WriteRateLimit(90.0, 3, 0.0)
     assert share.budget.rate == 30.0
-    share.short = True
-    share.look(0.1)
-    share.peer_told("a", 5, 0.1)
-    share.peer_told("b", 30, 0.1)
-    share.look(0.2)
-    assert share.told == 30 and share.budget.rate == 30.0 + 25.0 / 2
-    share.look(0.2 + c.LENT_S)
+    share.is_short = True
+    share.refresh(0.1)
+    share.record_peer_rate("a", 5, 0.1)
+    share.record_peer_rate("b", 30, 0.1)
+    share.refresh(0.2)
+    assert share.reported_rate == 30 and share.budget.rate == 30.0 + 25.0 / 2
+    share.refresh(0.2 + c.LENT_S)
     assert share.budget.rate == 30.0, "what was told long ago is not lent"
 
 
 # -- versions side by side -----------------------------------------------------------------
 
 
-class Mixed(SimNode):
+class Mixed(SimController):
     """The controllers in ``world.older`` run the version before: they write its generation and read no new form."""
 
     def call(self, then, fail, method, *args, **more):
@@ -281,15 +281,15 @@
         if not isinstance(argument, dict):
             return argument
         return {
-            key: msgspec.structs.replace(value, generation=OLDER) if isinstance(value, Presence) else value
+            key: msgspec.structs.replace(value, protocol_version=OLDER) if isinstance(value, MemberRecord) else value
             for key, value in argument.items()
         }
 
     def flush(self):
-        if self.node is not None:
-            for label, frame in self.node.outgoing:
+        if self.core is not None:
+            for label, frame in self.core.outgoing_frames:
                 self.world.sent.add(type(frame.body))
-                known_older = self.node.membership.generations.get(label) == OLDER
+                known_older = self.core.membership.protocol_versions.get(label) == OLDER
                 if (self.label in self.world.older or known_older) and isinstance(frame.body, NEW_MESSAGES):
                     raise Broken(f"form: {type(frame.body).__name__} from {self.label} to {label}")
         super().flush()
@@ -313,12 +313,12 @@
     world.restart(world.nodes["host-2"])
     world.run(100.0)
     assert {m.QueueDelta, m.TeamUsageDelta, m.PeerStatus} <= world.sent
-    assert all(sim.node.teller.form.name == "CHANGES" for sim in world.nodes.values())
+    assert all(sim.core.queue_publisher.form.name == "CHANGES" for sim in world.nodes.values())
     world.nodes["host-1"].crash()
     world.older.add("host-1")
     world.restart(world.nodes["host-1"])
     world.run(130.0)
-    assert all(sim.node.teller.form.name == "WHOLE_QUEUES" for sim in world.nodes.values())
+    assert all(sim.core.queue_publisher.form.name == "WHOLE_QUEUES" for sim in world.nodes.values())
     world.run(700.0)
     assert all(world.said.get(job) or job in world.cancelled_at for job in world.accepted)
 
@@ -326,9 +326,11 @@
 def test_an_older_controller_that_is_told_changes_is_seen(monkeypatch):
     from alderbridge.view import Membership
 
-    real = Membership.all_run
+    real = Membership.all_support
     monkeypatch.setattr(
-        Membership, "all_run", lambda self, generation: generation == c.QUEUE_CHANGES or real(self, generation)
+        Membership,
+        "all_support",
+        lambda self, protocol_version: protocol_version == c.QUEUE_CHANGES or real(self, protocol_version),
     )
     with pytest.raises(Broken, match="form"):
         MixedWorld(41001, ["host-2"], jobs=20, trouble=False).run(60.0)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,10 +9,10 @@
 
 from alderbridge import constants as c
 from alderbridge import policy, recovery
-from alderbridge.jobs import Home, Job, JobState, Record, Run, TaskState
+from alderbridge.jobs import Job, JobShard, JobState, Record, Run, TaskState
 from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, QueueRow, StopTask, TaskGrant, TaskStatusReport
 from alderbridge.recovery import TABLE, Asking, Barrier, HoldBack, Knowledge, Known, Squaring, State, Told, Verdict
-from alderbridge.view import Membership, Presence
+from alderbridge.view import MemberRecord, Membership
 from alderbridge.wire import Heartbeat, MachineRecord
 
 # -- the table ---------------------------------------------------------------
@@ -23,7 +23,7 @@
 def home_that_knows(known):
     """A home whose task 0 it knows in that way, as seen from attempt 7 on machine n-1."""
     sent = []
-    home = Home([], lambda label, body: sent.append(body) or len(sent), 4096)
+    home = JobShard([], lambda label, body: sent.append(body) or len(sent), 4096)
     home.enter(5, {}, {HERE: MachineRecord(), "n-2": MachineRecord()})
     if known is Known.STRANGER:
         return home, None, sent
@@ -182,23 +182,23 @@
     world = World(9500, jobs=0, trouble=False)
     world.run(5.0)
     sim = world.nodes["host-1"]
-    node, sim.busy = sim.node, True  # its writer is looked at by hand
+    core, sim.busy = sim.core, True  # its writer is looked at by hand
     for number in range(200):
         spec = msgspec.structs.replace(world.make_job(number), id=f"wk-{number:06d}", kind="sweep", tasks=9)
         job = Job(Record(JobState.ACTIVE, "host-1", world.t, 9, [], spec), 1, world.t, 0.0)
         job.last_write = 0.0
-        node.home.join(job)
+        core.job_shard.join(job)
         job.touch(world.t)
-    node.dropping = ["n-8", "n-9"]
+    core.machine_records_to_drop = ["n-8", "n-9"]
     gone = []
     while len(gone) < 2 and world.t < 12.0:
         world.run(world.t + 0.1)
-        batch = node.next_batch(world.t)
+        batch = core.next_batch(world.t)
         if batch is not None:
-            gone += batch.gone
-            assert batch.changes <= node.most_changes
-            for name in batch.gone:
-                node._dropped(name)
+            gone += batch.dropped_machines
+            assert batch.changes <= core.max_changes
+            for name in batch.dropped_machines:
+                core._dropped(name)
             for job, _, _ in batch.jobs:
                 job.touch(world.t)
     assert gone == ["n-8", "n-9"]
@@ -245,17 +245,19 @@
 
     def joined(times):
         membership = Membership("host-0", 20.0)
-        membership.store_lease.renewed(1, 0.0)
+        membership.store_lease.record_renewal(1, 0.0)
         views = []
         for step in range(60):
             now = step * 0.1
             for number, at in enumerate(times):
                 if at <= now:
-                    membership.saw_presence(f"host-{number}", Presence(number + 1, c.GENERATION), number + 1)
+                    membership.observe_member(
+                        f"host-{number}", MemberRecord(number + 1, c.PROTOCOL_VERSION), number + 1
+                    )
             change = membership.next_view(now)
             if change is not None:
                 views.append(now)
-                membership.saw_view(change[0], 100 + len(views))
+                membership.observe_view(change[0], 100 + len(views))
         return views, membership.view
 
     views, view = joined([0.0, 0.2, 0.4, 0.6, 0.8])
@@ -287,9 +289,9 @@
 def first_run(world):
     """A task that runs on a machine of another controller's part than its home, and the three involved."""
     for label, sim in world.nodes.items():
-        for name, job in sim.node.home.jobs.items():
+        for name, job in sim.core.job_shard.jobs.items():
             for index, run in job.runs.items():
-                part = sim.node.membership.part_of(run.machine)
+                part = sim.core.membership.machine_owner(run.machine)
                 if part != label:
                     return label, part, name, index, run.machine
     return None
@@ -318,14 +320,14 @@
     world.machines[machine].die()
     world.nodes[home].cut_mesh_until = world.t + 26.0
     world.run(world.t + 20.0)
-    assert machine not in world.nodes[part].node.replica.machines  # lapsed, and its record dropped
+    assert machine not in world.nodes[part].core.replica.machines  # lapsed, and its record dropped
     world.nodes[third].crash()
     world.after(1.0, world.restart, world.nodes[third])
     world.run(world.t + 12.0)
     stuck = [
         run
         for sim in world.nodes.values()
-        for other in sim.node.home.jobs.values()
+        for other in sim.core.job_shard.jobs.values()
         for run in other.runs.values()
         if run.machine == machine
     ]
@@ -346,8 +348,8 @@
     began = world.t
     while world.t < began + 30.0:
         world.run(world.t + 0.1)
-        node = world.nodes[home].node
-        if node.may_act() and not any(job.unknown for job in node.home.jobs.values()):
+        core = world.nodes[home].core
+        if core.may_act() and not any(job.unknown for job in core.job_shard.jobs.values()):
             break
     return world.t - began
 
@@ -356,7 +358,7 @@
     """Its part knows all that may be on it; only what that is waits for the lease."""
     seeds = (8106, 8110, 8113, 8114)
     carried = [seconds_behind_the_barrier(seed) for seed in seeds]
-    monkeypatch.setattr(Membership, "all_run", lambda self, generation: generation < c.RECOVERY)
+    monkeypatch.setattr(Membership, "all_support", lambda self, protocol_version: protocol_version < c.RECOVERY)
     waited = [seconds_behind_the_barrier(seed) for seed in seeds]
     assert max(carried) < 4.0 and max(waited) > 4.0
 
@@ -422,7 +424,7 @@
     world.run(60.0)
     while True:  # until a machine is idle at the leader
         world.run(world.t + 0.5)
-        leader = next(sim.node.leader for sim in world.nodes.values() if sim.node.membership.leads(world.t))
+        leader = next(sim.core.leader for sim in world.nodes.values() if sim.core.membership.is_leader(world.t))
         rows = [row for room, _ in leader.rooms.values() for row in room.rows]
         if leader.ready(world.t) and any(row.idle_s > 0 and row.state == "up" for row in rows):
             break
@@ -442,15 +444,15 @@
 def test_messages_that_may_wait_keep_their_order_and_go_in_the_next_round():
     world = World(9600, jobs=0, trouble=False)
     world.run(5.0)
-    node = world.nodes["host-0"].node
-    node.outgoing.clear()
+    core = world.nodes["host-0"].core
+    core.outgoing_frames.clear()
     clears = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
-    node.send_later("host-1", clears[0])
-    node.send_later("host-1", clears[1])
-    assert not node.outgoing
-    node.send("host-1", clears[2])
-    assert [frame.body for _, frame in node.outgoing] == clears
-    assert [frame.seq for _, frame in node.outgoing] == sorted(frame.seq for _, frame in node.outgoing)
-    node.send_later("host-1", clears[0])
-    node.round(world.t)
-    assert clears[0] in [frame.body for _, frame in node.outgoing[3:]] and not node.later
+    core.send_deferred("host-1", clears[0])
+    core.send_deferred("host-1", clears[1])
+    assert not core.outgoing_frames
+    core.send("host-1", clears[2])
+    assert [frame.body for _, frame in core.outgoing_frames] == clears
+    assert [frame.seq for _, frame in core.outgoing_frames] == sorted(frame.seq for _, frame in core.outgoing_frames)
+    core.send_deferred("host-1", clears[0])
+    core.round(world.t)
+    assert clears[0] in [frame.body for _, frame in core.outgoing_frames[3:]] and not core.later
--- a/tests/test_service_cut.py
+++ b/tests/test_service_cut.py
@@ -25,10 +25,10 @@
 FAULTY = """
 import sys
 sys.path.insert(0, ".")
-from alderbridge.node import Node
-real = Node.withdraw
-Node.withdraw = lambda self, job, now: real(self, job, now) or (
-    "aborted" if job in self.home.jobs and self.may_act() else None)
+from alderbridge.core import ControllerCore
+real = ControllerCore.cancel
+ControllerCore.cancel = lambda self, job, now: real(self, job, now) or (
+    "aborted" if job in self.job_shard.jobs and self.may_act() else None)
 from alderbridge.cli import main
 sys.exit(main())
 """
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,7 +21,7 @@
     Store,
     TransactionTooLargeError,
 )
-from alderbridge.view import Membership, Presence, View
+from alderbridge.view import MemberRecord, Membership, View
 from alderbridge.wire import JobSpec, WatchEvent
 
 SPEC = JobSpec(
@@ -43,7 +43,7 @@
 def test_records_frames_and_views_of_the_old_version_are_read():
     for raw in production.RECORDS:
         old, new = msgspec.json.decode(raw, type=production.Record), msgspec.json.decode(raw, type=Record)
-        assert (new.state.value, new.home, new.at, new.mark, new.done) == (
+        assert (new.state.value, new.accepted_by, new.at, new.mark, new.done) == (
             old.state,
             old.home,
             old.at,
@@ -53,7 +53,7 @@
         assert msgspec.json.encode(new) == raw  # and written again as they were
         assert (new.spec is None) == (old.spec is None)
     assert msgspec.json.decode(production.VIEW, type=View).members == {"host-0": 3, "host-1": 7}
-    assert msgspec.json.decode(production.PRESENCE, type=Presence) == Presence(7, 1)
+    assert msgspec.json.decode(production.PRESENCE, type=MemberRecord) == MemberRecord(7, 1)
     tags = set()
     for raw in production.FRAMES:
         frame = msgspec.msgpack.decode(raw, type=m.Frame)
@@ -84,7 +84,7 @@
     )
     done = msgspec.json.encode(Record(JobState.DONE, done_at=12.5))
     assert production.value(JOBS + "wk-1", done) == b'{"state":"done"}'
-    assert msgspec.json.decode(msgspec.json.encode(Presence(7, c.PIPELINES)), type=production.Presence).permit == 7
+    assert msgspec.json.decode(msgspec.json.encode(MemberRecord(7, c.PIPELINES)), type=production.Presence).permit == 7
     row = m.QueueRow("wk-1", 3, 2, 1.5, 2.0, "a", 0.5, True, False, 2)
     frame = m.Frame("0.2.0", "host-0", 5, 0, 0, m.QueueSnapshot([row, row], {}, {}, {}, 1))
     seen = msgspec.msgpack.decode(msgspec.msgpack.encode(frame), type=production.Frame)
@@ -108,10 +108,10 @@
 def test_dependencies_are_taken_only_where_no_old_version_could_inherit_them(protocols, kept):
     """It would lose what a job waits for; host-2 is about to take part."""
     membership = Membership("host-0", 12.0)
-    membership.saw_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
+    membership.observe_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     for lease_id, label in enumerate(("host-0", "host-1", "host-2"), 1):
-        membership.saw_presence(label, Presence(lease_id, protocols.get(label, c.PIPELINES)), lease_id)
-    assert membership.all_run(c.PIPELINES) is kept
+        membership.observe_member(label, MemberRecord(lease_id, protocols.get(label, c.PIPELINES)), lease_id)
+    assert membership.all_support(c.PIPELINES) is kept
 
 
 def test_a_lost_moment_of_readiness_costs_only_time():
@@ -152,13 +152,13 @@
 def test_nobody_acts_longer_than_an_older_member_believes():
     """It takes a view for settled after 12 s: who acted for 20 s would renew leases that it holds for lapsed."""
     membership = Membership("host-0", 20.0, 12.0)
-    membership.store_lease.renewed(1, 0.0)
-    membership.followed(0.0)
-    for label, lease_id, generation in (("host-0", 1, c.GENERATION), ("host-1", 2, 1)):
-        membership.saw_presence(label, Presence(lease_id, generation), lease_id)
-    membership.saw_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
+    membership.store_lease.record_renewal(1, 0.0)
+    membership.record_sync(0.0)
+    for label, lease_id, protocol_version in (("host-0", 1, c.PROTOCOL_VERSION), ("host-1", 2, 1)):
+        membership.observe_member(label, MemberRecord(lease_id, protocol_version), lease_id)
+    membership.observe_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     assert membership.may_act(11.0) and not membership.may_act(12.0)
-    membership.saw_presence("host-1", Presence(3, c.GENERATION), 6)  # it is back as the newer one
+    membership.observe_member("host-1", MemberRecord(3, c.PROTOCOL_VERSION), 6)  # it is back as the newer one
     assert not membership.may_act(12.0), "the view still names the older one"
-    membership.saw_view(View("host-0", {"host-0": 1, "host-1": 3}), 7)
+    membership.observe_view(View("host-0", {"host-0": 1, "host-1": 3}), 7)
     assert membership.may_act(19.0) and not membership.may_act(20.0)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,10 +6,10 @@
 
 from alderbridge import placement
 from alderbridge.config import NextState
+from alderbridge.core import ControllerCore
 from alderbridge.dependencies import Graph
-from alderbridge.jobs import Home, Job, JobState, Record, Usage
-from alderbridge.machines import Machine, Part
-from alderbridge.node import Node
+from alderbridge.jobs import Job, JobShard, JobState, Record, Usage
+from alderbridge.machines import Machine, MachineShard
 from alderbridge.recovery import Barrier
 from alderbridge.store import JOBS, LISTS
 
@@ -68,7 +68,7 @@
 def test_a_store_that_takes_less_than_it_said_costs_no_hold_and_no_job(seed):
     world = play(seed, until=300.0, trouble=False, pipelines=3, tight_at=60.0)
     assert world.store.too_large > 0
-    fencing_tokens = {sim.node.membership.fencing_token for sim in world.nodes.values()}
+    fencing_tokens = {sim.core.membership.fencing_token for sim in world.nodes.values()}
     lacking = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
     assert len(fencing_tokens) == 1 and not lacking
 
@@ -86,11 +86,11 @@
     after = msgspec.structs.replace(tail, id="wk-777", needs=needs)
     world.specs |= {tail.id: tail, after.id: after}
     world.specs |= {need: msgspec.structs.replace(tail, id=need, tasks=0) for need in needs[:-1]}
-    node = world.nodes["host-1"].node
+    core = world.nodes["host-1"].core
     world.submit(tail)
     world.run(33.0)
-    node.replica.ended.clear()  # as if none of them were over yet: the list is long
-    submission = node.submit(after, world.t, world.t)
+    core.replica.ended.clear()  # as if none of them were over yet: the list is long
+    submission = core.submit(after, world.t, world.t)
     assert len(submission.lists) > 3 and submission.job.spec.needs is None
     world.run(60.0)
     assert submission.outcome == "accepted" and len([key for key in world.store.data if key.startswith(LISTS)]) > 3
@@ -123,18 +123,18 @@
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
     after = msgspec.structs.replace(after, needs=[first.id])
     near, far = world.nodes["host-0"], world.nodes["host-1"]
-    near.node.submit(first, world.t, world.t)
+    near.core.submit(first, world.t, world.t)
     world.run(6.0)
-    far.node.submit(after, world.t, world.t)
+    far.core.submit(after, world.t, world.t)
     world.run(7.0)
     far.cut_store_until = 60.0  # longer than it may act
-    near.node.withdraw(first.id, world.t)
+    near.core.cancel(first.id, world.t)
     world.run(8.0)
-    assert near.node.state_here(first.id, world.t)[0] == "aborted" and after.id in near.node.graph.doomed
+    assert near.core.local_job_state(first.id, world.t)[0] == "aborted" and after.id in near.core.graph.doomed
     answers = []
     while world.t < 33.0:
         world.run(world.t + 0.5)
-        answers.append((near.node.state_here(after.id, world.t), far.node.state_here(after.id, world.t)))
+        answers.append((near.core.local_job_state(after.id, world.t), far.core.local_job_state(after.id, world.t)))
     told = [(ours or ("",))[0] for ours, _ in answers]
     assert told[0] == "" and told[-1] == "aborted"
     assert all(theirs is None for ours, theirs in answers if ours is not None)
@@ -144,12 +144,12 @@
 def test_an_end_on_its_way_to_the_store_is_not_denied_from_memory():
     """Its write may have had no answer and yet have told the others (seed 816, store cut off)."""
     world = play(1, until=5.0, jobs=0, trouble=False)
-    node = world.nodes["host-0"].node
+    core = world.nodes["host-0"].core
     spec = world.make_job(1)
-    job = node.home.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
-    assert node.state_here(spec.id, 5.0)[0] == "pending"
+    job = core.job_shard.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
+    assert core.local_job_state(spec.id, 5.0)[0] == "pending"
     job.abort(5.0)
-    assert node.state_here(spec.id, 5.0) is None
+    assert core.local_job_state(spec.id, 5.0) is None
 
 
 PIPELINE_RULES = ("too_early", "orphaned")
@@ -162,25 +162,25 @@
 def absence_without_proof(monkeypatch):
     """A part tells homes of machines that have not acknowledged the mandate."""
     monkeypatch.setattr(Machine, "proven", property(lambda self: True))
-    real = Part.settle
+    real = MachineShard.settle
 
     def settle(self, now):
         for machine in self.machines.values():
             self.tell_homes(machine)
         real(self, now)
 
-    monkeypatch.setattr(Part, "settle", settle)
+    monkeypatch.setattr(MachineShard, "settle", settle)
 
 
 def lease_cut_short(monkeypatch):
-    real = Part.check_leases
+    real = MachineShard.check_leases
 
     def check(self, now):
         lease, self.lease_s = self.lease_s, 2.0
         real(self, now)
         self.lease_s = lease
 
-    monkeypatch.setattr(Part, "check_leases", check)
+    monkeypatch.setattr(MachineShard, "check_leases", check)
 
 
 def no_allowance(monkeypatch):
@@ -194,11 +194,11 @@
 
 def told_before_stored(monkeypatch):
     monkeypatch.setattr(
-        Node,
-        "state_here",
+        ControllerCore,
+        "local_job_state",
         lambda self, job, now: (
-            (self.home.jobs[job].state.value, 0, 0)
-            if job in self.home.jobs and self.home.jobs[job].done.count
+            (self.job_shard.jobs[job].state.value, 0, 0)
+            if job in self.job_shard.jobs and self.job_shard.jobs[job].done.count
             else ("pending", 0, 0)
         ),
     )
@@ -216,10 +216,10 @@
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(Part, "on_halt", lambda self, halt: None)
-    monkeypatch.setattr(Part, "_orphans", lambda self, machine: None)
+    monkeypatch.setattr(MachineShard, "on_halt", lambda self, halt: None)
+    monkeypatch.setattr(MachineShard, "_orphans", lambda self, machine: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
-    monkeypatch.setattr(Part, "_stop_cancelled", lambda self, machine, shown: None)
+    monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
 
 
 def nobody_waits(monkeypatch):
@@ -242,7 +242,7 @@
 
 
 def free_room_not_forgotten(monkeypatch):
-    real = Part.on_grant
+    real = MachineShard.on_grant
 
     def on_grant(self, label, grant, now):
         machine = self.machines.get(grant.machine)
@@ -252,17 +252,17 @@
             machine.free = free or self.free(machine)
             machine.pending = dict(machine.pending)
 
-    monkeypatch.setattr(Part, "on_grant", on_grant)
+    monkeypatch.setattr(MachineShard, "on_grant", on_grant)
 
 
 def machines_not_indexed(monkeypatch):
-    real = Home.on_seen
+    real = JobShard.on_seen
 
     def on_seen(self, label, seen, now):
         self.there.pop(seen.machine, None)
         real(self, label, seen, now)
 
-    monkeypatch.setattr(Home, "on_seen", on_seen)
+    monkeypatch.setattr(JobShard, "on_seen", on_seen)
 
 
 @pytest.mark.parametrize(
