--- a/tests/world.py
+++ b/tests/world.py
@@ -45,11 +45,11 @@
     Workers,
 )
 from alderbridge.controller import Controller
+from alderbridge.core import ControllerCore, Submission
 from alderbridge.jobs import JobState, Record
 from alderbridge.machines import MachineState
-from alderbridge.node import Node, Submission
 from alderbridge.store import JOBS, MEMBERS, ROOT, VIEW
-from alderbridge.view import Presence, View, choose
+from alderbridge.view import MemberRecord, View, rendezvous_owner
 
 LABELS = ["host-0", "host-1", "host-2", "host-3", "host-4"]
 LEASE_S, CANCEL_S, REPORT_S = 17.0, 42.0, 3.0
@@ -214,7 +214,7 @@
         self.slow_by = 25.0  # times as slow, until ``slow_until``
         self.late_share, self.late_until = 0.0, 0.0  # of what changes the store: carried out late, without an answer
         self.lost_share, self.lost_until = 0.0, 0.0  # of what changes the store: carried out at once, no answer
-        self.most_changes, self.value_bytes = 12, 4 * 1024
+        self.max_changes, self.value_bytes = 12, 4 * 1024
         self.view_began = lambda: None  # told by whoever wants to know
         self.ended = lambda job: None  # a job's end is stored
         self.too_large = 0  # what it had to refuse for its size
@@ -257,7 +257,7 @@
     ) -> wire.TransactionResult:
         self.check()
         raws = {key: msgspec.json.encode(value) for key, value in puts.items()}
-        if len(puts) + len(drops) > self.most_changes or any(len(raw) > self.value_bytes for raw in raws.values()):
+        if len(puts) + len(drops) > self.max_changes or any(len(raw) > self.value_bytes for raw in raws.values()):
             self.too_large += 1
             raise TransactionTooLargeError
         if lease_id is not None and lease_id not in self.holds:
@@ -288,7 +288,7 @@
         return [change for change in self.log if change.revision > revision]
 
 
-class SimNode:
+class SimController:
     """One controller process: its loops as events, its calls with delays, losses and late arrivals.
 
     ``old``: what passes its boundary is what the version in production sees and sends.
@@ -305,21 +305,21 @@
         self.dead_links: set[str] = set()  # the other end has closed and it was not heard: all is lost until renewed
         self.links = {other: 0.0 for other in world.labels}  # arrival time of the last frame: order is kept
         self.life = 0
-        self.node: Node | None = None
+        self.core: ControllerCore | None = None
         self.start()
 
     def start(self) -> None:
         self.life += 1
         world, life = self.world, self.life
-        self.node = Node(
+        self.core = ControllerCore(
             platform(self.label, world.labels, None if self.old else world.coming),
             Tuning(),
             world.t,
             own={} if self.old else world.files(self.label),
         )
-        self.node.types = self.node.part.types = TYPES
-        self.node.leader.on_types(TYPES)
-        world.prepare(self.node)
+        self.core.types = self.core.machine_shard.types = TYPES
+        self.core.leader.on_types(TYPES)
+        world.prepare(self.core)
         self.busy = self.entering = False
         self.rests_until = 0.0
         self.follow_busy = self.reads_all = False
@@ -341,7 +341,7 @@
 
     def crash(self) -> None:
         self.life += 1
-        self.node = None
+        self.core = None
 
     def loop(self, life: int, step, pause: float) -> None:
         if life == self.life:
@@ -398,8 +398,8 @@
                 world.after(STORE_S, settle, None)
 
     def hold(self) -> None:
-        node, store, world, sent = self.node, self.world.store, self.world, self.world.t
-        hold = node.membership.store_lease
+        core, store, world, sent = self.core, self.world.store, self.world, self.world.t
+        hold = core.membership.store_lease
 
         def extend():
             store.check()
@@ -410,12 +410,12 @@
 
         def extended(good):
             if good:
-                hold.renewed(hold.lease_id, sent)
+                hold.record_renewal(hold.lease_id, sent)
             else:
-                hold.lost()
+                hold.mark_expired()
 
-        if node.membership.removed():
-            hold.lost()
+        if core.membership.is_removed():
+            hold.mark_expired()
         if hold.lease_id:
             self.call(extended, lambda: None, extend)
         elif not self.entering:
@@ -424,7 +424,7 @@
 
     def acquire(self) -> None:
         """Step by step as the program enters: what an earlier life had on its way may come in between."""
-        node, store, world = self.node, self.world.store, self.world
+        core, store, world = self.core, self.world.store, self.world
         key, before, sent = MEMBERS + self.label, None, 0.0
 
         def failed() -> None:
@@ -438,17 +438,17 @@
         def take() -> int:
             store.check()
             lease_id = next(store.lease_ids)
-            store.holds[lease_id] = world.t + node.membership.store_lease.ttl_s
+            store.holds[lease_id] = world.t + core.membership.store_lease.ttl_s
             return lease_id
 
         def got(lease_id: int) -> None:
-            presence = Presence(lease_id, 1 if self.old else c.GENERATION)
+            member = MemberRecord(lease_id, 1 if self.old else c.PROTOCOL_VERSION)
             self.call(
                 lambda answer: entered(lease_id, answer),
                 failed,
                 store.commit,
                 {key: before.revision if before else 0},
-                {key: presence},
+                {key: member},
                 (),
                 lease_id,
             )
@@ -457,15 +457,15 @@
             self.entering = False
             if answer.failed:
                 return
-            node.held(lease_id, sent, world.t)
+            core.lease_acquired(lease_id, sent, world.t)
             if before is not None:
-                lease_id = msgspec.json.decode(before.data, type=Presence).lease_id
+                lease_id = msgspec.json.decode(before.data, type=MemberRecord).lease_id
                 self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
 
         self.call(looked, failed, self.read, key)
 
     def follow(self) -> None:
-        node, store, world = self.node, self.world.store, self.world
+        core, store, world = self.core, self.world.store, self.world
         if self.follow_busy:
             return
         self.follow_busy = True
@@ -473,28 +473,28 @@
 
         def read(since: int | None = None):
             store.check()
-            if since is None and (self.reads_all or not node.loaded):
+            if since is None and (self.reads_all or not core.loaded):
                 return self.seen(store.rows()), [], store.revision
-            return None, self.seen(store.since(node.replica.revision if since is None else since)), store.revision
+            return None, self.seen(store.since(core.replica.revision if since is None else since)), store.revision
 
         def done(answer, rows=None, sent=sent):
             rows, changes, revision = answer if rows is None else (rows, *answer[1:])
-            if rows is not None and node.loaded and self.reads_all:  # then what has changed since the first row
+            if rows is not None and core.loaded and self.reads_all:  # then what has changed since the first row
                 self.reads_all = False
                 self.call(lambda answer, sent=world.t: done(answer, rows, sent), failed, read, revision)
                 return
             self.follow_busy = False
-            node.membership.followed(sent)
+            core.membership.record_sync(sent)
             if rows is None:
-                node.apply(changes, world.t, world.t + self.ahead_s)
-                node.replica.revision = revision
+                core.apply_events(changes, world.t, world.t + self.ahead_s)
+                core.replica.revision = revision
             else:
-                node.load(rows, changes, revision, world.t, world.t + self.ahead_s)
+                core.load(rows, changes, revision, world.t, world.t + self.ahead_s)
             world.followed(self, [*(rows or ()), *changes])
 
         def failed():
             self.follow_busy = False
-            self.reads_all = world.reloads and node.loaded  # as the program does after any trouble with following
+            self.reads_all = world.reloads and core.loaded  # as the program does after any trouble with following
 
         self.call(done, failed, read)
 
@@ -512,7 +512,7 @@
         ]
 
     def view(self) -> None:
-        change = self.node.next_view(self.world.t)
+        change = self.core.next_view(self.world.t)
         if change is not None:
             view, conditions, drops = change
             self.call(lambda _: None, lambda: None, self.world.store.commit, conditions, {VIEW: view}, drops)
@@ -520,39 +520,42 @@
     def write(self) -> None:
         if self.busy:
             return
-        node, world = self.node, self.world
-        if world.t < self.rests_until and node.nothing_to_write():
+        core, world = self.core, self.world
+        if world.t < self.rests_until and core.nothing_to_write():
             return  # as the program rests
-        batch = node.next_batch(world.t)
+        batch = core.next_batch(world.t)
         if batch is None:
-            self.rests_until = world.t + node.next_write_in(world.t)
+            self.rests_until = world.t + core.next_write_in(world.t)
             return
         self.busy = True
 
         def done(answer):
             self.busy = False
             if answer.failed:
-                node.batch_failed(batch, world.t)
+                core.on_batch_failed(batch, world.t)
                 if VIEW not in answer.failed:
                     for key in answer.failed:
                         self.call(
-                            lambda row, key=key: node.reread(batch, key, row[0], world.t), lambda: None, self.read, key
+                            lambda row, key=key: core.resolve_conflict(batch, key, row[0], world.t),
+                            lambda: None,
+                            self.read,
+                            key,
                         )
             else:
-                node.batch_done(batch, answer.revision, world.t)
+                core.on_batch_written(batch, answer.revision, world.t)
             self.tell_users()
 
         def failed():
             self.busy = False
-            node.batch_failed(batch, world.t)
+            core.on_batch_failed(batch, world.t)
             away = world.t < max(self.cut_store_until, self.refused_until, world.store.down_until)
             if away or world.rng.random() < 0.5:
-                node.refuse_submissions()  # the store has said 503, after an attempt that had no answer, it may be
+                core.refuse_submissions()  # the store has said 503, after an attempt that had no answer, it may be
             self.tell_users()
 
         def too_large():
             self.busy = False
-            node.batch_too_large(batch, world.t)
+            core.on_batch_too_large(batch, world.t)
 
         puts = batch.puts
         if self.old:
@@ -568,25 +571,25 @@
         return self.seen([wire.KeyValue(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
 
     def tell_users(self) -> None:
-        while self.node.news:
-            item = self.node.news.popleft()
+        while self.core.notifications:
+            item = self.core.notifications.popleft()
             if isinstance(item, Submission) and item.outcome == "accepted":
                 self.world.accept(item.job.spec.id)
 
     def round(self) -> None:
-        self.node.round(self.world.t)
+        self.core.round(self.world.t)
         self.ask()
 
     def ask(self) -> None:
         """Empty ``/commands`` to the machines of a new view; some are held back, and arrive late."""
-        node, world, life = self.node, self.world, self.life
-        while node.may_act() and (machine := node.part.next_to_ask(world.t)) is not None:
+        core, world, life = self.core, self.world, self.life
+        while core.may_act() and (machine := core.machine_shard.next_to_ask(world.t)) is not None:
             name, _, incarnation = machine
-            fencing_token = node.membership.fencing_token
+            fencing_token = core.membership.fencing_token
 
             def answered(raw: bytes, fencing_token: int = fencing_token) -> None:
-                if life == self.life and fencing_token == node.membership.fencing_token:
-                    node.asked(wire.parse_heartbeat(raw), world.t)
+                if life == self.life and fencing_token == core.membership.fencing_token:
+                    core.on_probe_answered(wire.parse_heartbeat(raw), world.t)
                     self.flush()
 
             def arrive(
@@ -607,12 +610,12 @@
                 )
 
     def lead(self) -> None:
-        node, world = self.node, self.world
-        if not node.membership.leads(world.t) or self.renting:
+        core, world = self.core, self.world
+        if not core.membership.is_leader(world.t) or self.renting:
             return
-        node.leader.on_listing(world.listing(), world.t)
-        decision = node.leader.decide(world.t)
-        node.drain(decision.drain, world.t)
+        core.leader.on_listing(world.listing(), world.t)
+        decision = core.leader.decide(world.t)
+        core.drain_machines(decision.drain, world.t)
         for kind, count in decision.rent:
             names = world.rent(kind, count)
             if world.t < world.quick_until:  # the machines are up and report before the answer is here
@@ -623,25 +626,25 @@
         if decision.give_back and world.rng.random() < 0.95:
             world.remove(decision.give_back)
             if world.rng.random() < 0.95:
-                node.returned(decision.give_back, world.t)
+                core.on_terminated(decision.give_back, world.t)
 
     def rented(self, life: int, kind, names: list[str], count: int) -> None:
         if life == self.life:
             self.renting = False
-            self.node.leader.on_rented(kind, names, self.world.t)
+            self.core.leader.on_rented(kind, names, self.world.t)
             if len(names) < count:
-                self.node.leader.on_refused(kind, self.world.t)
+                self.core.leader.on_refused(kind, self.world.t)
 
     # -- users, as ``Controller`` serves them; ``told`` a state, ``NOT_FOUND``, or None for 503
 
     def status(self, job: str, told) -> None:
         """As ``Controller.status_now``: from memory, else by the job's home, by messages, else from the store."""
-        node, world, life = self.node, self.world, self.life
-        state = node.state_here(job, world.t)
+        core, world, life = self.core, self.world, self.life
+        state = core.local_job_state(job, world.t)
         if state is not None:
             told(self.noted(job, state[0]))
             return
-        home = node.home_of(job)
+        home = core.job_owner(job)
         if not home or home == self.label:
             self.status_stored(job, told)
             return
@@ -659,34 +662,34 @@
 
         world.asking[number] = (self.label, life, world.t + c.ASK_S, answered)
         world.after(c.ASK_S, given_up)
-        node.tell(home, m.JobQuery(number, "status", job))
+        core.send_unreliable(home, m.JobQuery(number, "status", job))
         self.flush()
 
     def status_stored(self, job: str, told) -> None:
-        node, world = self.node, self.world
+        core, world = self.core, self.world
 
         def read(answer) -> None:
             row, state = answer[0], None
             if row is None:
-                state = None if node.known(job) else NOT_FOUND
+                state = None if core.knows_job(job) else NOT_FOUND
             else:
                 record = msgspec.json.decode(row.data, type=Record)
                 waits = record.spec is not None and (record.spec.needs or record.more)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
-                elif not waits or node.surely_pending(job, world.t):
+                elif not waits or core.is_certainly_pending(job, world.t):
                     state = "pending"
             told(self.noted(job, state))
 
         self.call(read, lambda: told(self.noted(job, None)), self.read, JOBS + job)
 
     def noted(self, job: str, state: str | None) -> str | None:
-        ended = self.node.replica.ended.get(job)
+        ended = self.core.replica.ended.get(job)
         return state if ended is None else ended.value
 
     def send_job(self, body: bytes, told) -> None:
         """As ``Controller.submit``; ``NOT_FOUND`` stands for 400 and 422, too."""
-        node, world, life = self.node, self.world, self.life
+        core, world, life = self.core, self.world, self.life
         try:
             spec = wire.parse_job(body)
         except wire.MalformedBodyError:
@@ -706,7 +709,7 @@
             if not submission.outcome and world.t < until:
                 world.after(0.02, wait, submission, until)
             elif submission.outcome == "accepted":
-                ended = node.replica.ended.get(spec.id)
+                ended = core.replica.ended.get(spec.id)
                 told("pending" if ended is None else ended.value)
             elif submission.outcome == "known":
                 known()
@@ -715,16 +718,16 @@
             else:
                 told(None)
 
-        if node.known(spec.id):
+        if core.knows_job(spec.id):
             known()
-        elif not node.loaded or not node.types:
+        elif not core.loaded or not core.types:
             told(None)
-        elif Controller.never_runs(SimpleNamespace(platform=SimpleNamespace(settings=node.shared), node=node), spec):
+        elif Controller.never_runs(SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec):
             self.status(spec.id, told)
-        elif not node.membership.may_act(world.t) or spec.needs:
+        elif not core.membership.may_act(world.t) or spec.needs:
             told(None)
         else:
-            submission = node.submit(spec, world.t, world.t + self.ahead_s)
+            submission = core.submit(spec, world.t, world.t + self.ahead_s)
             if submission is None:
                 self.status(spec.id, told)
             else:
@@ -732,9 +735,9 @@
 
     def withdraw(self, job: str, told, since: float | None = None) -> None:
         """``told`` the job's end when the store has it; None: this is not its home, or the store is slow."""
-        node, life, world = self.node, self.life, self.world
+        core, life, world = self.core, self.life, self.world
         since = world.t if since is None else since
-        state = node.withdraw(job, world.t)
+        state = core.cancel(job, world.t)
         if state == "" and world.t - since < c.SUBMIT_WAIT_S:
             world.after(0.1, lambda: life == self.life and self.withdraw(job, told, since))
         else:
@@ -743,32 +746,34 @@
 
     def questions(self) -> None:
         """What others ask this one to withdraw, and their answers."""
-        node, world = self.node, self.world
-        while node.questions:
-            label, ask = node.questions.popleft()
+        core, world = self.core, self.world
+        while core.queries:
+            label, ask = core.queries.popleft()
 
             def told(state: str | None, label: str = label, ask: m.JobQuery = ask) -> None:
-                node.tell(label, m.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode()))
+                core.send_unreliable(
+                    label, m.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode())
+                )
 
             if ask.kind == "withdraw":
                 self.withdraw(ask.job, told)
             else:
-                told((node.state_here(ask.job, world.t) or (None,))[0])
-        while node.replies:
-            reply = node.replies.popleft()
+                told((core.local_job_state(ask.job, world.t) or (None,))[0])
+        while core.query_replies:
+            reply = core.query_replies.popleft()
             label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
             if label == self.label and life == self.life and world.t <= until:
                 told(reply.body.decode() if reply.status == 200 else None)
 
     def flush(self) -> None:
-        if self.node is None:
+        if self.core is None:
             return
         world = self.world
-        if self.node.questions or self.node.replies:
+        if self.core.queries or self.core.query_replies:
             self.questions()
-        self.dead_links -= set(self.node.renewals)
-        self.node.renewals.clear()
-        outgoing, self.node.outgoing = self.node.outgoing, []
+        self.dead_links -= set(self.core.channel_renewals)
+        self.core.channel_renewals.clear()
+        outgoing, self.core.outgoing_frames = self.core.outgoing_frames, []
         for label, frame in outgoing:
             other = world.nodes[label]
             cut = max(self.cut_mesh_until, other.cut_mesh_until)
@@ -788,27 +793,27 @@
                 world.after(world.rng.choice([0.3, 3.0, 60.0]) * world.rng.random(), other.frame, data)
 
     def frame(self, data: bytes) -> None:
-        if self.node is not None:
+        if self.core is not None:
             data = production.frame(data) if self.old else data
-            self.node.on_frame(msgspec.msgpack.decode(data, type=m.Frame), self.world.t)
+            self.core.on_frame(msgspec.msgpack.decode(data, type=m.Frame), self.world.t)
             self.flush()
 
     def heartbeat(self, raw: bytes, reply) -> None:
         """``reply(status, body)`` after the grants had a moment to arrive."""
         world, life = self.world, self.life
-        if self.node is None or world.t < self.cut_workers_until:
+        if self.core is None or world.t < self.cut_workers_until:
             return
-        node = self.node
+        core = self.core
         heartbeat = wire.parse_heartbeat(raw)
-        if not node.loaded or not node.membership.may_act(world.t):
+        if not core.loaded or not core.membership.may_act(world.t):
             return reply(503, b"")
-        owner = node.membership.report_to(heartbeat.machine)
+        owner = core.membership.report_to(heartbeat.machine)
         if owner != self.label:
             return reply(421, owner.encode())
-        fencing_token = node.membership.fencing_token
+        fencing_token = core.membership.fencing_token
         if heartbeat.fencing_token > fencing_token:
             return reply(503, b"")
-        machine = node.on_heartbeat(heartbeat, world.t)
+        machine = core.on_heartbeat(heartbeat, world.t)
         self.flush()
         if machine is None:
             return reply(503, b"")
@@ -816,9 +821,9 @@
         def finish() -> None:
             if life != self.life:
                 return
-            if fencing_token != node.membership.fencing_token or not node.membership.may_act(world.t):
+            if fencing_token != core.membership.fencing_token or not core.membership.may_act(world.t):
                 return reply(503, b"")
-            reply(200, wire.heartbeat_response(fencing_token, node.part.orders(machine)))
+            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.orders(machine)))
 
         world.after(0.02, finish)
         return None
@@ -835,7 +840,7 @@
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[str, SimTask] = {}
         self.answered_at = world.t  # when the last answered report was sent
-        self.node = world.rng.choice(world.labels)
+        self.core = world.rng.choice(world.labels)
         self.alive = self.up = True
         self.hangs_until = self.cut_until = 0.0
         self.deaf_until = 0.0  # its reports arrive; answers and commands to it are lost
@@ -891,7 +896,7 @@
         self.tick()
         self.sequence += 1
         self.in_flight += 1
-        number, incarnation, sent, to = self.in_flight, self.incarnation, world.t, self.node
+        number, incarnation, sent, to = self.in_flight, self.incarnation, world.t, self.core
         if world.t < self.mute_until:
             world.after(4.0, self.timeout, number)
             return
@@ -904,16 +909,16 @@
                 world.after(self.way(), self.answered, number, incarnation, sent, status, body)
 
         def arrive() -> None:
-            world.nodes[self.node].heartbeat(raw, reply)
+            world.nodes[self.core].heartbeat(raw, reply)
 
         if world.t < world.copies_until and world.rng.random() < world.copied_share:
             late = world.rng.uniform(2.0, 2 * LEASE_S)
-            world.after(late, world.nodes[self.node].heartbeat, raw, lambda status, body: None)
+            world.after(late, world.nodes[self.core].heartbeat, raw, lambda status, body: None)
         if world.t >= self.cut_until and world.reaches(self, to):
             world.after(world.rng.uniform(0.001, 0.01), arrive)
             if world.rng.random() < 0.02:  # again, and nobody listens to the answer any more
                 world.after(
-                    world.rng.uniform(0.1, 60.0), world.nodes[self.node].heartbeat, raw, lambda status, body: None
+                    world.rng.uniform(0.1, 60.0), world.nodes[self.core].heartbeat, raw, lambda status, body: None
                 )
         elif world.rng.random() < 0.3:
             world.after(world.rng.uniform(1.0, 40.0), arrive)  # held back, and delivered late
@@ -966,7 +971,7 @@
 
     def next_node(self) -> None:
         labels = self.world.labels
-        self.node = labels[(labels.index(self.node) + 1) % len(labels)]
+        self.core = labels[(labels.index(self.core) + 1) % len(labels)]
         self.world.after(1.0, self.send_beat)
 
     def answered(self, number: int, incarnation: int, sent: float, status: int, body: bytes) -> None:
@@ -978,7 +983,7 @@
             return
         self.in_flight += 1
         if status == 421 and body.decode() in world.labels:
-            self.node = body.decode()
+            self.core = body.decode()
             world.after(world.rng.uniform(0.0, 0.5), self.send_beat)
             return
         if status != 200:
@@ -1022,7 +1027,7 @@
 
 
 class World:
-    process = SimNode
+    process = SimController
 
     def __init__(
         self,
@@ -1101,7 +1106,7 @@
         self.said: dict[str, str] = {}  # ends told to users
         self.cancelled_at: dict[str, float] = {}
         self.labels = LABELS[:nodes]
-        self.nodes: dict[str, SimNode] = {}
+        self.nodes: dict[str, SimController] = {}
         for label in self.labels:
             self.nodes[label] = self.process(self, label)
         for number in range(jobs):
@@ -1243,9 +1248,9 @@
         self.after(self.rng.uniform(1.0, 6.0), self.restart, sim)
 
     def tighten(self) -> None:
-        self.store.most_changes, self.store.value_bytes = (4, 700) if self.coming else (1, 450)
+        self.store.max_changes, self.store.value_bytes = (4, 700) if self.coming else (1, 450)
 
-    def prepare(self, node: Node) -> None:
+    def prepare(self, core: ControllerCore) -> None:
         """A controller's node, before anything is told to it."""
 
     def halted(self, part: str, task: SimTask, worker: SimWorker) -> None:
@@ -1264,17 +1269,19 @@
         self.specs[spec.id] = spec
         self.first_asked.setdefault(spec.id, self.t)
         sim = self.nodes[self.rng.choice(self.labels)]
-        node = sim.node
+        core = sim.core
         if spec.id in self.accepted:
             self.after(self.rng.uniform(1.0, 5.0), self.poll, spec.id)
             if spec.service or self.rng.random() < 0.15:
                 self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
             return
-        if node is not None and node.types and node.membership.may_act(self.t) and node.loaded:
-            ready = not spec.needs or (node.membership.all_run(c.PIPELINES) and all(map(node.known, spec.needs)))
-            if ready and not node.known(spec.id):
-                node.submit(spec, self.t, self.t + sim.ahead_s)
-            elif node.known(spec.id) and self.question(sim, spec.id) is not None:
+        if core is not None and core.types and core.membership.may_act(self.t) and core.loaded:
+            ready = not spec.needs or (
+                core.membership.all_support(c.PIPELINES) and all(map(core.knows_job, spec.needs))
+            )
+            if ready and not core.knows_job(spec.id):
+                core.submit(spec, self.t, self.t + sim.ahead_s)
+            elif core.knows_job(spec.id) and self.question(sim, spec.id) is not None:
                 self.accept(spec.id)  # an earlier try was carried out: 200
         self.after(1.5, self.submit, spec)
 
@@ -1325,9 +1332,9 @@
                 self.answer(job, state)
         self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
 
-    def ask(self, sim: SimNode, job: str) -> None:
+    def ask(self, sim: SimController, job: str) -> None:
         """By the program's way, which takes time: what counts is what had been told when it was asked."""
-        if sim.node is not None:
+        if sim.core is not None:
             sim.status(job, lambda state, asked=self.t: self.told(job, state, asked))
 
     def told(self, job: str, state: str | None, asked: float) -> None:
@@ -1338,9 +1345,9 @@
             self.answered_at[job] = self.t
             self.answer(job, state, asked)
 
-    def repeat(self, sim: SimNode, job: str, flaw: dict | None = None) -> None:
+    def repeat(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
         """The submission once more, maybe with another body."""
-        if sim.node is not None:
+        if sim.core is not None:
             body = submission_of(self.specs[job]) | (flaw or {})
             sim.send_job(json.dumps(body).encode(), lambda state, asked=self.t: self.told(job, state, asked))
 
@@ -1360,7 +1367,7 @@
                     rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if asks_end else "ask"]),
                 )
 
-    def look(self, sim: SimNode, job: str, kind: str) -> None:
+    def look(self, sim: SimController, job: str, kind: str) -> None:
         self.looks += 1
         if kind == "ask":
             self.ask(sim, job)
@@ -1379,7 +1386,7 @@
             self.repeat(sim, rng.choice(going))
         elif kind == "withdraw" and over:
             self.withdraw_through(sim, rng.choice(over), again=False)
-        elif kind == "flawed" and sim.node is not None:
+        elif kind == "flawed" and sim.core is not None:
             body = submission_of(self.make_job(next(self.numbers)))
             field, value = rng.choice(FLAWS)
             if value is None:
@@ -1393,23 +1400,23 @@
         if state not in (None, NOT_FOUND):
             raise Broken(f"took_flawed: {body} is {state}")
 
-    def question(self, sim: SimNode, job: str) -> str | None:
+    def question(self, sim: SimController, job: str) -> str | None:
         """As ``Controller.status`` answers: from memory, by the job's home, or from the store; None: 503, or nobody."""
-        if sim.node is None:
+        if sim.core is None:
             return None
-        state = sim.node.state_here(job, self.t)
+        state = sim.core.local_job_state(job, self.t)
         if state is not None:
             return state[0]
-        home = self.nodes.get(sim.node.home_of(job))
+        home = self.nodes.get(sim.core.job_owner(job))
         if (
             home is not None
             and home is not sim
-            and home.node is not None
+            and home.core is not None
             and home.label not in sim.dead_links
-            and home.node.membership.fencing_token == sim.node.membership.fencing_token
+            and home.core.membership.fencing_token == sim.core.membership.fencing_token
             and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
         ):
-            state = home.node.state_here(job, self.t)
+            state = home.core.local_job_state(job, self.t)
             if state is not None:
                 return state[0]
         if self.t < max(sim.cut_store_until, sim.refused_until, self.store.down_until):
@@ -1421,7 +1428,7 @@
         waits = record.spec is not None and (record.spec.needs or record.more)
         if record.state is not JobState.ACTIVE:
             return record.state.value
-        return None if waits and not sim.node.surely_pending(job, self.t) else "pending"
+        return None if waits and not sim.core.is_certainly_pending(job, self.t) else "pending"
 
     def withdraw(self, job: str) -> None:
         if job in self.said:
@@ -1430,10 +1437,10 @@
             self.withdraw_through(self.nodes[self.rng.choice(self.labels)], job)
             return
         for label in self.labels:
-            node = self.nodes[label].node
-            if node is not None and node.home_of(job) == label:
+            core = self.nodes[label].core
+            if core is not None and core.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, math.inf)
-                state = node.withdraw(job, self.t)
+                state = core.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
@@ -1441,17 +1448,17 @@
                         return
         self.after(1.0, self.withdraw, job)
 
-    def withdraw_through(self, sim: SimNode, job: str, again: bool = True) -> None:
+    def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
         """As ``Controller.withdraw``: decided here, or asked of the job's home by a message; and again if need be."""
-        node, asked = sim.node, self.t
+        core, asked = sim.core, self.t
         if job not in self.said:
             self.cancelled_at.setdefault(job, math.inf)
         if again:
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
-        if node is None or not node.loaded:
+        if core is None or not core.loaded:
             return
-        home, told = node.home_of(job), self.withdrawn
-        if home == sim.label or job in node.replica.ended:
+        home, told = core.job_owner(job), self.withdrawn
+        if home == sim.label or job in core.replica.ended:
             sim.withdraw(job, lambda state: state and told(job, state))
         elif home:
             number = next(self.ask_numbers)
@@ -1461,7 +1468,7 @@
                 self.t + c.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
-            node.tell(home, m.JobQuery(number, "withdraw", job))
+            core.send_unreliable(home, m.JobQuery(number, "withdraw", job))
             sim.flush()
         else:
             sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
@@ -1471,7 +1478,7 @@
 
     # -- rules
 
-    def followed(self, sim: SimNode, rows: list) -> None:
+    def followed(self, sim: SimController, rows: list) -> None:
         """A node has read these rows or changes; for worlds with more rules than this one."""
 
     def ordered(self, part: str) -> None:
@@ -1602,27 +1609,27 @@
             if self.t > self.cancelled_at.get(wire.split_task_id(part)[0], math.inf) + CANCEL_S:
                 raise Broken(f"ran_cancelled: {part} on {machine}")
         for sim in self.nodes.values():
-            if sim.node is not None:
-                self.books(sim.node)
-                self.served(sim.node)
+            if sim.core is not None:
+                self.books(sim.core)
+                self.served(sim.core)
         if self.meets and self.t >= self.looked_at + 1.0:
             self.looked_at = self.t
             self.look_for_room()
             self.not_forgotten()
         self.after(0.25, self.watch)
 
-    def served(self, node: Node) -> None:
+    def served(self, core: ControllerCore) -> None:
         """Who acts serves all jobs that the store says are its own: nobody else will."""
-        if not node.may_act():
+        if not core.may_act():
             return
-        for name, (record, _) in node.replica.active.items():
+        for name, (record, _) in core.replica.active.items():
             if (
                 record.state is JobState.ACTIVE
-                and name not in node.home.jobs
-                and name not in node.submissions
-                and node.membership.home_of(record.home) == node.me
+                and name not in core.job_shard.jobs
+                and name not in core.submissions
+                and core.membership.job_owner(record.accepted_by) == core.me
             ):
-                raise Broken(f"unserved: {name} by {node.me}, its home, at {self.t:.2f}")
+                raise Broken(f"unserved: {name} by {core.me}, its home, at {self.t:.2f}")
 
     def remembered(self) -> None:
         """At the end, ``KNOWN_S`` after the last trouble: each accepted job has ended, or questions are answered."""
@@ -1654,9 +1661,9 @@
         return result
 
     @staticmethod
-    def books(node: Node) -> None:
+    def books(core: ControllerCore) -> None:
         """What is kept with each change, in place of counting anew for each event, is what a count would give."""
-        home, part = node.home, node.part
+        home, part = core.job_shard, core.machine_shard
         kept, there = dict(home.tally.teams), home.there
         used = home.used()
         for team in {*kept, *used}:
@@ -1671,9 +1678,9 @@
             lags = job.changed_at is not None or (job.full and job.stored_state is not JobState.ACTIVE)
             if lags and home.tally.lagging.get(name) is not job:
                 raise Broken(f"books: {name} has a record to be written, and the index does not know")
-        view = node.membership.view.members
-        for machine, owner in node.membership.parts.items():
-            if owner != (choose(machine, sorted(view)) if view else ""):
+        view = core.membership.view.members
+        for machine, owner in core.membership.machine_owners.items():
+            if owner != (rendezvous_owner(machine, sorted(view)) if view else ""):
                 raise Broken(f"books: {machine} belongs to {owner} no more")
         for machine in part.machines.values():
             heard = machine.heard_at if machine.acked else max(machine.heard_at, machine.sole_since or math.inf)
@@ -1739,7 +1746,7 @@
         sim = self.nodes[self.rng.choice(self.labels)]
         self.bring(self.rng.choice(TROUBLES), sim, self.rng.uniform(2.0, 40.0))
 
-    def bring(self, kind: str, sim: SimNode, length: float) -> None:
+    def bring(self, kind: str, sim: SimController, length: float) -> None:
         """One trouble, of that controller, of one machine or of all."""
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
@@ -1823,7 +1830,7 @@
             else:
                 worker.recall_at = self.t + rng.uniform(2.0, 15.0)
 
-    def refuse(self, sim: SimNode, for_s: float) -> None:
+    def refuse(self, sim: SimController, for_s: float) -> None:
         """The store refuses one, and while that lasts it is down for all, maybe for longer than ``cancel_s``."""
         rng = self.rng
         sim.refused_until, sim.follow_hangs = self.t + for_s, True
@@ -1875,7 +1882,7 @@
         zone, inside, until = self.zone_away
         return self.t >= until or (worker.kind.zone == zone) == (label == inside)
 
-    def cut_zone(self, zone: str, sim: SimNode, for_s: float) -> None:
+    def cut_zone(self, zone: str, sim: SimController, for_s: float) -> None:
         """Its workers and one controller reach each other, and users it, and nothing else; jobs are bound to it."""
         rng = self.rng
         self.zone_away = (zone, sim.label, self.t + for_s)
@@ -2040,7 +2047,7 @@
             ]
         )
 
-    def end(self, sim: SimNode, back_s: float | None = None) -> None:
+    def end(self, sim: SimController, back_s: float | None = None) -> None:
         sim.crash()
         self.after(self.away() if back_s is None else back_s, self.restart, sim)
 
@@ -2072,11 +2079,11 @@
         """It is gone until another leads: one that is back at once leads again."""
         if VIEW in self.store.data:
             sim = self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
-            if sim.node is not None:
+            if sim.core is not None:
                 self.end(sim, self.rng.uniform(6.0, 20.0))
 
-    def restart(self, sim: SimNode) -> None:
-        if sim.node is None:
+    def restart(self, sim: SimController) -> None:
+        if sim.core is None:
             sim.start()
 
 
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -30,9 +30,9 @@
 import msgspec  # noqa: E402
 
 from alderbridge import constants as c  # noqa: E402
-from alderbridge.node import Node  # noqa: E402
+from alderbridge.core import ControllerCore  # noqa: E402
 from alderbridge.store import MEMBERS, VIEW  # noqa: E402
-from alderbridge.view import Presence  # noqa: E402
+from alderbridge.view import MemberRecord  # noqa: E402
 
 LEASE_S, FALL_AT, UNTIL = 17.0, 50.0, 110.0
 
@@ -74,7 +74,7 @@
         if self.nodes[label] is not None and self.store_up:
             super().hold(label)
             hold = self.nodes[label].membership.store_lease
-            hold.renewed(json.loads(self.data[MEMBERS + label][0])["permit"], self.now)
+            hold.record_renewal(json.loads(self.data[MEMBERS + label][0])["permit"], self.now)
 
     def follow(self, label: str) -> None:
         if self.nodes[label] is not None and self.store_up:
@@ -95,37 +95,37 @@
             self.at(self.now + 1.0, self.hand_in, self.rng.choice(base.LABELS), spec)
 
     def round(self, label: str) -> None:
-        node = self.nodes[label]
-        if node is None:
+        core = self.nodes[label]
+        if core is None:
             return
         super().round(label)
-        change = node.next_view(self.now) if self.store_up else None
+        change = core.next_view(self.now) if self.store_up else None
         if change is not None:
             self.commit(change[1], {VIEW: change[0]}, [])
-        while hasattr(node, "asked") and node.may_act():
-            asked = node.part.next_to_ask(self.now)
+        while hasattr(core, "on_probe_answered") and core.may_act():
+            asked = core.machine_shard.next_to_ask(self.now)
             if asked is None:
                 break
-            self.at(self.now + self.rng.uniform(0.01, 0.2), self.ask, label, asked[0], node.membership.fencing_token)
+            self.at(self.now + self.rng.uniform(0.01, 0.2), self.ask, label, asked[0], core.membership.fencing_token)
         self.carry(label)
 
     def write(self, label: str) -> None:
-        node = self.nodes[label]
-        batch = self.clock("records", node.next_batch, self.now) if node is not None and self.store_up else None
+        core = self.nodes[label]
+        batch = self.clock("records", core.next_batch, self.now) if core is not None and self.store_up else None
         if batch is None:
             return
         revision = self.commit(batch.conditions, batch.puts, batch.drops)
         if revision:
-            self.clock("records", node.batch_done, batch, revision, self.now)
+            self.clock("records", core.on_batch_written, batch, revision, self.now)
         else:
-            node.batch_failed(batch, self.now)
+            core.on_batch_failed(batch, self.now)
         self.carry(label)
 
     def lead(self, _label: str) -> None:
-        for label, node in self.nodes.items():
-            if node is None or not node.membership.leads(self.now):
+        for label, core in self.nodes.items():
+            if core is None or not core.membership.is_leader(self.now):
                 continue
-            node.leader.on_listing(
+            core.leader.on_listing(
                 [
                     wire.ListedMachine(w.name, base.KIND.name, "running", self.now, w.zone, w.spot)
                     for w in self.workers
@@ -133,20 +133,20 @@
                 ],
                 self.now,
             )
-            decision = self.clock("renting", node.leader.decide, self.now)
-            node.drain(decision.drain, self.now)
+            decision = self.clock("renting", core.leader.decide, self.now)
+            core.drain_machines(decision.drain, self.now)
             for kind, count in decision.rent:
                 got = min(count, self.size - sum(not worker.gone for worker in self.workers))
                 names = [self.add_machine(kind.spot, kind.zone, self.rng.uniform(20.0, 50.0)) for _ in range(got)]
                 self.rented += got
-                node.leader.on_rented(kind, names, self.now)
+                core.leader.on_rented(kind, names, self.now)
                 if got < count:
-                    node.leader.on_refused(kind, self.now)
+                    core.leader.on_refused(kind, self.now)
             if decision.give_back:
                 for worker in self.workers:
                     if worker.name in decision.give_back:
                         self.end(worker)
-                node.returned(decision.give_back, self.now)
+                core.on_terminated(decision.give_back, self.now)
             self.carry(label)
 
     def carry(self, label: str) -> None:
@@ -154,15 +154,15 @@
         waiting = collections.deque([label])
         while waiting:
             sender = waiting.popleft()
-            node = self.nodes[sender]
-            if node is None:
+            core = self.nodes[sender]
+            if core is None:
                 continue
-            outgoing, node.outgoing = node.outgoing, []
-            node.news.clear()
-            for peer, frame in outgoing:
+            outgoing_frames, core.outgoing_frames = core.outgoing_frames, []
+            core.notifications.clear()
+            for peer, frame in outgoing_frames:
                 if self.nodes[peer] is not None:
                     self.clock(f"on {type(frame.body).__name__}", self.nodes[peer].on_frame, frame, self.now)
-                    if self.nodes[peer].outgoing:
+                    if self.nodes[peer].outgoing_frames:
                         waiting.append(peer)
 
     def fall(self, away_s: float, dead: float) -> None:
@@ -174,13 +174,13 @@
 
     def come_back(self, label: str) -> None:
         self.lease_ids += 1
-        node = self.nodes[label] = Node(self.platform(label), config.Tuning(), self.now)
-        node.membership.store_lease.renewed(self.lease_ids, self.now)
-        self.commit({}, {MEMBERS + label: Presence(self.lease_ids, base.GENERATION)}, [])
+        core = self.nodes[label] = ControllerCore(self.platform(label), config.Tuning(), self.now)
+        core.membership.store_lease.record_renewal(self.lease_ids, self.now)
+        self.commit({}, {MEMBERS + label: MemberRecord(self.lease_ids, base.PROTOCOL_VERSION)}, [])
         rows = [wire.KeyValue(key, msgspec.Raw(raw), revision) for key, (raw, revision) in sorted(self.data.items())]
-        node.membership.followed(self.now)
-        self.clock("load", node.load, rows, [], self.revision, self.now, self.now)
-        node.learn_types({base.KIND.name: base.KIND})
+        core.membership.record_sync(self.now)
+        self.clock("load", core.load, rows, [], self.revision, self.now, self.now)
+        core.set_machine_types({base.KIND.name: base.KIND})
 
     # -- workers
 
@@ -217,15 +217,15 @@
 
     def ask(self, label: str, name: str, fencing_token: int) -> None:
         worker = next(w for w in self.workers if w.name == name)
-        node = self.nodes[label]
-        if worker.dead or worker.gone or node is None or node.membership.fencing_token != fencing_token:
-            if node is not None:
-                node.part.asking.unanswered(name, self.now + c.ASK_WORKER_S)
+        core = self.nodes[label]
+        if worker.dead or worker.gone or core is None or core.membership.fencing_token != fencing_token:
+            if core is not None:
+                core.machine_shard.asking.unanswered(name, self.now + c.ASK_WORKER_S)
             return
         self.lease(worker)
         worker.fencing_token = max(worker.fencing_token, fencing_token)
         heartbeat = wire.parse_heartbeat(json.dumps(self.text(worker)).encode())
-        self.clock("asked", node.asked, heartbeat, self.now)
+        self.clock("asked", core.on_probe_answered, heartbeat, self.now)
         self.carry(label)
 
     def report(self, worker) -> None:
@@ -235,21 +235,21 @@
                 self.at(self.now + 1.0, self.report, worker)
             return
         self.lease(worker)
-        up = [node for node in self.nodes.values() if node is not None and node.membership.view.members]
-        node = next((n for n in up if n.me == up[0].membership.part_of(worker.name)), None) if up else None
-        if node is None or not node.may_act() or node.membership.fencing_token < worker.fencing_token:
+        up = [core for core in self.nodes.values() if core is not None and core.membership.view.members]
+        core = next((n for n in up if n.me == up[0].membership.machine_owner(worker.name)), None) if up else None
+        if core is None or not core.may_act() or core.membership.fencing_token < worker.fencing_token:
             self.at(self.now + 1.0, self.report, worker)
             return
         heartbeat = self.clock("http", wire.parse_heartbeat, json.dumps(self.text(worker)).encode())
-        machine = self.clock("report", node.on_heartbeat, heartbeat, self.now)
-        self.carry(node.me)
+        machine = self.clock("report", core.on_heartbeat, heartbeat, self.now)
+        self.carry(core.me)
         if machine is None:
             self.at(self.now + 1.0, self.report, worker)
             return
         worker.answered_at = self.now
-        newer = node.membership.fencing_token > worker.fencing_token
-        worker.fencing_token = node.membership.fencing_token
-        orders = self.clock("orders", node.part.orders, machine)
+        newer = core.membership.fencing_token > worker.fencing_token
+        worker.fencing_token = core.membership.fencing_token
+        orders = self.clock("orders", core.machine_shard.orders, machine)
         for order in orders:
             self.orders[order["verb"]][int(self.now)] += 1
             part = order["part"]
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -4,7 +4,7 @@
                                 [--profile PART]
     python3 tools/bench_node.py --grid RESULTS.json [--jobs 3]      every point of ``bench_grid``, with its slopes
 
-Pure ``Node``s, an ideal store, machines that report every 3 s over the service's
+Pure ``ControllerCore``s, an ideal store, machines that report every 3 s over the service's
 own HTTP code, messages that pass through the mesh's own encoding. Nothing is lost and
 nothing fails: it tells what an event costs, and not how well the service decides.
 Simulated machines; processor time of this process. Load and the teams' limits grow
@@ -35,11 +35,13 @@
 
 from alderbridge import config, mesh, net, wire  # noqa: E402
 from alderbridge import constants as c  # noqa: E402
-from alderbridge.node import Node  # noqa: E402
+from alderbridge.core import ControllerCore  # noqa: E402
 from alderbridge.store import MEMBERS, VIEW  # noqa: E402
-from alderbridge.view import Presence  # noqa: E402
+from alderbridge.view import MemberRecord  # noqa: E402
 
-GENERATION = getattr(c, "GENERATION", c.PIPELINES)  # earlier checkouts, which bench_fall measures, have but that
+PROTOCOL_VERSION = getattr(
+    c, "PROTOCOL_VERSION", c.PIPELINES
+)  # earlier checkouts, which bench_fall measures, have but that
 LABELS = [f"host-{number}" for number in range(5)]
 ZONES = ["a", "b", "c"]
 LIMITS_AT = 635  # machines; the teams' limits below are those of all teams together at this size
@@ -227,15 +229,15 @@
         self.durations: dict[str, float] = {}
         self.names = itertools.count(1)
         self.encoders = {label: mesh.Encoder() for label in self.labels}
-        self.nodes = {label: Node(self.platform(label), config.Tuning(), 0.0) for label in self.labels}
-        for label, node in self.nodes.items():
-            node.membership.store_lease.renewed(self.labels.index(label) + 1, 0.0)
-            node.loaded = True
-            node.learn_types({KIND.name: KIND})
-            node.leader.on_listing([], 0.0)
+        self.nodes = {label: ControllerCore(self.platform(label), config.Tuning(), 0.0) for label in self.labels}
+        for label, core in self.nodes.items():
+            core.membership.store_lease.record_renewal(self.labels.index(label) + 1, 0.0)
+            core.loaded = True
+            core.set_machine_types({KIND.name: KIND})
+            core.leader.on_listing([], 0.0)
         members = {label: number + 1 for number, label in enumerate(self.labels)}
         for label, lease_id in members.items():
-            self.commit({}, {MEMBERS + label: Presence(lease_id, GENERATION)}, [])
+            self.commit({}, {MEMBERS + label: MemberRecord(lease_id, PROTOCOL_VERSION)}, [])
         self.commit({}, {VIEW: {"leader": self.labels[0], "members": members}}, [])
         for label in self.labels:
             self.at(0.0, self.follow, label)
@@ -333,17 +335,17 @@
         self.clock("submit", self.nodes[label].submit, spec, self.now, self.now)
 
     def report(self, worker: Worker) -> None:
-        owner = self.nodes[self.labels[0]].membership.part_of(worker.name)
-        node, clock = self.nodes[owner], self.clock
+        owner = self.nodes[self.labels[0]].membership.machine_owner(worker.name)
+        core, clock = self.nodes[owner], self.clock
         clock.owner = owner
         report = worker.report(self.now)
         body = clock("http", worker.wire.read, report)
         heartbeat = clock("http", wire.parse_heartbeat, body)
-        fencing_token = node.membership.fencing_token
-        machine = clock("report", node.on_heartbeat, heartbeat, self.now)
+        fencing_token = core.membership.fencing_token
+        machine = clock("report", core.on_heartbeat, heartbeat, self.now)
         self.carry(owner)
         assert machine is not None and not machine.reserved
-        orders = clock("orders", node.part.orders, machine)
+        orders = clock("orders", core.machine_shard.orders, machine)
         answer = clock("http", wire.heartbeat_response, fencing_token, orders)
         clock("http", worker.wire.answer, (200, answer, []))
         self.counts.reports += 1
@@ -369,12 +371,12 @@
         waiting = collections.deque([label])
         while waiting:
             sender = waiting.popleft()
-            node = self.nodes[sender]
-            outgoing, node.outgoing = node.outgoing, []
-            node.news.clear()
+            core = self.nodes[sender]
+            outgoing_frames, core.outgoing_frames = core.outgoing_frames, []
+            core.notifications.clear()
             buffers: dict[str, bytearray] = {}
             self.clock.owner = sender
-            for peer, frame in outgoing:
+            for peer, frame in outgoing_frames:
                 data = self.clock("mesh", self.encoders[sender], frame)
                 self.count_frame(peer, frame.body, len(data))
                 buffers.setdefault(peer, bytearray()).extend(data)
@@ -404,8 +406,10 @@
                     spec = self.specs[part.rpartition("/")[0]]
                     used[spec.team] += spec.cpus
         wanted = collections.defaultdict(float, used)
-        for node in self.nodes.values():
-            for job in node.home.jobs.values() if node is not None else ():  # some worlds have controllers that fell
+        for core in self.nodes.values():
+            for job in (
+                core.job_shard.jobs.values() if core is not None else ()
+            ):  # some worlds have controllers that fell
                 wanted[job.spec.team] += job.waiting * job.spec.cpus
         total = len(self.workers) * KIND.cpus
         reachable = sum(min(team.cpus_max, wanted[team.name]) for team in self.teams)
@@ -418,19 +422,19 @@
         self.counts = Counts()
 
     def hold(self, label: str) -> None:
-        self.nodes[label].membership.store_lease.renewed(self.labels.index(label) + 1, self.now)
+        self.nodes[label].membership.store_lease.record_renewal(self.labels.index(label) + 1, self.now)
 
     def follow(self, label: str) -> None:
-        node, self.clock.owner = self.nodes[label], label
-        node.membership.followed(self.now)
-        since = node.replica.revision
+        core, self.clock.owner = self.nodes[label], label
+        core.membership.record_sync(self.now)
+        since = core.replica.revision
         changes = []
         for change in reversed(self.log):
             if change.revision <= since:
                 break
             changes.append(change)
-        self.clock("follow", node.apply, changes[::-1], self.now, self.now)
-        node.replica.revision = self.revision
+        self.clock("follow", core.apply_events, changes[::-1], self.now, self.now)
+        core.replica.revision = self.revision
         self.carry(label)
         self.at(self.now + 0.1, self.follow, label)
 
@@ -440,25 +444,29 @@
         self.carry(label)
 
     def write(self, label: str) -> None:
-        node, self.clock.owner = self.nodes[label], label
-        batch = self.clock("records", node.next_batch, self.now)
+        core, self.clock.owner = self.nodes[label], label
+        batch = self.clock("records", core.next_batch, self.now)
         if batch is not None:
             self.counts.store_changes += batch.changes
             self.counts.transactions += 1
             self.clock(
-                "records", node.batch_done, batch, self.commit(batch.conditions, batch.puts, batch.drops), self.now
+                "records",
+                core.on_batch_written,
+                batch,
+                self.commit(batch.conditions, batch.puts, batch.drops),
+                self.now,
             )
             self.carry(label)
 
     def lead(self, label: str) -> None:
-        node, self.clock.owner = self.nodes[label], label
-        decision = self.clock("renting", node.leader.decide, self.now)
+        core, self.clock.owner = self.nodes[label], label
+        decision = self.clock("renting", core.leader.decide, self.now)
         for kind, count in decision.rent:
             got = min(count, self.size - len(self.workers))
             names = [self.add_machine(kind.spot, kind.zone, self.rng.uniform(20.0, 50.0)) for _ in range(got)]
-            node.leader.on_rented(kind, names, self.now)
+            core.leader.on_rented(kind, names, self.now)
             if got < count:
-                node.leader.on_refused(kind, self.now)
+                core.leader.on_refused(kind, self.now)
 
 
 def measured(bench: Bench, seconds: float) -> dict:
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -46,10 +46,10 @@
         )
         # The bench's time of day: the calendar opens at a whole minute, which is second 90 here.
         self.offset = int(OPENS // 60) * 60 - OPENS
-        for node in self.nodes.values():
-            node.declare_hours([text])
-            gate = node.hours
-            gate.clock = lambda node=node: node.now + self.offset
+        for core in self.nodes.values():
+            core.apply_calendars([text])
+            gate = core.calendars
+            gate.clock = lambda core=core: core.now + self.offset
         for number in range(args.jobs):
             self.at(5.0 + 50.0 * number / args.jobs, self.opening_job, number, args.tasks)
 
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -79,8 +79,8 @@
         self.declared = parse(parser, "bench")
         base.CLASSES, self.number = [], 0
         super().__init__(machines, 1.0, seed)
-        for node in self.nodes.values():
-            self.prepare(node)
+        for core in self.nodes.values():
+            self.prepare(core)
         slots, jobs = machines * 8, random.Random(seed)
         while slots * 1.5 > sum(spec.tasks for spec in self.specs.values()):
             tasks = min(40, max(4, slots // 40))
@@ -90,11 +90,11 @@
                 self.want(at, "soon", "high", max(1, round(slots * 0.02)), 4.0, 15.0, False)
             self.want(at, "soon", "high", max(1, machines // 10), 16.0, 15.0, False)
 
-    def prepare(self, node) -> None:
+    def prepare(self, core) -> None:
         if self.way != "without":
-            node.priorities = lambda now: [self.declared]
+            core.priorities = lambda now: [self.declared]
         if self.way == "naive":
-            node.rules = Naive([self.declared])
+            core.rules = Naive([self.declared])
 
     def come_back(self, label: str) -> None:
         super().come_back(label)
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -60,7 +60,7 @@
     items[:] = [item for item in items if item.nodeid not in red]
 
 
-def pytest(folder: Path, *args: str, quiet: bool = False) -> subprocess.CompletedProcess:
+def pytest(folder: Path, *args: str, is_quiet: bool = False) -> subprocess.CompletedProcess:
     path = os.pathsep.join(filter(None, [str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH")]))
     return subprocess.run(
         [sys.executable, "-m", "pytest", "-q", *args],
@@ -68,7 +68,7 @@
         text=True,
         check=False,
         env={**os.environ, "PYTHONPATH": path},
-        capture_output=quiet,
+        capture_output=is_quiet,
     )
 
 
@@ -76,14 +76,14 @@
     """Raises ``Wrong`` where the verdict is no."""
     reds = listed(folder)
     for red in reds:
-        shown = pytest(folder, "-n", "0", "--collect-only", red.test, quiet=True)
+        shown = pytest(folder, "-n", "0", "--collect-only", red.test, is_quiet=True)
         names = [line for line in shown.stdout.splitlines() if "::" in line and " " not in line.split("[")[0]]
         if shown.returncode or names != [red.test]:
             raise Wrong(f"{LIST}: {red.test} does not name one test")
     if pytest(folder, *(["-p", "known_red"] if reds else [])).returncode:
         raise Wrong("the suite fails")
     for red in reds:
-        status = pytest(folder, "-n", "0", red.test, quiet=True).returncode
+        status = pytest(folder, "-n", "0", red.test, is_quiet=True).returncode
         if not status:
             raise Wrong(f"{LIST}: {red.test} passes: its line has to go")
         if status != FAILED:
