--- a/alderbridge/allowances.py
+++ b/alderbridge/allowances.py
@@ -22,7 +22,7 @@
 _NONE: Amounts = (0.0, 0.0)
 
 
-class Allowances:
+class QuotaAllocator:
     """What each home was given of each team's limit under this view."""
 
     def __init__(self, teams: list[Team], spec_of: Callable[[str], JobSpec | None]) -> None:
--- a/alderbridge/claims/desk.py
+++ b/alderbridge/claims/desk.py
@@ -17,7 +17,7 @@
 from ..mesh import MachineTaskList, MachineTasks, QueueRow
 from ..placement import fits
 from ..policy import Kind
-from ..recovery import Knowledge
+from ..recovery import FleetKnowledge
 from ..wire import JobSpec
 from .budget import Budget, Limit
 from .choosing import Group, Held, Need, Victim
@@ -121,7 +121,7 @@
             if self.ledger.entries or self.ledger.stops:
                 self._tidy(now, wall, sources)
             self.wanted = []
-            if sources and not self.ledger.busy and self.leader.hold_back.knowledge is Knowledge.SQUARED:
+            if sources and not self.ledger.busy and self.leader.scale_in_guard.knowledge is FleetKnowledge.RECONCILED:
                 self.wanted = [(source, needs) for source in sources if (needs := source.look(self, now))]
             if self.wanted:
                 self.asked_at = now
@@ -135,7 +135,7 @@
     def _choose(self, now: float, wall: float, teams: Teams, most: int) -> None:
         kinds = {
             row.machine: Kind(row.type, row.zone, row.spot)
-            for room, _ in self.leader.rooms.values()
+            for room, _ in self.leader.machine_summaries.values()
             for row in room.rows
             if row.state == "up"
         }
@@ -192,7 +192,7 @@
 
     def _tidy(self, now: float, wall: float, sources: Sequence[Source]) -> None:
         ledger, replica = self.ledger, self.leader.replica
-        rooms = {row.machine: row for room, _ in self.leader.rooms.values() for row in room.rows}
+        rooms = {row.machine: row for room, _ in self.leader.machine_summaries.values() for row in room.rows}
         waiting = Counter({job: row.waiting + row.inherited for job, row in self.queue_rows(now).items()})
         reasons = {source.reason for source in sources}
         for machine, claim in ledger.all().items():
--- a/alderbridge/contact.py
+++ b/alderbridge/contact.py
@@ -37,7 +37,7 @@
     def __init__(self, label: str, acknowledged_at: float) -> None:
         self.label = label
         self.state = PeerState.ALIVE
-        self.heard_at: float | None = None  # its last frame under this mandate; None: the view has just arrived
+        self.last_frame_at: float | None = None  # its last frame under this mandate; None: the view has just arrived
         self.knows_view = False  # the view: a frame of it has arrived under this mandate
         self.acknowledged_at = acknowledged_at  # when the newest message that it has acknowledged was first sent
         self.suspected_peers: frozenset[str] = frozenset()  # whom it last called silent
@@ -45,7 +45,7 @@
     # -- changes of state, one method each ---------------------------------
 
     def mark_alive(self, now: float) -> None:
-        self.heard_at, self.knows_view = now, True
+        self.last_frame_at, self.knows_view = now, True
         if self.state is PeerState.SUSPECTED:
             self.state = PeerState.ALIVE
 
@@ -125,9 +125,9 @@
     def refresh(self, now: float) -> None:
         """Who has fallen silent, who is given up, and whether this member itself is out of contact."""
         for peer in self.peers.values():
-            if peer.heard_at is None:
-                peer.heard_at = now  # the view arrived no later than now
-            is_quiet = now - peer.heard_at
+            if peer.last_frame_at is None:
+                peer.last_frame_at = now  # the view arrived no later than now
+            is_quiet = now - peer.last_frame_at
             if not self.contact_timeout_s:
                 continue
             if peer.state is PeerState.ALIVE and is_quiet > self.contact_timeout_s - c.CONTACT_NOTICE_S:
@@ -148,7 +148,7 @@
             log.info("contact state=held after=%.1f s", now - self.contact_lost_at)
         near = now >= self.contact_until - c.CONTACT_WAIVE_S
         stuck = any(0 < len(by) < self.majority for by in self.failed_by.values())
-        whole = all(now - peer.heard_at < c.MESH_SILENCE_S for peer in self.peers.values())
+        whole = all(now - peer.last_frame_at < c.MESH_SILENCE_S for peer in self.peers.values())
         self.contact_lost_at = (now if self.contact_lost_at is None else self.contact_lost_at) if lost else None
         self.contact_ending_since = (
             (now if self.contact_ending_since is None else self.contact_ending_since) if near else None
@@ -165,7 +165,9 @@
 
     def is_isolated(self, now: float) -> bool:
         """Whether no majority, this member counted, was heard lately: the others may serve everybody without it."""
-        heard = sum(peer.heard_at is None or now - peer.heard_at < c.CONTACT_TTL_S for peer in self.peers.values())
+        heard = sum(
+            peer.last_frame_at is None or now - peer.last_frame_at < c.CONTACT_TTL_S for peer in self.peers.values()
+        )
         return 1 + heard < self.majority
 
     def is_alive(self, label: str) -> bool:
--- a/alderbridge/controller.py
+++ b/alderbridge/controller.py
@@ -19,7 +19,7 @@
 from .core import ControllerCore, WriteBatch
 from .declared import Declared
 from .jobs import JobState, Record
-from .leader import Decision
+from .leader import ScalingDecision
 from .machines import Machine
 from .net import Answer, Exchange, Reading, Server, TokenBucket, UnansweredError
 from .poll import Poll
@@ -71,7 +71,7 @@
         self.unanswered: dict[str, tuple[float, float]] = {}  # job -> since when nothing was answered here, when said
         self.cloud_rate_limit = TokenBucket(shared.cloud.rps * c.BUDGET_SHARE, shared.cloud.rps * c.BUDGET_SHARE, now())
         self.store_bad_until = 0.0
-        self.asking: set[Exchange] = set()  # with workers, for their acknowledgement
+        self.probes: set[Exchange] = set()  # with workers, for their acknowledgement
         self.work = curio.Event()  # set when there may be something to write, while ``writer_waits``
         self.writer_waits = False
         self.rent_names = 0
@@ -260,21 +260,21 @@
     async def ask_workers(self) -> None:
         """After a new view: ask for what the machines' next reports would say only seconds later."""
         await self.after()
-        for exchange in [one for one in self.asking if one.overdue(now(), c.ASK_WORKER_S)]:
+        for exchange in [one for one in self.probes if one.overdue(now(), c.ASK_WORKER_S)]:
             exchange.close()
         self.ask_more()
 
     def ask_more(self) -> None:
         while (
-            len(self.asking) < c.ASK_WORKERS
+            len(self.probes) < c.ASK_WORKERS
             and self.membership.may_act(now())
-            and (machine := self.core.machine_shard.next_to_ask(now())) is not None
+            and (machine := self.core.machine_shard.next_to_probe(now())) is not None
         ):
             self.ask_worker(self.membership.fencing_token, *machine)
 
     def ask_worker(self, fencing_token: int, name: str, worker: str, incarnation: int, again: bool = True) -> None:
         def done(answer: tuple[int, bytes] | None) -> None:
-            self.asking.discard(exchange)
+            self.probes.discard(exchange)
             try:
                 if answer is None:
                     raise wire.MalformedBodyError("no answer")
@@ -286,7 +286,7 @@
                     self.core.on_probe_answered(heartbeat, now())
             except wire.MalformedBodyError as error:
                 if fencing_token == self.membership.fencing_token:
-                    self.core.machine_shard.asking.unanswered(name, now())
+                    self.core.machine_shard.prober.unanswered(name, now())
                 log.debug("machine=%s state=not asked cause=%s", name, error)
             self.ask_more()
 
@@ -295,10 +295,10 @@
             reading = Reading(host, "POST", "/commands", wire.acknowledge_request(fencing_token, incarnation))
             exchange = Exchange(self.poll, host, port, reading, done)
         except (OSError, ValueError, h11.ProtocolError) as error:
-            self.core.machine_shard.asking.unanswered(name, now())
+            self.core.machine_shard.prober.unanswered(name, now())
             log.debug("machine=%s state=not asked cause=%s", name, error)
         else:
-            self.asking.add(exchange)
+            self.probes.add(exchange)
 
     async def keep_view(self) -> None:
         while True:
@@ -444,16 +444,16 @@
             if not page.has_next or not page.hosts:
                 break
             after = page.hosts[-1].id
-        known = self.core.machine_shard.returned
+        known = self.core.machine_shard.terminated
         self.core.leader.on_listing([host for host in hosts if host.id not in known], now())
 
-    async def carry_out(self, decision: Decision) -> bool:
+    async def carry_out(self, decision: ScalingDecision) -> bool:
         """True if a rental was refused in part or whole."""
         short = False
         self.core.drain_machines(decision.drain, now())
         await self.after()
         leader = self.core.leader
-        for kind, count in decision.rent:
+        for kind, count in decision.scale_out:
             if not self.membership.is_leader(now()) or not self.cloud_rate_limit.try_take(now()):
                 break
             self.rent_names += 1
@@ -463,7 +463,7 @@
                 log.info(
                     "rent type=%s zone=%s spot=%s asked=%d got=%d", kind.type, kind.zone, kind.spot, count, len(names)
                 )
-                leader.on_rented(kind, names, now())
+                leader.on_scaled_out(kind, names, now())
                 if len(names) < count:
                     short = True
                     leader.on_refused(kind, now())
@@ -471,8 +471,8 @@
                 log.info("rent type=%s zone=%s spot=%s state=refused", kind.type, kind.zone, kind.spot)
                 short = True
                 leader.on_refused(kind, now())
-        if decision.give_back and self.membership.is_leader(now()) and self.cloud_rate_limit.try_take(now()):
-            names = decision.give_back[:100]
+        if decision.terminate and self.membership.is_leader(now()) and self.cloud_rate_limit.try_take(now()):
+            names = decision.terminate[:100]
             await self.cloud.give_back(names)
             self.core.on_terminated(names, now())
             await self.after()
@@ -714,7 +714,7 @@
             return 200, wire.job_status_body(job, record.state.value, 0, 0), []
         if (
             record.spec is not None
-            and (record.spec.needs or record.more)
+            and (record.spec.needs or record.dependency_digest)
             and not self.core.is_certainly_pending(job, now())
         ):
             return later("not known here yet")  # a job before it may be aborted, and others may have told so
--- a/alderbridge/core.py
+++ b/alderbridge/core.py
@@ -64,7 +64,7 @@
     parts = [needs[at : at + each] for at in range(0, len(needs), each)]
     spec = msgspec.structs.replace(record.spec, needs=None)
     return (
-        msgspec.structs.replace(record, spec=spec, more=more),
+        msgspec.structs.replace(record, spec=spec, dependency_digest=more),
         dict(zip(list_keys(spec.id, more), parts, strict=True)),
     )
 
@@ -212,7 +212,7 @@
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
         needed = self.graph.needed_by(job.spec.id)
-        basis = (job.arrived, needed, guaranteed)  # all may change while it waits for room
+        basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
         if job.queue_times is None or job.queue_times[0] != basis:
             job.queue_times = (
                 basis,
@@ -221,14 +221,14 @@
                     self.tuning,
                     self.shared.objectives,
                     guaranteed,
-                    job.arrived - job.submitted,
-                    [by - self.wall_offset_s - job.arrived for by in needed],
+                    job.waiting_since - job.submitted,
+                    [by - self.wall_offset_s - job.waiting_since for by in needed],
                 ),
             )
             if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
                 floor = policy.max_queue_time(job.spec, self.tuning)
                 job.queue_times = basis, [(floor, floor)]
-        return policy.due_in(now - job.arrived, job.queue_times[1])
+        return policy.due_in(now - job.waiting_since, job.queue_times[1])
 
     def refresh_calendars(self) -> None:
         """Texts come into force with what arrives, and with time."""
@@ -334,14 +334,14 @@
     def dispatch(self, label: str, body: m.Message) -> None:
         match body:
             case m.MachineTaskReport():
-                self.job_shard.on_seen(label, body, self.now)
+                self.job_shard.on_task_report(label, body, self.now)
             case m.AcknowledgeFinished():
-                self.machine_shard.on_clear(body.machine, body.job, body.index, body.attempt)
+                self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
             case m.TaskRequest():
-                self.job_shard.on_take(label, body, self.now, self.may_act())
+                self.job_shard.on_task_request(label, body, self.now, self.may_act())
                 self.queue_publisher.delta_tracker.tell_again(label, body.job)
             case m.TaskGrant():
-                machine = self.machine_shard.on_grant(label, body, self.now)
+                machine = self.machine_shard.on_task_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
                     self.notifications.append(machine)
             case m.QueueSnapshot():
@@ -353,23 +353,23 @@
             case m.PeerStatus():
                 self.write_rate_limit.record_peer_rate(label, body.changes, self.now)
             case m.MachineSummaries():
-                self.leader.on_room(label, body, self.now)
+                self.leader.on_machine_summaries(label, body, self.now)
             case m.StopTask():
-                self.machine_shard.on_halt(body)
+                self.machine_shard.on_stop_task(body)
             case m.QuotaAllocation():
-                self.job_shard.allot(body.teams)
+                self.job_shard.allocate_quota(body.teams)
             case m.QuotaDelta():
-                self.job_shard.allot(body.teams, whole=False)
+                self.job_shard.allocate_quota(body.teams, whole=False)
             case m.DrainMachines():
                 self.machine_shard.drain(body.machines)
             case m.MachinesTerminated():
-                self.machine_records_to_drop += self.machine_shard.on_gone(body.machines)
+                self.machine_records_to_drop += self.machine_shard.on_terminated(body.machines)
             case m.ListMachineTasks():
                 sources = self.preemption_policies()
                 self.send_unreliable(
                     label,
                     m.MachineTaskList(
-                        self.machine_shard.task_rows(
+                        self.machine_shard.machine_tasks(
                             self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
                         ),
                         True,
@@ -432,7 +432,7 @@
         """Records of machines that have arrived, some of them gone again."""
         for name in names:
             if name in self.replica.machines and self.membership.machine_owner(name) == self.me:
-                self.machine_shard.on_shown(name)
+                self.machine_shard.on_record_observed(name)
 
     def adopt_late_record(self, name: str) -> None:
         """A job that this process stored under this view and does not serve: its submission was given up meanwhile.
@@ -453,7 +453,7 @@
         ):
             return
         job = Job(record, revision, self.now, max(0.0, self.now + self.wall_offset_s - record.at), fresh=True)
-        self.job_shard.join(job)
+        self.job_shard.add(job)
         self.apply_dependencies(job)
         log.info("job=%s state=taken in cause=stored after its submission was given up", name)
 
@@ -522,9 +522,9 @@
                     elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
                         # A write of its end had no answer, and was carried out: others may have told it. Taken for
                         # active until the view has settled, it was written so again, with the stamp of its end.
-                        job.end(record.state)
+                        job.apply_stored_end(record.state)
                         job.stored_state = record.state
-                        job.touch(now)
+                        job.mark_dirty(now)
                         self.notifications.append(name)
                     job.revision = max(job.revision, revision)
                     jobs[name] = job
@@ -544,7 +544,7 @@
         self.ledger.enter()
         self.preemption_planner.enter(members)
         self.machine_records_to_drop = [
-            name for name in self.machine_records_to_drop if name in self.machine_shard.returned
+            name for name in self.machine_records_to_drop if name in self.machine_shard.terminated
         ]
         self.drops_in_flight.clear()  # under an older view: carried out before this one, or never
         self.pump()
@@ -555,12 +555,12 @@
         """Whether the job waits, from when its times count, or whether it is doomed."""
         name = job.spec.id
         if self.graph.waiting(name):
-            job.wait()
+            job.block()
             if name in self.graph.doomed:
                 job.abort(self.now, "a job before it is aborted")
             return
         ready_at = max(job.ready_at, self.graph.ready_at(name))
-        job.release(min(self.now, ready_at - self.wall_offset_s) if ready_at else job.submitted, ready_at)
+        job.unblock(min(self.now, ready_at - self.wall_offset_s) if ready_at else job.submitted, ready_at)
 
     def process_dependency_events(self) -> None:
         """Facts of the store have arrived: who is ready now, who is doomed."""
@@ -627,16 +627,18 @@
                 batch.puts, batch.drops = batch.claims.puts, batch.claims.drops
                 self.write_rate_limit.spend(batch.changes, self.now)
                 return batch
-        if drops := self.machine_shard.drops_due(now):
+        if drops := self.machine_shard.due_record_drops(now):
             self.machine_records_to_drop = list(dict.fromkeys(self.machine_records_to_drop + drops))
-            self.machine_shard.to_drop = [name for name in self.machine_shard.to_drop if name not in drops]
+            self.machine_shard.records_to_drop = [
+                name for name in self.machine_shard.records_to_drop if name not in drops
+            ]
         due = sorted(self.job_shard.due_writes(now), key=lambda entry: entry[0])
         queue: list[Job | Submission] = [job for rank, job in due if rank < 2.0]
         if len(queue) + len(self.submissions) > room:
             self.write_rate_limit.is_short = True
             # Who has waited longest goes first. Ends before all submissions had users wait for as long as ends alone
             # took all the changes; and small jobs end as fast as they are taken.
-            waited = [(job.changed_at if job.changed_at is not None else now, job) for job in queue]
+            waited = [(job.dirty_since if job.dirty_since is not None else now, job) for job in queue]
             waited += [(one.job.submitted, one) for one in self.submissions.values()]
             queue = [entry for _, entry in sorted(waited, key=lambda entry: entry[0])]
         else:
@@ -655,7 +657,9 @@
             batch.conditions |= proposal.conditions
             self.write_rate_limit.spend(batch.changes, self.now)
             return batch
-        for name in [name for name in self.machine_shard.to_record if name not in self.machine_records_to_drop][:plain]:
+        for name in [name for name in self.machine_shard.records_to_write if name not in self.machine_records_to_drop][
+            :plain
+        ]:
             batch.machines.append(name)
             batch.conditions[MACHINES + name] = 0
             batch.puts[MACHINES + name] = self.machine_shard.machines[name].record
@@ -684,7 +688,7 @@
                     continue  # its record follows when they are stored
                 if any(self.is_cascade_aborted(need) for need in self.dependencies_of(job)):
                     job.abort(now, "it needs an aborted job")
-            record = job.record(self.job_shard.value_bytes, self.job_shard.may_end(job))
+            record = job.to_record(self.job_shard.value_bytes, self.job_shard.may_end(job))
             size += len(msgspec.json.encode(record)) + 100
             if size > c.MAX_BODY * 3 // 4 and batch.puts:
                 break
@@ -693,8 +697,8 @@
             if isinstance(entry, Submission):
                 batch.submissions.append((entry, record))
             else:
-                job.changed_at = None
-                batch.jobs.append((job, record, list(job.to_clear)))
+                job.dirty_since = None
+                batch.jobs.append((job, record, list(job.unacknowledged_results)))
         batch.dropped_machines = self.machine_records_to_drop[
             : len(batch.dropped_machines) + max(0, plain - batch.changes)
         ]
@@ -717,8 +721,8 @@
         return not (
             self.has_new_submission
             or self.job_shard.tally.changed
-            or self.machine_shard.to_record
-            or self.machine_shard.drops_due(self.now)
+            or self.machine_shard.records_to_write
+            or self.machine_shard.due_record_drops(self.now)
             or self.machine_records_to_drop
             or self.lists_to_drop
             or not self.ledger.idle
@@ -739,7 +743,7 @@
     def on_batch_failed(self, batch: WriteBatch, now: float) -> None:
         """Refused, in conflict, or without an answer: all of it is due again."""
         for job, _, _ in batch.jobs:
-            job.touch(now)
+            job.mark_dirty(now)
         self.lists_to_drop += batch.dropped_lists
         batch.dropped_lists = []  # once: a conflict that can't be read fails again
         if batch.proposal is not None:
@@ -784,7 +788,7 @@
             self._recorded(name, revision)
         for job, record, cleared in batch.jobs:
             if self.job_shard.jobs.get(job.spec.id) is job:
-                self.job_shard.written(job, record, revision, cleared, now)
+                self.job_shard.on_written(job, record, revision, cleared, now)
             self._stored(job, record, revision)
         for submission, key in batch.lists:
             self.replica.lists[key] = submission.lists.pop(key, [])
@@ -793,7 +797,7 @@
             job.revision = revision
             self.replica.saw_job(job.spec.id, record, revision)
             if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its home
-                self.job_shard.join(job)
+                self.job_shard.add(job)
                 self.apply_dependencies(job)
             self._decide_submission(submission, "accepted")
         self.process_dependency_events()
@@ -803,11 +807,11 @@
         self.replica.saw_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
             self.notifications.append(job.spec.id)
-        if job.more and not record.more:  # from here on nobody reads them
-            self.lists_to_drop += list_keys(job.spec.id, job.more)
-            job.more = ""
-        if job.drained and self.job_shard.jobs.get(job.spec.id) is job:
-            self.job_shard.leave(job)
+        if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
+            self.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
+            job.dependency_digest = ""
+        if job.is_complete and self.job_shard.jobs.get(job.spec.id) is job:
+            self.job_shard.remove(job)
 
     def _recorded(self, name: str, revision: int) -> None:
         """Under the view in force: what was written under an older one the replica had when that ended.
@@ -840,10 +844,10 @@
         tasks that no later view waited for (docs/incidents/record-shown-late.md). So only a newer put is an answer.
         """
         if name in self.drops_in_flight or not (
-            name in self.machine_shard.to_drop or name in self.machine_records_to_drop
+            name in self.machine_shard.records_to_drop or name in self.machine_records_to_drop
         ):
             return False
-        self.machine_shard.to_drop = [other for other in self.machine_shard.to_drop if other != name]
+        self.machine_shard.records_to_drop = [other for other in self.machine_shard.records_to_drop if other != name]
         self.machine_records_to_drop = [other for other in self.machine_records_to_drop if other != name]
         return True
 
@@ -877,7 +881,7 @@
                 ours = record.accepted_by == self.me and record.at == job.at and record.state is JobState.ACTIVE
                 if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
                     job.revision = row.revision  # an earlier write of ours had no answer
-                    self.job_shard.join(job)
+                    self.job_shard.add(job)
                     self.apply_dependencies(job)
                 self._decide_submission(submission, "known")
         for job, _, _ in batch.jobs:
@@ -885,9 +889,9 @@
                 # Only its home writes it under this view: an earlier write of ours.
                 job.revision = row.revision
                 if record.state is not JobState.ACTIVE:
-                    job.end(record.state)
-                    self.job_shard.written(job, record, row.revision, [], now)
-                    job.touch(now)
+                    job.apply_stored_end(record.state)
+                    self.job_shard.on_written(job, record, row.revision, [], now)
+                    job.mark_dirty(now)
                 self._stored(job, record, row.revision)
         self.process_dependency_events()
         self.pump()
@@ -925,7 +929,7 @@
 
     def dependencies_of(self, job: Job) -> list[str]:
         result = list(job.spec.needs or ())
-        for key in list_keys(job.spec.id, job.more):
+        for key in list_keys(job.spec.id, job.dependency_digest):
             result += self.replica.lists.get(key, ())
         return result
 
@@ -960,7 +964,7 @@
         self.now = now
         machine = self.machine_shard.on_heartbeat(heartbeat, now)
         self.pump()
-        if machine is not None and machine.acked:
+        if machine is not None and machine.acknowledged:
             self.execute_claim(machine)
             self.place_tasks(machine, now)
         return machine
@@ -969,7 +973,7 @@
         """What a machine of this part answered to an empty ``/commands`` under this view."""
         self.now = now
         if self.may_act():
-            self.machine_shard.on_asked(heartbeat, now)
+            self.machine_shard.on_probe_answer(heartbeat, now)
             self.pump()
 
     def place_tasks(self, machine: Machine, now: float) -> None:
@@ -1034,7 +1038,7 @@
             from .lending import Lender  # only here: start-up is charged
 
             self.lender = Lender(lendings, self.shared.teams, self.types, self.lender)
-        self.leader.lent = self.lender.serves_soon if self.lender is not None else _nothing_lent
+        self.leader.tasks_served_by_lending = self.lender.serves_soon if self.lender is not None else _nothing_lent
         if self.lender is not None:
             self.lender.types = self.types
             result.append(self.lender)
@@ -1044,10 +1048,10 @@
         """Halt the victims of its claim, in the answer to the report that has just come."""
         claim = self.ledger.claim_of(machine.name) if self.ledger.entries else None
         if claim is None:
-            if machine.claim_halts:
-                self.machine_shard.unclaim(machine)
+            if machine.claim_stops:
+                self.machine_shard.drop_claim(machine)
         elif self.now + self.wall_offset_s < claim.until:
-            self.machine_shard.claim(machine, claim.victims, claim.wind_down_s)
+            self.machine_shard.execute_claim(machine, claim.victims, claim.wind_down_s)
 
     def place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Ask for tasks of the job that a claim keeps room for; the machine with what is left for others."""
@@ -1097,7 +1101,7 @@
     def round(self, now: float) -> None:
         """What is due every fifth of a second."""
         self.now = now
-        self.machine_shard.listen(now, self.may_act())
+        self.machine_shard.set_answering(now, self.may_act())
         self.refresh_calendars()
         for label in list(self.deferred):
             self.flush_deferred(label)
@@ -1131,7 +1135,7 @@
 
     def refresh_machines(self, now: float) -> None:
         """Leases that have lapsed; what is known of room and offers may have changed."""
-        self.machine_shard.newest_until = self.membership.synced_at
+        self.machine_shard.no_newer_view_until = self.membership.synced_at
         if self.may_act():
             self.machine_shard.check_leases(now)
         self.busy = None
@@ -1142,7 +1146,7 @@
         used = self.job_shard.used(now)
         if now - self.guaranteed_at >= c.GUARANTEE_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
-        rows = self.job_shard.rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
+        rows = self.job_shard.queue_rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
         if self.calendars is not None and self.may_act():
             self.job_shard.stop_closed()
         return Snapshot(
@@ -1186,20 +1190,20 @@
         """The leader is told of this part's machines, once a second."""
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
-        self.send_unreliable(leader, m.MachineSummaries(self.machine_shard.room(now, self.run_time)))
+        self.send_unreliable(leader, m.MachineSummaries(self.machine_shard.summaries(now, self.run_time)))
         if self.ledger.entries and self.membership.all_support(c.DECLARED):
             self.send_unreliable(
-                leader, m.MachineTaskList(self.machine_shard.task_rows(now, self.ledger.entries, None), False)
+                leader, m.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False)
             )
 
     def send_quota_updates(self, now: float) -> None:
         """New allowances, in the form that all members read."""
         by_changes = self.membership.all_support(c.QUEUE_CHANGES)
-        for label, teams in self.leader.allots(now).items():
+        for label, teams in self.leader.quota_updates(now).items():
             if by_changes:
                 self.send(label, m.QuotaDelta(teams))
             else:
-                self.send(label, m.QuotaAllocation(dict(self.leader.allowances.given[label])))
+                self.send(label, m.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
 
     def jobs_within_guarantee(self) -> set[str]:
         """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs, on any home."""
@@ -1237,7 +1241,7 @@
     def on_terminated(self, names: list[str], now: float) -> None:
         """The cloud has confirmed a return: everybody is told."""
         self.now = now
-        self.leader.on_returned(names)
+        self.leader.on_terminated(names)
         for label in self.membership.view.members:
             self.send(label, m.MachinesTerminated(names))
         self.pump()
@@ -1310,6 +1314,6 @@
             return None
         if mine.stored_state is JobState.ACTIVE:
             mine.abort(now)
-            mine.urgent_end = True
+            mine.end_awaited = True
             return ""
         return mine.stored_state.value
--- a/alderbridge/hours/gate.py
+++ b/alderbridge/hours/gate.py
@@ -58,7 +58,7 @@
         wall, closed = self.clock(), set()
         waits: dict[tuple[float, float], list[Job]] = {}  # (opening, spread) -> jobs that get their turn anew
         for job in jobs:
-            if job.waits or not job.waiting:
+            if job.is_blocked or not job.waiting:
                 continue
             look = self.tables.look(job.spec, wall, self.skew_s)
             if look.rule is None and not job.opens_at and not job.opened_at:
@@ -84,7 +84,7 @@
                 if opening == job.opened_at or (not was_closed and look.opened_at == 0.0):
                     continue
                 if opening <= wall - now + job.ready_since:
-                    job.turn(opening, job.ready_since)  # it came while it was open
+                    job.start_turn(opening, job.ready_since)  # it came while it was open
                     continue
             spread = look.rule.spread_s if look.rule is not None else c.OPENING_SPREAD_S
             waits.setdefault((opening, spread), []).append(job)
@@ -106,7 +106,7 @@
         pace = max(total / spread_s, c.OPENING_PACE) if spread_s else math.inf
         before = 0
         for job in sorted(group, key=need):
-            job.turn(opening, max(since, job.ready_since) + before / pace)
+            job.start_turn(opening, max(since, job.ready_since) + before / pace)
             before += job.waiting
 
     @staticmethod
--- a/alderbridge/jobs.py
+++ b/alderbridge/jobs.py
@@ -3,7 +3,7 @@
 A task of an active job is in exactly one state:
 
 * WAITING: on no machine; it may be granted.
-* GRANTED, FETCHING, RUNNING, SAVING: on the machine of its ``Run``.
+* GRANTED, FETCHING, RUNNING, SAVING: on the machine of its ``TaskRun``.
 * UNKNOWN: inherited, at or below the recorded mark; it may be on any recorded
   machine until each has acknowledged the mandate or has provably lapsed.
 * DONE: completed.
@@ -36,7 +36,7 @@
     TaskRequest,
     TaskStatusReport,
 )
-from .recovery import Barrier, Known, Told, Verdict, verdict
+from .recovery import Action, Barrier, ObservedState, RecordedState, reconcile
 from .wire import JobSpec, MachineRecord
 
 log = logging.getLogger("jobs")
@@ -65,8 +65,10 @@
     "saving": TaskState.SAVING,
 }
 # by verdict: whether it clears, or halts
-_CLEARS = tuple(one in (Verdict.CLEAR, Verdict.FREE_CLEAR, Verdict.FAIL_CLEAR) for one in Verdict)
-_HALTS = tuple(one in (Verdict.HALT, Verdict.ADOPT_HALT, Verdict.PROGRESS_HALT) for one in Verdict)
+_ACKNOWLEDGES = tuple(
+    one in (Action.ACKNOWLEDGE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE) for one in Action
+)
+_STOPS = tuple(one in (Action.STOP, Action.ADOPT_AND_STOP, Action.PROGRESS_AND_STOP) for one in Action)
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -75,15 +77,17 @@
     state: JobState
     accepted_by: str = msgspec.field(name="home", default="")
     at: float = 0.0  # time of day of the submission
-    mark: int = 0  # tasks below this may have been started
+    start_limit: int = msgspec.field(name="mark", default=0)  # tasks below this may have been started
     done: list[tuple[int, int]] = []
     spec: JobSpec | None = None
-    more: str = ""  # lists of what it waits for beside this record, see ``replica.list_keys``
+    dependency_digest: str = msgspec.field(
+        name="more", default=""
+    )  # lists of what it waits for beside this record, see ``replica.list_keys``
     ready_at: float = 0.0  # time of day when the last job it needed was done; then its needs are left out
     done_at: float = 0.0  # time of day of its last task's end
 
 
-class Ranges:
+class IndexRanges:
     """A set of whole numbers as sorted half-open ranges."""
 
     def __init__(self, ranges: Iterable[tuple[int, int]] = ()) -> None:
@@ -119,7 +123,7 @@
         return sorted(kept)
 
 
-class Run(msgspec.Struct):
+class TaskRun(msgspec.Struct):
     """A task on a machine, or on its way there."""
 
     machine: str
@@ -138,43 +142,45 @@
         self.accepted_by = record.accepted_by
         self.at = record.at
         self.submitted = now - age_s
-        self.arrived = self.submitted  # from here its times count: what it needs was done, or it was submitted
+        self.waiting_since = self.submitted  # from here its times count: what it needs was done, or it was submitted
         self.ready_since = self.submitted  # as ``arrived``, but for the hours that it waited for
         self.opens_at = 0.0  # time of day until which its hours are closed; 0: open
         self.opened_at = 0.0  # time of day of the opening from which its times count; 0: none
-        self.waits = bool(record.spec.needs or record.more)  # until ``release``: what it needs is not all done
-        self.more = record.more
+        self.is_blocked = bool(
+            record.spec.needs or record.dependency_digest
+        )  # until ``release``: what it needs is not all done
+        self.dependency_digest = record.dependency_digest
         self.ready_at = record.ready_at
         self.state = record.state
         self.stored_state = record.state
         self.revision = revision
-        self.mark = record.mark  # as the store has it
-        self.mark_wanted = record.mark
-        self.done = Ranges(record.done)
-        self.unknown = set() if fresh else {i for i in range(record.mark) if i not in self.done}
-        self.next = 0 if fresh else record.mark  # from here on, nothing was ever granted
-        self.again: list[int] = []  # heap of tasks below ``next`` that wait
-        self.runs: dict[int, Run] = {}
-        self.on: dict[str, set[int]] = {}  # machine -> tasks whose run is there
-        self.tally: Tally | None = None  # of its home; None: no home serves it yet
+        self.start_limit = record.start_limit  # as the store has it
+        self.wanted_start_limit = record.start_limit
+        self.done = IndexRanges(record.done)
+        self.unknown = set() if fresh else {i for i in range(record.start_limit) if i not in self.done}
+        self.next_index = 0 if fresh else record.start_limit  # from here on, nothing was ever granted
+        self.requeued: list[int] = []  # heap of tasks below ``next`` that wait
+        self.runs: dict[int, TaskRun] = {}
+        self.tasks_by_machine: dict[str, set[int]] = {}  # machine -> tasks whose run is there
+        self.tally: UsageTally | None = None  # of its home; None: no home serves it yet
         self.queue_times: tuple[tuple, list[tuple[float, float]]] | None = None  # what they follow from, and they
-        self.number = 0  # in the order in which they came to their home
+        self.arrival_number = 0  # in the order in which they came to their home
         self.errors = 0
         self.paused_until = 0.0
-        self.granted_at = now  # when a task of it was granted last, or this home took it over
-        self.turn_left = 0  # tasks that it may still be granted out of turn
-        self.changed_at: float | None = None  # since when the record lags behind
+        self.last_grant_at = now  # when a task of it was granted last, or this home took it over
+        self.boosted_grants_left = 0  # tasks that it may still be granted out of turn
+        self.dirty_since: float | None = None  # since when the record lags behind
         self.ended_at = now
-        self.urgent_end = False  # a user waits to hear of its end
-        self.to_clear: dict[tuple[str, int, int], None] = {}  # told once the record is written
-        self.full = True  # the stored record still holds the spec
+        self.end_awaited = False  # a user waits to hear of its end
+        self.unacknowledged_results: dict[tuple[str, int, int], None] = {}  # told once the record is written
+        self.has_full_record = True  # the stored record still holds the spec
         self.last_write = now
         self.inherited = False  # another member may have been its home, and no view has settled since
-        self.begun = bool(record.done)  # a task of it was seen to run; said once in the log
+        self.has_started = bool(record.done)  # a task of it was seen to run; said once in the log
         if record.state is JobState.ACTIVE and self.done.count >= self.spec.tasks:
             # Its home was gone between the last result and the end, which an inherited job's home holds back until
             # the view has settled. Nothing is left to run, so no report would ever end it (incidents/former-life.md).
-            self.finished(now, "its record has all tasks")
+            self.complete(now, "its record has all tasks")
 
     # -- questions ---------------------------------------------------------
 
@@ -182,7 +188,7 @@
     def waiting(self) -> int:
         if self.state is not JobState.ACTIVE:
             return 0
-        return self.spec.tasks - self.next + len(self.again)
+        return self.spec.tasks - self.next_index + len(self.requeued)
 
     @property
     def on_machines(self) -> int:
@@ -193,8 +199,8 @@
         return sum(run.state is TaskState.RUNNING for run in self.runs.values())
 
     @property
-    def drained(self) -> bool:
-        return self.stored_state is not JobState.ACTIVE and not self.full and not self.to_clear
+    def is_complete(self) -> bool:
+        return self.stored_state is not JobState.ACTIVE and not self.has_full_record and not self.unacknowledged_results
 
     def state_of(self, index: int) -> TaskState:
         if index in self.done:
@@ -224,54 +230,54 @@
 
     # -- changes of state, one method each ---------------------------------
 
-    def grant(self, index: int, run: Run) -> None:
+    def grant(self, index: int, run: TaskRun) -> None:
         self.runs[index] = run
-        self.on.setdefault(run.machine, set()).add(index)
+        self.tasks_by_machine.setdefault(run.machine, set()).add(index)
         self._count(1)
 
-    def adopt(self, index: int, run: Run) -> None:
+    def adopt(self, index: int, run: TaskRun) -> None:
         """A report shows a task that was not known to be on a machine."""
         self._known(index)
-        self.next = max(self.next, index + 1)
+        self.next_index = max(self.next_index, index + 1)
         self._no_longer_waiting(index)
         self.grant(index, run)
-        if not self.begun and run.state is TaskState.RUNNING:
-            self.begin("a task of it runs already")
+        if not self.has_started and run.state is TaskState.RUNNING:
+            self.record_first_start("a task of it runs already")
 
     def progress(self, index: int, state: TaskState) -> None:
         self.runs[index].state = state
-        if not self.begun and state is TaskState.RUNNING:
-            self.begin("its first task runs")
+        if not self.has_started and state is TaskState.RUNNING:
+            self.record_first_start("its first task runs")
 
-    def begin(self, cause: str) -> None:
+    def record_first_start(self, cause: str) -> None:
         """What is measured, of large jobs above all: how long users waited for anything of it."""
-        self.begun = True
+        self.has_started = True
         log.info("job=%s state=begun cause=%s", self.spec.id, cause)
 
-    def free(self, index: int) -> None:
+    def requeue(self, index: int) -> None:
         """Proof that the task is on no machine: it waits again."""
-        self._leave(index)
+        self._remove_from_machine(index)
         if self.state is JobState.ACTIVE and index not in self.done:
-            heapq.heappush(self.again, index)
+            heapq.heappush(self.requeued, index)
 
-    def finish(self, index: int, now: float) -> None:
-        self._leave(index)
+    def finish_task(self, index: int, now: float) -> None:
+        self._remove_from_machine(index)
         if self.state is not JobState.ACTIVE:
             return
         self._no_longer_waiting(index)
-        if not self.begun:
-            self.begin("its first task ended before it was seen to run")
+        if not self.has_started:
+            self.record_first_start("its first task ended before it was seen to run")
         self.done.add(index)
         self.errors = 0
-        self.touch(now)
+        self.mark_dirty(now)
         if self.done.count >= self.spec.tasks:
-            self.finished(now, "last task")
+            self.complete(now, "last task")
 
-    def finished(self, now: float, cause: str) -> None:
+    def complete(self, now: float, cause: str) -> None:
         """All tasks are done."""
         self.state = JobState.DONE
         self.ended_at = now
-        self.touch(now)
+        self.mark_dirty(now)
         log.info("job=%s state=done cause=%s", self.spec.id, cause)
 
     def _count(self, change: int) -> None:
@@ -283,24 +289,24 @@
             self.unknown.remove(index)
             self._count(-1)
 
-    def _leave(self, index: int) -> None:
+    def _remove_from_machine(self, index: int) -> None:
         self._known(index)
         run = self.runs.pop(index, None)
         if run is not None:
             self._count(-1)
-            there = self.on[run.machine]
+            there = self.tasks_by_machine[run.machine]
             there.discard(index)
             if not there:
-                del self.on[run.machine]
+                del self.tasks_by_machine[run.machine]
 
     def _no_longer_waiting(self, index: int) -> None:
-        if index in self.again:
-            self.again.remove(index)
-            heapq.heapify(self.again)
+        if index in self.requeued:
+            self.requeued.remove(index)
+            heapq.heapify(self.requeued)
 
-    def fail(self, index: int, now: float) -> None:
+    def fail_task(self, index: int, now: float) -> None:
         """The task ended with an error: it waits, and the job pauses a little longer each time."""
-        self.free(index)
+        self.requeue(index)
         pause = min(c.ERROR_PAUSE_MAX_S, c.ERROR_PAUSE_S * 2 ** min(10, self.errors // max(1, self.spec.tasks)))
         self.errors += 1
         self.paused_until = max(self.paused_until, now + pause) if self.errors > c.FAULTY_ERRORS else 0.0
@@ -308,24 +314,24 @@
     def abort(self, now: float, cause: str = "withdrawn") -> None:
         if self.state is JobState.ACTIVE:
             self.state = JobState.ABORTED
-            self.again.clear()
-            self.touch(now)
+            self.requeued.clear()
+            self.mark_dirty(now)
             log.info("job=%s state=aborted cause=%s", self.spec.id, cause)
 
-    def wait(self) -> None:
+    def block(self) -> None:
         """A job that it needs is not done: nothing of it was ever started, and nothing may be."""
-        self.waits = True
+        self.is_blocked = True
 
-    def release(self, since: float, ready_at: float) -> None:
+    def unblock(self, since: float, ready_at: float) -> None:
         """All that it needs is done in the store, ``since`` then its times count."""
-        if self.waits:
+        if self.is_blocked:
             log.info(
                 "job=%s state=ready cause=all it needs is done, %.1f s after its submission",
                 self.spec.id,
                 since - self.submitted,
             )
-        self.waits = False
-        self.arrived = self.ready_since = max(self.submitted, since)
+        self.is_blocked = False
+        self.waiting_since = self.ready_since = max(self.submitted, since)
         self.ready_at, self.opened_at = ready_at, 0.0
 
     def close(self, opens_at: float) -> None:
@@ -335,52 +341,62 @@
     def reopen(self) -> None:
         self.opens_at = 0.0
 
-    def turn(self, opened_at: float, since: float) -> None:
+    def start_turn(self, opened_at: float, since: float) -> None:
         """Its times count from its turn ``since``, at or after the opening at that time of day."""
-        self.opened_at, self.arrived = opened_at, since
+        self.opened_at, self.waiting_since = opened_at, since
 
-    def end(self, state: JobState) -> None:
+    def apply_stored_end(self, state: JobState) -> None:
         """The store holds this end already."""
         self.state = state
-        self.again.clear()
+        self.requeued.clear()
 
-    def touch(self, now: float) -> None:
-        if self.changed_at is None:
-            self.changed_at = now
+    def mark_dirty(self, now: float) -> None:
+        if self.dirty_since is None:
+            self.dirty_since = now
         if self.tally is not None:
             self.tally.changed = True
             self.tally.lagging[self.spec.id] = self
 
-    def pick(self, now: float) -> int | None:
+    def next_task(self, now: float) -> int | None:
         """The next task to grant: lowest first, never beyond the stored mark."""
         if self.state is not JobState.ACTIVE or now < self.paused_until:
             return None
-        while self.again:
-            index = heapq.heappop(self.again)
+        while self.requeued:
+            index = heapq.heappop(self.requeued)
             if index not in self.done and index not in self.runs:
                 return index
-        while self.next < min(self.mark, self.spec.tasks):
-            self.next += 1
-            if self.state_of(self.next - 1) is TaskState.WAITING:
-                return self.next - 1
+        while self.next_index < min(self.start_limit, self.spec.tasks):
+            self.next_index += 1
+            if self.state_of(self.next_index - 1) is TaskState.WAITING:
+                return self.next_index - 1
         return None
 
     # -- the record --------------------------------------------------------
 
-    def record(self, value_bytes: int, may_end: bool = True) -> Record:
+    def to_record(self, value_bytes: int, may_end: bool = True) -> Record:
         state = self.state if may_end else self.stored_state
         done_at = round(self.at + self.ended_at - self.submitted, 3) if state is JobState.DONE else 0.0
         if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.unknown:
             return Record(self.state, done_at=done_at)
-        spec, more = self.spec, self.more
-        if not self.waits and (spec.needs or more):
-            spec, more = msgspec.structs.replace(spec, needs=None), ""  # all done, for ever
-        bare = Record(state, self.accepted_by, self.at, self.mark_wanted, [], spec, more, self.ready_at, done_at)
+        spec, dependency_digest = self.spec, self.dependency_digest
+        if not self.is_blocked and (spec.needs or dependency_digest):
+            spec, dependency_digest = msgspec.structs.replace(spec, needs=None), ""  # all done, for ever
+        bare = Record(
+            state,
+            self.accepted_by,
+            self.at,
+            self.wanted_start_limit,
+            [],
+            spec,
+            dependency_digest,
+            self.ready_at,
+            done_at,
+        )
         room = value_bytes - len(msgspec.json.encode(bare)) - 16
         return msgspec.structs.replace(bare, done=self.done.fitted(room))
 
 
-class Tally:
+class UsageTally:
     """What each team's tasks on machines take here, kept with each change of a task's state.
 
     ``JobShard.used`` counts anew each second, so that sums of floats stay exact to far below a task.
@@ -397,7 +413,7 @@
         self.teams[spec.team] = (cpus + tasks * spec.cpus, gpus + tasks * spec.gpus)
 
 
-class Usage:
+class QuotaUsage:
     """What each team's tasks take, here, against the leader's allowance."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
@@ -429,9 +445,9 @@
 
     def __init__(self, teams: Iterable[Team], send: Send, value_bytes: int) -> None:
         self.jobs: dict[str, Job] = {}
-        self.tally = Tally()
-        self.there: dict[str, set[str]] = {}  # machine -> jobs that have, or had, a run there
-        self.usage = Usage(teams)
+        self.tally = UsageTally()
+        self.jobs_by_machine: dict[str, set[str]] = {}  # machine -> jobs that have, or had, a run there
+        self.usage = QuotaUsage(teams)
         self.send = self.send_deferred = send  # (label, message) -> number of the message in its channel
         self.value_bytes = value_bytes
         self.machine_owner: Callable[[str], str] = lambda machine: ""
@@ -441,11 +457,13 @@
         self.allocations_received = 0
         self.settled = False  # every member acts under this view, or not at all
         self.due_at = 0.0  # see ``due_writes``
-        self.joined = 0  # jobs, ever
+        self.jobs_added = 0  # jobs, ever
         self.counted_at = -math.inf  # see ``used``
         self.calendars: Gate | None = None  # None: no hours are declared
         self.closed: set[str] = set()  # jobs that wait for their hours, and ask for nothing yet
-        self.stopping: set[tuple[str, int, int]] = set()  # tasks told to stop at closing, and not yet proven gone
+        self.stopping_at_closing: set[tuple[str, int, int]] = (
+            set()
+        )  # tasks told to stop at closing, and not yet proven gone
 
     # -- view and inheritance ----------------------------------------------
 
@@ -463,20 +481,20 @@
         self.attempts = 0
         for job in self.jobs.values():
             job.tally = None
-        self.jobs, self.tally, self.there = {}, Tally(), {}
+        self.jobs, self.tally, self.jobs_by_machine = {}, UsageTally(), {}
         self.counted_at = -math.inf
         for job in jobs.values():
-            self.join(job)
+            self.add(job)
         self.barrier = Barrier(machines)
         self.usage.allowed = {}
         self.allocations_received = 0
-        self.stopping = set()  # parts have forgotten what they were told
+        self.stopping_at_closing = set()  # parts have forgotten what they were told
         for job in jobs.values():
             for index, run in list(job.runs.items()):
                 run.seq = 0
                 if run.machine not in machines:
-                    job.free(index)
-        self._lift()
+                    job.requeue(index)
+        self._release_inherited()
 
     def settle(self) -> None:
         """Each member acts under this view or not at all: no earlier home answers for a job of this one any more.
@@ -488,36 +506,36 @@
         for job in self.jobs.values():
             job.inherited = False
 
-    def join(self, job: Job) -> None:
+    def add(self, job: Job) -> None:
         """This home serves the job from here on."""
         self.jobs[job.spec.id] = job
-        self.joined += 1
-        job.tally, job.number = self.tally, self.joined
+        self.jobs_added += 1
+        job.tally, job.arrival_number = self.tally, self.jobs_added
         self.tally.lagging[job.spec.id] = job  # until the next look
         self.tally.add(job.spec, job.on_machines)
-        for machine in job.on:
-            self.there.setdefault(machine, set()).add(job.spec.id)
+        for machine in job.tasks_by_machine:
+            self.jobs_by_machine.setdefault(machine, set()).add(job.spec.id)
 
-    def leave(self, job: Job) -> None:
+    def remove(self, job: Job) -> None:
         """Nothing of the job is left to do."""
         del self.jobs[job.spec.id]
         self.tally.lagging.pop(job.spec.id, None)
         self.tally.add(job.spec, -job.on_machines)
         job.tally = None
 
-    def _lift(self) -> None:
+    def _release_inherited(self) -> None:
         """Inherited tasks of the jobs that no machine behind the barrier may hold are free."""
         for job in self.jobs.values():
-            if job.unknown and not self.barrier.holds(job.spec):
+            if job.unknown and not self.barrier.may_hold(job.spec):
                 for index in list(job.unknown):
-                    job.free(index)
+                    job.requeue(index)
 
     def used(self, now: float = math.inf) -> dict[str, tuple[float, float]]:
         """Per team, what its tasks on machines take; counted anew from time to time, else as kept since."""
         if now - self.counted_at < c.LEADER_ROUND_S:
             return dict(self.tally.teams)
         self.counted_at = now
-        counted = Tally()
+        counted = UsageTally()
         for job in self.jobs.values():
             if job.runs or job.unknown:
                 counted.add(job.spec, job.on_machines)
@@ -535,17 +553,17 @@
 
     def demand(self, used: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
         """Per team with a limit, what all its tasks here would take."""
-        result = Tally()
+        result = UsageTally()
         bound = self.usage.bound
         for job in self.jobs.values():
             # What waits for other jobs holds nothing of the limit, and nothing of it is on a machine. What waits for
             # its hours asks for nothing either; what of it still runs is in ``used``.
             if (
                 job.state is JobState.ACTIVE
-                and not job.waits
+                and not job.is_blocked
                 and job.spec.team in bound
                 and job.spec.id not in self.closed
-                and (count := job.spec.tasks - job.next + len(job.again))
+                and (count := job.spec.tasks - job.next_index + len(job.requeued))
             ):
                 result.add(job.spec, count)
         for team, (cpus, gpus) in used.items():
@@ -554,7 +572,7 @@
                 result.teams[team] = (cpus + waiting[0], gpus + waiting[1])
         return result.teams
 
-    def allot(self, teams: dict[str, tuple[float, float]], whole: bool = True) -> None:
+    def allocate_quota(self, teams: dict[str, tuple[float, float]], whole: bool = True) -> None:
         """An allowance of the leader: of all teams, or of those for which it differs from the last."""
         allowed = teams if whole else self.usage.allowed | teams
         self.usage.allowed = {team: amounts for team, amounts in allowed.items() if amounts != (0.0, 0.0)}
@@ -562,7 +580,7 @@
 
     # -- queue and grants --------------------------------------------------
 
-    def rows(
+    def queue_rows(
         self,
         now: float,
         due_in: Callable[[Job, float, bool], tuple[float, bool]],
@@ -575,7 +593,7 @@
         if self.calendars is not None:
             self.closed = self.calendars.turns(self.jobs.values(), now)
         for job in self.jobs.values():
-            if job.waits or job.state is not JobState.ACTIVE or now < job.paused_until:
+            if job.is_blocked or job.state is not JobState.ACTIVE or now < job.paused_until:
                 continue
             spec, waiting, inherited = job.spec, job.waiting, len(job.unknown)
             if not (waiting or inherited):
@@ -584,14 +602,14 @@
                 continue
             fits, zone = job.allowed_zone()
             offer = min(waiting, self.usage.room(spec.team, used.get(spec.team, (0.0, 0.0)), spec))
-            ready = len(job.again) + max(0, min(job.mark, spec.tasks) - job.next)
+            ready = len(job.requeued) + max(0, min(job.start_limit, spec.tasks) - job.next_index)
             if ready < offer:
-                self.want_mark(job, offer, now)
+                self.raise_start_limit(job, offer, now)
                 offer = ready
             guaranteed = spec.id in guaranteed_jobs
             due, late = due_in(job, now, guaranteed)
             # Before its turn nothing of it is on offer. A slot that is kept for it is taken until its run ends.
-            ahead = max(0.0, job.arrived - now)
+            ahead = max(0.0, job.waiting_since - now)
             offer, turn = self._priority_boost(job, now, offer if fits and ahead <= 0 else 0, late)
             rows.append(
                 QueueRow(
@@ -601,7 +619,7 @@
                     due,
                     run_time(spec) + ahead,
                     zone,
-                    now - job.arrived,
+                    now - job.waiting_since,
                     late,
                     guaranteed,
                     rank(spec),
@@ -619,40 +637,45 @@
         A large job takes longer to start, so it is late sooner, and behind all that comes in time for as long as
         that fills the fleet: 25 of 300 tasks waited until the stream of small jobs ended (tests/test_flapping.py).
         """
-        if offer and not job.begun and job.waiting == job.spec.tasks and now - job.arrived >= c.BEGIN_TURN_S:
+        if (
+            offer
+            and not job.has_started
+            and job.waiting == job.spec.tasks
+            and now - job.waiting_since >= c.BEGIN_TURN_S
+        ):
             return offer if job.spec.gang else 1, 2
-        if offer and late and now - job.granted_at >= c.LATE_TURN_S and not job.turn_left:
-            job.turn_left = max(1, job.spec.tasks // c.LATE_SHARE)
-        return (min(offer, job.turn_left), 1) if offer and job.turn_left else (offer, 0)
+        if offer and late and now - job.last_grant_at >= c.LATE_TURN_S and not job.boosted_grants_left:
+            job.boosted_grants_left = max(1, job.spec.tasks // c.LATE_SHARE)
+        return (min(offer, job.boosted_grants_left), 1) if offer and job.boosted_grants_left else (offer, 0)
 
-    def want_mark(self, job: Job, count: int, now: float) -> None:
-        mark = min(job.spec.tasks, job.next + count + c.MARK_AHEAD)
-        if mark > job.mark_wanted:
-            job.mark_wanted = mark
-            job.touch(now)
+    def raise_start_limit(self, job: Job, count: int, now: float) -> None:
+        mark = min(job.spec.tasks, job.next_index + count + c.MARK_AHEAD)
+        if mark > job.wanted_start_limit:
+            job.wanted_start_limit = mark
+            job.mark_dirty(now)
 
-    def on_take(self, label: str, take: TaskRequest, now: float, entitled: bool) -> None:
+    def on_task_request(self, label: str, take: TaskRequest, now: float, entitled: bool) -> None:
         job = self.jobs.get(take.job)
         tasks: list[tuple[int, int]] = []
         # Asked for some moments ago: its hours may have closed since.
         shut = job is not None and self.calendars is not None and not self.calendars.may_start(job.spec)
-        if job is not None and entitled and not job.waits and not shut:
+        if job is not None and entitled and not job.is_blocked and not shut:
             count = min(take.count, job.room_in(take.zone), self._team_room(job))
             runs = []
             while len(tasks) < count:
-                index = job.pick(now)
+                index = job.next_task(now)
                 if index is None:
                     break
                 attempt = self._attempt(job)
-                run = Run(take.machine, take.zone, attempt, 0, TaskState.GRANTED, now)
+                run = TaskRun(take.machine, take.zone, attempt, 0, TaskState.GRANTED, now)
                 job.grant(index, run)
-                self.there.setdefault(run.machine, set()).add(job.spec.id)
+                self.jobs_by_machine.setdefault(run.machine, set()).add(job.spec.id)
                 runs.append(run)
                 log.debug("task=%s/%d state=granted machine=%s", job.spec.id, index, take.machine)
                 tasks.append((index, attempt))
             seq = self.send(label, TaskGrant(take.request_id, take.job, take.machine, tasks))
             if runs:
-                job.granted_at, job.turn_left = now, max(0, job.turn_left - len(runs))
+                job.last_grant_at, job.boosted_grants_left = now, max(0, job.boosted_grants_left - len(runs))
             for run in runs:
                 run.seq = seq
             return
@@ -672,7 +695,7 @@
 
     # -- reports -----------------------------------------------------------
 
-    def on_seen(self, label: str, seen: MachineTaskReport, now: float) -> None:
+    def on_task_report(self, label: str, seen: MachineTaskReport, now: float) -> None:
         """A part's proof of what is, and what is not, on one machine."""
         present = set()
         jobs, machine = self.jobs, seen.machine
@@ -691,94 +714,107 @@
                 ):
                     job.progress(index, state)  # what nearly all tell: live, and known HERE; see the table
                     continue
-            self._seen_task(label, seen, task, now)
+            self._apply_task_report(label, seen, task, now)
         for name, index, attempt in seen.pending:
             present.add((name, index))
             job = self.jobs.get(name)
             if job is not None and index not in job.runs:  # ordered under an older view, by a part that went on
-                self._conclude(
-                    label, seen, TaskStatusReport(name, index, attempt, "granted", None), job, Told.HELD, now
+                self._apply_action(
+                    label,
+                    seen,
+                    TaskStatusReport(name, index, attempt, "granted", None),
+                    job,
+                    ObservedState.ORDERED,
+                    now,
                 )
-        here = self.there.get(machine)
+        here = self.jobs_by_machine.get(machine)
         for name in list(here or ()):
             job = jobs.get(name)
-            there = job.on.get(machine) if job is not None else None
+            there = job.tasks_by_machine.get(machine) if job is not None else None
             if there is None:
                 here.discard(name)
                 continue
             for index in [*there]:
                 if (name, index) not in present and job.runs[index].seq <= seen.processed_seq:
-                    job.free(index)
+                    job.requeue(index)
         if here is not None and not here:
-            del self.there[machine]
-        if self.barrier.strike(seen.machine):
+            del self.jobs_by_machine[machine]
+        if self.barrier.remove(seen.machine):
             if not self.barrier:
                 log.info("barrier state=lifted mandate=%d", self.fencing_token)
-            self._lift()
+            self._release_inherited()
 
-    def _seen_task(self, label: str, seen: MachineTaskReport, task: TaskStatusReport, now: float) -> None:
+    def _apply_task_report(self, label: str, seen: MachineTaskReport, task: TaskStatusReport, now: float) -> None:
         job = self.jobs.get(task.job)
         if task.status != "ended":
-            told = Told.LIVE
+            told = ObservedState.LIVE
         elif task.cause == "done" and (job is None or not job.spec.service):
-            told = Told.DONE
+            told = ObservedState.DONE
         else:
-            told = Told.ERROR if task.cause == "error" else Told.STOPPED
-        self._conclude(label, seen, task, job, told, now)
+            told = ObservedState.ERROR if task.cause == "error" else ObservedState.STOPPED
+        self._apply_action(label, seen, task, job, told, now)
 
     @staticmethod
-    def known(job: Job | None, index: int, machine: str, attempt: int) -> Known:
+    def recorded_state(job: Job | None, index: int, machine: str, attempt: int) -> RecordedState:
         """What is known here of a task, as the table of squaring asks for one attempt on one machine."""
         if job is None:
-            return Known.STRANGER
+            return RecordedState.UNKNOWN_JOB
         run = job.runs.get(index)
         if run is not None:
             if run.machine != machine:
-                return Known.ELSEWHERE
+                return RecordedState.ELSEWHERE
             if run.attempt != attempt:
-                return Known.OTHER_TRY
-            return Known.HERE if job.state is JobState.ACTIVE else Known.OVER_HERE
+                return RecordedState.OTHER_ATTEMPT
+            return RecordedState.HERE if job.state is JobState.ACTIVE else RecordedState.JOB_ENDED_HERE
         if index in job.done:
             # While a transaction is under way nothing lags; what it is to tell the store is still to be cleared.
-            on_its_way = job.changed_at is not None or bool(job.to_clear) or job.state is not job.stored_state
-            return Known.COUNTED if on_its_way else Known.DONE
+            on_its_way = (
+                job.dirty_since is not None or bool(job.unacknowledged_results) or job.state is not job.stored_state
+            )
+            return RecordedState.RESULT_UNSTORED if on_its_way else RecordedState.RESULT_STORED
         if job.state is not JobState.ACTIVE:
-            return Known.OVER
-        return Known.POSSIBLE if index in job.unknown else Known.WAITING
+            return RecordedState.JOB_ENDED
+        return RecordedState.POSSIBLY_HERE if index in job.unknown else RecordedState.WAITING
 
-    def _conclude(
-        self, label: str, seen: MachineTaskReport, task: TaskStatusReport, job: Job | None, told: Told, now: float
+    def _apply_action(
+        self,
+        label: str,
+        seen: MachineTaskReport,
+        task: TaskStatusReport,
+        job: Job | None,
+        told: ObservedState,
+        now: float,
     ) -> None:
         """What the table says of the task on that machine, done."""
-        what = verdict(self.known(job, task.index, seen.machine, task.attempt), told)
+        what = reconcile(self.recorded_state(job, task.index, seen.machine, task.attempt), told)
         index, attempt = task.index, task.attempt
         if job is not None:
-            if what is Verdict.PROGRESS or what is Verdict.PROGRESS_HALT:
+            if what is Action.PROGRESS or what is Action.PROGRESS_AND_STOP:
                 job.progress(index, _LIVE.get(task.status, TaskState.RUNNING))
-            elif what is Verdict.ADOPT or what is Verdict.ADOPT_HALT:
+            elif what is Action.ADOPT or what is Action.ADOPT_AND_STOP:
                 job.adopt(index, self._run(seen, task, now))
-                self.there.setdefault(seen.machine, set()).add(task.job)
-            elif what is Verdict.FINISH:
+                self.jobs_by_machine.setdefault(seen.machine, set()).add(task.job)
+            elif what is Action.FINISH:
                 # Cleared only when the store holds the result.
-                job.finish(index, now)
-                job.to_clear[(seen.machine, index, attempt)] = None
-            elif what is Verdict.FAIL_CLEAR:
-                job.fail(index, now)
-            elif what is Verdict.FREE_CLEAR:
-                job.free(index)
-        if _CLEARS[what]:
+                job.finish_task(index, now)
+                job.unacknowledged_results[(seen.machine, index, attempt)] = None
+            elif what is Action.FAIL_AND_ACKNOWLEDGE:
+                job.fail_task(index, now)
+            elif what is Action.REQUEUE_AND_ACKNOWLEDGE:
+                job.requeue(index)
+        if _ACKNOWLEDGES[what]:
             self.send(label, AcknowledgeFinished(seen.machine, task.job, index, attempt))
-        elif _HALTS[what]:
+        elif _STOPS[what]:
             self.send(label, StopTask(seen.machine, task.job, index, attempt, 0.0))
 
     @staticmethod
-    def _run(seen: MachineTaskReport, task: TaskStatusReport, now: float) -> Run:
+    def _run(seen: MachineTaskReport, task: TaskStatusReport, now: float) -> TaskRun:
         state = TaskState.GRANTED if task.status == "granted" else _LIVE.get(task.status, TaskState.RUNNING)
-        return Run(seen.machine, seen.zone, task.attempt, 0, state, now)
+        return TaskRun(seen.machine, seen.zone, task.attempt, 0, state, now)
 
     # -- users -------------------------------------------------------------
 
-    def halt_all(self, job: Job) -> None:
+    def stop_all(self, job: Job) -> None:
         """The store holds the withdrawal: stop what runs."""
         for index, run in job.runs.items():
             self.send(self.machine_owner(run.machine), StopTask(run.machine, job.spec.id, index, run.attempt, 0.0))
@@ -793,12 +829,12 @@
             for index, run in job.runs.items():
                 key = (job.spec.id, index, run.attempt)
                 kept.add(key)
-                if key not in self.stopping:
+                if key not in self.stopping_at_closing:
                     fresh += 1
                     self.send(self.machine_owner(run.machine), StopTask(run.machine, *key, job.spec.save_s))
             if fresh:
                 log.info("job=%s state=stopping cause=closing tasks=%d", job.spec.id, fresh)
-        self.stopping = kept
+        self.stopping_at_closing = kept
 
     # -- records -----------------------------------------------------------
 
@@ -814,38 +850,40 @@
         self.tally.changed = False
         self.due_at = math.inf
         lagging = self.tally.lagging
-        for job in sorted(lagging.values(), key=lambda job: job.number):
-            if job.full and job.stored_state is not JobState.ACTIVE and not job.on_machines:
+        for job in sorted(lagging.values(), key=lambda job: job.arrival_number):
+            if job.has_full_record and job.stored_state is not JobState.ACTIVE and not job.on_machines:
                 yield (3.0, job)  # nothing of it is left: its record shrinks
-            elif job.changed_at is not None:
+            elif job.dirty_since is not None:
                 if job.state is not job.stored_state and self.may_end(job):
                     # Nobody waits for the end of a job that one before it took along: it goes behind submissions.
-                    yield (2.0 if job.waits and not job.urgent_end else 0.0, job)
-                elif job.mark_wanted > job.mark:
+                    yield (2.0 if job.is_blocked and not job.end_awaited else 0.0, job)
+                elif job.wanted_start_limit > job.start_limit:
                     yield (1.0, job)
                 elif now - job.last_write >= c.PROGRESS_S:
                     yield (2.0 + job.last_write * 1e-9, job)
                 else:
                     self.due_at = min(self.due_at, job.last_write + c.PROGRESS_S)
-            elif not job.full or job.stored_state is JobState.ACTIVE:
+            elif not job.has_full_record or job.stored_state is JobState.ACTIVE:
                 del lagging[job.spec.id]  # the next change puts it back
 
-    def written(self, job: Job, record: Record, revision: int, cleared: list[tuple[str, int, int]], now: float) -> None:
+    def on_written(
+        self, job: Job, record: Record, revision: int, cleared: list[tuple[str, int, int]], now: float
+    ) -> None:
         """The store holds ``record``, which counts the results in ``cleared``."""
         job.revision = revision
         job.last_write = now
-        job.mark = max(job.mark, record.mark)
+        job.start_limit = max(job.start_limit, record.start_limit)
         if record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
             job.stored_state = record.state
             if record.state is JobState.ABORTED:
-                self.halt_all(job)
-        job.full = record.spec is not None
+                self.stop_all(job)
+        job.has_full_record = record.spec is not None
         for key in cleared:
             machine, index, attempt = key
-            job.to_clear.pop(key, None)
+            job.unacknowledged_results.pop(key, None)
             self.send_deferred(self.machine_owner(machine), AcknowledgeFinished(machine, job.spec.id, index, attempt))
-        job.changed_at = now if job.to_clear or job.state is not job.stored_state else None
-        if job.changed_at is not None or job.stored_state is not JobState.ACTIVE:
+        job.dirty_since = now if job.unacknowledged_results or job.state is not job.stored_state else None
+        if job.dirty_since is not None or job.stored_state is not JobState.ACTIVE:
             self.tally.lagging[job.spec.id] = job
-        if job.mark_wanted > job.mark:
-            job.touch(now)
+        if job.wanted_start_limit > job.start_limit:
+            job.mark_dirty(now)
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -74,7 +74,7 @@
         self.peaks = Reserve()
         self.used: Counter[str] = Counter()  # GPUs of each team's replicas, at the last look
         self.since: dict[str, float] = {}  # job -> since when it has a need
-        self.lent: Counter[str] = Counter()  # job -> waiting replicas that no machine is rented for
+        self.tasks_served_by_lending: Counter[str] = Counter()  # job -> waiting replicas that no machine is rented for
         self.held: dict[str, Claim] = {}  # of this reason, at the last look
         self.specs: dict[str, JobSpec | None] = {}  # of their victims' jobs
         if before is not None:
@@ -275,7 +275,7 @@
         services = self.services(desk, now)
         self.used = self.use(services)
         self.peaks.see(self.wish(services), now)
-        self.lent = Counter(
+        self.tasks_served_by_lending = Counter(
             {job: count for job, count in promised.items() if any(claim.job == job for claim in self.held.values())}
         )
         if not any(one.waiting for one in services):
@@ -292,14 +292,14 @@
         self.since = {need.spec.id: self.since.get(need.spec.id, now) for need in needs}
         for need in needs:
             if now - self.since[need.spec.id] < c.LEND_FIRST_S:
-                self.lent[need.spec.id] += need.count
+                self.tasks_served_by_lending[need.spec.id] += need.count
         return needs
 
     def serves_soon(self, row: QueueRow, spec: JobSpec) -> int:
         """Waiting tasks that no machine is rented for now: what just came is looked at within a second."""
         if not self.serves(spec):
             return 0
-        return self.lent.get(row.job, row.waiting if row.waited_s < c.LEND_FIRST_S else 0)
+        return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < c.LEND_FIRST_S else 0)
 
     def _gpu_type(self, kind: Kind) -> bool:
         known = self.types.get(kind.type)
@@ -319,7 +319,7 @@
             if (spec := record.spec) is not None and self.serves(spec)
         }
         machines = []
-        for room, _ in desk.leader.rooms.values():
+        for room, _ in desk.leader.machine_summaries.values():
             for row in room.rows:
                 if row.state == "up" and row.free[2] > 0 and desk.ledger.claim_of(row.machine) is None:
                     site = self._site(row.machine)
--- a/alderbridge/machines.py
+++ b/alderbridge/machines.py
@@ -26,7 +26,7 @@
 from .hours.gate import Gate
 from .mesh import MachineSummary, MachineTaskReport, MachineTasks, StopTask, TaskGrant, TaskStatusReport
 from .placement import Candidate
-from .recovery import Asking, Squaring
+from .recovery import HeartbeatProber, ReconciliationProgress
 from .wire import (
     Heartbeat,
     JobSpec,
@@ -40,27 +40,27 @@
 
 log = logging.getLogger("machines")
 
-Task = tuple[str, int]  # job, index
+TaskKey = tuple[str, int]  # job, index
 Load = tuple[float, float, float, float]  # Expected Run Time, cpus, memory, gpus
-_key = functools.lru_cache(c.TASK_KEYS)(split_task_id)  # the same tasks are reported again and again
+_task_key = functools.lru_cache(c.TASK_KEYS)(split_task_id)  # the same tasks are reported again and again
 
 
 class MachineState(str, Enum):
     EXPECTED = "expected"
     UP = "up"
     DRAINING = "draining"
-    LAPSED = "lapsed"
-    GONE = "gone"
+    EXPIRED = "lapsed"
+    TERMINATED = "gone"
 
 
-class OnMachine(msgspec.Struct, frozen=True):
+class ObservedTask(msgspec.Struct, frozen=True):
     """A task as a machine last reported it."""
 
     attempt: int
     status: str
     cause: str | None
     since: float
-    seen: TaskStatusReport  # what homes are told of it
+    report: TaskStatusReport = msgspec.field(name="seen")  # what homes are told of it
 
 
 class Pending(msgspec.Struct):
@@ -77,62 +77,62 @@
         self.type = self.zone = self.address = ""
         self.spot = False
         self.recorded = False  # the store holds its record; no ``run`` before that
-        self.shown = False  # the replica has it; who wrote it, and what else is on its way, is not known yet
-        self.acked = False  # a report of it has borne this view's mandate
+        self.seen_in_replica = False  # the replica has it; who wrote it, and what else is on its way, is not known yet
+        self.acknowledged = False  # a report of it has borne this view's mandate
         # All that may be on it is known from the view before, in which this same process had it: ``tasks``, and
         # what was ordered and not yet seen in a report.
-        self.carried = False
-        self.ordered: dict[Task, int] = {}  # of a carried machine: task -> attempt
-        self.watched_at = now  # what ran here when this process first heard of it ran for longer than is known
-        self.claim_halts: dict[Task, tuple[int, float]] = {}  # of ``halts``, those for the machine's claim
-        self.heard_at = now  # receipt of the newest report, or the view's start
+        self.carried_over = False
+        self.ordered_before: dict[TaskKey, int] = {}  # of a carried machine: task -> attempt
+        self.observed_since = now  # what ran here when this process first heard of it ran for longer than is known
+        self.claim_stops: dict[TaskKey, tuple[int, float]] = {}  # of ``halts``, those for the machine's claim
+        self.last_heartbeat_at = now  # receipt of the newest report, or the view's start
         # What reports with an older mandate leave open of its lease: renewed at this moment, or by an answer whose
         # mandate was at least that. Later reports bear the mandate of an answer that was accepted.
-        self.renewed_at, self.renewed_by = now, 0
-        self.news = (0, 0)  # (tenure, counter) of the newest report
+        self.lease_renewed_at, self.lease_renewed_token = now, 0
+        self.last_sequence = (0, 0)  # (tenure, counter) of the newest report
         # Since when only this process could have answered its reports; None: not yet.
-        self.sole_since: float | None = None
+        self.exclusive_since: float | None = None
         self.free: placement.Room | None = None  # what is free, until something changes here
         # of each task: since when it runs or None, Expected Run Time, cpus, memory, gpus; as ``free``, until a change
         self.busy: list[tuple[float | None, float, float, float, float]] | None = None
-        self.tasks: dict[Task, OnMachine] = {}
-        self.pending: dict[Task, Pending] = {}
+        self.tasks: dict[TaskKey, ObservedTask] = {}
+        self.pending: dict[TaskKey, Pending] = {}
         self.reserved: dict[int, tuple[str, int]] = {}  # take -> job, count
-        self.halts: dict[Task, tuple[int, float]] = {}
-        self.clears: set[tuple[str, int, int]] = set()
-        self.clears_since = now  # since when the oldest of them may have waited unsent
-        self.told: dict[str, tuple[list, list]] = {}  # home -> what it was last told
-        self.owed: set[str] = set()  # homes whose grants came since
+        self.stop_orders: dict[TaskKey, tuple[int, float]] = {}
+        self.acknowledgements: set[tuple[str, int, int]] = set()
+        self.acknowledgements_since = now  # since when the oldest of them may have waited unsent
+        self.last_reports: dict[str, tuple[list, list]] = {}  # home -> what it was last told
+        self.owed_reports: set[str] = set()  # homes whose grants came since
         self.images: OrderedDict[str, float] = OrderedDict()
         self.idle_since: float | None = now
         self.errors: list[str] = []  # jobs of the errors in a row
-        self.aside_until = 0.0
+        self.quarantined_until = 0.0
 
     # -- changes of state, one method each ---------------------------------
 
     def acknowledge(self) -> None:
-        self.acked = True
+        self.acknowledged = True
         if self.state is not MachineState.DRAINING:
             self.state = MachineState.UP
 
     def carry(self, before: Machine) -> None:
         """This process gave it all its orders under the view before, and knows the reports that answered them."""
-        self.carried = True
-        self.tasks, self.watched_at = dict(before.tasks), before.watched_at
+        self.carried_over = True
+        self.tasks, self.observed_since = dict(before.tasks), before.observed_since
         sent = {key: pending.attempt for key, pending in before.pending.items() if pending.sent}
-        self.ordered = before.ordered | sent
+        self.ordered_before = before.ordered_before | sent
 
     def drain(self) -> None:
         if self.state in (MachineState.UP, MachineState.EXPECTED):
             self.state = MachineState.DRAINING
 
-    def lapse(self) -> None:
-        self.state = MachineState.LAPSED
+    def expire(self) -> None:
+        self.state = MachineState.EXPIRED
         self.idle_since = None
         self._forget()
 
-    def gone(self) -> None:
-        self.state = MachineState.GONE
+    def terminate(self) -> None:
+        self.state = MachineState.TERMINATED
         self._forget()
 
     def changed(self) -> None:
@@ -141,16 +141,16 @@
 
     def _forget(self) -> None:
         self.tasks.clear()
-        self.ordered.clear()
+        self.ordered_before.clear()
         self.pending.clear()
-        self.halts.clear()
-        self.clears.clear()
+        self.stop_orders.clear()
+        self.acknowledgements.clear()
         self.changed()
 
     @property
-    def proven(self) -> bool:
+    def is_proven(self) -> bool:
         """What is known of its tasks is complete under this view."""
-        return self.acked or self.carried or self.state in (MachineState.LAPSED, MachineState.GONE)
+        return self.acknowledged or self.carried_over or self.state in (MachineState.EXPIRED, MachineState.TERMINATED)
 
     @property
     def record(self) -> MachineRecord:
@@ -184,22 +184,22 @@
         self.processed_seq_of: Callable[[str], int] = lambda label: 0
         self.cancelled: Callable[[str], bool] = lambda job: False  # the store says so, as far as this process has read
         self.keep_record: Callable[[str], bool] = lambda name: False  # whether no drop of its record has been sent yet
-        self.listens_since: float | None = None  # since when reports could be answered; None: not now
+        self.answering_since: float | None = None  # since when reports could be answered; None: not now
         self.machines: dict[str, Machine] = {}
-        self.returned: set[str] = set()  # confirmed gone; late reports mean nothing
-        self.doomed: set[str] = set()  # wanted back before they ever reported
-        self.to_record: list[str] = []
-        self.asking = Asking(rng)  # machines to be asked for their acknowledgement
-        self.squaring = Squaring(0.0)
-        self.to_drop: list[str] = []  # nothing is on them: no new view need wait for them
+        self.terminated: set[str] = set()  # confirmed gone; late reports mean nothing
+        self.pending_drains: set[str] = set()  # wanted back before they ever reported
+        self.records_to_write: list[str] = []
+        self.prober = HeartbeatProber(rng)  # machines to be asked for their acknowledgement
+        self.reconciliation = ReconciliationProgress(0.0)
+        self.records_to_drop: list[str] = []  # nothing is on them: no new view need wait for them
         self.fencing_token = 0
         self.calendars: Gate | None = None  # None: no hours are declared
         self.members: list[str] = []
         self._types: dict[str, MachineType] = {}
         self.settled_at: float | None = None  # since when all members act under this view
-        self.newest_until = math.inf  # no newer view had begun by then: its parts renew leases, too
-        self.takes = 0
-        self.longest_silent = -math.inf  # no lease counts from before this
+        self.no_newer_view_until = math.inf  # no newer view had begun by then: its parts renew leases, too
+        self.last_request_id = 0
+        self.oldest_lease_start = -math.inf  # no lease counts from before this
 
     @property
     def types(self) -> dict[str, MachineType]:
@@ -229,12 +229,12 @@
         """
         old, self.machines = self.machines, {}
         self.fencing_token, self.members, self.settled_at = fencing_token, members, None
-        self.to_record, self.to_drop = [], []
-        self.squaring = Squaring(now)
-        self.longest_silent = -math.inf
+        self.records_to_write, self.records_to_drop = [], []
+        self.reconciliation = ReconciliationProgress(now)
+        self.oldest_lease_start = -math.inf
         for name, record in machines.items():
             machine = self.machines[name] = Machine(name, now)
-            machine.renewed_by = fencing_token
+            machine.lease_renewed_token = fencing_token
             machine.recorded = True
             machine.address, machine.type, machine.zone, machine.spot = (
                 record.address,
@@ -242,26 +242,36 @@
                 record.zone,
                 record.spot,
             )
-            self.squaring.record(name)
+            self.reconciliation.add_recorded(name)
             if name in old:
                 before = old[name]
                 if before.type:
                     machine.type, machine.zone, machine.spot = before.type, before.zone, before.spot
                 machine.address = before.address or machine.address
-                machine.images, machine.news, machine.idle_since = before.images, before.news, before.idle_since
+                machine.images, machine.last_sequence, machine.idle_since = (
+                    before.images,
+                    before.last_sequence,
+                    before.idle_since,
+                )
                 if before.state is MachineState.DRAINING:
                     machine.drain()
-                if continued and before.sole_since is not None:
-                    machine.sole_since, machine.heard_at = before.sole_since, before.heard_at
-                    machine.renewed_at = before.heard_at
-                    if not before.acked:  # deaf for longer than that view lasted, it may be
-                        machine.renewed_at, machine.renewed_by = before.renewed_at, before.renewed_by
-                if carry and before.proven:
+                if continued and before.exclusive_since is not None:
+                    machine.exclusive_since, machine.last_heartbeat_at = (
+                        before.exclusive_since,
+                        before.last_heartbeat_at,
+                    )
+                    machine.lease_renewed_at = before.last_heartbeat_at
+                    if not before.acknowledged:  # deaf for longer than that view lasted, it may be
+                        machine.lease_renewed_at, machine.lease_renewed_token = (
+                            before.lease_renewed_at,
+                            before.lease_renewed_token,
+                        )
+                if carry and before.is_proven:
                     machine.carry(before)
         # Its drop was overtaken by the view, or a late put brought the record back: no home need wait a lease for it.
-        self.to_drop = self.on_gone([name for name in machines if name in self.returned])
-        heard = {name: old[name].heard_at for name in self.machines if name in old}
-        self.asking.enter(
+        self.records_to_drop = self.on_terminated([name for name in machines if name in self.terminated])
+        heard = {name: old[name].last_heartbeat_at for name in self.machines if name in old}
+        self.prober.enter(
             sorted(
                 (name for name, machine in self.machines.items() if machine.address),
                 key=lambda name: (-heard.get(name, 0.0), name),
@@ -269,22 +279,22 @@
             now,
         )
 
-    def next_to_ask(self, now: float) -> tuple[str, str, int] | None:
+    def next_to_probe(self, now: float) -> tuple[str, str, int] | None:
         """Name, address and likeliest tenure of a machine to be asked for its acknowledgement now."""
-        name = self.asking.next(
+        name = self.prober.next(
             now,
             lambda name: (
                 (machine := self.machines.get(name)) is None
-                or machine.acked
-                or machine.state in (MachineState.LAPSED, MachineState.GONE)
+                or machine.acknowledged
+                or machine.state in (MachineState.EXPIRED, MachineState.TERMINATED)
             ),
         )
         if name is None:
             return None
         machine = self.machines[name]
-        return name, machine.address, max(1, machine.news[0])
+        return name, machine.address, max(1, machine.last_sequence[0])
 
-    def on_asked(self, heartbeat: Heartbeat, now: float) -> None:
+    def on_probe_answer(self, heartbeat: Heartbeat, now: float) -> None:
         """The answer to an empty ``/commands``: proof only as the first acknowledgement of this view.
 
         Later, a response with orders may be on its way to the worker, and this report know nothing of it.
@@ -292,8 +302,8 @@
         machine = self.machines.get(heartbeat.machine)
         if (
             machine is not None
-            and not machine.acked
-            and machine.state is not MachineState.LAPSED
+            and not machine.acknowledged
+            and machine.state is not MachineState.EXPIRED
             and heartbeat.fencing_token >= self.fencing_token
         ):
             self.on_heartbeat(heartbeat, now)
@@ -302,13 +312,13 @@
         """Every member acts under this view: earlier answers are all older than now."""
         if self.settled_at is None:
             self.settled_at = now
-            self.longest_silent = -math.inf
+            self.oldest_lease_start = -math.inf
             for machine in self.machines.values():
-                if machine.sole_since is None:
-                    machine.sole_since = now
-                if machine.carried and not machine.acked and machine.state is not MachineState.LAPSED:
-                    self.squaring.square(machine.name)
-                    self.tell_homes(machine)
+                if machine.exclusive_since is None:
+                    machine.exclusive_since = now
+                if machine.carried_over and not machine.acknowledged and machine.state is not MachineState.EXPIRED:
+                    self.reconciliation.mark_reconciled(machine.name)
+                    self.report_to_job_owners(machine)
 
     # -- reports -----------------------------------------------------------
 
@@ -316,66 +326,70 @@
         """The machine; None where the report must not be answered with 200."""
         machine = self.machines.get(heartbeat.machine)
         if machine is None:
-            if heartbeat.machine in self.returned:
+            if heartbeat.machine in self.terminated:
                 return None
             machine = self.machines[heartbeat.machine] = Machine(heartbeat.machine, now)
-            machine.sole_since, machine.renewed_by = self.settled_at, self.fencing_token
+            machine.exclusive_since, machine.lease_renewed_token = self.settled_at, self.fencing_token
             log.info("machine=%s state=expected cause=first report", heartbeat.machine)
-        news = (heartbeat.incarnation, heartbeat.sequence)
-        if news <= machine.news or machine.state is MachineState.GONE:
+        sequence_key = (heartbeat.incarnation, heartbeat.sequence)
+        if sequence_key <= machine.last_sequence or machine.state is MachineState.TERMINATED:
             return None
-        machine.news, machine.heard_at = news, now
+        machine.last_sequence, machine.last_heartbeat_at = sequence_key, now
         machine.type, machine.zone, machine.spot = heartbeat.type, heartbeat.zone, heartbeat.spot
         machine.address = heartbeat.address
         if heartbeat.fencing_token < self.fencing_token:
-            self.squaring.hear(machine.name)
-            self._not_renewed(machine, heartbeat.fencing_token, now)
+            self.reconciliation.record_report(machine.name)
+            self._check_unrenewed_lease(machine, heartbeat.fencing_token, now)
             # The answer brings the mandate; only a later report proves what is there. It renews the lease, too: of
             # views in quick succession each would keep what is cancelled for one report more.
-            shown = ((_key(task.task_id), task) for task in heartbeat.tasks)
-            self._stop_cancelled(machine, {key: (task.attempt, task.status) for key, task in shown if key[0]})
+            seen_in_replica = ((_task_key(task.task_id), task) for task in heartbeat.tasks)
+            self._stop_cancelled(machine, {key: (task.attempt, task.status) for key, task in seen_in_replica if key[0]})
             return machine
-        first = not machine.acked or machine.state is MachineState.LAPSED
+        first = not machine.acknowledged or machine.state is MachineState.EXPIRED
         if first:
-            if not machine.carried:
-                machine.watched_at = now
+            if not machine.carried_over:
+                machine.observed_since = now
             machine.acknowledge()
-            machine.ordered.clear()  # under an older view: this report shows what came of it
-            self.squaring.acknowledge(machine.name)
-            if not machine.recorded and machine.name not in self.to_record:
+            machine.ordered_before.clear()  # under an older view: this report shows what came of it
+            self.reconciliation.acknowledge(machine.name)
+            if not machine.recorded and machine.name not in self.records_to_write:
                 # All lapse when the store was away for longer than a lease, and are back before their records are
                 # dropped: to drop and write 600 of them again took all changes of the store for half a minute, in
                 # which nothing could be started.
                 machine.recorded = self.keep_record(machine.name)
                 if not machine.recorded:
-                    self.to_record.append(machine.name)
+                    self.records_to_write.append(machine.name)
             log.debug("machine=%s state=up cause=acknowledged mandate=%d", machine.name, self.fencing_token)
-        if heartbeat.recall_s is not None or heartbeat.machine in self.doomed:
+        if heartbeat.recall_s is not None or heartbeat.machine in self.pending_drains:
             machine.drain()
-        self._reported(machine, heartbeat, first, now)
+        self._apply_heartbeat(machine, heartbeat, first, now)
         return machine
 
-    def _not_renewed(self, machine: Machine, fencing_token: int, now: float) -> None:
+    def _check_unrenewed_lease(self, machine: Machine, fencing_token: int, now: float) -> None:
         """A report with an older mandate, newer than all before, and not answered yet.
 
         Whenever it was written, no answer with a higher mandate to a report before it was accepted, nor will be: it
         would show here, and a worker has one report in flight. So the lease has not been renewed since. A machine that
         does not hear its answers reports for as long as that lasts, and held up all that it might have run.
         """
-        if fencing_token >= machine.renewed_by:  # an answer of a view between was accepted
-            machine.renewed_at, machine.renewed_by = now, self.fencing_token
-        elif not machine.acked and machine.state is not MachineState.LAPSED and machine.sole_since is not None:
-            since = max(machine.renewed_at, machine.sole_since)
-            if self._run_out(since, now):
-                self._lapse(machine, f"no answer accepted for {now - since:.1f} s")
-
-    def _reported(self, machine: Machine, heartbeat: Heartbeat, tell: bool, now: float) -> None:
+        if fencing_token >= machine.lease_renewed_token:  # an answer of a view between was accepted
+            machine.lease_renewed_at, machine.lease_renewed_token = now, self.fencing_token
+        elif (
+            not machine.acknowledged
+            and machine.state is not MachineState.EXPIRED
+            and machine.exclusive_since is not None
+        ):
+            since = max(machine.lease_renewed_at, machine.exclusive_since)
+            if self._lease_expired(since, now):
+                self._expire(machine, f"no answer accepted for {now - since:.1f} s")
+
+    def _apply_heartbeat(self, machine: Machine, heartbeat: Heartbeat, tell: bool, now: float) -> None:
         """``tell``: homes are told, whatever it shows. What frees no task is told with the next other message."""
         old, tasks = machine.tasks, {}
         machine.tasks = tasks
         urgent, kept = tell, 0
         for task in heartbeat.tasks:
-            key = _key(task.task_id)
+            key = _task_key(task.task_id)
             job, index = key
             if not job:
                 continue
@@ -383,10 +397,12 @@
             kept += on is not None
             if on is None or on.attempt != task.attempt or on.status != task.status or on.cause != task.cause:
                 if on is not None and on.attempt == task.attempt:  # of a gang: started again under this attempt,
-                    machine.clears.discard((job, index, task.attempt))  # and its new result is not to be cleared
+                    machine.acknowledgements.discard(
+                        (job, index, task.attempt)
+                    )  # and its new result is not to be cleared
                 tell = True
                 urgent = urgent or task.status == "ended" and task.cause != "done"
-                on = OnMachine(
+                on = ObservedTask(
                     task.attempt,
                     task.status,
                     task.cause,
@@ -394,7 +410,7 @@
                     TaskStatusReport(job, index, task.attempt, task.status, task.cause),
                 )
                 log.debug("machine=%s task=%s status=%s cause=%s", machine.name, task.task_id, task.status, task.cause)
-                self._learn(machine, job, task.status, task.cause, now)
+                self._record_task_outcome(machine, job, task.status, task.cause, now)
             tasks[key] = on
         if kept < len(old):
             tell = True
@@ -402,32 +418,34 @@
         deaf = False
         for key, pending in machine.pending.items():
             deaf = deaf or pending.sent >= c.ORDER_TRIES and key not in tasks
-        if deaf and now >= machine.aside_until:  # what it is sent does not arrive: tasks wait elsewhere, not on it
-            machine.aside_until = now + self.lease_s
+        if (
+            deaf and now >= machine.quarantined_until
+        ):  # what it is sent does not arrive: tasks wait elsewhere, not on it
+            machine.quarantined_until = now + self.lease_s
             log.info("machine=%s state=aside cause=orders do not arrive", machine.name)
         for key, pending in list(machine.pending.items()) if machine.pending else ():
             on = tasks.get(key)
             if on is not None and on.attempt == pending.attempt:
                 del machine.pending[key]
                 tell = True
-            elif machine.state is not MachineState.UP or key in machine.halts or deaf:
+            elif machine.state is not MachineState.UP or key in machine.stop_orders or deaf:
                 # Never sent, or settled by this newer report: it was not started.
                 del machine.pending[key]
                 tell = urgent = True
-        for key, (attempt, _) in list(machine.halts.items()) if machine.halts else ():
+        for key, (attempt, _) in list(machine.stop_orders.items()) if machine.stop_orders else ():
             on = tasks.get(key)
             if on is None or on.attempt != attempt or on.status == "ended":
-                del machine.halts[key]
-        waiting = len(machine.clears)
+                del machine.stop_orders[key]
+        waiting = len(machine.acknowledgements)
         if waiting:
-            machine.clears = {
+            machine.acknowledgements = {
                 (job, index, attempt)
-                for job, index, attempt in machine.clears
+                for job, index, attempt in machine.acknowledgements
                 if (on := tasks.get((job, index))) is not None and on.attempt == attempt
             }
-        if len(machine.clears) < waiting or not waiting:  # all that waited were sent
-            machine.clears_since = now
-        self._orphans(machine)
+        if len(machine.acknowledgements) < waiting or not waiting:  # all that waited were sent
+            machine.acknowledgements_since = now
+        self._stop_orphans(machine)
         self._stop_cancelled(machine, {key: (on.attempt, on.status) for key, on in tasks.items()})
         if not machine.idle:
             machine.idle_since = None
@@ -435,22 +453,22 @@
             machine.idle_since = now
         if tell:
             machine.changed()
-            self.tell_homes(machine, self.send if urgent else self.send_deferred)
-            self.squaring.square(machine.name)
+            self.report_to_job_owners(machine, self.send if urgent else self.send_deferred)
+            self.reconciliation.mark_reconciled(machine.name)
 
-    def _stop_cancelled(self, machine: Machine, shown: Mapping[Task, tuple[int, str]]) -> None:
+    def _stop_cancelled(self, machine: Machine, seen_in_replica: Mapping[TaskKey, tuple[int, str]]) -> None:
         """What a report shows of cancelled jobs is told to stop by whoever answers it, if that has read of their end.
 
         Their home says so, too, but its word may be lost for as long as it is cut off from here, and this answer would
         go on renewing the lease. ``cancel_s`` is kept by this (docs/design.md, "Cancelled"): who acts has read all
         that was stored a ttl ago.
         """
-        for job in {job for job, _ in shown if self.cancelled(job)}:
-            for (of, index), (attempt, status) in shown.items():
+        for job in {job for job, _ in seen_in_replica if self.cancelled(job)}:
+            for (of, index), (attempt, status) in seen_in_replica.items():
                 if of == job and status != "ended":
-                    machine.halts[(job, index)] = (attempt, 0.0)
+                    machine.stop_orders[(job, index)] = (attempt, 0.0)
 
-    def _orphans(self, machine: Machine) -> None:
+    def _stop_orphans(self, machine: Machine) -> None:
         """Tasks of jobs that are over for good have no home to ask."""
         over = [job for job in {job for job, _ in machine.tasks} if self.spec_of(job) is None]
         if not over:
@@ -458,11 +476,11 @@
         for (job, index), on in machine.tasks.items():
             if job in over:
                 if on.status == "ended":
-                    machine.clears.add((job, index, on.attempt))
+                    machine.acknowledgements.add((job, index, on.attempt))
                 else:
-                    machine.halts[(job, index)] = (on.attempt, 0.0)
+                    machine.stop_orders[(job, index)] = (on.attempt, 0.0)
 
-    def _learn(self, machine: Machine, job: str, status: str, cause: str | None, now: float) -> None:
+    def _record_task_outcome(self, machine: Machine, job: str, status: str, cause: str | None, now: float) -> None:
         spec = self.spec_of(job)
         if spec is not None and (status in ("running", "saving") or cause == "done"):
             machine.images[spec.image] = spec.image_gb
@@ -475,7 +493,7 @@
         elif cause == "error":
             machine.errors.append(job)
             if len(machine.errors) >= c.FAULTY_ERRORS and len(set(machine.errors)) > 1:
-                machine.aside_until = now + c.FAULTY_S
+                machine.quarantined_until = now + c.FAULTY_S
                 machine.errors.clear()
                 log.info("machine=%s state=aside cause=errors in a row", machine.name)
 
@@ -485,22 +503,25 @@
         Clears alone wait for other orders, up to a bound: a worker reports anew for each change, and an ended
         task takes nothing of a machine.
         """
-        if not machine.acked:  # what a halt ends here is of use to nobody, so nothing is concluded from its absence
+        if (
+            not machine.acknowledged
+        ):  # what a halt ends here is of use to nobody, so nothing is concluded from its absence
             return [
                 stop_order(job, index, attempt, 0.0)
-                for (job, index), (attempt, _) in machine.halts.items()
+                for (job, index), (attempt, _) in machine.stop_orders.items()
                 if self.cancelled(job)
             ]
         if (
-            not machine.halts
+            not machine.stop_orders
             and not machine.pending
-            and len(machine.clears) < c.CLEARS_MOST
-            and machine.heard_at - machine.clears_since < c.CLEAR_WAIT_S
+            and len(machine.acknowledgements) < c.CLEARS_MOST
+            and machine.last_heartbeat_at - machine.acknowledgements_since < c.CLEAR_WAIT_S
         ):
             return []
-        orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(machine.clears)]
+        orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(machine.acknowledgements)]
         orders += [
-            stop_order(job, index, attempt, wind_down) for (job, index), (attempt, wind_down) in machine.halts.items()
+            stop_order(job, index, attempt, wind_down)
+            for (job, index), (attempt, wind_down) in machine.stop_orders.items()
         ]
         if machine.state is MachineState.UP and machine.recorded:
             for (job, index), pending in machine.pending.items():
@@ -510,7 +531,7 @@
                 if self.cancelled(job) or (self.calendars is not None and self._closed(job)):
                     # Granted, but its job is cancelled, or its hours have closed, since. Whatever was sent of it was
                     # not carried out, as the report that this answers would show it: the next one frees it.
-                    machine.halts[(job, index)] = (pending.attempt, 0.0)
+                    machine.stop_orders[(job, index)] = (pending.attempt, 0.0)
                     continue
                 pending.sent += 1
                 orders.append(run_order(job, index, pending.attempt))
@@ -521,47 +542,47 @@
         spec = self.spec_of(job)
         return spec is not None and not self.calendars.may_start(spec)
 
-    def tell_homes(self, machine: Machine, send: Callable[[str, object], int] | None = None) -> None:
+    def report_to_job_owners(self, machine: Machine, send: Callable[[str, object], int] | None = None) -> None:
         """To every home, what of its tasks is on the machine: silence would prove nothing.
 
         A home that knows it all, and has granted nothing since, has nothing to learn.
         """
-        if not machine.proven:
+        if not machine.is_proven:
             return
-        news: dict[str, tuple[list[TaskStatusReport], list[tuple[str, int, int]]]] = {
+        sequence_key: dict[str, tuple[list[TaskStatusReport], list[tuple[str, int, int]]]] = {
             label: ([], []) for label in self.members
         }
         of: dict[str, tuple[list, list] | None] = {}  # job -> what its home is told; None: no member is its home
         for (job, _), on in machine.tasks.items():
-            lists = of[job] if job in of else of.setdefault(job, news.get(self.job_owner(job)))
+            lists = of[job] if job in of else of.setdefault(job, sequence_key.get(self.job_owner(job)))
             if lists is not None:
-                lists[0].append(on.seen)
+                lists[0].append(on.report)
         for (job, index), attempt in self._held(machine):
-            lists = of[job] if job in of else of.setdefault(job, news.get(self.job_owner(job)))
+            lists = of[job] if job in of else of.setdefault(job, sequence_key.get(self.job_owner(job)))
             if lists is not None:
                 lists[1].append((job, index, attempt))
-        for label, lists in news.items():
-            if label in machine.owed or machine.told.get(label) != lists:
-                machine.told[label] = lists
+        for label, lists in sequence_key.items():
+            if label in machine.owed_reports or machine.last_reports.get(label) != lists:
+                machine.last_reports[label] = lists
                 (send or self.send)(
                     label, MachineTaskReport(machine.name, machine.zone, self.processed_seq_of(label), *lists)
                 )
-        machine.owed.clear()
+        machine.owed_reports.clear()
 
     @staticmethod
-    def _held(machine: Machine) -> Iterable[tuple[Task, int]]:
+    def _held(machine: Machine) -> Iterable[tuple[TaskKey, int]]:
         """Granted or ordered, and not yet seen in a report: neither proof of being there nor of not being there."""
-        yield from machine.ordered.items()
+        yield from machine.ordered_before.items()
         for key, pending in machine.pending.items():
             yield key, pending.attempt
 
     # -- messages of homes -------------------------------------------------
 
-    def on_grant(self, label: str, grant: TaskGrant, now: float) -> Machine | None:
+    def on_task_grant(self, label: str, grant: TaskGrant, now: float) -> Machine | None:
         """The machine that it is for, if that is still here."""
         machine = self.machines.get(grant.machine)
         if machine is None:
-            if grant.tasks and grant.machine in self.returned:  # gone while the grant was on its way
+            if grant.tasks and grant.machine in self.terminated:  # gone while the grant was on its way
                 self.send(label, MachineTaskReport(grant.machine, "", self.processed_seq_of(label), [], []))
             return None
         machine.reserved.pop(grant.request_id, None)
@@ -570,16 +591,16 @@
             if machine.idle and machine.idle_since is None:
                 machine.idle_since = now
             return machine
-        machine.owed.add(label)
+        machine.owed_reports.add(label)
         if machine.state is not MachineState.UP:
-            self.tell_homes(machine)  # never ordered: the home takes them back
+            self.report_to_job_owners(machine)  # never ordered: the home takes them back
             return machine
         for index, attempt in grant.tasks:
             machine.pending[(grant.job, index)] = Pending(attempt)
         machine.idle_since = None
         return machine
 
-    def on_halt(self, halt: StopTask) -> None:
+    def on_stop_task(self, halt: StopTask) -> None:
         machine = self.machines.get(halt.machine)
         if machine is None:
             return
@@ -588,11 +609,11 @@
         if pending is not None and pending.attempt == halt.attempt and not pending.sent:
             del machine.pending[key]
             machine.changed()
-            self.tell_homes(machine)
+            self.report_to_job_owners(machine)
             return
-        machine.halts[key] = (halt.attempt, halt.wind_down_s)
+        machine.stop_orders[key] = (halt.attempt, halt.wind_down_s)
 
-    def claim(self, machine: Machine, victims: Iterable[tuple[str, int, int]], wind_down_s: float) -> None:
+    def execute_claim(self, machine: Machine, victims: Iterable[tuple[str, int, int]], wind_down_s: float) -> None:
         """Stop the victims that the newest report shows; what is not there is passed over."""
         for job, index, attempt in victims:
             on = machine.tasks.get((job, index))
@@ -600,34 +621,34 @@
                 on is not None
                 and on.attempt == attempt
                 and on.status not in ("saving", "ended")
-                and (job, index) not in machine.halts
+                and (job, index) not in machine.stop_orders
             ):
-                machine.halts[(job, index)] = machine.claim_halts[(job, index)] = (attempt, wind_down_s)
+                machine.stop_orders[(job, index)] = machine.claim_stops[(job, index)] = (attempt, wind_down_s)
 
-    def unclaim(self, machine: Machine) -> None:
+    def drop_claim(self, machine: Machine) -> None:
         """The claim is gone: its halts are not repeated."""
-        for key, halt in machine.claim_halts.items():
-            if machine.halts.get(key) == halt:
-                del machine.halts[key]
-        machine.claim_halts.clear()
+        for key, halt in machine.claim_stops.items():
+            if machine.stop_orders.get(key) == halt:
+                del machine.stop_orders[key]
+        machine.claim_stops.clear()
 
-    def task_rows(
+    def machine_tasks(
         self, now: float, claimed: Container[str], may_stop: Callable[[JobSpec], bool] | None
     ) -> list[MachineTasks]:
         """Machines that are up: all tasks of claimed ones; of others those that may stop, or no row without that."""
         rows = []
         for machine in self.machines.values():
-            if machine.state is not MachineState.UP or not machine.acked or not machine.recorded:
+            if machine.state is not MachineState.UP or not machine.acknowledged or not machine.recorded:
                 continue
             whole = machine.name in claimed
-            if not whole and (may_stop is None or now < machine.aside_until):
+            if not whole and (may_stop is None or now < machine.quarantined_until):
                 continue
             tasks = []
             for (job, index), on in machine.tasks.items():
                 spec = self.spec_of(job) if on.status != "ended" else None
                 if spec is not None and (whole or on.status in ("fetching", "running") and may_stop(spec)):
                     ran = now - on.since if on.status == "running" else 0.0
-                    tasks.append((job, index, on.attempt, ran, ran == 0.0 or on.since > machine.watched_at))
+                    tasks.append((job, index, on.attempt, ran, ran == 0.0 or on.since > machine.observed_since))
             images: set[str] = set()
             if may_stop is not None and (kind := self.types.get(machine.type)) is not None and kind.gpus > 0:
                 images.update(
@@ -641,81 +662,85 @@
             rows.append(MachineTasks(machine.name, self.free(machine), tasks, sorted(images)))
         return rows
 
-    def on_clear(self, machine_name: str, job: str, index: int, attempt: int) -> None:
+    def on_acknowledge_finished(self, machine_name: str, job: str, index: int, attempt: int) -> None:
         machine = self.machines.get(machine_name)
         if machine is not None:
-            machine.clears.add((job, index, attempt))
+            machine.acknowledgements.add((job, index, attempt))
 
     def reserve(self, machine: Machine, job: str, count: int) -> int:
-        self.takes += 1
-        machine.reserved[self.takes] = (job, count)
+        self.last_request_id += 1
+        machine.reserved[self.last_request_id] = (job, count)
         machine.changed()
         machine.idle_since = None
-        return self.takes
+        return self.last_request_id
 
     # -- time --------------------------------------------------------------
 
-    def listen(self, now: float, acts: bool) -> None:
+    def set_answering(self, now: float, acts: bool) -> None:
         """Whether this process answers reports now."""
         if not acts:
-            self.listens_since = None
-        elif self.listens_since is None:
-            self.listens_since = now
+            self.answering_since = None
+        elif self.answering_since is None:
+            self.answering_since = now
 
-    def silent_s(self, machine: Machine, now: float) -> float:
+    def silence_s(self, machine: Machine, now: float) -> float:
         """How long it has been silent while somebody listened: else it says nothing of the machine.
 
         After 80 s without the store the leader returned the whole fleet as lost, a second before it reported again.
         """
-        return now - max(machine.heard_at, now if self.listens_since is None else self.listens_since)
+        return now - max(machine.last_heartbeat_at, now if self.answering_since is None else self.answering_since)
 
-    def drops_due(self, now: float) -> list[str]:
+    def due_record_drops(self, now: float) -> list[str]:
         """Records to be dropped: of lapsed machines none until they had time to report again, somebody listening."""
-        if self.listens_since is not None and now - self.listens_since >= c.SILENT_S:
-            return self.to_drop
-        return [name for name in self.to_drop if name in self.returned]
+        if self.answering_since is not None and now - self.answering_since >= c.SILENT_S:
+            return self.records_to_drop
+        return [name for name in self.records_to_drop if name in self.terminated]
 
     def check_leases(self, now: float) -> None:
         """Machines whose lease has provably run out. While they report, a look is due once in most of a lease."""
         wait = self.lease_s * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S
-        if now - self.longest_silent <= wait:
+        if now - self.oldest_lease_start <= wait:
             return
-        self.longest_silent = now  # who comes later counts from later; a view, and its settling, look anew
+        self.oldest_lease_start = now  # who comes later counts from later; a view, and its settling, look anew
         for machine in self.machines.values():
-            if machine.state is MachineState.LAPSED or machine.state is MachineState.GONE:
+            if machine.state is MachineState.EXPIRED or machine.state is MachineState.TERMINATED:
                 continue
-            if machine.sole_since is None:
+            if machine.exclusive_since is None:
                 continue
-            since = machine.heard_at if machine.acked else max(machine.heard_at, machine.sole_since)
-            if not self._run_out(since, now):
-                self.longest_silent = min(self.longest_silent, since)
+            since = (
+                machine.last_heartbeat_at
+                if machine.acknowledged
+                else max(machine.last_heartbeat_at, machine.exclusive_since)
+            )
+            if not self._lease_expired(since, now):
+                self.oldest_lease_start = min(self.oldest_lease_start, since)
             else:
-                self._lapse(machine, f"silent for {now - machine.heard_at:.1f} s")
+                self._expire(machine, f"silent for {now - machine.last_heartbeat_at:.1f} s")
 
-    def _run_out(self, since: float, now: float) -> bool:
+    def _lease_expired(self, since: float, now: float) -> bool:
         """Whether a lease that nobody under this view has renewed after ``since`` has provably run out.
 
         A newer view's part may have renewed it, unknown to a member that is cut off: so none had begun by its end.
         """
         lease = self.lease_s * (1 + 2 * c.CLOCK_DRIFT)
-        return now - since > lease + c.PROOF_MARGIN_S and self.newest_until - since > lease
+        return now - since > lease + c.PROOF_MARGIN_S and self.no_newer_view_until - since > lease
 
-    def _lapse(self, machine: Machine, cause: str) -> None:
+    def _expire(self, machine: Machine, cause: str) -> None:
         log.info("machine=%s state=lapsed cause=%s", machine.name, cause)
-        machine.lapse()
-        self.squaring.lapse(machine.name)
-        self.tell_homes(machine)
-        self._unrecord(machine)
+        machine.expire()
+        self.reconciliation.mark_expired(machine.name)
+        self.report_to_job_owners(machine)
+        self._drop_record(machine)
 
-    def _unrecord(self, machine: Machine) -> None:
+    def _drop_record(self, machine: Machine) -> None:
         """Nothing is on it: no later view need wait for it, and none is to be made to."""
-        if machine.name in self.to_record:
-            self.to_record.remove(machine.name)
+        if machine.name in self.records_to_write:
+            self.records_to_write.remove(machine.name)
         # Shown, too: its put was carried out, the answer lost, and nobody tries again. Left behind, that record held up
         # every later view for a lease.
-        if machine.recorded or machine.shown:
-            machine.recorded = machine.shown = False
-            self.to_drop.append(machine.name)
+        if machine.recorded or machine.seen_in_replica:
+            machine.recorded = machine.seen_in_replica = False
+            self.records_to_drop.append(machine.name)
 
     def on_recorded(self, name: str) -> None:
         """The store holds its record. One that lapsed or went while it was written goes again at once.
@@ -723,64 +748,64 @@
         Left behind, it held up every later view for a lease: nobody would ever report for it.
         """
         machine = self.machines.get(name)
-        if name in self.to_record:
-            self.to_record.remove(name)
+        if name in self.records_to_write:
+            self.records_to_write.remove(name)
         if machine is not None:
             machine.recorded = True
-            if machine.state is MachineState.LAPSED:
-                self._unrecord(machine)
-        elif name in self.returned:
-            self.to_drop.append(name)
+            if machine.state is MachineState.EXPIRED:
+                self._drop_record(machine)
+        elif name in self.terminated:
+            self.records_to_drop.append(name)
 
-    def on_shown(self, name: str) -> None:
+    def on_record_observed(self, name: str) -> None:
         """The replica shows its record; where nothing is on the machine, a put was carried out late: it goes again.
 
         Never taken for the word that it is recorded: a drop may be on its way, and no ``run`` before that is settled.
         """
         machine = self.machines.get(name)
-        if name in self.returned if machine is None else machine.state is MachineState.LAPSED:
-            self.to_drop.append(name)
+        if name in self.terminated if machine is None else machine.state is MachineState.EXPIRED:
+            self.records_to_drop.append(name)
         elif machine is not None:
-            machine.shown = True
+            machine.seen_in_replica = True
 
     def check_silence(self, now: float) -> None:
         """One line a second until every machine is squared, given up or known to be silent."""
-        waits = not self.squaring.over
+        waits = not self.reconciliation.over
         for machine in self.machines.values():
-            if not machine.acked and now - machine.heard_at > c.SILENT_S:
-                self.squaring.fall_silent(machine.name)
+            if not machine.acknowledged and now - machine.last_heartbeat_at > c.SILENT_S:
+                self.reconciliation.mark_silent(machine.name)
         if waits:
-            log.info("part mandate=%d %s", self.fencing_token, self.squaring.line(now))
+            log.info("part mandate=%d %s", self.fencing_token, self.reconciliation.line(now))
 
     def drain(self, names: Iterable[str]) -> None:
         for name in names:
-            self.doomed.add(name)
+            self.pending_drains.add(name)
             machine = self.machines.get(name)
             if machine is not None:
                 machine.drain()
-                self._drop_unsent(machine)
+                self._cancel_unsent(machine)
 
-    def _drop_unsent(self, machine: Machine) -> None:
+    def _cancel_unsent(self, machine: Machine) -> None:
         unsent = [key for key, pending in machine.pending.items() if not pending.sent]
         for key in unsent:
             del machine.pending[key]
         if unsent:
             machine.changed()
-            self.tell_homes(machine)
+            self.report_to_job_owners(machine)
 
-    def on_gone(self, names: Iterable[str]) -> list[str]:
+    def on_terminated(self, names: Iterable[str]) -> list[str]:
         """Confirmed returns; the names whose records may be dropped."""
         result = []
         for name in names:
-            self.returned.add(name)
-            self.doomed.discard(name)
+            self.terminated.add(name)
+            self.pending_drains.discard(name)
             machine = self.machines.pop(name, None)
-            if name in self.to_record:
-                self.to_record.remove(name)
+            if name in self.records_to_write:
+                self.records_to_write.remove(name)
             if machine is not None:
-                machine.gone()
-                self.squaring.give_back(name)
-                self.tell_homes(machine)
+                machine.terminate()
+                self.reconciliation.mark_terminated(name)
+                self.report_to_job_owners(machine)
                 log.info("machine=%s state=gone cause=returned", name)
                 result.append(name)
         return result
@@ -794,7 +819,7 @@
 
     def candidate(self, machine: Machine, now: float) -> Candidate | None:
         """The machine for placement, if tasks may go there."""
-        if machine.state is not MachineState.UP or not machine.recorded or now < machine.aside_until:
+        if machine.state is not MachineState.UP or not machine.recorded or now < machine.quarantined_until:
             return None
         return Candidate(machine.name, machine.type, machine.zone, machine.spot, self.free(machine), machine.images)
 
@@ -852,7 +877,7 @@
             machine.busy = found
         return found
 
-    def room(self, now: float, run_time: Callable[[JobSpec], float]) -> list[MachineSummary]:
+    def summaries(self, now: float, run_time: Callable[[JobSpec], float]) -> list[MachineSummary]:
         rows, ceil, nothing = [], math.ceil, (0.0, 0.0, 0.0)
         loads: dict[str, Load | None] = {}
         for machine in self.machines.values():
@@ -865,7 +890,7 @@
                 ends[end] = (freed[0] + cpus, freed[1] + memory, freed[2] + gpus)
             idle = 0.0 if machine.idle_since is None else now - machine.idle_since
             state = machine.state.value
-            if now < machine.aside_until and machine.state is MachineState.UP:
+            if now < machine.quarantined_until and machine.state is MachineState.UP:
                 state = "aside"
             rows.append(
                 MachineSummary(
@@ -877,7 +902,7 @@
                     idle,
                     self.free(machine),
                     [(float(end), *freed) for end, freed in ends.items()],
-                    self.silent_s(machine, now),
+                    self.silence_s(machine, now),
                 )
             )
         return rows
--- a/alderbridge/mesh.py
+++ b/alderbridge/mesh.py
@@ -401,7 +401,7 @@
     """One outgoing connection to each peer, and whatever comes in."""
 
     def __init__(self, listen: str, peers: dict[str, str], deliver: Callable[[list[Frame]], None], poll: Poll) -> None:
-        self.listen, self.poll = address(listen), poll
+        self.set_answering, self.poll = address(listen), poll
         self.peers = {label: address(addr) for label, addr in peers.items()}
         self.deliver = deliver
         self.queues: dict[str, deque[bytes]] = {label: deque() for label in peers}
@@ -445,7 +445,7 @@
                 await self.wake[label].set()
 
     async def serve(self) -> None:
-        listener = Listener(self.poll, listening(*self.listen, 64), lambda client: Incoming(self, client))
+        listener = Listener(self.poll, listening(*self.set_answering, 64), lambda client: Incoming(self, client))
         try:
             while True:  # end silent connections; cheaper than a timer for each read
                 await curio.sleep(c.SWEEP_S)
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -35,7 +35,7 @@
         """How many messages have no acknowledgement yet."""
 
 
-class Told(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message for one member."""
 
     label: str
@@ -69,7 +69,7 @@
         self.delta_tracker.clear()
         self.last: dict[str, tuple[Message, float, int]] = {}  # member -> queue or status, when, what it acknowledged
 
-    def tell(self, one: Round, all_read_changes: bool) -> Iterator[Told]:
+    def tell(self, one: Round, all_read_changes: bool) -> Iterator[OutgoingMessage]:
         """All messages of a round; ``all_read_changes``: whoever takes part, or is about to, has written so."""
         if all_read_changes:
             self.form = Form.CHANGES
@@ -79,10 +79,10 @@
         else:
             self.delta_tracker.again.clear()  # the next queue says it all
             queue = QueueSnapshot(*one.snapshot, one.status.suspected, one.status.failed, one.status.changes)
-            yield Told(self.me, queue, False)
+            yield OutgoingMessage(self.me, queue, False)
             yield from self._to_each(one, queue)
 
-    def _changes(self, one: Round) -> Iterator[Told]:
+    def _changes(self, one: Round) -> Iterator[OutgoingMessage]:
         """Members one after the other, as equal messages in a row are encoded once."""
         delta_tracker = self.delta_tracker
         delta_tracker.update(one.snapshot.rows, one.now)
@@ -94,9 +94,9 @@
         for label in (self.me, *ready):
             numbered = label != self.me
             if label == one.leader and (sums := delta_tracker.sums_for_leader(one.snapshot)) is not None:
-                yield Told(label, sums, numbered)
+                yield OutgoingMessage(label, sums, numbered)
             if (changes := delta_tracker.changes_for(label, label == one.leader)) is not None:
-                yield Told(label, changes, numbered)
+                yield OutgoingMessage(label, changes, numbered)
                 self._acknowledged(label, one)
 
     def _acknowledged(self, label: str, one: Round) -> None:
@@ -105,7 +105,7 @@
             message, at, _ = self.last[label]
             self.last[label] = (message, at, one.links[label].received)
 
-    def _to_each(self, one: Round, message: QueueSnapshot | PeerStatus) -> Iterator[Told]:
+    def _to_each(self, one: Round, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
         """To whom it is news; the same is told again only now and then, or with an acknowledgement to pass on."""
         for label, link in one.links.items():
             last, at, received = self.last.get(label, (KeepAlive(), float("-inf"), 0))
@@ -116,4 +116,4 @@
                 or (isinstance(message, QueueSnapshot) and message.rows)
             ):
                 self.last[label] = (message, one.now, link.received)
-                yield Told(label, message, False)
+                yield OutgoingMessage(label, message, False)
--- a/alderbridge/recovery/__init__.py
+++ b/alderbridge/recovery/__init__.py
@@ -1,31 +1,31 @@
-"""What a controller does after it, or all of them, went down: squares the workers' reports with the stored state.
+"""After a failover: reconciles what the workers report with what is stored.
 
 Pure: time and randomness are arguments, nothing here does I/O. ``docs/design-recovery.md`` weighs the ways,
 ``docs/recovery.md`` says what people on call see.
 
-* ``verdict``: what follows from what a home knows of a task and what a machine's part tells of it.
+* ``reconcile``: what follows from what a job shard has recorded of a task and what a machine shard observes of it.
 * ``Barrier``: the machines that an inherited task may still be on.
-* ``Squaring``: how far a part's machines are squared, for its line a second.
-* ``Asking``: whom a part asks for the acknowledgement of a new mandate, and when again.
-* ``HoldBack``: what the leader leaves undone while it does not know the fleet.
+* ``ReconciliationProgress``: how far a shard's machines are reconciled, for its log line a second.
+* ``HeartbeatProber``: which machines a shard asks to acknowledge a new fencing token, and when again.
+* ``ScaleInGuard``: what the leader leaves undone while it does not know the fleet.
 """
 
-from .asking import Asking
 from .barrier import Barrier
-from .holding import HoldBack, Knowledge
-from .squaring import Squaring, State
-from .table import TABLE, Known, Told, Verdict, verdict
+from .prober import HeartbeatProber
+from .progress import MachineProgress, ReconciliationProgress
+from .scale_in_guard import FleetKnowledge, ScaleInGuard
+from .transitions import TRANSITIONS, Action, ObservedState, RecordedState, reconcile
 
 __all__ = [
-    "TABLE",
-    "Asking",
+    "TRANSITIONS",
+    "Action",
     "Barrier",
-    "HoldBack",
-    "Known",
-    "Knowledge",
-    "Squaring",
-    "State",
-    "Told",
-    "Verdict",
-    "verdict",
+    "FleetKnowledge",
+    "HeartbeatProber",
+    "MachineProgress",
+    "ObservedState",
+    "ReconciliationProgress",
+    "RecordedState",
+    "ScaleInGuard",
+    "reconcile",
 ]
--- a/alderbridge/recovery/barrier.py
+++ b/alderbridge/recovery/barrier.py
@@ -29,7 +29,7 @@
     def __contains__(self, machine: str) -> bool:
         return machine in self.kind_of
 
-    def strike(self, machine: str) -> bool:
+    def remove(self, machine: str) -> bool:
         """The machine is squared; True if it was the last of its kind, so that some jobs may be held up no more."""
         kind = self.kind_of.pop(machine, None)
         if kind is None:
@@ -41,6 +41,6 @@
         del self.kinds[kind]
         return True
 
-    def holds(self, spec: JobSpec) -> bool:
+    def may_hold(self, spec: JobSpec) -> bool:
         """Whether a task of the job may be on one of the machines."""
         return any(not kind.type or allowed(spec, kind.type, kind.zone, kind.spot) for kind in self.kinds)
--- a/alderbridge/recovery/asking.py
+++ b/alderbridge/recovery/prober.py
@@ -9,7 +9,7 @@
 from .. import constants as c
 
 
-class Asking:
+class HeartbeatProber:
     """Each machine is asked at once, the likeliest to answer first, then again with full jitter, a few times.
 
     Who does not answer hangs, is cut off or dead: its next report, its lease or its return decides.
--- a/alderbridge/recovery/squaring.py
+++ b/alderbridge/recovery/progress.py
@@ -20,52 +20,52 @@
 from enum import Enum
 
 
-class State(str, Enum):
+class MachineProgress(str, Enum):
     RECORDED = "recorded"
-    HEARD = "heard"
+    REPORTED = "heard"
     ACKNOWLEDGED = "acknowledged"
-    SQUARED = "squared"
+    RECONCILED = "squared"
     SILENT = "silent"
-    LAPSED = "lapsed"
-    RETURNED = "returned"
+    EXPIRED = "lapsed"
+    TERMINATED = "returned"
 
 
-_UNSETTLED = frozenset((State.RECORDED, State.HEARD, State.ACKNOWLEDGED))
+_UNSETTLED = frozenset((MachineProgress.RECORDED, MachineProgress.REPORTED, MachineProgress.ACKNOWLEDGED))
 
 
-class Squaring:
+class ReconciliationProgress:
     def __init__(self, now: float) -> None:
         self.began = now
-        self.states: dict[str, State] = {}
+        self.states: dict[str, MachineProgress] = {}
         self.open = 0  # machines in a state that lasts seconds at most
 
     # -- changes of state, one method each ---------------------------------
 
-    def record(self, machine: str) -> None:
-        self._to(machine, State.RECORDED)
+    def add_recorded(self, machine: str) -> None:
+        self._to(machine, MachineProgress.RECORDED)
 
-    def hear(self, machine: str) -> None:
-        if self.states.get(machine) in (State.RECORDED, State.SILENT):
-            self._to(machine, State.HEARD)
+    def record_report(self, machine: str) -> None:
+        if self.states.get(machine) in (MachineProgress.RECORDED, MachineProgress.SILENT):
+            self._to(machine, MachineProgress.REPORTED)
 
     def acknowledge(self, machine: str) -> None:
-        self._to(machine, State.ACKNOWLEDGED)
+        self._to(machine, MachineProgress.ACKNOWLEDGED)
 
-    def square(self, machine: str) -> None:
-        if self.states.get(machine) is not State.SQUARED:
-            self._to(machine, State.SQUARED)
+    def mark_reconciled(self, machine: str) -> None:
+        if self.states.get(machine) is not MachineProgress.RECONCILED:
+            self._to(machine, MachineProgress.RECONCILED)
 
-    def fall_silent(self, machine: str) -> None:
-        if self.states.get(machine) in (State.RECORDED, State.HEARD):
-            self._to(machine, State.SILENT)
+    def mark_silent(self, machine: str) -> None:
+        if self.states.get(machine) in (MachineProgress.RECORDED, MachineProgress.REPORTED):
+            self._to(machine, MachineProgress.SILENT)
 
-    def lapse(self, machine: str) -> None:
-        self._to(machine, State.LAPSED)
+    def mark_expired(self, machine: str) -> None:
+        self._to(machine, MachineProgress.EXPIRED)
 
-    def give_back(self, machine: str) -> None:
-        self._to(machine, State.RETURNED)
+    def mark_terminated(self, machine: str) -> None:
+        self._to(machine, MachineProgress.TERMINATED)
 
-    def _to(self, machine: str, state: State) -> None:
+    def _to(self, machine: str, state: MachineProgress) -> None:
         self.open += (state in _UNSETTLED) - (self.states.get(machine) in _UNSETTLED)
         self.states[machine] = state
 
@@ -76,10 +76,10 @@
         """Nothing more is expected within seconds."""
         return self.open == 0
 
-    def counts(self) -> Counter[State]:
+    def counts(self) -> Counter[MachineProgress]:
         return Counter(self.states.values())
 
     def line(self, now: float) -> str:
         counts = self.counts()
-        told = ", ".join(f"{state.value} {counts[state]}" for state in State if counts[state])
+        told = ", ".join(f"{state.value} {counts[state]}" for state in MachineProgress if counts[state])
         return f"after {now - self.began:.1f} s: {told or 'no machines'} of {len(self.states)}"
--- a/alderbridge/recovery/holding.py
+++ b/alderbridge/recovery/scale_in_guard.py
@@ -13,36 +13,36 @@
 from .. import constants as c
 
 
-class Knowledge(str, Enum):
+class FleetKnowledge(str, Enum):
     """How much of the fleet the leader's rows account for."""
 
-    SQUARED = "squared"  # every machine likely to be alive has been heard, no inherited task waits for a proof
-    SQUARING = "squaring"  # some have not: nothing is returned as idle, inherited tasks rent nothing
+    RECONCILED = "squared"  # every machine likely to be alive has been heard, no inherited task waits for a proof
+    RECONCILING = "squaring"  # some have not: nothing is returned as idle, inherited tasks rent nothing
     OVERDUE = "overdue"  # for longer than any lease lasts: inherited tasks count as waiting ones
 
 
-class HoldBack:
+class ScaleInGuard:
     """One for all views that a process leads: a second fall resumes, and its bound does not begin anew."""
 
     def __init__(self, lease_s: float) -> None:
         """``lease_s``: of the workers, in s; by then, and a settled view, silence proves absence."""
         self.bound_s = lease_s * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S + c.SETTLE_S
-        self.knowledge = Knowledge.SQUARED
+        self.knowledge = FleetKnowledge.RECONCILED
         self.since = 0.0  # when it was squared last
         self.returns = 0  # idle machines that stayed for it, so far in this squaring
 
-    def look(self, unheard: int, machines: int, inherited: int, now: float) -> Knowledge:
+    def refresh(self, unheard: int, machines: int, inherited: int, now: float) -> FleetKnowledge:
         """``unheard`` of ``machines`` may report at any moment; ``inherited``: tasks that wait behind barriers."""
         if unheard <= machines * c.UNHEARD_SHARE and not inherited:
-            self._square(now)
-        elif self.knowledge is Knowledge.SQUARED:
-            self._unsquare(now)
-        elif self.knowledge is Knowledge.SQUARING and now - self.since > self.bound_s:
-            self._overdue()
+            self._set_reconciled(now)
+        elif self.knowledge is FleetKnowledge.RECONCILED:
+            self._set_reconciling(now)
+        elif self.knowledge is FleetKnowledge.RECONCILING and now - self.since > self.bound_s:
+            self._set_overdue()
         return self.knowledge
 
     @staticmethod
-    def for_proof(silent: Iterable[tuple[str, float]], machines: int, inherited: int) -> list[str]:
+    def machines_to_prove_empty(silent: Iterable[tuple[str, float]], machines: int, inherited: int) -> list[str]:
         """Which of the machines not heard, (name, s of silence), to return: proof at once that nothing is on them.
 
         Only where inherited tasks wait, all others have been heard, and these few are most likely dead. The
@@ -56,24 +56,24 @@
     @property
     def may_return(self) -> bool:
         """Whether a machine may be returned because nothing seems to need it."""
-        return self.knowledge is not Knowledge.SQUARING
+        return self.knowledge is not FleetKnowledge.RECONCILING
 
     @property
     def counts_inherited(self) -> bool:
         """Whether inherited tasks ask for machines: else they may still run on some."""
-        return self.knowledge is Knowledge.OVERDUE
+        return self.knowledge is FleetKnowledge.OVERDUE
 
-    def kept(self) -> None:
+    def count_kept_machine(self) -> None:
         """An idle machine at the end of its block stays."""
         self.returns += 1
 
     # -- changes of state, one method each ---------------------------------
 
-    def _square(self, now: float) -> None:
-        self.knowledge, self.since, self.returns = Knowledge.SQUARED, now, 0
+    def _set_reconciled(self, now: float) -> None:
+        self.knowledge, self.since, self.returns = FleetKnowledge.RECONCILED, now, 0
 
-    def _unsquare(self, now: float) -> None:
-        self.knowledge, self.since, self.returns = Knowledge.SQUARING, now, 0
+    def _set_reconciling(self, now: float) -> None:
+        self.knowledge, self.since, self.returns = FleetKnowledge.RECONCILING, now, 0
 
-    def _overdue(self) -> None:
-        self.knowledge = Knowledge.OVERDUE
+    def _set_overdue(self) -> None:
+        self.knowledge = FleetKnowledge.OVERDUE
--- a/alderbridge/replica.py
+++ b/alderbridge/replica.py
@@ -27,9 +27,9 @@
 _list = msgspec.json.Decoder(list[str])
 
 
-def list_keys(job: str, more: str) -> list[str]:
+def list_keys(job: str, dependency_digest: str) -> list[str]:
     """Keys of a job's lists; ``more`` is DIGEST/COUNT, so that what is under a key never changes."""
-    digest, _, count = more.partition("/")
+    digest, _, count = dependency_digest.partition("/")
     return [f"{LISTS}{job}/{digest}/{number}" for number in range(int(count or 0))]
 
 
@@ -99,7 +99,7 @@
                 self.graph.done(job, record.done_at)
             else:
                 self.graph.aborted(job)
-        elif job not in self.ended and record.spec is not None and (record.spec.needs or record.more):
+        elif job not in self.ended and record.spec is not None and (record.spec.needs or record.dependency_digest):
             self.graph.add(record.spec, record.at, self.needs(job, record), self.over)
         if record.spec is None:
             self.active.pop(job, None)
@@ -119,7 +119,7 @@
     def needs(self, job: str, record: Record) -> list[str]:
         """All that the job waits for, from its record and the lists beside it."""
         result = list(record.spec.needs or ()) if record.spec is not None else []
-        for key in list_keys(job, record.more):
+        for key in list_keys(job, record.dependency_digest):
             # Written before the record, and dropped after its end: a list that is missing here belongs
             # to an end that has yet to be read. No job has the key's name, so this one waits until then.
             result += self.lists.get(key, [key])
--- a/scale/results.py
+++ b/scale/results.py
@@ -23,7 +23,7 @@
     return {f"p{share}": histogram.get_value_at_percentile(share) / 1e6 for share in PERCENTILES}
 
 
-class Usage:
+class QuotaUsage:
     """Processor time and memory of one process, sampled while it runs."""
 
     def __init__(self, role: str, name: str, process: subprocess.Popen) -> None:
@@ -70,7 +70,7 @@
         began_at: float,
         users: Users,
         hollow: list[dict],
-        usages: list[Usage],
+        usages: list[QuotaUsage],
     ) -> None:
         """``hollow``: what the hollow processes wrote."""
         self.experiment, self.plan, self.began_at = experiment, plan, began_at
--- a/scale/run.py
+++ b/scale/run.py
@@ -17,7 +17,7 @@
 
 from .experiment import Experiment, Fault
 from .jobs import JobPlan
-from .results import Results, Usage
+from .results import QuotaUsage, Results
 from .users import Users
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -68,7 +68,7 @@
         ports = free_ports(2 * experiment.controllers)
         self.addresses = {label: f"127.0.0.1:{ports.pop()}" for label in self.labels}
         self.mesh = {label: f"127.0.0.1:{ports.pop()}" for label in self.labels}
-        self.usages: list[Usage] = []
+        self.usages: list[QuotaUsage] = []
         self.controllers: dict[str, subprocess.Popen] = {}
         self.hollow: list[subprocess.Popen] = []
         self.ports: dict = {}
@@ -90,7 +90,7 @@
                 env=os.environ | {"LOG_LEVEL": self.log_level},
                 **more,
             )
-        self.usages.append(Usage(role, name, process))
+        self.usages.append(QuotaUsage(role, name, process))
         return process
 
     def setup(self) -> dict:
@@ -278,7 +278,7 @@
                 self.progress(now, counts, (starts - last) / (now - last_at))
                 last, last_at, next_at = starts, now, now + PROGRESS_S
 
-    def on_ended(self, usage: Usage) -> None:
+    def on_ended(self, usage: QuotaUsage) -> None:
         """A process has ended that was not told to."""
         if usage.role != "controller":
             raise RunError(f"{usage.name} ended by itself: see {self.folder / usage.name}.log")
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -195,7 +195,9 @@
     assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
-    home.on_take(sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True)  # of an older offer
+    home.on_task_request(
+        sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
+    )  # of an older offer
     assert not home.jobs[spec.id].runs
     assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
     for other in world.nodes.values():
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,7 +25,7 @@
 BOTH = f"# why these may land\n\n{RED}{EACH}"
 
 
-def verdict(folder, known, suite=SUITE, workers=0):
+def reconcile(folder, known, suite=SUITE, workers=0):
     (folder / "test_a.py").write_text(suite)
     (folder / "pytest.ini").write_text(f"[pytest]\naddopts = -n {workers} -p no:cacheprovider\n")
     if known is not None:
@@ -38,7 +38,7 @@
 
 
 def test_listed_tests_that_fail_are_told_and_just_these_passed_over(tmp_path):
-    done = verdict(tmp_path, BOTH, workers=1)  # as the suite runs, in processes of its own
+    done = reconcile(tmp_path, BOTH, workers=1)  # as the suite runs, in processes of its own
     assert done.returncode == 0, done.stdout + done.stderr
     assert "known red: test_a.py::test_red: a real fault (#12)" in done.stdout and "another (#13)" in done.stdout
     assert "2 passed" in done.stdout and (tmp_path / "beside").exists()
@@ -46,8 +46,8 @@
 
 @pytest.mark.parametrize("known", (None, "", "# none\n\n"))
 def test_with_none_listed_all_tests_run(tmp_path, known):
-    assert verdict(tmp_path, known).returncode == 1
-    assert verdict(tmp_path, known, "def test_green():\n    pass\n").returncode == 0
+    assert reconcile(tmp_path, known).returncode == 1
+    assert reconcile(tmp_path, known, "def test_green():\n    pass\n").returncode == 0
 
 
 @pytest.mark.parametrize(
@@ -66,5 +66,5 @@
     ],
 )
 def test_a_list_that_is_none_fails(tmp_path, known, why):
-    done = verdict(tmp_path, known)
+    done = reconcile(tmp_path, known)
     assert done.returncode == 1 and why in done.stderr, done.stdout + done.stderr
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -445,7 +445,7 @@
         rows = [QueueRow("wk-9", waiting, waiting, 10.0, 3600.0, None, now, False, True)] if waiting else []
         self.leader.on_queue("host-0", QueueSnapshot(rows, {"data": (64.0, 16.0 - free)}, {}, {}, 0), now)
         full = [(100.0, 32.0, 512.0, 8.0 - free)]
-        self.leader.on_room(
+        self.leader.on_machine_summaries(
             "host-0",
             MachineSummaries(
                 [
@@ -455,8 +455,8 @@
             ),
             now,
         )
-        for rental in self.leader.rentals.values():
-            rental.rented_at = 0.0
+        for rented in self.leader.rented_machines.values():
+            rented.rented_at = 0.0
 
     def look(self, now):
         asked = self.desk.round(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
@@ -478,8 +478,8 @@
 def test_the_desk_claims_room_and_nothing_is_rented_for_it():
     site = Fleet()
     site.tell(1.0, 3)
-    site.leader.hold_back.look(0, 2, 0, 1.0)
-    site.leader.lent = site.lender.serves_soon
+    site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
+    site.leader.tasks_served_by_lending = site.lender.serves_soon
     assert site.look(1.0)
     (group,) = site.leader.replica.ledger.planned
     assert list(group) == ["n-1"] and group["n-1"].count == 3  # where the weights are
@@ -497,8 +497,8 @@
 def test_a_need_that_nothing_serves_is_rented_for_after_a_moment():
     site = Fleet()
     site.lender = Lender([Text(TEXT.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
-    site.leader.hold_back.look(0, 2, 0, 1.0)
-    site.leader.lent = site.lender.serves_soon
+    site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
+    site.leader.tasks_served_by_lending = site.lender.serves_soon
     for now, asks in ((1.0, 0), (2.0, 0), (1.0 + c.LEND_FIRST_S, 1)):
         site.tell(now, 3)
         site.look(now)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -55,7 +55,7 @@
 def test_a_grant_that_came_to_nothing_is_told_though_the_machine_looks_as_before():
     part, sent = part_with_machine()
     heartbeat(part, 1)
-    part.on_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
+    part.on_task_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
     part.drain(["n-1"])  # not sent yet: dropped
     assert sent[2:] == [("host-1", MachineTaskReport("n-1", "a", 7, [], []))]
 
@@ -63,24 +63,24 @@
 def test_a_grant_for_a_machine_gone_meanwhile_is_answered():
     part, sent = part_with_machine()
     heartbeat(part, 1)
-    part.on_gone(["n-1"])
+    part.on_terminated(["n-1"])
     before = len(sent)
-    part.on_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
+    part.on_task_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
     assert sent[before:] == [("host-1", MachineTaskReport("n-1", "", 7, [], []))]
 
 
 def test_an_asked_acknowledgement_is_proof_only_before_any_order_of_this_view():
     """Later it may have been written before the worker read the response that starts a task (found in review)."""
     part, sent = part_with_machine()
-    part.on_asked(Heartbeat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
+    part.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
     assert not sent, "it bears an older mandate"
-    part.on_asked(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
+    part.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
     assert {label for label, _ in sent} == {"host-0", "host-1"}, "the first one is proof, as a report would be"
     machine = part.machines["n-1"]
-    part.on_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 77)]), 2.0)
+    part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 77)]), 2.0)
     assert [order["verb"] for order in part.orders(machine)] == ["run"]
     told = len(sent)
-    part.on_asked(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
+    part.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
     assert ("wk-1", 0) in machine.pending and len(sent) == told
 
 
@@ -95,9 +95,9 @@
         },
         3.0,
     )
-    part.on_asked(Heartbeat("n-3", "10.0.0.3:9000", "c4", 2, 9, 6, "a"), 3.1)
-    assert part.next_to_ask(3.1) == ("n-1", "10.0.0.1:9000", 1)
-    assert part.next_to_ask(3.1) is None
+    part.on_probe_answer(Heartbeat("n-3", "10.0.0.3:9000", "c4", 2, 9, 6, "a"), 3.1)
+    assert part.next_to_probe(3.1) == ("n-1", "10.0.0.1:9000", 1)
+    assert part.next_to_probe(3.1) is None
 
 
 def test_ended_tasks_are_cleared_along_with_other_orders_or_after_a_bound():
@@ -106,9 +106,9 @@
     ended = ReportedTask("wk-1/0", 70, "ended", "done")
     heartbeat(part, 1, [ended])
     machine = part.machines["n-1"]
-    part.on_clear("n-1", "wk-1", 0, 70)
+    part.on_acknowledge_finished("n-1", "wk-1", 0, 70)
     assert part.orders(machine) == []
-    part.on_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(1, 71)]), 1.5)
+    part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(1, 71)]), 1.5)
     assert [order["verb"] for order in part.orders(machine)] == ["clear", "run"], "they were to be sent anyway"
     heartbeat(part, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
     assert part.orders(machine) == []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -159,7 +159,7 @@
 
     def on_heartbeat(self, heartbeat, now):
         if heartbeat.machine in self.machines:
-            self.machines[heartbeat.machine].news = (0, 0)
+            self.machines[heartbeat.machine].last_sequence = (0, 0)
         return real(self, heartbeat, now)
 
     monkeypatch.setattr(MachineShard, "on_heartbeat", on_heartbeat)
@@ -353,8 +353,8 @@
     assert world.said[job] == "aborted" and not world.on, "the machine went on, and was halted then"
     assert [part for part, by in world.starts_after if 0.0 < by < 42.0] == [f"{job}/0"]
     never_halted(monkeypatch)
-    monkeypatch.setattr(MachineShard, "on_halt", lambda self, halt: None)
-    monkeypatch.setattr(MachineShard, "_orphans", lambda self, machine: None)
+    monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, halt: None)
+    monkeypatch.setattr(MachineShard, "_stop_orphans", lambda self, machine: None)
     world, job = cancelled_on_a_hanging_machine()
     with pytest.raises(Broken, match="ran_cancelled"):
         world.run(world.t + 60.0)
@@ -397,7 +397,7 @@
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(JobShard, "halt_all", lambda self, job: None)
+    monkeypatch.setattr(JobShard, "stop_all", lambda self, job: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
     monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -85,7 +85,7 @@
     at_once(alone, shown=False)
     how(alone)
     alone.go(LEASE_S + 2.0)  # the store is read, and takes no changes
-    assert alone.core.machine_shard.machines[name].state is MachineState.LAPSED
+    assert alone.core.machine_shard.machines[name].state is MachineState.EXPIRED
     alone.write()
     assert MACHINES + name not in alone.store.data
     alone.heartbeat(name, 1, incarnation=2)
@@ -104,7 +104,9 @@
     drop = at_once(alone, shown)
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
-    assert machine.acked and not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    assert (
+        machine.acknowledged and not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    )
     at_same_time(alone, there)
     assert name not in there.core.replica.machines
     while not machine.recorded:
@@ -118,15 +120,15 @@
     alone = Alone("host-1")
     job = alone.job(msgspec.structs.replace(SPEC, tasks=1000))
     alone.up("n-000001")
-    there, mark = alone.other("host-1"), job.mark
-    job.next = mark
-    alone.core.job_shard.want_mark(job, 10, alone.t)
+    there, mark = alone.other("host-1"), job.start_limit
+    job.next_index = mark
+    alone.core.job_shard.raise_start_limit(job, 10, alone.t)
     at_once(alone, shown)
-    assert stored(alone).mark > mark
-    assert job.pick(alone.t) is None, "it has not heard that the store has the mark"
+    assert stored(alone).start_limit > mark
+    assert job.next_task(alone.t) is None, "it has not heard that the store has the mark"
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     at_same_time(alone, there)
-    assert len(there.core.job_shard.jobs[SPEC.id].unknown) == stored(alone).mark > mark
+    assert len(there.core.job_shard.jobs[SPEC.id].unknown) == stored(alone).start_limit > mark
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -137,11 +139,11 @@
     alone.runs(job, "n-000001", 0)
     sent = []
     alone.core.job_shard.send = alone.core.job_shard.send_deferred = lambda label, body: sent.append(body) or len(sent)
-    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     at_once(alone, shown)
-    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
     assert stored(alone).done == [(0, 1)] and not [body for body in sent if isinstance(body, m.AcknowledgeFinished)]
     at_same_time(alone, there)
     assert there.core.replica.left[SPEC.id] == SPEC.tasks - 1
@@ -165,7 +167,7 @@
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
-            alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", index), alone.t)
+            alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
     return job
 
 
@@ -230,7 +232,7 @@
     alone = Alone("host-1")
     job = end_of(alone, "done")
     at_once(alone, shown)
-    assert stored(alone).spec is None and job.to_clear and not job.drained
+    assert stored(alone).spec is None and job.unacknowledged_results and not job.is_complete
     assert alone.core.cancel(SPEC.id, alone.t) == ("done" if shown else "")
     if view:
         alone.view("host-1", "host-0")
@@ -286,7 +288,7 @@
     assert submission.outcome == "accepted" and alone.core.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
     assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is shown
-    assert not alone.core.job_shard.jobs[SPEC.id].unknown and alone.core.job_shard.jobs[SPEC.id].waits
+    assert not alone.core.job_shard.jobs[SPEC.id].unknown and alone.core.job_shard.jobs[SPEC.id].is_blocked
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -392,7 +394,7 @@
     own = declared.Declared("hours", 3, texts.digest_of(raw), raw)
     one, other = (Declarations(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
     membership = SimpleNamespace(
-        present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
+        registered={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
     )
     proposal = one.due(membership, 0.0, 0.0, 12, 4096)
     assert DECLARED + "hours" in proposal.puts
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -226,7 +226,7 @@
             2.0 * fencing_token + 1.0,
         )
         assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
-        assert len(sent) == told and not machine.acked, "and nothing is concluded from it"
+        assert len(sent) == told and not machine.acknowledged, "and nothing is concluded from it"
     part.cancelled = lambda job: False
     assert verbs(part, machine) == [], "other orders wait for the acknowledgement, a halt of the home's among them"
 
@@ -234,7 +234,7 @@
 def test_a_grant_is_not_ordered_any_more_once_its_job_is_known_to_be_cancelled():
     """It may have waited here for the machine's next report while its home was cut off."""
     part, machine, sent = part_of_a_cancelled_job(False)
-    part.on_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
+    part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
     part.cancelled = lambda job: True
     assert verbs(part, machine) in ([("halt", "wk-1/0", 70)], [])
     assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from test_meetings_machines import OUT_S, RUNNING, Meetings, Told
+from test_meetings_machines import OUT_S, RUNNING, Meetings, Reports
 from test_meetings_store import LEASE_S, SETTLED_S, Alone, machine_of
 from world import Broken, SimWorker, World
 
@@ -37,7 +37,7 @@
     alone.t += 1.0
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
-    assert machine.state is MachineState.LAPSED
+    assert machine.state is MachineState.EXPIRED
     alone.core.on_batch_written(put, revision, alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
@@ -62,7 +62,7 @@
     machine = alone.heartbeat(name, 1)
     put = alone.batch()
     assert MACHINES + name in put.puts
-    alone.core.machine_shard.on_grant(
+    alone.core.machine_shard.on_task_grant(
         "host-0",
         m.TaskGrant(alone.core.machine_shard.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]),
         alone.t,
@@ -103,7 +103,7 @@
     machines = world.known()
     for name in names:
         assert machines[name].state is MachineState.UP and machines[name].recorded
-        assert is_leader.core.leader.rentals[name].state.value == "up"
+        assert is_leader.core.leader.rented_machines[name].state.value == "up"
     world.run(130.0)
     assert all(name not in world.kinds or world.ran[name] for name in names), "used, or returned"
     assert any(world.ran[name] for name in names)
@@ -128,20 +128,20 @@
         core.leader.on_listing(world.listing(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
-        for kind, count in decision.rent:
+        for kind, count in decision.scale_out:
             names = world.rent(kind, count)
 
             def told(kind=kind, names=names):
                 if life == self.life:
-                    core.leader.on_rented(kind, names, world.t)
+                    core.leader.on_scaled_out(kind, names, world.t)
 
             world.after(rng.uniform(0.2, 4.0), told)
             world.rented += len(names)
-        if decision.give_back:
-            world.remove(decision.give_back)
+        if decision.terminate:
+            world.remove(decision.terminate)
             if rng.random() < 0.7:
-                core.on_terminated(decision.give_back, world.t)
-        if decision.rent and world.t < world.ends_until and rng.random() < 0.8:
+                core.on_terminated(decision.terminate, world.t)
+        if decision.scale_out and world.t < world.ends_until and rng.random() < 0.8:
             world.ended_leaders += 1
             world.after(rng.uniform(0.0, 2.5), world.end_if_up, self, life)
 
@@ -235,7 +235,7 @@
 @pytest.mark.parametrize("shows", OLD)
 def test_old_reports_tell_nothing_to_a_controller_that_was_owner_and_becomes_it_again(shows):
     """Owner under 5 and 7, another under 6; copies and reports held back, first that of the highest mandate."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 50)
     one.machine_shard.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
     assert "n-1" not in one.machine_shard.machines
@@ -243,22 +243,22 @@
     one.told_home()
     for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
         one.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=shows)
-        assert not one.machine.acked and not one.machine.tasks and not one.told_home() and not one.orders()
-    assert one.machine.news == (2, 61), "the highest mandate came first: all others are older"
+        assert not one.machine.acknowledged and not one.machine.tasks and not one.told_home() and not one.orders()
+    assert one.machine.last_sequence == (2, 61), "the highest mandate came first: all others are older"
     one.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=shows, asked=True)
     one.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=shows, asked=True)
-    assert not one.machine.acked, "an acknowledgement is newer than all reports of an older mandate"
+    assert not one.machine.acknowledged, "an acknowledgement is newer than all reports of an older mandate"
     one.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
-    assert one.machine.acked and one.told_home() == [([0], [])]
+    assert one.machine.acknowledged and one.told_home() == [([0], [])]
     for fencing_token, sequence in ((6, 60), (6, 61), (7, 62)):
         assert one.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=shows) is None
-    assert not one.told_home() and one.machine.heard_at == 11.0
+    assert not one.told_home() and one.machine.last_heartbeat_at == 11.0
 
 
 @pytest.mark.parametrize("shows", OLD)
 def test_a_report_held_back_for_the_next_view_changes_nothing_of_what_was_carried_over(shows):
     """Newer than all that was heard, and of the view before: it shows what was ordered, what has ended, or not."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
     one.grant(3, 73)
     assert one.orders() == [("run", "wk-1/3", 73)]
@@ -384,7 +384,7 @@
         """What a part knows of its machines, and a home of its tasks."""
         return (
             {
-                name: (one.acked, one.state, dict(one.tasks), dict(one.ordered), dict(one.pending))
+                name: (one.acknowledged, one.state, dict(one.tasks), dict(one.ordered_before), dict(one.pending))
                 for name, one in core.machine_shard.machines.items()
             },
             {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
@@ -410,13 +410,13 @@
 @pytest.mark.parametrize("lost", (True, False))
 def test_a_mute_machine_lapses_by_the_clock_whatever_it_answers_to_commands(lost):
     """Three views within a lease: each asks it. Its last one may have no answer, or one of its new session."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
-    assert one.machine.acked and one.told_home() == [([0], [])]
+    assert one.machine.acknowledged and one.told_home() == [([0], [])]
     one.enter(6, 8.0)
     one.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
     assert one.told_home() == [([0], [])]
-    assert one.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and one.machine.heard_at == 9.0
+    assert one.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and one.machine.last_heartbeat_at == 9.0
     one.enter(7, 16.0)
     if not lost:
         one.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
@@ -425,7 +425,7 @@
     one.machine_shard.check_leases(9.0 + OUT_S - 0.1)
     assert one.machine.state is MachineState.EXPECTED and not one.told_home()
     one.machine_shard.check_leases(9.0 + OUT_S + 0.1)
-    assert one.machine.state is MachineState.LAPSED and one.told_home() == [([], [])], "16 s is no beginning"
+    assert one.machine.state is MachineState.EXPIRED and one.told_home() == [([], [])], "16 s is no beginning"
     for incarnation, sequence in ((1, 5), (2, 1)):
         one.heartbeat(
             30.0,
@@ -435,7 +435,7 @@
             tasks=[RUNNING] if incarnation == 1 else [],
             asked=True,
         )
-        assert one.machine.state is MachineState.LAPSED and not one.told_home() and not one.orders()
+        assert one.machine.state is MachineState.EXPIRED and not one.told_home() and not one.orders()
     one.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
     assert one.machine.state is MachineState.UP and one.machine_shard.candidate(one.machine, 40.0) is None, (
         "put anew first"
@@ -456,7 +456,7 @@
     fencing_token = alone.core.membership.fencing_token
     machine = alone.core.machine_shard.machines[name]
     alone.core.on_probe_answered(Heartbeat(name, "x", "small", 1, 7, fencing_token, "a"), alone.t)
-    assert machine.acked and machine.recorded and job.waiting and not machine.reserved and not machine.pending
+    assert machine.acknowledged and machine.recorded and job.waiting and not machine.reserved and not machine.pending
     alone.heartbeat(name, 8)
     assert machine.pending, "its next report brings it"
 
@@ -506,9 +506,9 @@
         if sim.core is not None
         for name, machine in sim.core.machine_shard.machines.items()
     }
-    acked = [name for name in mute if known[name].acked]
-    assert len(acked) > 70, "they are asked, and acknowledge; some of the commands are late"
-    assert world.runs(set(acked)), "what they run counts as theirs until proof"
+    acknowledged = [name for name in mute if known[name].acknowledged]
+    assert len(acknowledged) > 70, "they are asked, and acknowledge; some of the commands are late"
+    assert world.runs(set(acknowledged)), "what they run counts as theirs until proof"
     world.run(began + OUT_S + 4.0)
     assert not world.inherited()
     world.run(began + 2 * OUT_S + 4.0)  # an acknowledgement that came late, and the lease from there
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -11,18 +11,17 @@
 import pytest
 import world
 from test_machines import SPEC
-from test_meetings_machines import Told
+from test_meetings_machines import Reports
 from world import LEASE_S, TYPES, Broken, World
 
 from alderbridge import constants as c
 from alderbridge import placement, wire
 from alderbridge.config import Team, Tuning
 from alderbridge.dependencies import Graph
-from alderbridge.jobs import Job, JobShard, JobState, Record, Run, TaskState
+from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
 from alderbridge.leader import Leader
 from alderbridge.mesh import MachineTaskReport, QueueRow, QueueSnapshot, TaskGrant, TaskRequest, TaskStatusReport
-from alderbridge.recovery import TABLE, Barrier, Known, Verdict
-from alderbridge.recovery import Told as Column
+from alderbridge.recovery import TRANSITIONS, Action, Barrier, ObservedState, RecordedState
 from alderbridge.replica import Replica
 from alderbridge.store import VIEW
 from alderbridge.view import Membership, View
@@ -53,7 +52,7 @@
     def told(self, machine, live=(), held=(), now=1.0):
         tasks = [TaskStatusReport(BOUND.id, index, 70 + index, "running", None) for index in live]
         held = [(BOUND.id, index, 70 + index) for index in held]
-        self.job_shard.on_seen("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
+        self.job_shard.on_task_report("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
 
     @property
     def used(self):
@@ -69,7 +68,7 @@
 
 def test_what_was_ordered_of_a_cancelled_job_counts_under_the_next_home_until_a_report_settles_it():
     """Its part goes on and knows of the order alone: a machine that hangs or is cut off may run it for a lease yet."""
-    one, heir = Told(), Heir()
+    one, heir = Reports(), Heir()
     one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
@@ -95,8 +94,8 @@
 
 
 def test_whatever_a_home_knows_of_a_task_an_order_that_no_report_has_settled_counts():
-    for known in (Known.OVER, Known.WAITING, Known.POSSIBLE):
-        assert TABLE[known][Column.HELD] is Verdict.ADOPT
+    for known in (RecordedState.JOB_ENDED, RecordedState.WAITING, RecordedState.POSSIBLY_HERE):
+        assert TRANSITIONS[known][ObservedState.ORDERED] is Action.ADOPT
 
 
 def test_a_record_keeps_its_description_until_nothing_of_its_cancelled_job_is_left_on_any_machine():
@@ -104,12 +103,12 @@
     heir = Heir()
     heir.told("n-1", live=[1])
     heir.told("n-2")
-    assert heir.used == 1 and heir.job.record(4096).spec == BOUND and not heir.job.drained
+    assert heir.used == 1 and heir.job.to_record(4096).spec == BOUND and not heir.job.is_complete
     heir.enter(7)
     assert heir.used == 2, "the next home has heard nothing, and counts all that may be out there"
     heir.told("n-2")
     heir.told("n-1")  # it lapsed, or was returned
-    assert heir.used == 0 and heir.shrinks and heir.job.record(4096) == Record(JobState.ABORTED)
+    assert heir.used == 0 and heir.shrinks and heir.job.to_record(4096) == Record(JobState.ABORTED)
 
 
 def test_an_allowance_of_the_old_leader_grants_nothing_under_the_next():
@@ -121,14 +120,14 @@
         0.0,
         fresh=True,
     )
-    heir.job_shard.join(job)
-    heir.job_shard.allot({"bound": (2 * CPUS, 0.0)})
+    heir.job_shard.add(job)
+    heir.job_shard.allocate_quota({"bound": (2 * CPUS, 0.0)})
     assert heir.job_shard._team_room(job) == 2
     heir.job_shard.enter(7, {"wk-2": job}, {})
-    heir.job_shard.on_take("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.job_shard.on_task_request("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
     assert heir.sent[-1] == TaskGrant(1, "wk-2", "n-1", []) and not job.runs
-    heir.job_shard.allot({"bound": (CPUS, 0.0)})
-    heir.job_shard.on_take("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.job_shard.allocate_quota({"bound": (CPUS, 0.0)})
+    heir.job_shard.on_task_request("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
     assert len(job.runs) == 1
 
 
@@ -154,10 +153,10 @@
         record = Record(JobState.ACTIVE, label, 0.0, tasks, [], spec)
         job = Job(record, 1, 0.0, 0.0, fresh=True)
         self.leader.replica.saw_job(name, record, 1)
-        self.homes[label].join(job)
+        self.homes[label].add(job)
         for _ in range(running):
-            index = job.pick(0.0)
-            job.grant(index, Run("n-1", "a", 7, 0, TaskState.RUNNING, 0.0))
+            index = job.next_task(0.0)
+            job.grant(index, TaskRun("n-1", "a", 7, 0, TaskState.RUNNING, 0.0))
         self.rows[label].append(QueueRow(name, job.waiting, 0, due_s, 10.0, None, self.waited_s, False, False))
         return job
 
@@ -172,8 +171,8 @@
                 self.leader.on_queue(label, queue, 1.0)
             held = sum(home.reserved(home.used()).get("t", (0.0, 0.0))[0] for home in self.homes.values())
             assert held <= self.leader.teams[0].cpus_max + 1e-6
-            for label, teams in self.leader.allots(1.0).items():
-                self.homes[label].allot(teams)
+            for label, teams in self.leader.quota_updates(1.0).items():
+                self.homes[label].allocate_quota(teams)
         return {label: home.usage.allowed.get("t", (0.0, 0.0))[0] for label, home in self.homes.items()}
 
 
@@ -201,9 +200,9 @@
     shares.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
     home = shares.homes["host-1"]
     shares.leader.on_queue("host-1", QueueSnapshot(shares.rows["host-1"], {}, {}, home.demand({}), 0), 1.0)
-    assert shares.leader.allots(1.0) == {}
+    assert shares.leader.quota_updates(1.0) == {}
     shares.leader.on_queue("host-0", QueueSnapshot([], {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, 0), 1.0)
-    assert shares.leader.allots(1.0)["host-1"]["t"][0] == 2.0
+    assert shares.leader.quota_updates(1.0)["host-1"]["t"][0] == 2.0
 
 
 def test_what_one_home_is_to_give_back_is_given_to_the_other_once_that_is_confirmed():
@@ -401,17 +400,17 @@
 
 
 def shrunk_with_its_end(monkeypatch):
-    real = Job.record
+    real = Job.to_record
 
     def record(self, value_bytes, may_end=True):
         stored = real(self, value_bytes, may_end)
         return Record(stored.state) if stored.state is JobState.ABORTED else stored
 
-    monkeypatch.setattr(Job, "record", record)
+    monkeypatch.setattr(Job, "to_record", record)
 
 
 def not_waiting_for_all(monkeypatch):
-    real = Leader.allots
+    real = Leader.quota_updates
 
     def allots(self, now):
         for label in self.members:
@@ -419,11 +418,11 @@
                 self.on_queue(label, QueueSnapshot([], {}, {}, {}, 0), now)
         return real(self, now)
 
-    monkeypatch.setattr(Leader, "allots", allots)
+    monkeypatch.setattr(Leader, "quota_updates", allots)
 
 
 def free_without_proof(monkeypatch):
-    monkeypatch.setattr(Barrier, "holds", lambda self, spec: False)
+    monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -19,7 +19,7 @@
 from alderbridge import mesh as m
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
-from alderbridge.jobs import Job, JobState, Run, TaskState
+from alderbridge.jobs import Job, JobState, TaskRun, TaskState
 from alderbridge.net import UnansweredError
 from alderbridge.poll import Poll
 from alderbridge.store import JOBS, MEMBERS, VIEW, StoreRefusedError
@@ -312,7 +312,7 @@
             one = core.job_shard.jobs.get(job)
             if one is not None and (ended or one.state is JobState.ACTIVE) and core.membership.may_act(self.t):
                 self.run(one)
-                core.job_shard.on_seen(
+                core.job_shard.on_task_report(
                     core.me,
                     m.MachineTaskReport(MACHINE, "a", 1 << 40, [m.TaskStatusReport(job, 0, 7, "ended", "done")], []),
                     self.t,
@@ -323,8 +323,8 @@
     def run(self, job: Job) -> None:
         if 0 not in job.runs:
             job.unknown.clear()
-            job.next = max(job.next, 1)
-            job.grant(0, Run(MACHINE, "a", 7, 0, TaskState.RUNNING, self.t))
+            job.next_index = max(job.next_index, 1)
+            job.grant(0, TaskRun(MACHINE, "a", 7, 0, TaskState.RUNNING, self.t))
 
 
 @pytest.fixture
