--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -11,7 +11,7 @@
 from alderbridge.jobs import Job, JobShard, JobState, Record, TaskState
 from alderbridge.machines import MachineShard, MachineState
 from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, StopTask, TaskGrant, TaskRequest, TaskStatusReport
-from alderbridge.recovery import State
+from alderbridge.recovery import MachineProgress
 from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
 
 OUT_S = LEASE_S * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S  # from the last renewal to the proof that the lease is out
@@ -19,7 +19,7 @@
 SAME = object()
 
 
-class Told:
+class Reports:
     """A part with one recorded machine, and what it tells homes."""
 
     def __init__(self) -> None:
@@ -48,10 +48,10 @@
 
     def heartbeat(self, now, sequence, fencing_token=5, incarnation=1, tasks=(), asked=False):
         heartbeat = Heartbeat("n-1", "x", "c4", incarnation, sequence, fencing_token, "a", tasks=list(tasks))
-        return (self.machine_shard.on_asked if asked else self.machine_shard.on_heartbeat)(heartbeat, now)
+        return (self.machine_shard.on_probe_answer if asked else self.machine_shard.on_heartbeat)(heartbeat, now)
 
     def grant(self, index, attempt, now=0.0):
-        self.machine_shard.on_grant(
+        self.machine_shard.on_task_grant(
             "host-1",
             TaskGrant(self.machine_shard.reserve(self.machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)]),
             now,
@@ -71,7 +71,7 @@
 
 def test_a_machine_that_accepts_no_answer_lapses_by_its_own_reports():
     """Each report renewed the wait for its silence: its tasks waited behind the barrier for as long as it was deaf."""
-    one = Told()
+    one = Reports()
     for sequence, now in enumerate((3.0, 10.0, 17.0), 1):
         assert one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING]) is not None, (
             "its answer may be the one that it hears"
@@ -79,17 +79,24 @@
         one.machine_shard.check_leases(now)
         assert one.machine.state is MachineState.EXPECTED and not one.told_home()
     assert one.heartbeat(OUT_S + 0.1, 4, fencing_token=4) is one.machine, "answered: else it could never acknowledge"
-    assert one.machine.state is MachineState.LAPSED and one.machine_shard.squaring.states["n-1"] is State.LAPSED
-    assert one.told_home() == [([], [])] and one.machine_shard.to_drop == ["n-1"]
+    assert (
+        one.machine.state is MachineState.EXPIRED
+        and one.machine_shard.reconciliation.states["n-1"] is MachineProgress.EXPIRED
+    )
+    assert one.told_home() == [([], [])] and one.machine_shard.records_to_drop == ["n-1"]
     assert one.orders() == []
     one.heartbeat(OUT_S + 1.0, 5, fencing_token=4)
-    assert one.machine_shard.to_drop == ["n-1"] and not one.told_home(), "said once"
+    assert one.machine_shard.records_to_drop == ["n-1"] and not one.told_home(), "said once"
     one.heartbeat(OUT_S + 2.0, 1, incarnation=2)
-    assert one.machine.state is MachineState.UP and one.machine.acked and one.machine_shard.to_record == ["n-1"]
+    assert (
+        one.machine.state is MachineState.UP
+        and one.machine.acknowledged
+        and one.machine_shard.records_to_write == ["n-1"]
+    )
 
 
 def test_until_its_lease_is_provably_out_reports_of_a_deaf_machine_prove_nothing():
-    one = Told()
+    one = Reports()
     one.heartbeat(OUT_S - 0.1, 1, fencing_token=4)
     assert one.machine.state is MachineState.EXPECTED
     one.heartbeat(OUT_S - 0.05, 2, fencing_token=5, tasks=[RUNNING])  # it heard the last answer
@@ -99,7 +106,7 @@
 
 
 def test_before_the_view_has_settled_another_may_have_renewed_its_lease():
-    one = Told()
+    one = Reports()
     one.enter(6, 100.0, continued=False, settle=False)
     one.heartbeat(100.0 + 2 * OUT_S, 1, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED, "whoever acts under the older view may answer it"
@@ -107,12 +114,12 @@
     one.heartbeat(100.0 + 3 * OUT_S - 0.1, 2, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED
     one.heartbeat(100.0 + 3 * OUT_S + 0.1, 3, fencing_token=5)
-    assert one.machine.state is MachineState.LAPSED
+    assert one.machine.state is MachineState.EXPIRED
 
 
 def test_a_lease_counts_from_the_answers_of_the_view_before_that_a_machine_may_have_accepted():
     """This process answered it under mandate 5 until 30 s; a report with mandate 5 does not deny that."""
-    one = Told()
+    one = Reports()
     one.heartbeat(10.0, 1, tasks=[RUNNING])
     one.heartbeat(30.0, 2, tasks=[RUNNING])
     one.enter(6, 31.0)
@@ -120,24 +127,24 @@
     one.heartbeat(30.0 + OUT_S - 0.1, 3, tasks=[RUNNING])
     assert one.machine.state is MachineState.EXPECTED
     one.heartbeat(30.0 + OUT_S + 0.1, 4, tasks=[RUNNING])
-    assert one.machine.state is MachineState.LAPSED and one.told_home() == [([], [])]
+    assert one.machine.state is MachineState.EXPIRED and one.told_home() == [([], [])]
 
 
 def test_changes_of_view_one_after_the_other_do_not_begin_its_lease_anew():
     """Deaf through three views, none of which lasts for a lease: each gave it time until it lapsed of its own."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1)
     for fencing_token, now in ((6, 8.0), (7, 14.0)):
         one.enter(fencing_token, now)
         one.heartbeat(now + 1.0, fencing_token, fencing_token=5)
         assert one.machine.state is MachineState.EXPECTED
     one.heartbeat(1.0 + OUT_S + 0.1, 9, fencing_token=5)
-    assert one.machine.state is MachineState.LAPSED
+    assert one.machine.state is MachineState.EXPIRED
 
 
 def test_an_answer_of_a_view_between_counts_as_accepted_when_a_report_shows_its_mandate():
     """Answered under 6 and 7 without a report in between; it has accepted 6, and so renewed its lease late."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1)
     one.enter(6, 2.0)
     one.heartbeat(15.0, 2, fencing_token=5)
@@ -147,24 +154,26 @@
     one.heartbeat(1.0 + 2 * OUT_S, 4, fencing_token=6)
     assert one.machine.state is MachineState.EXPECTED, "the lease counts from when that report came"
     one.heartbeat(1.0 + 2 * OUT_S + 0.3, 5, fencing_token=6)
-    assert one.machine.state is MachineState.LAPSED
+    assert one.machine.state is MachineState.EXPIRED
 
 
 def test_a_deaf_machine_that_hears_a_command_acknowledges():
     """The command was held up, the machine lapsed meanwhile or not: what it shows then is all that is there."""
-    one = Told()
+    one = Reports()
     one.heartbeat(5.0, 1, fencing_token=4, tasks=[RUNNING])
     one.heartbeat(9.0, 2, fencing_token=5, tasks=[RUNNING], asked=True)
     assert one.machine.state is MachineState.UP and one.told_home() == [([0], [])]
-    other = Told()
+    other = Reports()
     other.heartbeat(OUT_S + 1.0, 1, fencing_token=4)
     other.told_home()
     other.heartbeat(OUT_S + 2.0, 2, fencing_token=5, asked=True)
-    assert other.machine.state is MachineState.LAPSED and not other.machine.acked, "its lapse is told; a report ends it"
+    assert other.machine.state is MachineState.EXPIRED and not other.machine.acknowledged, (
+        "its lapse is told; a report ends it"
+    )
 
 
 def test_a_carried_machine_that_is_deaf_frees_what_was_ordered_by_the_lapse_alone():
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1)
     one.grant(3, 73)
     assert one.orders() == [("run", "wk-1/3", 73)]
@@ -173,38 +182,38 @@
     one.heartbeat(1.0 + OUT_S - 0.1, 2, fencing_token=5)
     assert not one.told_home()
     one.heartbeat(1.0 + OUT_S + 0.1, 3, fencing_token=5)
-    assert one.told_home() == [([], [])] and one.machine.state is MachineState.LAPSED
+    assert one.told_home() == [([], [])] and one.machine.state is MachineState.EXPIRED
 
 
 def test_copies_of_a_dead_machine_s_reports_keep_it_from_no_lapse():
     """Owned by another before: all copies are news to this part. Each moved the clock, for up to two leases."""
-    one = Told()
+    one = Reports()
     now, sequence = 1.0, 0
-    while one.machine.state is not MachineState.LAPSED and now < 3 * OUT_S:
+    while one.machine.state is not MachineState.EXPIRED and now < 3 * OUT_S:
         sequence += 1
         one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING])
         one.machine_shard.check_leases(now)
         now += 2.0
-    assert one.machine.state is MachineState.LAPSED and now < OUT_S + 5.0
+    assert one.machine.state is MachineState.EXPIRED and now < OUT_S + 5.0
     assert one.told_home() == [([], [])]
 
 
 def test_a_member_that_may_not_know_a_newer_view_declares_no_lease_run_out():
     """Cut off from the store at 5 s, it still acted: the newer view's owner may have renewed the lease since."""
     for deaf in (False, True):
-        one = Told()
-        one.machine_shard.newest_until = 5.0
+        one = Reports()
+        one.machine_shard.no_newer_view_until = 5.0
         if not deaf:
             one.heartbeat(1.0, 1, tasks=[RUNNING])
         one.heartbeat(1.0 + OUT_S + 0.2, 2, fencing_token=4) if deaf else one.machine_shard.check_leases(
             1.0 + OUT_S + 0.2
         )
-        assert one.machine.state is not MachineState.LAPSED
-        one.machine_shard.newest_until = 1.0 + OUT_S
+        assert one.machine.state is not MachineState.EXPIRED
+        one.machine_shard.no_newer_view_until = 1.0 + OUT_S
         one.heartbeat(1.0 + OUT_S + 0.4, 3, fencing_token=4) if deaf else one.machine_shard.check_leases(
             1.0 + OUT_S + 0.4
         )
-        assert one.machine.state is MachineState.LAPSED, "it stays due"
+        assert one.machine.state is MachineState.EXPIRED, "it stays due"
 
 
 class DeafWorker(SimWorker):
@@ -283,7 +292,7 @@
     world.run(60.0)
     world.copies = 0.2
     leader = world.leader()
-    deaf = [world.machines[machine] for job in leader.core.job_shard.jobs.values() for machine in job.on]
+    deaf = [world.machines[machine] for job in leader.core.job_shard.jobs.values() for machine in job.tasks_by_machine]
     for worker in deaf:
         worker.deaf_until = world.t + 150.0
     world.run(61.0)
@@ -323,7 +332,7 @@
 
 
 def test_an_order_that_two_answers_did_not_bring_is_free_for_another_machine():
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
@@ -335,7 +344,7 @@
     assert one.told_home() == [([], [])] and not one.orders(), "neither, as both are settled by this report"
     assert one.machine_shard.candidate(one.machine, 11.0) is None, "nor is anything placed there for a while"
     assert one.machine_shard.candidate(one.machine, 11.0 + LEASE_S) is not None
-    other = Told()
+    other = Reports()
     other.heartbeat(1.0, 1)
     other.grant(0, 70)
     other.orders()
@@ -351,7 +360,7 @@
 @pytest.mark.parametrize("incarnation, sequence", ((2, 3), (2, 2), (1, 99)))
 def test_a_copy_of_a_report_renews_frees_and_acknowledges_nothing(incarnation, sequence):
     """The same, an older one, one of the session before whose counter is higher: all came before the newest report."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 3, incarnation=2)
     one.grant(0, 70)
     one.machine_shard.reserve(one.machine, "wk-1", 2)
@@ -359,31 +368,38 @@
     one.heartbeat(2.0, 4, incarnation=2, tasks=[RUNNING])
     one.grant(1, 71)
     one.orders()
-    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
+    one.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
     one.told_home()
     machine = one.machine
     before = (
-        machine.heard_at,
-        machine.news,
+        machine.last_heartbeat_at,
+        machine.last_sequence,
         dict(machine.tasks),
         dict(machine.pending),
         dict(machine.reserved),
-        dict(machine.halts),
+        dict(machine.stop_orders),
     )
     assert (
         one.heartbeat(9.0, sequence, incarnation=incarnation, tasks=[ReportedTask("wk-1/5", 75, "ended", "done")])
         is None
     ), "a 200 would carry orders"
-    assert before == (machine.heard_at, machine.news, machine.tasks, machine.pending, machine.reserved, machine.halts)
+    assert before == (
+        machine.last_heartbeat_at,
+        machine.last_sequence,
+        machine.tasks,
+        machine.pending,
+        machine.reserved,
+        machine.stop_orders,
+    )
     assert not one.told_home()
     one.machine_shard.check_leases(2.0 + OUT_S + 0.1)
-    assert machine.state is MachineState.LAPSED, "its lease counts from the newest"
+    assert machine.state is MachineState.EXPIRED, "its lease counts from the newest"
 
 
 def test_the_first_report_that_a_new_owner_hears_may_be_a_copy():
     """It bears an older mandate: it shows no task, frees none and gets no orders, whatever has been granted."""
-    one = Told()
-    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
+    one = Reports()
+    one.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
     assert one.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
     assert not one.machine.tasks and not one.told_home() and not one.orders()
     one.grant(0, 71)
@@ -393,26 +409,26 @@
 
 
 def test_copies_of_a_returned_machine_s_reports_bring_nothing_back():
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
-    one.machine_shard.on_gone(["n-1"])
+    one.machine_shard.on_terminated(["n-1"])
     one.told_home()
     for fencing_token in (4, 5):
         assert one.heartbeat(2.0, 9, fencing_token=fencing_token, incarnation=3, tasks=[RUNNING]) is None
     assert "n-1" not in one.machine_shard.machines and not one.told_home()
     one.enter(6, 3.0)  # its record has yet to go
-    assert one.machine_shard.to_drop == ["n-1"]
+    assert one.machine_shard.records_to_drop == ["n-1"]
     assert one.told_home() == [([], [])], "what others inherit did wait for the lease of a machine that was returned"
     assert one.heartbeat(4.0, 10, fencing_token=5) is None and not one.told_home()
 
 
 def test_a_machine_that_lapsed_comes_back_with_a_new_session_and_its_old_reports_do_not():
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 8, tasks=[RUNNING])
     one.grant(3, 73)
     one.orders()
     one.machine_shard.check_leases(1.0 + OUT_S + 0.1)
-    assert one.machine.state is MachineState.LAPSED
+    assert one.machine.state is MachineState.EXPIRED
     one.told_home()
     one.heartbeat(20.0, 1, incarnation=2)
     assert one.machine.state is MachineState.UP and not one.told_home(), "its lapse has said so"
@@ -447,28 +463,30 @@
 
 def test_an_asked_acknowledgement_that_comes_late_knows_nothing_of_orders():
     """Asked in view 5, its answer held up; an ordinary report acknowledged, and a task was started in between."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 2)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
     one.told_home()
     one.heartbeat(5.0, 3, asked=True)  # written before the worker read the answer with the order
-    assert ("wk-1", 0) in one.machine.pending and not one.told_home() and one.machine.news == (1, 2)
+    assert ("wk-1", 0) in one.machine.pending and not one.told_home() and one.machine.last_sequence == (1, 2)
     one.enter(6, 6.0, carry=True)
     one.told_home()
     one.heartbeat(7.0, 4, fencing_token=5, asked=True)
-    assert not one.machine.acked and not one.told_home(), "nor is it one of the next view"
-    assert one.machine.news == (1, 2) and one.machine.heard_at == 1.0, "nor does it renew anything: commands do not"
+    assert not one.machine.acknowledged and not one.told_home(), "nor is it one of the next view"
+    assert one.machine.last_sequence == (1, 2) and one.machine.last_heartbeat_at == 1.0, (
+        "nor does it renew anything: commands do not"
+    )
     one.heartbeat(8.0, 5, fencing_token=6, asked=True, tasks=[RUNNING])
-    assert one.machine.acked and one.told_home() == [([0], [])]
+    assert one.machine.acknowledged and one.told_home() == [([0], [])]
 
 
 def test_the_answer_to_a_report_before_the_acknowledgement_bears_no_start():
     """Report 1 bears the older mandate; asked meanwhile, the machine acknowledges; then report 1 is answered."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1, fencing_token=4)
     one.heartbeat(1.1, 2, asked=True)
-    assert one.machine.acked and not one.orders()
+    assert one.machine.acknowledged and not one.orders()
     assert one.heartbeat(1.2, 1) is None, "report 1 again"
     one.grant(0, 70)
     one.heartbeat(2.0, 3, asked=True)
@@ -476,27 +494,27 @@
 
 
 def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
-    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))
+    one.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
     one.heartbeat(2.0, 2)
     one.grant(0, 80)
     assert one.orders() == [("run", "wk-1/0", 80)], "70 is gone, its halt as well"
-    one.machine_shard.on_halt(StopTask("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
+    one.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))  # held up at its home
     assert ("halt", "wk-1/0", 80) not in one.orders()
     one.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 80, "running")])
     assert not one.orders() and one.machine.tasks[("wk-1", 0)].attempt == 80
 
 
 def test_a_clear_is_for_one_attempt_and_goes_when_that_is_gone():
-    one = Told()
+    one = Reports()
     ended = ReportedTask("wk-1/0", 70, "ended", "halted")
     one.heartbeat(1.0, 1, tasks=[ended])
-    one.machine_shard.on_clear("n-1", "wk-1", 0, 70)
+    one.machine_shard.on_acknowledge_finished("n-1", "wk-1", 0, 70)
     one.grant(0, 80)
     assert one.orders() == [("clear", "wk-1/0", 70)], "the old attempt goes first"
     one.heartbeat(2.0, 2)
-    one.machine_shard.on_clear("n-1", "wk-1", 0, 70)  # told twice
+    one.machine_shard.on_acknowledge_finished("n-1", "wk-1", 0, 70)  # told twice
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 80)]
     done = ReportedTask("wk-1/0", 80, "ended", "done")
     one.heartbeat(3.0, 3, tasks=[done])
@@ -507,9 +525,9 @@
 @pytest.mark.parametrize("between", ("running", None))
 def test_a_gang_s_task_that_runs_again_under_its_attempt_keeps_its_new_result(between):
     """All tasks of a gang have one attempt: the clear of what ended before took the result that was not stored."""
-    one = Told()
+    one = Reports()
     one.heartbeat(1.0, 1, tasks=[ReportedTask("wk-1/0", 70, "ended", "error")])
-    one.machine_shard.on_clear("n-1", "wk-1", 0, 70)
+    one.machine_shard.on_acknowledge_finished("n-1", "wk-1", 0, 70)
     one.grant(0, 70)
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 70)]
     if between is not None:
@@ -549,16 +567,19 @@
         """The record is written; without an answer nobody here knows."""
         due = [job for _, job in self.job_shard.due_writes(1e9)]
         if due:
-            record, cleared = self.job.record(4096, self.job_shard.may_end(self.job)), list(self.job.to_clear)
+            record, cleared = (
+                self.job.to_record(4096, self.job_shard.may_end(self.job)),
+                list(self.job.unacknowledged_results),
+            )
             self.ends += record.state is not self.record.state
-            self.record, self.revision, self.job.changed_at = record, self.revision + 1, None
+            self.record, self.revision, self.job.dirty_since = record, self.revision + 1, None
             if answered:
-                self.job_shard.written(self.job, record, self.revision, cleared, 1.0)
+                self.job_shard.on_written(self.job, record, self.revision, cleared, 1.0)
 
     def seen(self, machine, *tasks):
         """What a part tells: (index, attempt, status, cause) each; the clears and halts that follow."""
         self.sent.clear()
-        self.job_shard.on_seen(
+        self.job_shard.on_task_report(
             "host-1",
             MachineTaskReport(machine, "a", 10**6, [TaskStatusReport("wk-1", *task) for task in tasks], []),
             1.0,
@@ -566,7 +587,7 @@
         return [body for body in self.sent if isinstance(body, AcknowledgeFinished | StopTask)]
 
     def grant(self, machine):
-        self.job_shard.on_take("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
+        self.job_shard.on_task_request("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
         return self.sent[-1].tasks
 
 
@@ -595,7 +616,7 @@
     one.job_shard.settled = True
     one.store()
     one.store()
-    assert one.ends == 1 and one.job.stored_state is JobState.DONE and one.job.drained
+    assert one.ends == 1 and one.job.stored_state is JobState.DONE and one.job.is_complete
     assert one.seen("n-3", done[2]) == [AcknowledgeFinished("n-3", "wk-1", 2, third[1])], (
         "told again: cleared again, no more"
     )
@@ -635,9 +656,9 @@
     one = Homes()
     (task,) = one.grant("n-1")
     one.seen("n-1", (*task, "fetching", None))
-    assert not one.job.begun
+    assert not one.job.has_started
     one.seen("n-1", (*task, "running", None))
-    assert one.job.begun and one.job.state_of(0) is TaskState.RUNNING
+    assert one.job.has_started and one.job.state_of(0) is TaskState.RUNNING
 
 
 class FarApart(Meetings):
@@ -685,7 +706,7 @@
             acts_until = min(membership.store_lease.valid_until, membership.fresh_until)
             for machine in sim.core.machine_shard.machines.values():
                 worker = world.machines.get(machine.name)
-                if machine.acked and worker is not None and machine.heard_at + OUT_S + 0.5 < acts_until:
+                if machine.acknowledged and worker is not None and machine.last_heartbeat_at + OUT_S + 0.5 < acts_until:
                     return sim, machine, worker
         return None
 
@@ -695,8 +716,10 @@
     part, began = sim.core.machine_shard, world.t
     sim.cut_store_until, worker.cut_until = began + 60.0, began + 60.0
     while sim.core.membership.may_act(world.t):
-        assert machine.state is not MachineState.LAPSED
+        assert machine.state is not MachineState.EXPIRED
         world.run(world.t + 0.05)
     assert (
-        world.t > machine.heard_at + OUT_S and sim.core.machine_shard is part and part.machines[machine.name] is machine
+        world.t > machine.last_heartbeat_at + OUT_S
+        and sim.core.machine_shard is part
+        and part.machines[machine.name] is machine
     )
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -15,7 +15,7 @@
 from alderbridge import placement, wire
 from alderbridge.config import NextState
 from alderbridge.core import Submission
-from alderbridge.jobs import Job, JobShard, JobState, Record, Run, TaskState
+from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
 from alderbridge.machines import MachineShard
 from alderbridge.recovery import Barrier
 from alderbridge.store import VIEW
@@ -311,7 +311,11 @@
     for sim in world.nodes.values():
         core = sim.core
         assert not (
-            core.job_shard.jobs or core.replica.active or core.replica.left or core.job_shard.there or core.submissions
+            core.job_shard.jobs
+            or core.replica.active
+            or core.replica.left
+            or core.job_shard.jobs_by_machine
+            or core.submissions
         )
         assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= c.QUEUE_ROWS // 10
         assert not any(one.halts or one.pending or one.reserved for one in core.machine_shard.machines.values())
@@ -446,15 +450,15 @@
     """Together: none is placed while one that is not accounted for may be elsewhere; apart: it counts in each zone."""
     for more, before, after in (({"one_zone": True}, (0, 0), (0, 0)), ({"spread": True}, (0, 0), (1, 0))):
         job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 4, [], array(1, tasks=4, **more)), 1, 0.0, 0.0)
-        job.adopt(0, Run("n-1", "b", 7, 0, TaskState.RUNNING, 0.0))
-        job.adopt(1, Run("n-1", "b", 8, 0, TaskState.RUNNING, 0.0))
+        job.adopt(0, TaskRun("n-1", "b", 7, 0, TaskState.RUNNING, 0.0))
+        job.adopt(1, TaskRun("n-1", "b", 8, 0, TaskState.RUNNING, 0.0))
         assert (job.room_in("a"), job.room_in("b")) == before
-        job.free(0)
-        job.finish(2, 0.0)  # found where it ended
+        job.requeue(0)
+        job.finish_task(2, 0.0)  # found where it ended
         assert (job.room_in("a"), job.room_in("b")) == after
-        job.free(1)
+        job.requeue(1)
         assert job.waiting == 2 and (job.room_in("a") > 0) is ("spread" in more)
-        job.free(3)
+        job.requeue(3)
         assert job.room_in("a") and job.room_in("b")
 
 
@@ -465,7 +469,7 @@
     def no_barrier(self, fencing_token, jobs, machines):
         enter(self, fencing_token, jobs, machines)
         self.barrier = Barrier({})
-        self._lift()
+        self._release_inherited()
 
     monkeypatch.setattr(JobShard, "enter", no_barrier)
     with pytest.raises(Broken, match="ran_twice"):
@@ -544,11 +548,11 @@
 
 def reservations_stay(monkeypatch):
     """What was asked of a home counts as taken for ever, whatever it granted."""
-    on_grant = MachineShard.on_grant
+    on_task_grant = MachineShard.on_task_grant
     monkeypatch.setattr(
         MachineShard,
-        "on_grant",
-        lambda self, label, grant, now: on_grant(self, label, msgspec.structs.replace(grant, request_id=-1), now),
+        "on_task_grant",
+        lambda self, label, grant, now: on_task_grant(self, label, msgspec.structs.replace(grant, request_id=-1), now),
     )
 
 
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -20,7 +20,7 @@
 from alderbridge.controller import Controller
 from alderbridge.core import ControllerCore
 from alderbridge.declared import Declarations, Head, Revision, records, texts
-from alderbridge.jobs import JobState, Record, Run, TaskState
+from alderbridge.jobs import JobState, Record, TaskRun, TaskState
 from alderbridge.machines import MachineState
 from alderbridge.net import UnansweredError
 from alderbridge.poll import Poll
@@ -158,9 +158,9 @@
         return self.core.job_shard.jobs[spec.id]
 
     def runs(self, job, machine: str, index: int) -> None:
-        job.next = max(job.next, index + 1)
-        job.grant(index, Run(machine, "a", 7, 0, TaskState.RUNNING, self.t))
-        self.core.job_shard.there.setdefault(machine, set()).add(job.spec.id)
+        job.next_index = max(job.next_index, index + 1)
+        job.grant(index, TaskRun(machine, "a", 7, 0, TaskState.RUNNING, self.t))
+        self.core.job_shard.jobs_by_machine.setdefault(machine, set()).add(job.spec.id)
 
     def ended(self, machine: str, index: int, job: str = SPEC.id):
         return m.MachineTaskReport(machine, "a", 1 << 40, [m.TaskStatusReport(job, index, 7, "ended", "done")], [])
@@ -187,7 +187,7 @@
     alone.write()
     if end == "lapsed":
         alone.go(LEASE_S + 2.0)
-        assert alone.core.machine_shard.machines[name].state is MachineState.LAPSED
+        assert alone.core.machine_shard.machines[name].state is MachineState.EXPIRED
     else:
         alone.core.on_terminated([name], alone.t)
     alone.write()
@@ -224,7 +224,7 @@
     drop = alone.lost()
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
-    assert machine.acked and not machine.recorded
+    assert machine.acknowledged and not machine.recorded
     alone.follow()
     assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both late, one after the other
@@ -327,12 +327,12 @@
     sent = []
     alone.core.job_shard.send = alone.core.job_shard.send_deferred = lambda label, body: sent.append(body) or len(sent)
     seen = alone.ended("n-000001", 0)
-    alone.core.job_shard.on_seen("host-0", seen, alone.t)
+    alone.core.job_shard.on_task_report("host-0", seen, alone.t)
     alone.t += 1.0
     alone.follow()
     batch = alone.batch()
     assert batch.jobs
-    alone.core.job_shard.on_seen("host-0", seen, alone.t)  # told again with whatever is news on the machine
+    alone.core.job_shard.on_task_report("host-0", seen, alone.t)  # told again with whatever is news on the machine
     assert not [body for body in sent if isinstance(body, m.AcknowledgeFinished)], (
         "the worker would forget what nobody has yet"
     )
@@ -341,7 +341,7 @@
     assert [body.index for body in sent if isinstance(body, m.AcknowledgeFinished)] == [0]
     alone.go(2.0)
     alone.write()
-    assert not job.to_clear and job.changed_at is None
+    assert not job.unacknowledged_results and job.dirty_since is None
 
 
 def late_end(alone, how):
@@ -352,7 +352,7 @@
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
-            alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", index), alone.t)
+            alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
     return job, alone.lost()
 
 
@@ -445,15 +445,15 @@
     job = alone.job()
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
-    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     first = alone.lost()
-    alone.core.job_shard.on_seen("host-0", alone.ended("n-000001", 1), alone.t)
+    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 1), alone.t)
     alone.write()
     assert alone.carry_out(first).failed
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
-    assert stored.done == [(0, 2)] and not job.to_clear
+    assert stored.done == [(0, 2)] and not job.unacknowledged_results
 
 
 def test_a_submission_given_up_and_stored_late_is_served_though_the_store_is_read_anew():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -255,13 +255,13 @@
         known.saw_job(one.id, Record(JobState.ACTIVE, label, 0.0, one.tasks, [], one), 1)
         row = QueueRow(one.id, one.tasks, 0, 120.0, 10.0, None, 300.0, True, False)
         leader.on_queue(label, QueueSnapshot([row], {}, {}, {"t": (one.tasks * one.cpus, 0.0)}, 0), 1.0)
-        leader.on_room(label, MachineSummaries([]), 1.0)
-    leader.on_rented(Kind("large", "a", True), ["n-1"], 0.0)
-    leader.on_room(
+        leader.on_machine_summaries(label, MachineSummaries([]), 1.0)
+    leader.on_scaled_out(Kind("large", "a", True), ["n-1"], 0.0)
+    leader.on_machine_summaries(
         "host-0",
         MachineSummaries([MachineSummary("n-1", "large", "a", True, "up", 9.0, (16.0, 64.0, 0.0), [], 1.0)]),
         1.0,
     )
-    allowed = leader.allots(1.0)
+    allowed = leader.quota_updates(1.0)
     assert allowed["host-0"]["t"][0] == 16.0
-    assert [kind for kind, _ in leader.decide(1.0).rent] == [Kind("large", "a", False)]
+    assert [kind for kind, _ in leader.decide(1.0).scale_out] == [Kind("large", "a", False)]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,9 +9,20 @@
 
 from alderbridge import constants as c
 from alderbridge import policy, recovery
-from alderbridge.jobs import Job, JobShard, JobState, Record, Run, TaskState
+from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
 from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, QueueRow, StopTask, TaskGrant, TaskStatusReport
-from alderbridge.recovery import TABLE, Asking, Barrier, HoldBack, Knowledge, Known, Squaring, State, Told, Verdict
+from alderbridge.recovery import (
+    TRANSITIONS,
+    Action,
+    Barrier,
+    FleetKnowledge,
+    HeartbeatProber,
+    MachineProgress,
+    ObservedState,
+    ReconciliationProgress,
+    RecordedState,
+    ScaleInGuard,
+)
 from alderbridge.view import MemberRecord, Membership
 from alderbridge.wire import Heartbeat, MachineRecord
 
@@ -25,93 +36,100 @@
     sent = []
     home = JobShard([], lambda label, body: sent.append(body) or len(sent), 4096)
     home.enter(5, {}, {HERE: MachineRecord(), "n-2": MachineRecord()})
-    if known is Known.STRANGER:
+    if known is RecordedState.UNKNOWN_JOB:
         return home, None, sent
-    job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 9, [], SPEC), 1, 0.0, 0.0, fresh=known is not Known.POSSIBLE)
-    home.join(job)
+    job = Job(
+        Record(JobState.ACTIVE, "host-0", 0.0, 9, [], SPEC), 1, 0.0, 0.0, fresh=known is not RecordedState.POSSIBLY_HERE
+    )
+    home.add(job)
     runs = {
-        Known.HERE: (HERE, ATTEMPT),
-        Known.OVER_HERE: (HERE, ATTEMPT),
-        Known.OTHER_TRY: (HERE, 6),
-        Known.ELSEWHERE: ("n-2", 9),
+        RecordedState.HERE: (HERE, ATTEMPT),
+        RecordedState.JOB_ENDED_HERE: (HERE, ATTEMPT),
+        RecordedState.OTHER_ATTEMPT: (HERE, 6),
+        RecordedState.ELSEWHERE: ("n-2", 9),
     }
     if known in runs:
         machine, attempt = runs[known]
-        job.next = 1
-        job.grant(0, Run(machine, "a", attempt, 0, TaskState.RUNNING, 0.0))
-        home.there.setdefault(machine, set()).add(SPEC.id)
-    elif known is Known.WAITING:
-        job.next = 9
-        job.again = list(range(9))
-    elif known in (Known.DONE, Known.COUNTED):
-        job.next = 1
-        job.finish(0, 1.0)
-        if known is Known.DONE:
-            job.changed_at = None
-    if known in (Known.OVER, Known.OVER_HERE):
-        job.end(JobState.ABORTED)
+        job.next_index = 1
+        job.grant(0, TaskRun(machine, "a", attempt, 0, TaskState.RUNNING, 0.0))
+        home.jobs_by_machine.setdefault(machine, set()).add(SPEC.id)
+    elif known is RecordedState.WAITING:
+        job.next_index = 9
+        job.requeued = list(range(9))
+    elif known in (RecordedState.RESULT_STORED, RecordedState.RESULT_UNSTORED):
+        job.next_index = 1
+        job.finish_task(0, 1.0)
+        if known is RecordedState.RESULT_STORED:
+            job.dirty_since = None
+    if known in (RecordedState.JOB_ENDED, RecordedState.JOB_ENDED_HERE):
+        job.apply_stored_end(JobState.ABORTED)
         job.stored_state = JobState.ABORTED
     return home, job, sent
 
 
 def told_as(told):
     status, cause = {
-        Told.LIVE: ("running", None),
-        Told.DONE: ("ended", "done"),
-        Told.ERROR: ("ended", "error"),
-        Told.STOPPED: ("ended", "halted"),
+        ObservedState.LIVE: ("running", None),
+        ObservedState.DONE: ("ended", "done"),
+        ObservedState.ERROR: ("ended", "error"),
+        ObservedState.STOPPED: ("ended", "halted"),
     }.get(told, ("", None))
     tasks = [TaskStatusReport(SPEC.id, 0, ATTEMPT, status, cause)] if status else []
-    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if told is Told.HELD else [])
+    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if told is ObservedState.ORDERED else [])
 
 
-@pytest.mark.parametrize("told", Told)
-@pytest.mark.parametrize("known", Known)
+@pytest.mark.parametrize("told", ObservedState)
+@pytest.mark.parametrize("known", RecordedState)
 def test_every_cell_of_the_table_is_what_a_home_does(known, told):
     home, job, sent = home_that_knows(known)
     if job is not None:
-        assert home.known(job, 0, HERE, ATTEMPT) is known
+        assert home.recorded_state(job, 0, HERE, ATTEMPT) is known
     before = job.runs.get(0) if job is not None else None
-    home.on_seen("host-1", told_as(told), 2.0)
-    what = TABLE[known][told]
+    home.on_task_report("host-1", told_as(told), 2.0)
+    what = TRANSITIONS[known][told]
     assert [body for body in sent if isinstance(body, AcknowledgeFinished)] == (
         [AcknowledgeFinished(HERE, SPEC.id, 0, ATTEMPT)]
-        if what in (Verdict.CLEAR, Verdict.FREE_CLEAR, Verdict.FAIL_CLEAR)
+        if what in (Action.ACKNOWLEDGE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE)
         else []
     )
     assert [body for body in sent if isinstance(body, StopTask)] == (
         [StopTask(HERE, SPEC.id, 0, ATTEMPT, 0.0)]
-        if what in (Verdict.HALT, Verdict.ADOPT_HALT, Verdict.PROGRESS_HALT)
+        if what in (Action.STOP, Action.ADOPT_AND_STOP, Action.PROGRESS_AND_STOP)
         else []
     )
     if job is None:
         return
     run = job.runs.get(0)
-    if what in (Verdict.ADOPT, Verdict.ADOPT_HALT):
-        assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.unknown and 0 not in job.again
-        assert run.state is (TaskState.GRANTED if told is Told.HELD else TaskState.RUNNING)
-    elif what in (Verdict.FREE, Verdict.FREE_CLEAR, Verdict.FAIL_CLEAR):
-        assert run is None and (0 in job.again) is (job.state is JobState.ACTIVE)
-    elif what is Verdict.FINISH:
-        assert 0 in job.done and (HERE, 0, ATTEMPT) in job.to_clear, "cleared when the store holds it"
+    if what in (Action.ADOPT, Action.ADOPT_AND_STOP):
+        assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.unknown and 0 not in job.requeued
+        assert run.state is (TaskState.GRANTED if told is ObservedState.ORDERED else TaskState.RUNNING)
+    elif what in (Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE):
+        assert run is None and (0 in job.requeued) is (job.state is JobState.ACTIVE)
+    elif what is Action.FINISH:
+        assert 0 in job.done and (HERE, 0, ATTEMPT) in job.unacknowledged_results, "cleared when the store holds it"
     else:
         assert run is before
-        if what is Verdict.STRIKE and known is Known.POSSIBLE:
+        if what is Action.REMOVE_FROM_BARRIER and known is RecordedState.POSSIBLY_HERE:
             assert 0 in job.unknown, "the other machine may hold it"
-            home.on_seen("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
-            assert 0 in job.again and not job.unknown
+            home.on_task_report("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
+            assert 0 in job.requeued and not job.unknown
 
 
 def test_the_table_frees_nothing_without_proof_and_clears_no_result_that_is_not_stored():
-    assert len(TABLE) == len(Known) and all(len(row) == len(Told) for row in TABLE)
-    frees = {Verdict.FREE, Verdict.FREE_CLEAR, Verdict.FAIL_CLEAR}
-    for known in Known:
-        assert not frees & {TABLE[known][Told.LIVE], TABLE[known][Told.HELD]}
-        assert TABLE[known][Told.HELD] in (Verdict.NOTHING, Verdict.ADOPT)
-        if known in (Known.WAITING, Known.POSSIBLE, Known.HERE, Known.COUNTED):
-            assert TABLE[known][Told.DONE] is Verdict.FINISH
-        if known is Known.ELSEWHERE:
-            assert not frees & set(TABLE[known]), "what one machine tells says nothing of another"
+    assert len(TRANSITIONS) == len(RecordedState) and all(len(row) == len(ObservedState) for row in TRANSITIONS)
+    frees = {Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE}
+    for known in RecordedState:
+        assert not frees & {TRANSITIONS[known][ObservedState.LIVE], TRANSITIONS[known][ObservedState.ORDERED]}
+        assert TRANSITIONS[known][ObservedState.ORDERED] in (Action.NOTHING, Action.ADOPT)
+        if known in (
+            RecordedState.WAITING,
+            RecordedState.POSSIBLY_HERE,
+            RecordedState.HERE,
+            RecordedState.RESULT_UNSTORED,
+        ):
+            assert TRANSITIONS[known][ObservedState.DONE] is Action.FINISH
+        if known is RecordedState.ELSEWHERE:
+            assert not frees & set(TRANSITIONS[known]), "what one machine tells says nothing of another"
 
 
 # -- who waits for whom --------------------------------------------------------
@@ -123,11 +141,11 @@
     barrier = Barrier({"n-1": spot, "n-2": spot, "n-3": other, "n-4": MachineRecord("z", "c4", "b")})
     ordinary = msgspec.structs.replace(SPEC, spot=False, types=["c4"], zone="b")
     anywhere = msgspec.structs.replace(SPEC, spot=True)
-    assert barrier.holds(ordinary) and barrier.holds(anywhere)
-    assert barrier.strike("n-4") and not barrier.holds(ordinary) and barrier.holds(anywhere)
-    assert not barrier.strike("n-1") and barrier.strike("n-2") and barrier.strike("n-3")
-    assert not barrier and not barrier.holds(anywhere)
-    assert Barrier({"n-9": MachineRecord()}).holds(ordinary), "a record of 0.1.0 does not say what it is"
+    assert barrier.may_hold(ordinary) and barrier.may_hold(anywhere)
+    assert barrier.remove("n-4") and not barrier.may_hold(ordinary) and barrier.may_hold(anywhere)
+    assert not barrier.remove("n-1") and barrier.remove("n-2") and barrier.remove("n-3")
+    assert not barrier and not barrier.may_hold(anywhere)
+    assert Barrier({"n-9": MachineRecord()}).may_hold(ordinary), "a record of 0.1.0 does not say what it is"
 
 
 def test_a_part_that_goes_on_carries_over_what_it_ordered_and_knows():
@@ -136,7 +154,7 @@
     machine = part.machines["n-1"]
     for index, attempt in ((0, 70), (1, 71)):
         grant = TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
-        part.on_grant("host-1", grant, 1.5)
+        part.on_task_grant("host-1", grant, 1.5)
         if index == 0:
             part.orders(machine)  # sent; the second never is
     del sent[:]
@@ -147,7 +165,7 @@
         ("host-0", MachineTaskReport("n-1", "a", 7, [], [])),
         ("host-1", MachineTaskReport("n-1", "a", 7, [], [("wk-1", 0, 70)])),
     ]
-    assert part.squaring.states == {"n-1": State.SQUARED}
+    assert part.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
     assert part.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
     part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
     assert sent[-1] == ("host-1", MachineTaskReport("n-1", "a", 7, [], [])), "its report settles what was ordered"
@@ -159,7 +177,7 @@
     del sent[:]
     part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry=False)
     part.settle(2.2)
-    assert not sent and part.squaring.states == {"n-1": State.RECORDED}
+    assert not sent and part.reconciliation.states == {"n-1": MachineProgress.RECORDED}
 
 
 def test_a_machine_that_goes_while_its_record_is_written_leaves_none_behind():
@@ -167,13 +185,13 @@
     part, _ = part_with_machine()
     for name in ("n-2", "n-3", "n-4"):
         part.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
-    assert part.to_record == ["n-2", "n-3", "n-4"]
-    part.on_gone(["n-2", "n-3"])
-    assert part.to_record == ["n-4"]
+    assert part.records_to_write == ["n-2", "n-3", "n-4"]
+    part.on_terminated(["n-2", "n-3"])
+    assert part.records_to_write == ["n-4"]
     part.on_recorded("n-3")  # its write was on the way
     part.check_leases(30.0)
     part.on_recorded("n-4")
-    assert sorted(part.to_drop) == ["n-1", "n-3", "n-4"] and not part.to_record
+    assert sorted(part.records_to_drop) == ["n-1", "n-3", "n-4"] and not part.records_to_write
     assert not part.machines["n-4"].recorded
 
 
@@ -187,8 +205,8 @@
         spec = msgspec.structs.replace(world.make_job(number), id=f"wk-{number:06d}", kind="sweep", tasks=9)
         job = Job(Record(JobState.ACTIVE, "host-1", world.t, 9, [], spec), 1, world.t, 0.0)
         job.last_write = 0.0
-        core.job_shard.join(job)
-        job.touch(world.t)
+        core.job_shard.add(job)
+        job.mark_dirty(world.t)
     core.machine_records_to_drop = ["n-8", "n-9"]
     gone = []
     while len(gone) < 2 and world.t < 12.0:
@@ -200,7 +218,7 @@
             for name in batch.dropped_machines:
                 core._dropped(name)
             for job, _, _ in batch.jobs:
-                job.touch(world.t)
+                job.mark_dirty(world.t)
     assert gone == ["n-8", "n-9"]
 
 
@@ -208,7 +226,7 @@
 
 
 def test_who_does_not_answer_is_asked_again_a_few_times_with_jitter_and_then_left_alone():
-    asking, asked, now = Asking(Random(1)), [], 10.0
+    asking, asked, now = HeartbeatProber(Random(1)), [], 10.0
     asking.enter(["n-1", "n-2", "n-3"], now)
     assert [asking.next(now, lambda name: name == "n-2") for _ in range(3)] == ["n-1", "n-3", None]
     asking.unanswered("n-1", now)
@@ -223,21 +241,23 @@
 
 def test_the_leader_returns_nothing_and_rents_nothing_for_tasks_that_may_run():
     """190 machines were returned as idle and 192 rented again ten seconds later."""
-    hold_back = HoldBack(17.0)
-    assert hold_back.look(300, 600, 5000, 100.0) is Knowledge.SQUARING
-    assert not hold_back.may_return and not hold_back.counts_inherited
-    assert hold_back.look(3, 600, 40, 110.0) is Knowledge.SQUARING  # a second fall: the bound stays the first one's
-    assert hold_back.look(0, 600, 40, 100.0 + hold_back.bound_s + 0.1) is Knowledge.OVERDUE
-    assert hold_back.may_return and hold_back.counts_inherited
-    assert hold_back.look(5, 600, 0, 130.0) is Knowledge.SQUARED, "some machine always boots"
-    assert hold_back.look(200, 600, 0, 140.0) is Knowledge.SQUARING
+    scale_in_guard = ScaleInGuard(17.0)
+    assert scale_in_guard.refresh(300, 600, 5000, 100.0) is FleetKnowledge.RECONCILING
+    assert not scale_in_guard.may_return and not scale_in_guard.counts_inherited
+    assert (
+        scale_in_guard.refresh(3, 600, 40, 110.0) is FleetKnowledge.RECONCILING
+    )  # a second fall: the bound stays the first one's
+    assert scale_in_guard.refresh(0, 600, 40, 100.0 + scale_in_guard.bound_s + 0.1) is FleetKnowledge.OVERDUE
+    assert scale_in_guard.may_return and scale_in_guard.counts_inherited
+    assert scale_in_guard.refresh(5, 600, 0, 130.0) is FleetKnowledge.RECONCILED, "some machine always boots"
+    assert scale_in_guard.refresh(200, 600, 0, 140.0) is FleetKnowledge.RECONCILING
 
 
 def test_few_silent_machines_are_returned_for_proof_and_a_cut_zone_is_not():
     few = [("n-1", 4.5), ("n-2", 2.0)]
-    assert HoldBack.for_proof(few, 600, 900) == ["n-1"]
-    assert HoldBack.for_proof(few, 600, 0) == [], "nothing waits for it"
-    assert HoldBack.for_proof([(f"n-{n}", 9.0) for n in range(200)], 600, 900) == []
+    assert ScaleInGuard.machines_to_prove_empty(few, 600, 900) == ["n-1"]
+    assert ScaleInGuard.machines_to_prove_empty(few, 600, 0) == [], "nothing waits for it"
+    assert ScaleInGuard.machines_to_prove_empty([(f"n-{n}", 9.0) for n in range(200)], 600, 900) == []
 
 
 def test_controllers_that_return_together_make_one_view():
@@ -267,20 +287,20 @@
 
 
 def test_the_account_of_squaring_ends_and_says_how_far_it_is():
-    squaring = Squaring(0.0)
+    reconciliation = ReconciliationProgress(0.0)
     for name in ("n-1", "n-2", "n-3", "n-4"):
-        squaring.record(name)
-    squaring.hear("n-1")
-    squaring.acknowledge("n-1")
-    squaring.square("n-1")
-    squaring.hear("n-2")
-    squaring.fall_silent("n-2")
-    squaring.fall_silent("n-1")
-    squaring.lapse("n-3")
-    assert not squaring.over
-    squaring.give_back("n-4")
-    assert squaring.over
-    assert squaring.line(3.0) == "after 3.0 s: squared 1, silent 1, lapsed 1, returned 1 of 4"
+        reconciliation.add_recorded(name)
+    reconciliation.record_report("n-1")
+    reconciliation.acknowledge("n-1")
+    reconciliation.mark_reconciled("n-1")
+    reconciliation.record_report("n-2")
+    reconciliation.mark_silent("n-2")
+    reconciliation.mark_silent("n-1")
+    reconciliation.mark_expired("n-3")
+    assert not reconciliation.over
+    reconciliation.mark_terminated("n-4")
+    assert reconciliation.over
+    assert reconciliation.line(3.0) == "after 3.0 s: squared 1, silent 1, lapsed 1, returned 1 of 4"
 
 
 # -- views that change while machines fall -----------------------------------------
@@ -357,10 +377,10 @@
 def test_a_dead_machine_of_a_part_that_goes_on_holds_up_no_inherited_task(monkeypatch):
     """Its part knows all that may be on it; only what that is waits for the lease."""
     seeds = (8106, 8110, 8113, 8114)
-    carried = [seconds_behind_the_barrier(seed) for seed in seeds]
+    carried_over = [seconds_behind_the_barrier(seed) for seed in seeds]
     monkeypatch.setattr(Membership, "all_support", lambda self, protocol_version: protocol_version < c.RECOVERY)
     waited = [seconds_behind_the_barrier(seed) for seed in seeds]
-    assert max(carried) < 4.0 and max(waited) > 4.0
+    assert max(carried_over) < 4.0 and max(waited) > 4.0
 
 
 # -- random runs: all controllers fall, and much of the fleet with them --------------
@@ -391,9 +411,9 @@
 
 def cell(known, told, what):
     def patch(monkeypatch):
-        rows = [list(row) for row in TABLE]
+        rows = [list(row) for row in TRANSITIONS]
         rows[known][told] = what
-        monkeypatch.setattr(recovery.table, "TABLE", tuple(map(tuple, rows)))
+        monkeypatch.setattr(recovery.transitions, "TRANSITIONS", tuple(map(tuple, rows)))
 
     return patch
 
@@ -401,8 +421,11 @@
 @pytest.mark.parametrize(
     "fault, rule",
     [
-        (cell(Known.POSSIBLE, Told.LIVE, Verdict.STRIKE), "ran_twice"),  # what still runs is started again
-        (cell(Known.POSSIBLE, Told.LIVE, Verdict.ADOPT_HALT), "halted"),
+        (
+            cell(RecordedState.POSSIBLY_HERE, ObservedState.LIVE, Action.REMOVE_FROM_BARRIER),
+            "ran_twice",
+        ),  # what still runs is started again
+        (cell(RecordedState.POSSIBLY_HERE, ObservedState.LIVE, Action.ADOPT_AND_STOP), "halted"),
     ],
 )
 def test_each_guard_is_seen_to_fail_when_it_is_broken(monkeypatch, fault, rule):
@@ -425,7 +448,7 @@
     while True:  # until a machine is idle at the leader
         world.run(world.t + 0.5)
         leader = next(sim.core.leader for sim in world.nodes.values() if sim.core.membership.is_leader(world.t))
-        rows = [row for room, _ in leader.rooms.values() for row in room.rows]
+        rows = [row for room, _ in leader.machine_summaries.values() for row in room.rows]
         if leader.ready(world.t) and any(row.idle_s > 0 and row.state == "up" for row in rows):
             break
     monkeypatch.setattr(policy, "block_ends", lambda age_s, within_s: True)
@@ -434,11 +457,11 @@
     leader.replica.saw_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
     queue.told[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
-    began = leader.hold_back.since
-    assert not leader.decide(world.t).drain and leader.hold_back.returns > 0
+    began = leader.scale_in_guard.since
+    assert not leader.decide(world.t).drain and leader.scale_in_guard.returns > 0
     del queue.told[spec.id]
     assert leader.decide(world.t).drain, "squared, it goes"
-    assert leader.hold_back.since >= began
+    assert leader.scale_in_guard.since >= began
 
 
 def test_messages_that_may_wait_keep_their_order_and_go_in_the_next_round():
@@ -455,4 +478,4 @@
     assert [frame.seq for _, frame in core.outgoing_frames] == sorted(frame.seq for _, frame in core.outgoing_frames)
     core.send_deferred("host-1", clears[0])
     core.round(world.t)
-    assert clears[0] in [frame.body for _, frame in core.outgoing_frames[3:]] and not core.later
+    assert clears[0] in [frame.body for _, frame in core.outgoing_frames[3:]] and not core.deferred
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -43,7 +43,7 @@
 def test_records_frames_and_views_of_the_old_version_are_read():
     for raw in production.RECORDS:
         old, new = msgspec.json.decode(raw, type=production.Record), msgspec.json.decode(raw, type=Record)
-        assert (new.state.value, new.accepted_by, new.at, new.mark, new.done) == (
+        assert (new.state.value, new.accepted_by, new.at, new.start_limit, new.done) == (
             old.state,
             old.home,
             old.at,
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -8,7 +8,7 @@
 from alderbridge.config import NextState
 from alderbridge.core import ControllerCore
 from alderbridge.dependencies import Graph
-from alderbridge.jobs import Job, JobShard, JobState, Record, Usage
+from alderbridge.jobs import Job, JobShard, JobState, QuotaUsage, Record
 from alderbridge.machines import Machine, MachineShard
 from alderbridge.recovery import Barrier
 from alderbridge.store import JOBS, LISTS
@@ -156,17 +156,17 @@
 
 
 def no_barrier(monkeypatch):
-    monkeypatch.setattr(Barrier, "holds", lambda self, spec: False)
+    monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
 
 
 def absence_without_proof(monkeypatch):
     """A part tells homes of machines that have not acknowledged the mandate."""
-    monkeypatch.setattr(Machine, "proven", property(lambda self: True))
+    monkeypatch.setattr(Machine, "is_proven", property(lambda self: True))
     real = MachineShard.settle
 
     def settle(self, now):
         for machine in self.machines.values():
-            self.tell_homes(machine)
+            self.report_to_job_owners(machine)
         real(self, now)
 
     monkeypatch.setattr(MachineShard, "settle", settle)
@@ -184,7 +184,7 @@
 
 
 def no_allowance(monkeypatch):
-    monkeypatch.setattr(Usage, "room", lambda self, team, used, spec: spec.tasks)
+    monkeypatch.setattr(QuotaUsage, "room", lambda self, team, used, spec: spec.tasks)
 
 
 def anywhere(monkeypatch):
@@ -205,19 +205,19 @@
 
 
 def done_too_early(monkeypatch):
-    real = Job.finish
+    real = Job.finish_task
 
     def finish(self, index, now):
         real(self, index, now)
         if self.state is JobState.ACTIVE and self.done.count >= self.spec.tasks - 1:
             self.state = JobState.DONE
 
-    monkeypatch.setattr(Job, "finish", finish)
+    monkeypatch.setattr(Job, "finish_task", finish)
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(MachineShard, "on_halt", lambda self, halt: None)
-    monkeypatch.setattr(MachineShard, "_orphans", lambda self, machine: None)
+    monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, halt: None)
+    monkeypatch.setattr(MachineShard, "_stop_orphans", lambda self, machine: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
     monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
 
@@ -242,9 +242,9 @@
 
 
 def free_room_not_forgotten(monkeypatch):
-    real = MachineShard.on_grant
+    real = MachineShard.on_task_grant
 
-    def on_grant(self, label, grant, now):
+    def on_task_grant(self, label, grant, now):
         machine = self.machines.get(grant.machine)
         free = machine.free if machine is not None else None
         real(self, label, grant, now)
@@ -252,17 +252,17 @@
             machine.free = free or self.free(machine)
             machine.pending = dict(machine.pending)
 
-    monkeypatch.setattr(MachineShard, "on_grant", on_grant)
+    monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
 
 
 def machines_not_indexed(monkeypatch):
-    real = JobShard.on_seen
+    real = JobShard.on_task_report
 
-    def on_seen(self, label, seen, now):
+    def on_task_report(self, label, seen, now):
         self.there.pop(seen.machine, None)
         real(self, label, seen, now)
 
-    monkeypatch.setattr(JobShard, "on_seen", on_seen)
+    monkeypatch.setattr(JobShard, "on_task_report", on_task_report)
 
 
 @pytest.mark.parametrize(
--- a/tests/world.py
+++ b/tests/world.py
@@ -583,7 +583,7 @@
     def ask(self) -> None:
         """Empty ``/commands`` to the machines of a new view; some are held back, and arrive late."""
         core, world, life = self.core, self.world, self.life
-        while core.may_act() and (machine := core.machine_shard.next_to_ask(world.t)) is not None:
+        while core.may_act() and (machine := core.machine_shard.next_to_probe(world.t)) is not None:
             name, _, incarnation = machine
             fencing_token = core.membership.fencing_token
 
@@ -616,22 +616,22 @@
         core.leader.on_listing(world.listing(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
-        for kind, count in decision.rent:
+        for kind, count in decision.scale_out:
             names = world.rent(kind, count)
             if world.t < world.quick_until:  # the machines are up and report before the answer is here
                 self.renting = True
                 world.after(world.rng.uniform(0.5, 3.0), self.rented, self.life, kind, names, count)
             else:
                 self.rented(self.life, kind, names, count)
-        if decision.give_back and world.rng.random() < 0.95:
-            world.remove(decision.give_back)
+        if decision.terminate and world.rng.random() < 0.95:
+            world.remove(decision.terminate)
             if world.rng.random() < 0.95:
-                core.on_terminated(decision.give_back, world.t)
+                core.on_terminated(decision.terminate, world.t)
 
     def rented(self, life: int, kind, names: list[str], count: int) -> None:
         if life == self.life:
             self.renting = False
-            self.core.leader.on_rented(kind, names, self.world.t)
+            self.core.leader.on_scaled_out(kind, names, self.world.t)
             if len(names) < count:
                 self.core.leader.on_refused(kind, self.world.t)
 
@@ -674,7 +674,7 @@
                 state = None if core.knows_job(job) else NOT_FOUND
             else:
                 record = msgspec.json.decode(row.data, type=Record)
-                waits = record.spec is not None and (record.spec.needs or record.more)
+                waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
                 elif not waits or core.is_certainly_pending(job, world.t):
@@ -1425,7 +1425,7 @@
         if found is None:
             raise Broken(f"forgotten: {job}")
         record = msgspec.json.decode(found[0], type=Record)
-        waits = record.spec is not None and (record.spec.needs or record.more)
+        waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
         return None if waits and not sim.core.is_certainly_pending(job, self.t) else "pending"
@@ -1664,7 +1664,7 @@
     def books(core: ControllerCore) -> None:
         """What is kept with each change, in place of counting anew for each event, is what a count would give."""
         home, part = core.job_shard, core.machine_shard
-        kept, there = dict(home.tally.teams), home.there
+        kept, there = dict(home.tally.teams), home.jobs_by_machine
         used = home.used()
         for team in {*kept, *used}:
             if any(abs(a - b) > 1e-6 for a, b in zip(kept.get(team, (0, 0)), used.get(team, (0, 0)), strict=True)):
@@ -1673,9 +1673,9 @@
             counted = job.done.count + len(job.runs) + len(job.unknown) + job.waiting
             if job.state is JobState.ACTIVE and counted != job.spec.tasks:
                 raise Broken(f"books: {name} accounts for {counted} of {job.spec.tasks} tasks")
-            if any(name not in there.get(machine, ()) for machine in job.on):
+            if any(name not in there.get(machine, ()) for machine in job.tasks_by_machine):
                 raise Broken(f"books: {name} has a task where the index does not know")
-            lags = job.changed_at is not None or (job.full and job.stored_state is not JobState.ACTIVE)
+            lags = job.dirty_since is not None or (job.has_full_record and job.stored_state is not JobState.ACTIVE)
             if lags and home.tally.lagging.get(name) is not job:
                 raise Broken(f"books: {name} has a record to be written, and the index does not know")
         view = core.membership.view.members
@@ -1683,9 +1683,13 @@
             if owner != (rendezvous_owner(machine, sorted(view)) if view else ""):
                 raise Broken(f"books: {machine} belongs to {owner} no more")
         for machine in part.machines.values():
-            heard = machine.heard_at if machine.acked else max(machine.heard_at, machine.sole_since or math.inf)
-            if machine.sole_since is not None and machine.state is not MachineState.LAPSED:
-                if heard < part.longest_silent:
+            heard = (
+                machine.last_heartbeat_at
+                if machine.acknowledged
+                else max(machine.last_heartbeat_at, machine.exclusive_since or math.inf)
+            )
+            if machine.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
+                if heard < part.oldest_lease_start:
                     raise Broken(f"books: {machine.name} was silent since {heard}, no look is due")
         for machine in part.machines.values():
             kept, machine.free = machine.free, None
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -103,7 +103,7 @@
         if change is not None:
             self.commit(change[1], {VIEW: change[0]}, [])
         while hasattr(core, "on_probe_answered") and core.may_act():
-            asked = core.machine_shard.next_to_ask(self.now)
+            asked = core.machine_shard.next_to_probe(self.now)
             if asked is None:
                 break
             self.at(self.now + self.rng.uniform(0.01, 0.2), self.ask, label, asked[0], core.membership.fencing_token)
@@ -135,18 +135,18 @@
             )
             decision = self.clock("renting", core.leader.decide, self.now)
             core.drain_machines(decision.drain, self.now)
-            for kind, count in decision.rent:
+            for kind, count in decision.scale_out:
                 got = min(count, self.size - sum(not worker.gone for worker in self.workers))
                 names = [self.add_machine(kind.spot, kind.zone, self.rng.uniform(20.0, 50.0)) for _ in range(got)]
                 self.rented += got
-                core.leader.on_rented(kind, names, self.now)
+                core.leader.on_scaled_out(kind, names, self.now)
                 if got < count:
                     core.leader.on_refused(kind, self.now)
-            if decision.give_back:
+            if decision.terminate:
                 for worker in self.workers:
-                    if worker.name in decision.give_back:
+                    if worker.name in decision.terminate:
                         self.end(worker)
-                core.on_terminated(decision.give_back, self.now)
+                core.on_terminated(decision.terminate, self.now)
             self.carry(label)
 
     def carry(self, label: str) -> None:
@@ -220,7 +220,7 @@
         core = self.nodes[label]
         if worker.dead or worker.gone or core is None or core.membership.fencing_token != fencing_token:
             if core is not None:
-                core.machine_shard.asking.unanswered(name, self.now + c.ASK_WORKER_S)
+                core.machine_shard.prober.unanswered(name, self.now + c.ASK_WORKER_S)
             return
         self.lease(worker)
         worker.fencing_token = max(worker.fencing_token, fencing_token)
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -461,10 +461,10 @@
     def lead(self, label: str) -> None:
         core, self.clock.owner = self.nodes[label], label
         decision = self.clock("renting", core.leader.decide, self.now)
-        for kind, count in decision.rent:
+        for kind, count in decision.scale_out:
             got = min(count, self.size - len(self.workers))
             names = [self.add_machine(kind.spot, kind.zone, self.rng.uniform(20.0, 50.0)) for _ in range(got)]
-            core.leader.on_rented(kind, names, self.now)
+            core.leader.on_scaled_out(kind, names, self.now)
             if got < count:
                 core.leader.on_refused(kind, self.now)
 
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -36,7 +36,7 @@
     def __init__(self, args: argparse.Namespace, machines: int, spread_s: float, warm_s: float) -> None:
         self.ours: collections.Counter[int] = collections.Counter()  # second -> tasks of the class that began
         self.seen: set[str] = set()
-        self.rentals: collections.Counter[int] = collections.Counter()
+        self.rented_machines: collections.Counter[int] = collections.Counter()
         self.first: dict[str, float] = {}  # job of the class -> its first start
         super().__init__(machines, args.load, args.seed)
         self.size = 2 * machines  # that the cloud has
@@ -82,7 +82,7 @@
     def lead(self, label: str) -> None:
         before = self.rented
         super().lead(label)
-        self.rentals[int(self.now)] += self.rented - before
+        self.rented_machines[int(self.now)] += self.rented - before
 
     def report(self, worker) -> None:
         super().report(worker)
@@ -107,9 +107,9 @@
         "run orders a second, calm": round(sum(runs[s] for s in calm) / len(calm), 1),
         "of the class, busiest second": max(ours[s] for s in after),
         "mean of its busiest 10 s": round(max(sum(ours[s + n] for n in range(10)) for s in after) / 10, 1),
-        "rentals a second, calm": round(sum(bench.rentals[s] for s in calm) / len(calm), 2),
-        "busiest second, warm-up on": max(bench.rentals[s] for s in range(int(OPENS - args.warm), int(UNTIL))),
-        "machines rented, warm-up on": sum(bench.rentals[s] for s in range(int(OPENS - args.warm), int(UNTIL))),
+        "rentals a second, calm": round(sum(bench.rented_machines[s] for s in calm) / len(calm), 2),
+        "busiest second, warm-up on": max(bench.rented_machines[s] for s in range(int(OPENS - args.warm), int(UNTIL))),
+        "machines rented, warm-up on": sum(bench.rented_machines[s] for s in range(int(OPENS - args.warm), int(UNTIL))),
         "jobs started of the class": len(waits),
         "first start, median, s": round(waits[len(waits) // 2], 1) if waits else float("nan"),
         "first start, last, s": round(waits[-1], 1) if waits else float("nan"),
