--- a/alderbridge/allowances.py
+++ b/alderbridge/allowances.py
@@ -9,8 +9,7 @@
 
 from collections.abc import Callable, Mapping
 
-from . import constants as c
-from . import policy
+from . import constants, policy
 from .config import Team
 from .mesh import QueueRow
 from .policy import Need
@@ -58,7 +57,7 @@
             return {}
         if any(queues[label].allocations_received != self.sent[label] for label in self.members):
             return {}
-        if now - self.all_at >= c.LEADER_ROUND_S:
+        if now - self.all_at >= constants.LEADER_ROUND_S:
             self.all_at, self.changed = now, set(self.teams)
         if not self.changed:
             return {}
@@ -96,7 +95,7 @@
             for row in self._rows_of_changed(queues[label], now):
                 spec = self.spec_of(row.job)
                 if spec is not None and row.waited_s >= 0:  # before its turn after an opening it takes no allowance
-                    kept = row.waited_s >= c.BEGIN_TURN_S and row.waiting == spec.tasks
+                    kept = row.waited_s >= constants.STARVED_JOB_S and row.waiting == spec.tasks
                     waiting.append((order(row, spec), label, row.waiting, spec, kept))
         needs: dict[str, tuple[list[Need], list[Need]]] = {team: ([], []) for team in self.changed}
         for _, label, count, spec, kept in sorted(waiting, key=lambda entry: entry[:2]):
--- a/alderbridge/claims/choosing.py
+++ b/alderbridge/claims/choosing.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from .. import constants as c
+from .. import constants
 from ..placement import Room, allowed, fits, minus
 from ..policy import Kind
 from ..wire import JobSpec
@@ -54,8 +54,8 @@
 def loss_s(victim: Victim) -> float:
     """Seconds of its work that a stop costs, with the save and a new start."""
     if victim.spec.checkpoint_s > 0:
-        return victim.spec.save_s + c.STEP_S
-    return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + c.STEP_S
+        return victim.spec.save_s + constants.DEPENDENCY_STEP_S
+    return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.DEPENDENCY_STEP_S
 
 
 def loss(victim: Victim) -> float:
@@ -68,9 +68,9 @@
     spec = victim.spec
     if spec.service or not spec.estimate_s:
         return False
-    if spec.estimate_s - victim.ran_s <= c.SPARE_S and victim.sure:
+    if spec.estimate_s - victim.ran_s <= constants.SPARED_REMAINING_S and victim.sure:
         return True
-    return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * c.SPARE_SHARE
+    return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * constants.SPARED_RUN_SHARE
 
 
 class _Machine:
@@ -131,7 +131,7 @@
         return whole
 
     def price(self, unit: list[tuple[str, Victim]]) -> float:
-        return sum(self.cost(victim) * (1 + c.SPREAD * self.of_job[victim.job]) for _, victim in unit)
+        return sum(self.cost(victim) * (1 + constants.VICTIM_SPREAD * self.of_job[victim.job]) for _, victim in unit)
 
     def step(self, name: str, need: Need) -> _Step | None:
         machine, spec = self.machines[name], need.spec
@@ -264,7 +264,14 @@
         save = max((v.spec.save_s for v in machine.victims if v.spec.checkpoint_s > 0), default=0.0)
         victims = [(victim.job, victim.index, victim.attempt) for victim in machine.victims]
         return Claim(
-            need.reason, need.spec.id, machine.made, victims, save, wall + save + c.CLAIM_KEEP_S, need.spec.team, wall
+            need.reason,
+            need.spec.id,
+            machine.made,
+            victims,
+            save,
+            wall + save + constants.CLAIM_GRACE_S,
+            need.spec.team,
+            wall,
         )
 
 
--- a/alderbridge/claims/desk.py
+++ b/alderbridge/claims/desk.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
-from .. import constants as c
+from .. import constants
 from ..leader import Leader
 from ..mesh import MachineTaskList, MachineTasks, QueueRow
 from ..placement import fits
@@ -116,7 +116,7 @@
         """True: the parts are to be asked for their tasks. ``most``: changes that one transaction takes."""
         if not self.leader.ready(now):
             return False
-        if now - self.looked_at >= c.LEADER_ROUND_S:
+        if now - self.looked_at >= constants.LEADER_ROUND_S:
             self.looked_at = now
             if self.ledger.entries or self.ledger.stops:
                 self._tidy(now, wall, sources)
@@ -219,7 +219,7 @@
                     cause = "its room is used"
                 if not cause:
                     self.since.pop(machine, None)
-                elif now - self.since.setdefault(machine, now) >= c.CLAIM_USED_S:
+                elif now - self.since.setdefault(machine, now) >= constants.CLAIM_UNUSED_S:
                     ledger.drop(machine, cause)
         self.rows = {machine: row for machine, row in self.rows.items() if ledger.claim_of(machine) is not None}
         self.since = {machine: at for machine, at in self.since.items() if ledger.claim_of(machine) is not None}
--- a/alderbridge/claims/ledger.py
+++ b/alderbridge/claims/ledger.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..store import BUDGETS, CLAIMS, STOPS
 from .choosing import Group
 from .records import Claim, Spent, Stops, budget_of
@@ -214,7 +214,7 @@
             count = sum(map(len, tx.groups)) + len(group) + len(more) + 1
             # half of what the protocol allows for a transaction, as for other records
             size = sum(len(msgspec.json.encode(value)) for value in tx.puts.values())
-            if not fits or count > most or size > c.MAX_BODY // 2:
+            if not fits or count > most or size > constants.MAX_BODY // 2:
                 if tx.groups:
                     break
                 log.info("claim=%s state=dropped cause=takes more than one transaction", min(group))
--- a/alderbridge/claims/records.py
+++ b/alderbridge/claims/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 
 Task = tuple[str, int, int]  # job, index, attempt
 
@@ -39,12 +39,15 @@
 
     def within(self, budget: str, wall: float) -> int:
         """Stops that count in the minute before ``wall``: never fewer than there were, up to a step's more."""
-        least = wall - c.SPEND_MINUTE_S - c.SPEND_STEP_S
+        least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
         return sum(count for at, count in self.stops.get(budget, ()) if at > least)
 
     def spend(self, budget: str, count: int, wall: float) -> Spent:
         """With ``count`` more stops, and without what is over."""
-        least, step = wall - c.SPEND_MINUTE_S - c.SPEND_STEP_S, int(wall // c.SPEND_STEP_S * c.SPEND_STEP_S)
+        least, step = (
+            wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S,
+            int(wall // constants.PREEMPTION_STEP_S * constants.PREEMPTION_STEP_S),
+        )
         stops = {name: kept for name, entries in self.stops.items() if (kept := [e for e in entries if e[0] > least])}
         entries = dict(stops.get(budget, ()))
         entries[step] = entries.get(step, 0) + count
--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -10,8 +10,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from . import __version__
-from . import constants as c
+from . import __version__, constants
 from .config import DEFAULT_INI, ConfigError, Platform, Tuning, load_platform, load_tuning
 
 if TYPE_CHECKING:
@@ -66,8 +65,8 @@
     from .poll import Poll
 
     gc.freeze()  # modules and classes stay for good
-    gc.set_threshold(*c.GC_THRESHOLDS)
+    gc.set_threshold(*constants.GC_THRESHOLDS)
     logging.basicConfig(stream=sys.stderr, level=_LEVELS[level], format=tuning.log_format)
-    poll = Poll(c.TURN_S)
+    poll = Poll(constants.POLL_INTERVAL_S)
     curio.run(Controller(platform, tuning, poll, own).run, selector=poll)
     return 0
--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from . import constants as c
-from . import wire
+from . import constants, wire
 from .config import address
 from .net import Client
 
@@ -27,7 +26,7 @@
         self.client = Client(*address(endpoint), keep=2)
 
     async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
-        status, answer = await self.client.request(method, target, body, c.CLOUD_TIMEOUT_S)
+        status, answer = await self.client.request(method, target, body, constants.CLOUD_TIMEOUT_S)
         if status == 503 and b"no capacity" in answer:
             raise NoCapacityError(target)
         if status != 200:
--- a/alderbridge/config.py
+++ b/alderbridge/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from . import constants as c
+from . import constants
 
 DEFAULT_INI = "/etc/alderbridge/alderbridge.ini"
 KINDS = {"priorities": "urgency", "hours": "hours", "lending": "lending"}  # what operators declare -> its package
@@ -119,11 +119,11 @@
 class Tuning(msgspec.Struct, frozen=True):
     """What operators may set, in the INI sections [policy], [log] and [declared]."""
 
-    target_ratio: float = c.TARGET_RATIO
-    workload_multiplier: float = c.WORKLOAD_MULTIPLIER
-    queue_time_floor_s: float = c.QUEUE_TIME_FLOOR_S
-    bid_share: float = c.BID_SHARE
-    max_machines: int = c.MAX_MACHINES
+    target_ratio: float = constants.TARGET_RATIO
+    workload_multiplier: float = constants.WORKLOAD_MULTIPLIER
+    queue_time_floor_s: float = constants.QUEUE_TIME_FLOOR_S
+    bid_share: float = constants.BID_SHARE
+    max_machines: int = constants.MAX_MACHINES
     log_format: str = "%(levelname)s %(name)s %(message)s"
     declared: dict[str, str] = {}  # kind -> path of its file
 
--- a/alderbridge/constants.py
+++ b/alderbridge/constants.py
@@ -8,80 +8,88 @@
 # --- time and safety -------------------------------------------------------
 CLOCK_DRIFT = 0.0005  # share; PROTOCOL: steady clocks drift apart by up to 0.05%
 PROOF_MARGIN_S = 1.0  # s; timers go off late by a few steps, and a share of a core is slow
-HOLD_TTL_S = 12.0  # s; a hold lasts no less, where cancel_s allows it: longer than a usual store outage
-OUTLAST_S = 37.0  # s; hold and lease together: then tasks outlast some 31 s without store or controllers
-HOLD_MARGIN_S = 0.5  # s; a member stops this long before its hold could end
-HOLD_RENEWALS = 16  # renewals per ttl; what passes between two is lost of it when the store goes down
+STORE_LEASE_TTL_S = 12.0  # s; a hold lasts no less, where cancel_s allows it: longer than a usual store outage
+TOTAL_LEASE_S = 37.0  # s; hold and lease together: then tasks outlast some 31 s without store or controllers
+STORE_LEASE_MARGIN_S = 0.5  # s; a member stops this long before its hold could end
+STORE_LEASE_RENEWALS = 16  # renewals per ttl; what passes between two is lost of it when the store goes down
 CANCEL_SLACK_S = 4.0  # s; kept between ttl + worker lease and cancel_s
-PIPELINES = 2  # generation of the program from which on dependencies between jobs are kept
-RECOVERY = 3  # generation from which on a home understands what a part carries over from the view before
-CONTACT = 5  # generation from which on members tell whom they hear, stop when no majority does, and know loose views
-DECLARED = 4  # generation from which on declarations and claims are kept
-QUEUE_CHANGES = 6  # generation from which on members tell changes of their queues in place of the whole
+VERSION_WITH_DEPENDENCIES = 2  # generation of the program from which on dependencies between jobs are kept
+VERSION_WITH_CARRY_OVER = 3  # generation from which on a home understands what a part carries over from the view before
+# generation from which on members tell whom they hear, stop when no majority does, and know loose views
+VERSION_WITH_FAILURE_DETECTOR = 5
+VERSION_WITH_CONFIGURATION = 4  # generation from which on declarations and claims are kept
+VERSION_WITH_QUEUE_DELTAS = 6  # generation from which on members tell changes of their queues in place of the whole
 PROTOCOL_VERSION = 6  # of this program
-CONTACT_TTL_S = 8.0  # s; out of contact for this long, a member is replaced: its workers' leases outlast that
-CONTACT_LEAST = 3  # members; of two, one that the other does not hear would have to stop, too
-CONTACT_NOTICE_S = 1.0  # s; so long before it is given up a silent member is spoken of: the others then agree at once
-CONTACT_WAIVE_S = 2.0  # s; so long before its contact ends a member that reaches the store may waive the rule
-CONTACT_PATIENCE_S = 0.5  # s; not at once: one that only stood still hears the others again within some round trips
-CONTACT_STORE_S = 3.0  # s; an answer of the store that was asked for this long ago: more than one long poll
-CONTACT_STUCK_S = 2.5  # s; given up by some and not by a majority for this long, a member is heard under a new view
-CONTACT_AGAIN_S = 60.0  # s; contact that was waived is asked for again when all members have been heard this long
-JOIN_S = 0.3  # s; so long after the last newcomer a view is changed: controllers that fall together return together
+CONTACT_TIMEOUT_S = 8.0  # s; out of contact for this long, a member is replaced: its workers' leases outlast that
+CONTACT_MIN_MEMBERS = 3  # members; of two, one that the other does not hear would have to stop, too
+SUSPICION_NOTICE_S = 1.0  # s; so long before it is given up a silent member is spoken of: the others then agree at once
+CONTACT_WAIVER_AHEAD_S = 2.0  # s; so long before its contact ends a member that reaches the store may waive the rule
+# s; not at once: one that only stood still hears the others again within some round trips
+CONTACT_WAIVER_PATIENCE_S = 0.5
+STORE_REACHABLE_S = 3.0  # s; an answer of the store that was asked for this long ago: more than one long poll
+DISPUTED_FAILURE_S = 2.5  # s; given up by some and not by a majority for this long, a member is heard under a new view
+CONTACT_RESUME_S = 60.0  # s; contact that was waived is asked for again when all members have been heard this long
+# s; so long after the last newcomer a view is changed: controllers that fall together return together
+JOIN_QUIET_S = 0.3
 JOIN_MAX_S = 1.2  # s; a newcomer waits no longer than this for others
-SETTLE_S = 3.0  # s; a view is settled within this when its members are in reach: bounds what waits for it
-PREDECESSOR_S = 1.0  # s; lower labels get this head start in taking the lead
+VIEW_SETTLE_S = 3.0  # s; a view is settled within this when its members are in reach: bounds what waits for it
+LEADER_PRECEDENCE_S = 1.0  # s; lower labels get this head start in taking the lead
 
 # --- rounds ----------------------------------------------------------------
 ROUND_S = 0.2  # s; placement and mesh round: far below a worker's report interval
-GUARANTEE_S = 0.6  # s; which jobs lie within their guarantee is looked at this often: all active jobs are gone through
+# s; which jobs lie within their guarantee is looked at this often: all active jobs are gone through
+GUARANTEE_REFRESH_S = 0.6
 LEADER_ROUND_S = 1.0  # s; renting decisions; DESIGN: one cloud call a second
-FOLLOW_PAUSE_S = 0.1  # s; pause between follow calls: bounds requests at busy times
-FOLLOW_WAIT_S = 2.0  # s; one long poll of the store; its answers keep the view fresh
+WATCH_PAUSE_S = 0.1  # s; pause between follow calls: bounds requests at busy times
+WATCH_WAIT_S = 2.0  # s; one long poll of the store; its answers keep the view fresh
 WRITER_PAUSE_S = 0.02  # s; gathers the records of one round into one transaction
-PROGRESS_S = 0.8  # s; done ranges of a running job are written at most this often
-AHEAD_SHARE = 0.8  # of a second's worth of changes; so far submissions, ends and marks may run ahead of the budget
-LENT_S = 3.0  # s; what a member does not use of its share of changes is lent so long after it was told
-MARK_AHEAD = 256  # tasks; written as possibly started with the job, saves a write per start
+PROGRESS_WRITE_S = 0.8  # s; done ranges of a running job are written at most this often
+# of a second's worth of changes; so far submissions, ends and marks may run ahead of the budget
+WRITE_AHEAD_SHARE = 0.8
+LENT_RATE_TTL_S = 3.0  # s; what a member does not use of its share of changes is lent so long after it was told
+START_LIMIT_AHEAD = 256  # tasks; written as possibly started with the job, saves a write per start
 QUEUE_ROWS = 400  # jobs; waiting jobs one home tells of in a round
 QUEUE_EXACT = 32  # tasks; counts up to this are told with every change: a machine takes about as many at one time
 QUEUE_SHARE = 8  # larger counts are told at once when they change by one part in so many, else after a second
 QUEUE_TIME_S = 0.5  # s; a due time or run time that moves by more than this is news: below what placement tells apart
 QUEUE_REFRESH_S = 60.0  # s; a row is told again after this, as clocks drift apart: by 0.03 s until then
-QUEUE_GONE = 2000  # jobs; who does not know of so many ends is told the whole queue in place of them
+QUEUE_ENDED_JOBS = 2000  # jobs; who does not know of so many ends is told the whole queue in place of them
 QUEUE_BACKLOG = 32  # messages; a member that has not acknowledged so many is told no more until it has
 
-TAKE_WAIT_S = 0.1  # s; a report's answer waits this long for grants it has asked for: a peer takes a few ms
+GRANT_WAIT_S = 0.1  # s; a report's answer waits this long for grants it has asked for: a peer takes a few ms
 
-ASK_WORKERS = 16  # workers asked for their acknowledgement at one time: bounds sockets, and work at once
-ASK_WORKER_S = 1.5  # s; a worker that does not answer by then may hang, or be cut off
-ASK_TRIES = 4  # times; who does not answer these is left to its reports, its lease or its return
-ASK_PAUSE_S = 0.5  # s; first bound of the pause before a worker is asked again, drawn evenly below it; doubles
-ASK_PAUSE_MAX_S = 4.0  # s; largest such bound
+PROBES_AT_ONCE = 16  # workers asked for their acknowledgement at one time: bounds sockets, and work at once
+PROBE_TIMEOUT_S = 1.5  # s; a worker that does not answer by then may hang, or be cut off
+PROBE_TRIES = 4  # times; who does not answer these is left to its reports, its lease or its return
+PROBE_BACKOFF_S = 0.5  # s; first bound of the pause before a worker is asked again, drawn evenly below it; doubles
+PROBE_BACKOFF_MAX_S = 4.0  # s; largest such bound
 
-KEEP_S = 20.0  # s; for a task that has waited this long and fits no rest of a machine, one in each part is kept
-KEEP_QUIET_S = 10.0  # s; a machine whose room was kept for nothing in this time is free for others: some reports
-BEGIN_TURN_S = 120.0  # s; of a job of which nothing ran by then one task goes first: half of users' four minutes
-LATE_TURN_S = 60.0  # s; a late job of which nothing was granted for this long has a turn among those in time
-LATE_SHARE = 8  # such a turn lasts until one in so many of its tasks is granted
+# s; for a task that has waited this long and fits no rest of a machine, one in each part is kept
+RESERVE_AFTER_S = 20.0
+RESERVE_IDLE_S = 10.0  # s; a machine whose room was kept for nothing in this time is free for others: some reports
+STARVED_JOB_S = 120.0  # s; of a job of which nothing ran by then one task goes first: half of users' four minutes
+LATE_BOOST_S = 60.0  # s; a late job of which nothing was granted for this long has a turn among those in time
+LATE_BOOST_SHARE = 8  # such a turn lasts until one in so many of its tasks is granted
 ORDER_TRIES = 2  # answers; a start that none of so many has brought goes to another machine: this one may be deaf
-CLEAR_WAIT_S = 10.0  # s; so long a task that has ended stays in the reports until there are other orders to send
-CLEARS_MOST = 50  # ended tasks; these are cleared at once: they make reports long
+ACKNOWLEDGE_WAIT_S = 10.0  # s; so long a task that has ended stays in the reports until there are other orders to send
+ACKNOWLEDGE_MAX = 50  # ended tasks; these are cleared at once: they make reports long
 
-GATHER_S = 4.0  # s; so long an idle machine leaves tasks to busy ones with room: a report interval and a bit
-DECLARE_PAUSE_S = 1.0  # s; after a proposal that failed: by then the replica says what came of it
-DECLARED_BYTES = 128 * 1024  # bytes; a longer compiled text is a mistake: some 300 values where these are small
+PACKING_WAIT_S = 4.0  # s; so long an idle machine leaves tasks to busy ones with room: a report interval and a bit
+CONFIGURATION_RETRY_S = 1.0  # s; after a proposal that failed: by then the replica says what came of it
+# bytes; a longer compiled text is a mistake: some 300 values where these are small
+CONFIGURATION_MAX_BYTES = 128 * 1024
 
 # --- network ---------------------------------------------------------------
 MAX_BODY = 64 * 1024  # bytes; PROTOCOL's limit for request bodies
 MAX_FRAME = 4 * 1024 * 1024  # bytes; one mesh message, far above any real one
-TURN_S = 0.01  # s; sockets are looked at no more often: what comes together is cheaper, a start passes three of these
-PLAIN_HEAD = 1024  # bytes; heads up to this are remembered once parsed: real ones have some 150
+# s; sockets are looked at no more often: what comes together is cheaper, a start passes three of these
+POLL_INTERVAL_S = 0.01
+CACHED_HEAD_BYTES = 1024  # bytes; heads up to this are remembered once parsed: real ones have some 150
 IDLE_S = 75.0  # s; a keep-alive connection without a request is closed
-SWEEP_S = 1.0  # s; overdue connections are looked for this often
+OVERDUE_CHECK_S = 1.0  # s; overdue connections are looked for this often
 REQUEST_S = 5.0  # s; time to finish sending a request that has begun
 SOCKET_RESERVE = 0.8  # share of max_sockets that may be accepted connections
-ASK_S = 1.2  # s; a question to another controller, users wait 2 s for a status
+QUERY_TIMEOUT_S = 1.2  # s; a question to another controller, users wait 2 s for a status
 STATE_TIMEOUT_S = 2.0  # s; store calls usually take 10 ms, now and then some hundreds
 CLOUD_TIMEOUT_S = 5.0  # s; cloud calls take some hundred ms
 CONNECT_S = 1.0  # s; a connect that hangs longer meets a cut
@@ -95,37 +103,39 @@
 UNANSWERED_JOBS = 2000  # jobs; no more are counted so at one time
 RETRY_AFTER_S = 2  # s; told to users when the service can't take a request
 SUBMIT_WAIT_S = 3.5  # s; users give a submission up after 5 s
-STORE_TROUBLE_S = 1.0  # s; after a call that failed, submissions are refused at once this long
-BUDGET_SHARE = 0.9  # share of a stated rate that all controllers together use
+STORE_BACKOFF_S = 1.0  # s; after a call that failed, submissions are refused at once this long
+RATE_SHARE = 0.9  # share of a stated rate that all controllers together use
 
-TASK_KEYS = 20_000  # names of tasks, split into job and index, that a part keeps: more than its machines can hold
+TASK_KEY_CACHE = 20_000  # names of tasks, split into job and index, that a part keeps: more than its machines can hold
 # objects, and collections of the younger generation; the service makes and drops some ten thousand objects
 # a second, nearly none of them in cycles, and Python's 700, 10, 10 spent a sixth of its time on looking for some
 GC_THRESHOLDS = (50_000, 20, 50)
 
 # --- jobs ------------------------------------------------------------------
-LEAST_VALUE = 512  # bytes; records are never cut below this: the shortest description needs most of it
-MAX_PARTS = 100_000  # tasks; PROTOCOL's limit for one job
+MIN_VALUE_BYTES = 512  # bytes; records are never cut below this: the shortest description needs most of it
+MAX_TASKS = 100_000  # tasks; PROTOCOL's limit for one job
 ERROR_PAUSE_S = 2.0  # s; first pause of a task whose last run failed; doubles
 ERROR_PAUSE_MAX_S = 30.0  # s; longest such pause
-FAULTY_ERRORS = 3  # errors in a row, of two jobs or more, that set a machine aside
-FAULTY_S = 120.0  # s; a machine set aside is tried again after this
+QUARANTINE_ERRORS = 3  # errors in a row, of two jobs or more, that set a machine aside
+QUARANTINE_S = 120.0  # s; a machine set aside is tried again after this
 
-STEP_S = 5.0  # s; from a job's end to the start of those that need it: a record, a report, an image
+DEPENDENCY_STEP_S = 5.0  # s; from a job's end to the start of those that need it: a record, a report, an image
 
 # --- claims (ours) -----------------------------------------------------------
-CLAIM_KEEP_S = 30.0  # s; beyond the victims' saving: reports, a home's answer, a lease of a machine that dies meanwhile
-CLAIM_USED_S = 2.0  # s; a claim whose room is used, or not wanted, goes after this: queues and rooms are told in turn
-SPEND_STEP_S = 10.0  # s; stops are counted by the start of such a step, and for a minute after its end
-SPEND_MINUTE_S = 60.0  # s; what "a minute" of the declarations means
-SPARE_S = 10.0  # s; a task expected to end within this is spared: its room comes by itself
-SPARE_SHARE = 0.8  # of the estimate; a task that can't save and has run for more is spared
-SPREAD = 0.25  # share by which a victim costs more for each one of the same job chosen before it
+# s; beyond the victims' saving: reports, a home's answer, a lease of a machine that dies meanwhile
+CLAIM_GRACE_S = 30.0
+CLAIM_UNUSED_S = 2.0  # s; a claim whose room is used, or not wanted, goes after this: queues and rooms are told in turn
+PREEMPTION_STEP_S = 10.0  # s; stops are counted by the start of such a step, and for a minute after its end
+PREEMPTION_MINUTE_S = 60.0  # s; what "a minute" of the declarations means
+SPARED_REMAINING_S = 10.0  # s; a task expected to end within this is spared: its room comes by itself
+SPARED_RUN_SHARE = 0.8  # of the estimate; a task that can't save and has run for more is spared
+VICTIM_SPREAD = 0.25  # share by which a victim costs more for each one of the same job chosen before it
 
 # --- lending (ours) ----------------------------------------------------------
 LEND_S = 6.0  # s; from a need to the room that lending makes, beside the saving: claim, two reports, an answer
 LEND_FIRST_S = 4.0  # s; so long no machine is rented for replicas that lending may serve: a look, an asking, a claim
-LEND_KEEP_S = 4.0  # s; what the leader holds free counts so long after it was told: a round and some lost messages
+# s; what the leader holds free counts so long after it was told: a round and some lost messages
+GPU_RESERVATION_TTL_S = 4.0
 LEND_RISK = 0.05  # of the work that is not saved yet: so much of it counts as lost when a task is told to save
 LEND_OPEN_S = 5.0  # s of each GPU; what it costs to make room on one more machine: few machines, not a little on all
 LEND_HEAVY_S = 20.0  # s; an image that takes longer to fetch is not fetched twice where one machine will do
@@ -133,13 +143,13 @@
 
 # --- hours -------------------------------------------------------------------
 HOLIDAY_YEARS = 10  # years; holidays further ahead are not known
-HOURS_AHEAD_DAYS = 400  # days; what does not open within a year and a month is called never
+CALENDAR_AHEAD_DAYS = 400  # days; what does not open within a year and a month is called never
 HOLIDAYS_SHORT_DAYS = 60  # days; a calendar whose holidays end sooner than that is spoken of in the log
-HOURS_BACK_DAYS = 9  # days; a period open for longer than this has always been open
+CALENDAR_BACK_DAYS = 9  # days; a period open for longer than this has always been open
 LEAST_BEFORE_STOP_S = 30.0  # s; no start sooner before the stop at closing: PROTOCOL counts none that is stopped then
 OPENING_SPREAD_S = 60.0  # s; what waits at an opening starts over this time, if operators set no other
 OPENING_PACE = 10.0  # tasks/s; of one home: a backlog that this serves in less time is not spread for longer
-ORDER_S = 4.5  # s; an order that leaves is carried out within it: PROTOCOL, a worker drops responses after 4 s
+ORDER_DELIVERY_S = 4.5  # s; an order that leaves is carried out within it: PROTOCOL, a worker drops responses after 4 s
 
 # --- policy (the paper's names; "ours" where the design says so) -----------
 TARGET_RATIO = 0.5  # Maximum Queue Time / requested time; the paper's choice in 5.2
@@ -147,7 +157,7 @@
 QUEUE_TIME_FLOOR_S = 120.0  # s; ours, the paper has 300
 BID_SHARE = 0.9  # of the retail price; the paper's conclusion: close to retail
 RUN_SAFETY = 1.4  # times the Expected Run Time; estimates are often wrong by half
-RUN_LUCK = 0.8  # times the Expected Run Time; less than that is not to be hoped for
+RUN_OPTIMISM = 0.8  # times the Expected Run Time; less than that is not to be hoped for
 WAIT_SHARE = 0.6  # of an objective on waiting; the rest goes to the report and the image
 LEAST_SHARE = 0.1  # of an objective on finishing that always remains as queue time
 HARD_CHECK_S = 15.0  # s; ours, the paper has 60
@@ -162,9 +172,10 @@
 PROOF_SILENT_S = 4.0  # s; more than a report interval: silent for this, and asked twice, a machine is most likely dead
 PROOF_SHARE = 0.01  # of the recorded machines; no more than these are returned so that others' work need not wait
 PROOF_LEAST = 2  # machines; that many in any case
-UNHEARD_SHARE = 0.02  # of the recorded machines; fewer that have yet to be heard change no decision: some always boot
-LOST_S = 60.0  # s; a machine silent this long, its lease lapsed, is returned
+# of the recorded machines; fewer that have yet to be heard change no decision: some always boot
+UNREPORTED_SHARE = 0.02
+LOST_MACHINE_S = 60.0  # s; a machine silent this long, its lease lapsed, is returned
 SERVICE_RUN_S = 3600.0  # s; Expected Run Time of a service or gang: slots side by side
 UNKNOWN_RUN_S = 30.0  # s; Expected Run Time of an array with an estimate of 0
-FLAVOURS_S = 30.0  # s; spot prices are read again after this
-LIST_S = 5.0  # s; pause between two readings of the lagging machine list
+MACHINE_TYPES_REFRESH_S = 30.0  # s; spot prices are read again after this
+MACHINE_LIST_S = 5.0  # s; pause between two readings of the lagging machine list
--- a/alderbridge/contact.py
+++ b/alderbridge/contact.py
@@ -20,7 +20,7 @@
 from collections.abc import Collection
 from enum import Enum
 
-from . import constants as c
+from . import constants
 
 log = logging.getLogger("contact")
 
@@ -70,8 +70,8 @@
     def enter(self, members: Collection[str], contact_timeout_s: float, began_after: float) -> None:
         """A view that was written later than ``began_after``; ``contact_timeout_s`` 0: it asks for no contact.
 
-        Nobody declares this member failed sooner than ``contact_timeout_s`` after the view was written, until then it needs no
-        acknowledgement.
+        Nobody declares this member failed sooner than ``contact_timeout_s`` after the view was written: until then
+        it needs no acknowledgement.
         """
         self.excluded = (self.excluded | self.failed_by_quorum()) - {self.me, *members}
         self.contact_timeout_s, self.majority = contact_timeout_s, len(members) // 2 + 1
@@ -89,7 +89,9 @@
         if self.contact_timeout_s and self.majority > 1:
             sure = sorted((peer.acknowledged_at for peer in self.peers.values()), reverse=True)
             self.contact_until = (
-                sure[self.majority - 2] + self.contact_timeout_s * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S
+                sure[self.majority - 2]
+                + self.contact_timeout_s * (1 - constants.CLOCK_DRIFT)
+                - constants.STORE_LEASE_MARGIN_S
             )
 
     # -- what arrives --------------------------------------------------------
@@ -130,13 +132,13 @@
             is_quiet = now - peer.last_frame_at
             if not self.contact_timeout_s:
                 continue
-            if peer.state is PeerState.ALIVE and is_quiet > self.contact_timeout_s - c.CONTACT_NOTICE_S:
+            if peer.state is PeerState.ALIVE and is_quiet > self.contact_timeout_s - constants.SUSPICION_NOTICE_S:
                 peer.suspect()
             # Who was never heard may not know this view, and act under the one before.
             bound_s = self.contact_timeout_s if peer.knows_view else max(self.contact_timeout_s, self.unheard_grace_s)
             if (
                 peer.state is PeerState.SUSPECTED
-                and is_quiet > bound_s * (1 + c.CLOCK_DRIFT)
+                and is_quiet > bound_s * (1 + constants.CLOCK_DRIFT)
                 and self._missed_by(peer.label) >= self.majority
             ):
                 peer.mark_failed()
@@ -146,9 +148,9 @@
             log.info("contact state=lost cause=no majority has acknowledged for %.1f s", self.contact_timeout_s)
         elif self.contact_lost_at is not None and not lost:
             log.info("contact state=held after=%.1f s", now - self.contact_lost_at)
-        near = now >= self.contact_until - c.CONTACT_WAIVE_S
+        near = now >= self.contact_until - constants.CONTACT_WAIVER_AHEAD_S
         stuck = any(0 < len(by) < self.majority for by in self.failed_by.values())
-        whole = all(now - peer.last_frame_at < c.MESH_SILENCE_S for peer in self.peers.values())
+        whole = all(now - peer.last_frame_at < constants.MESH_SILENCE_S for peer in self.peers.values())
         self.contact_lost_at = (now if self.contact_lost_at is None else self.contact_lost_at) if lost else None
         self.contact_ending_since = (
             (now if self.contact_ending_since is None else self.contact_ending_since) if near else None
@@ -166,7 +168,8 @@
     def is_isolated(self, now: float) -> bool:
         """Whether no majority, this member counted, was heard lately: the others may serve everybody without it."""
         heard = sum(
-            peer.last_frame_at is None or now - peer.last_frame_at < c.CONTACT_TTL_S for peer in self.peers.values()
+            peer.last_frame_at is None or now - peer.last_frame_at < constants.CONTACT_TIMEOUT_S
+            for peer in self.peers.values()
         )
         return 1 + heard < self.majority
 
--- a/alderbridge/controller.py
+++ b/alderbridge/controller.py
@@ -11,9 +11,8 @@
 import h11
 import msgspec
 
-from . import constants as c
+from . import constants, placement, wire
 from . import mesh as m
-from . import placement, wire
 from .cloud import Cloud, CloudError, NoCapacityError
 from .config import Platform, Tuning, address
 from .core import ControllerCore, WriteBatch
@@ -42,7 +41,7 @@
 now = time.monotonic
 _record = msgspec.json.Decoder(Record)
 
-LATER = [("Retry-After", str(c.RETRY_AFTER_S))]
+LATER = [("Retry-After", str(constants.RETRY_AFTER_S))]
 _TROUBLE = (StoreRefusedError, UnansweredError, TransactionTooLargeError, msgspec.DecodeError)
 
 
@@ -69,13 +68,15 @@
         # when that ended, told the user of a question with the same number about another job.
         self.ask_count = time.time_ns()
         self.unanswered: dict[str, tuple[float, float]] = {}  # job -> since when nothing was answered here, when said
-        self.cloud_rate_limit = TokenBucket(shared.cloud.rps * c.BUDGET_SHARE, shared.cloud.rps * c.BUDGET_SHARE, now())
+        self.cloud_rate_limit = TokenBucket(
+            shared.cloud.rps * constants.RATE_SHARE, shared.cloud.rps * constants.RATE_SHARE, now()
+        )
         self.store_bad_until = 0.0
         self.probes: set[Exchange] = set()  # with workers, for their acknowledgement
         self.work = curio.Event()  # set when there may be something to write, while ``writer_waits``
         self.writer_waits = False
         self.rent_names = 0
-        self.server = Server(self.handle, int(shared.limits.max_sockets * c.SOCKET_RESERVE), poll)
+        self.server = Server(self.handle, int(shared.limits.max_sockets * constants.SOCKET_RESERVE), poll)
 
     def on_frames(self, frames: list[m.Frame]) -> None:
         for frame in frames:
@@ -166,7 +167,7 @@
                 raise
             except Exception:
                 log.exception("loop=%s state=failed", loop.__name__)
-            await curio.sleep(c.ROUND_S)
+            await curio.sleep(constants.ROUND_S)
 
     # -- hold, replica, view -----------------------------------------------------
 
@@ -175,7 +176,7 @@
         if not store_lease.lease_id:
             await self.acquire_store_lease()
         while store_lease.lease_id:
-            await curio.sleep(store_lease.ttl_s / c.HOLD_RENEWALS)
+            await curio.sleep(store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
             if self.membership.is_removed():
                 log.info("hold=%d state=lost cause=removed from the view by a majority", store_lease.lease_id)
                 store_lease.mark_expired()
@@ -200,7 +201,9 @@
         # The key passes from one hold to the other in one step: were it gone for a moment, the
         # others would change the view twice, and workers are slow to see a second new mandate.
         condition = {key: row.revision if row is not None else 0}
-        done = await self.store.commit(condition, {key: MemberRecord(lease_id, c.PROTOCOL_VERSION)}, lease_id=lease_id)
+        done = await self.store.commit(
+            condition, {key: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, lease_id=lease_id
+        )
         if done.failed:
             await self.store.revoke_lease(lease_id)
             raise StoreRefusedError("the key of this label has changed meanwhile")
@@ -218,7 +221,7 @@
             sent = now()
             try:
                 # Well within the ttl, however short the deployment makes it: answers keep the view fresh.
-                wait_s = min(c.FOLLOW_WAIT_S, self.membership.store_lease.ttl_s / c.HOLD_RENEWALS)
+                wait_s = min(constants.WATCH_WAIT_S, self.membership.store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
                 changes = await self.store.watch(self.core.replica.revision, wait_s)
             except WatchCompactedError:
                 await self.load_replica()
@@ -227,7 +230,7 @@
             self.core.apply_events(changes.events, now(), time.time())
             self.core.replica.revision = max(self.core.replica.revision, changes.revision)
             await self.ask_workers()
-            await curio.sleep(c.FOLLOW_PAUSE_S)
+            await curio.sleep(constants.WATCH_PAUSE_S)
 
     async def load_replica(self) -> None:
         """Read everything; following on from the first page's epoch repeats, and misses, nothing."""
@@ -251,7 +254,7 @@
         """
         before = self.membership.synced_at
         self.membership.record_sync(sent)
-        if sent - before >= c.CONTACT_STORE_S and now() - sent < c.STATE_TIMEOUT_S:
+        if sent - before >= constants.STORE_REACHABLE_S and now() - sent < constants.STATE_TIMEOUT_S:
             # What began before that was no matter of the store.
             self.unanswered = {job: times for job, times in self.unanswered.items() if times[0] < before}
 
@@ -260,13 +263,13 @@
     async def ask_workers(self) -> None:
         """After a new view: ask for what the machines' next reports would say only seconds later."""
         await self.after()
-        for exchange in [one for one in self.probes if one.overdue(now(), c.ASK_WORKER_S)]:
+        for exchange in [one for one in self.probes if one.overdue(now(), constants.PROBE_TIMEOUT_S)]:
             exchange.close()
         self.ask_more()
 
     def ask_more(self) -> None:
         while (
-            len(self.probes) < c.ASK_WORKERS
+            len(self.probes) < constants.PROBES_AT_ONCE
             and self.membership.may_act(now())
             and (machine := self.core.machine_shard.next_to_probe(now())) is not None
         ):
@@ -302,7 +305,7 @@
 
     async def keep_view(self) -> None:
         while True:
-            await curio.sleep(c.ROUND_S)
+            await curio.sleep(constants.ROUND_S)
             change = self.core.next_view(now())
             if change is None:
                 continue
@@ -310,16 +313,16 @@
             done = await self.store.commit(conditions, {VIEW: view}, drops)
             if done.failed:
                 log.info("view state=overtaken failed=%s", done.failed)
-                await curio.sleep(c.ROUND_S)
+                await curio.sleep(constants.ROUND_S)
 
     def store_trouble(self) -> None:
-        self.store_bad_until = now() + c.STORE_TROUBLE_S
+        self.store_bad_until = now() + constants.STORE_BACKOFF_S
 
     # -- records and rounds --------------------------------------------------------
 
     async def keep_records(self) -> None:
         while True:
-            await curio.sleep(c.WRITER_PAUSE_S)
+            await curio.sleep(constants.WRITER_PAUSE_S)
             batch = self.core.next_batch(now())
             if batch is None:
                 await self.wait_for_work()
@@ -336,7 +339,7 @@
                 self.core.on_batch_too_large(batch, now())
                 await self.after()
                 log.error("records state=too large changes=%d cause=%s", batch.changes, error)
-                await curio.sleep(c.ROUND_S)
+                await curio.sleep(constants.ROUND_S)
             except (*_TROUBLE, LeaseExpiredError) as error:
                 self.core.on_batch_failed(batch, now())
                 if isinstance(error, RateLimitedError):
@@ -349,15 +352,15 @@
                         self.core.refuse_submissions()
                         await self.after()
                 log.info("records state=unsure cause=%s", error)
-                await curio.sleep(c.ROUND_S)
+                await curio.sleep(constants.ROUND_S)
 
     async def wait_for_work(self) -> None:
         """Until there may be something to write: looking again and again costs more than all the writing."""
         pause = self.core.next_write_in(now())
-        if pause > c.WRITER_PAUSE_S and self.core.nothing_to_write():
+        if pause > constants.WRITER_PAUSE_S and self.core.nothing_to_write():
             self.writer_waits = True
             try:
-                await curio.timeout_after(pause - c.WRITER_PAUSE_S, self.work.wait)
+                await curio.timeout_after(pause - constants.WRITER_PAUSE_S, self.work.wait)
             except curio.TaskTimeout:
                 pass
             self.writer_waits = False
@@ -368,14 +371,14 @@
         log.info("records state=conflict failed=%s", failed)
         self.core.on_batch_failed(batch, now())
         if VIEW in failed:
-            await curio.sleep(c.FOLLOW_PAUSE_S)
+            await curio.sleep(constants.WATCH_PAUSE_S)
             return
         for key in failed:
             self.core.resolve_conflict(batch, key, await self.store.get(key), now())
 
     async def keep_rounds(self) -> None:
         while True:
-            await curio.sleep(c.ROUND_S)
+            await curio.sleep(constants.ROUND_S)
             self.core.round(now())
             await self.ask_workers()
 
@@ -401,7 +404,7 @@
                     msgspec.DecodeError,
                 ) as error:
                     log.info("cloud state=trouble cause=%s", error)
-            await curio.sleep(c.FLAVOURS_S if asked else c.LEADER_ROUND_S)
+            await curio.sleep(constants.MACHINE_TYPES_REFRESH_S if asked else constants.LEADER_ROUND_S)
 
     async def store_types(self) -> None:
         """A controller that starts while the cloud is out of reach reads them there."""
@@ -418,13 +421,13 @@
         listed_at = float("-inf")
         fencing_token = 0
         while True:
-            await curio.sleep(c.LEADER_ROUND_S)
+            await curio.sleep(constants.LEADER_ROUND_S)
             if not self.membership.is_leader(now()) or not self.core.types:
                 continue
             if fencing_token != self.membership.fencing_token:
                 fencing_token, listed_at = self.membership.fencing_token, float("-inf")
             try:
-                if now() - listed_at >= c.LIST_S and self.cloud_rate_limit.try_take(now()):
+                if now() - listed_at >= constants.MACHINE_LIST_S and self.cloud_rate_limit.try_take(now()):
                     listed_at = now()
                     await self.list_machines()
                 # What one call did not fill, another kind may: at once, while the budget lasts.
@@ -530,7 +533,7 @@
             return later("not the newest report")
         if machine.reserved:  # other homes answer within a few ms
             self.taking.setdefault(machine, []).append((fencing_token, reply))
-            self.takes.append((now() + c.TAKE_WAIT_S, machine))
+            self.takes.append((now() + constants.GRANT_WAIT_S, machine))
             return None
         return self.heartbeat_response(machine, fencing_token)
 
@@ -575,7 +578,7 @@
         if submission is None:
             return await self.never(spec.id, "the job's description is too long", 400)
         await self.after()
-        if not submission.outcome and not await self.wait_for(submission, c.SUBMIT_WAIT_S):
+        if not submission.outcome and not await self.wait_for(submission, constants.SUBMIT_WAIT_S):
             return later("the state service is slow")
         if submission.outcome == "refused":
             return later("the state service is out of reach")
@@ -589,7 +592,7 @@
     async def check_needs(self, spec: wire.JobSpec) -> Answer | None:
         """The answer to a submission that waits for others, where it can't be taken."""
         core = self.core
-        if not self.membership.all_support(c.PIPELINES):
+        if not self.membership.all_support(constants.VERSION_WITH_DEPENDENCIES):
             return later("a controller still runs a version that knows of no dependencies")
         for need in spec.needs or ():
             if need == spec.id:
@@ -642,7 +645,7 @@
             return self.status_stored(job)
         self.ask_count += 1
         self.polls[self.ask_count] = (job, reply)
-        self.poll_ends.append((now() + c.ASK_S, self.ask_count))
+        self.poll_ends.append((now() + constants.QUERY_TIMEOUT_S, self.ask_count))
         self.core.send_unreliable(owner, m.JobQuery(self.ask_count, "status", job))
         return None
 
@@ -688,10 +691,10 @@
             if self.unanswered:
                 self.unanswered.pop(job, None)
             return answer
-        if len(self.unanswered) > c.UNANSWERED_JOBS:
+        if len(self.unanswered) > constants.UNANSWERED_JOBS:
             self.unanswered.clear()
         since, said = self.unanswered.setdefault(job, (now(), now()))
-        if now() - said >= c.UNANSWERED_S:
+        if now() - said >= constants.UNANSWERED_S:
             self.unanswered[job] = since, now()
             log.info("job=%s state=unanswered cause=no answer here for %.1f s", job, now() - since)
         return answer
@@ -737,7 +740,7 @@
             return later("not entitled")
         if not state:
             await self.after()
-            if not await self.wait_for(job, c.SUBMIT_WAIT_S):
+            if not await self.wait_for(job, constants.SUBMIT_WAIT_S):
                 return later("the state service is slow")
             state = self.core.replica.ended[job].value
         return 200, wire.accepted_body(job, state), []
@@ -751,7 +754,9 @@
         self.core.send_unreliable(label, m.JobQuery(number, what, job))
         await self.after()
         try:
-            await curio.timeout_after(c.ASK_S if what == "status" else c.SUBMIT_WAIT_S, event.wait)
+            await curio.timeout_after(
+                constants.QUERY_TIMEOUT_S if what == "status" else constants.SUBMIT_WAIT_S, event.wait
+            )
         except curio.TaskTimeout:
             return None
         finally:
--- a/alderbridge/core.py
+++ b/alderbridge/core.py
@@ -20,9 +20,8 @@
 
 import msgspec
 
-from . import constants as c
+from . import constants, placement, policy, wire
 from . import mesh as m
-from . import placement, policy, wire
 from .claims import Teams, Transaction
 from .claims.desk import Desk, Source
 from .config import Platform, Tuning
@@ -115,9 +114,9 @@
         self.tuning, self.shared = tuning, shared
         self.labels = [self.me, *(peer.label for peer in platform.peers)]
         lease = shared.workers.lease_s
-        most = shared.workers.cancel_s - lease - c.CANCEL_SLACK_S
-        ttl = min(max(c.HOLD_TTL_S, c.OUTLAST_S - lease), most)
-        self.membership = Membership(self.me, ttl, min(c.HOLD_TTL_S, most))
+        most = shared.workers.cancel_s - lease - constants.CANCEL_SLACK_S
+        ttl = min(max(constants.STORE_LEASE_TTL_S, constants.TOTAL_LEASE_S - lease), most)
+        self.membership = Membership(self.me, ttl, min(constants.STORE_LEASE_TTL_S, most))
         stretches = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
         self.graph = Graph(self.run_time, stretches)
         self.declared = Declarations(own, ttl, self.labels)
@@ -171,7 +170,7 @@
         self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
         self.has_new_submission = False  # a submission has come since the last look for what to write
         # Until a view says who else writes, all controllers share what the store takes.
-        self.write_rate_limit = WriteRateLimit(self.limits.write_rps * c.BUDGET_SHARE, len(self.labels), now)
+        self.write_rate_limit = WriteRateLimit(self.limits.write_rps * constants.RATE_SHARE, len(self.labels), now)
         self.machines_reported_at = 0.0
         self.guaranteed_at, self.guaranteed_jobs = float("-inf"), set()
         self.entered_at = now  # when the view arrived here
@@ -241,7 +240,7 @@
             texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
         if texts != (self.calendars.texts if self.calendars is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
-            skew = self.shared.skew_ms / 1000 + c.CLOCK_DRIFT * self.membership.store_lease.ttl_s
+            skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
             self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
             self.job_shard.calendars = self.machine_shard.calendars = self.calendars
             log.info("hours state=hold texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts))
@@ -376,7 +375,7 @@
                     ),
                 )
             case m.GpuReservation():
-                self.reserved_gpus, self.reserved_gpus_until = body.gpus, self.now + c.LEND_KEEP_S
+                self.reserved_gpus, self.reserved_gpus_until = body.gpus, self.now + constants.GPU_RESERVATION_TTL_S
             case m.MachineTaskList():
                 self.preemption_planner.on_tasks(label, body, self.now)
             case m.JobQuery():
@@ -537,7 +536,7 @@
             mine,
             now,
             continued,
-            continued and self.membership.all_support(c.RECOVERY),
+            continued and self.membership.all_support(constants.VERSION_WITH_CARRY_OVER),
         )
         self.leader.enter(members, now)
         self.write_rate_limit.enter(len(members), now)
@@ -611,7 +610,7 @@
         # allows bursts of a second's worth, and what is not urgent pays it back.
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        room = min(self.max_changes, int(available + c.AHEAD_SHARE * budget.burst))
+        room = min(self.max_changes, int(available + constants.WRITE_AHEAD_SHARE * budget.burst))
         plain = min(room, int(max(0.0, available)))
         self.has_new_submission = False
         if room < 1:
@@ -677,7 +676,7 @@
             if isinstance(entry, Submission):
                 self._drop_known_lists(entry)
                 for key, names in entry.lists.items():
-                    if batch.changes >= room or size > c.MAX_BODY // 2:
+                    if batch.changes >= room or size > constants.MAX_BODY // 2:
                         break
                     batch.lists.append((entry, key))
                     batch.puts[key] = names
@@ -690,7 +689,7 @@
                     job.abort(now, "it needs an aborted job")
             record = job.to_record(self.job_shard.value_bytes, self.job_shard.may_end(job))
             size += len(msgspec.json.encode(record)) + 100
-            if size > c.MAX_BODY * 3 // 4 and batch.puts:
+            if size > constants.MAX_BODY * 3 // 4 and batch.puts:
                 break
             batch.conditions[JOBS + job.spec.id] = job.revision
             batch.puts[JOBS + job.spec.id] = record
@@ -732,13 +731,13 @@
         """How long a look for what to write can wait, in seconds, if nothing comes."""
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        ahead = available + c.AHEAD_SHARE * budget.burst
-        pause = min(c.ROUND_S, self.job_shard.due_at - now)
+        ahead = available + constants.WRITE_AHEAD_SHARE * budget.burst
+        pause = min(constants.ROUND_S, self.job_shard.due_at - now)
         if ahead < 1:
-            pause = min(c.ROUND_S, (1 - ahead) / budget.rate)
+            pause = min(constants.ROUND_S, (1 - ahead) / budget.rate)
         elif available < 1:
             pause = min(pause, (1 - available) / budget.rate)
-        return max(c.WRITER_PAUSE_S, pause)
+        return max(constants.WRITER_PAUSE_S, pause)
 
     def on_batch_failed(self, batch: WriteBatch, now: float) -> None:
         """Refused, in conflict, or without an answer: all of it is due again."""
@@ -769,7 +768,7 @@
             self._decide_submission(submission, "refused")
 
     def reduce_value_limit(self, size: int) -> None:
-        self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(c.LEAST_VALUE, size * 3 // 4))
+        self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(constants.MIN_VALUE_BYTES, size * 3 // 4))
         log.error(
             "store state=takes less cause=400 values=%d bytes changes=%d", self.job_shard.value_bytes, self.max_changes
         )
@@ -904,7 +903,7 @@
         ended = self.replica.ended
         needs = [need for need in dict.fromkeys(spec.needs or ()) if ended.get(need) is not JobState.DONE]
         spec = msgspec.structs.replace(spec, needs=needs or None)
-        record = Record(JobState.ACTIVE, self.me, wall, min(spec.tasks, c.MARK_AHEAD), [], spec)
+        record = Record(JobState.ACTIVE, self.me, wall, min(spec.tasks, constants.START_LIMIT_AHEAD), [], spec)
         lists: dict[str, list[str]] = {}
         room = self.job_shard.value_bytes - 64
         if needs and len(msgspec.json.encode(record)) > room:
@@ -1006,7 +1005,7 @@
             name, at = self.reserved_machine
             kind, zone = self.types.get(machine.type), offer.row.zone
             if (
-                (name != machine.name and now - at < c.KEEP_QUIET_S)
+                (name != machine.name and now - at < constants.RESERVE_IDLE_S)
                 or kind is None
                 or (zone is not None and zone != machine.zone)
                 or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
@@ -1027,11 +1026,11 @@
 
     def preemption_policies(self) -> list[Source]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
-        texts = self.priorities(self.now) if self.membership.all_support(c.DECLARED) else []
+        texts = self.priorities(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         if texts != self.rules.texts:
             self.rules = Rules(texts)
         result: list[Source] = [self.rules] if texts else []
-        lendings = self.lendings(self.now) if self.membership.all_support(c.DECLARED) else []
+        lendings = self.lendings(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         if not lendings:
             self.lender = None
         elif self.lender is None or self.lender.texts != lendings:
@@ -1062,7 +1061,7 @@
         revision, used = self.claim_requests.get(machine.name, (0, 0))
         if revision != entry.revision:
             used = 0
-            if len(self.claim_requests) > 2 * len(self.ledger.entries) + c.QUEUE_ROWS:
+            if len(self.claim_requests) > 2 * len(self.ledger.entries) + constants.QUEUE_ROWS:
                 self.claim_requests.clear()
         if spec is None or used >= claim.count:
             return candidate
@@ -1089,7 +1088,7 @@
         if self.preemption_planner.round(now, now + self.wall_offset_s, sources, teams, self.max_changes):
             for label in self.membership.view.members:
                 self.send_unreliable(label, m.ListMachineTasks())
-        if self.lender is not None and now - self.kept_at >= c.LEADER_ROUND_S and self.leader.ready(now):
+        if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
             gpus = self.lender.keep(self.preemption_planner, now)
             if gpus or self.reserved_gpus:
@@ -1115,7 +1114,7 @@
         self.write_rate_limit.refresh(now)
         self.publish_queue(now, self.queue_snapshot(now))
         self.maintain_channels(now)
-        if now - self.machines_reported_at >= c.LEADER_ROUND_S:
+        if now - self.machines_reported_at >= constants.LEADER_ROUND_S:
             self.machines_reported_at = now
             self.report_machines(now)
         if self.membership.is_leader(now):
@@ -1128,7 +1127,7 @@
         fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.me]
         everyone = all(self.channels[label].peer_fencing_token >= fencing_token for label in others)
-        if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + c.PROOF_MARGIN_S:
+        if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
             self.machine_shard.settle(now)
             if not self.job_shard.settled:
                 self.job_shard.settle()
@@ -1144,7 +1143,7 @@
     def queue_snapshot(self, now: float) -> Snapshot:
         """This home's queue and sums as they stand."""
         used = self.job_shard.used(now)
-        if now - self.guaranteed_at >= c.GUARANTEE_S:
+        if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
         rows = self.job_shard.queue_rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
         if self.calendars is not None and self.may_act():
@@ -1161,7 +1160,7 @@
             failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
         )
         one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
-        for told in self.queue_publisher.tell(one, membership.all_support(c.QUEUE_CHANGES)):
+        for told in self.queue_publisher.tell(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
             if told.numbered:
                 self.send(told.label, told.message)
             else:
@@ -1175,7 +1174,11 @@
         others = [label for label in self.channels if label in self.membership.view.members]
         if self.queue_publisher.form is Form.WHOLE_QUEUES:
             return others
-        return [label for label in others if self.membership.protocol_versions.get(label, 0) >= c.QUEUE_CHANGES]
+        return [
+            label
+            for label in others
+            if self.membership.protocol_versions.get(label, 0) >= constants.VERSION_WITH_QUEUE_DELTAS
+        ]
 
     def maintain_channels(self, now: float) -> None:
         """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
@@ -1191,14 +1194,14 @@
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
         self.send_unreliable(leader, m.MachineSummaries(self.machine_shard.summaries(now, self.run_time)))
-        if self.ledger.entries and self.membership.all_support(c.DECLARED):
+        if self.ledger.entries and self.membership.all_support(constants.VERSION_WITH_CONFIGURATION):
             self.send_unreliable(
                 leader, m.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False)
             )
 
     def send_quota_updates(self, now: float) -> None:
         """New allowances, in the form that all members read."""
-        by_changes = self.membership.all_support(c.QUEUE_CHANGES)
+        by_changes = self.membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)
         for label, teams in self.leader.quota_updates(now).items():
             if by_changes:
                 self.send(label, m.QuotaDelta(teams))
@@ -1296,7 +1299,7 @@
         the answer could be taken back by a home that has yet to hear of it.
         """
         at = self.doomed_at.get(job)
-        return at is not None and self.now - at > self.membership.store_lease.ttl_s + c.PROOF_MARGIN_S
+        return at is not None and self.now - at > self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
 
     def is_certainly_pending(self, job: str, now: float) -> bool:
         """Whether a record that is active in the store may be told so, a moment after it was read."""
--- a/alderbridge/declared/__init__.py
+++ b/alderbridge/declared/__init__.py
@@ -1,7 +1,7 @@
 """What operators declare (priorities, hours, lending), the same on all controllers: one revision each, in the store.
 
-Pure but for the reading of files; ``ControllerCore`` owns one ``Declarations``; the controller writes what it proposes. The
-safety argument is in ``docs/design.md``, what people on call see in ``docs/declared.md``.
+Pure but for the reading of files. ``ControllerCore`` owns one ``Declarations``, and the controller writes what it
+proposes. The safety argument is in ``docs/design.md``, what people on call see in ``docs/declared.md``.
 
 * ``load``, ``check_lines``: a file, checked and compiled to a ``Declared``, and what it would put in force.
 * ``READERS``: the package of each kind, imported only where something of that kind is declared.
--- a/alderbridge/declared/declarations.py
+++ b/alderbridge/declared/declarations.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..store import DECLARED
 from ..view import Membership
 from .records import Head, Revision, head_key, parts_of, piece_keys, pieces
@@ -199,8 +199,12 @@
         own, head = self.own, self.head
         assert own is not None
         missing = [label for label in labels if label not in membership.registered] if head is None else []
-        if missing or not membership.all_support(c.DECLARED):
-            why = f"{', '.join(missing)} not here" if missing else f"not all run generation {c.DECLARED}"
+        if missing or not membership.all_support(constants.VERSION_WITH_CONFIGURATION):
+            why = (
+                f"{', '.join(missing)} not here"
+                if missing
+                else f"not all run generation {constants.VERSION_WITH_CONFIGURATION}"
+            )
             if why != self.told:
                 self.told = why
                 self._say(own, "waits", why)
@@ -210,7 +214,7 @@
         keys = piece_keys(self.kind, last)
         # Nobody drops a text but with a change of the head: what the replica has at this stamp is there.
         proposal = Proposal(self.kind, {head_key(self.kind): self.store_revision})
-        most = min(room, max(1, c.MAX_BODY * 3 // 4 // value_bytes))
+        most = min(room, max(1, constants.MAX_BODY * 3 // 4 // value_bytes))
         left = [
             (key, piece)
             for key, piece in zip(keys, pieces(own.text, last.parts), strict=True)
@@ -240,7 +244,7 @@
         ``labels``: of all controllers in the settings.
         """
         self.kinds = {kind: _Declaration(kind, declared) for kind, declared in (own or {}).items()}
-        self.wait_s = ttl_s + c.PROOF_MARGIN_S
+        self.wait_s = ttl_s + constants.PROOF_MARGIN_S
         self.labels = labels
         self.changed = False  # something has arrived since the last ``look``
         self.unreadable = False  # a text that counts can't be read here: the replica is not understood
@@ -328,4 +332,4 @@
     def failed(self, proposal: Proposal, now: float) -> None:
         """In conflict, refused or without an answer: once more when the replica had time to tell."""
         self.kinds[proposal.kind]._fall_back()
-        self.rests_until = now + c.DECLARE_PAUSE_S
+        self.rests_until = now + constants.CONFIGURATION_RETRY_S
--- a/alderbridge/declared/texts.py
+++ b/alderbridge/declared/texts.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..config import KINDS, ConfigError, read_ini
 
 READERS: dict[str, Any] = {}  # kind -> its module ``declaration``, once imported
@@ -60,8 +60,10 @@
     if parser.sections() != [SECTION]:
         text = msgspec.json.encode(reader(kind).parse(parser, path))
         compiled(kind, text)  # what could not be read back must never be proposed
-    if len(text) > c.DECLARED_BYTES:
-        raise ConfigError(f"{path}: expected no more than {c.DECLARED_BYTES} bytes when compiled, got {len(text)}")
+    if len(text) > constants.CONFIGURATION_MAX_BYTES:
+        raise ConfigError(
+            f"{path}: expected no more than {constants.CONFIGURATION_MAX_BYTES} bytes when compiled, got {len(text)}"
+        )
     return Declared(kind, revision, digest_of(text), text)
 
 
--- a/alderbridge/dependencies.py
+++ b/alderbridge/dependencies.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from . import constants as c
+from . import constants
 from .wire import JobSpec
 
 NEVER = float("inf")
@@ -162,7 +162,7 @@
         todo = [job]
         while todo:
             node = self.nodes[todo.pop()]
-            rank, run = max(node.rank, node.rank_due), node.run_s + c.STEP_S
+            rank, run = max(node.rank, node.rank_due), node.run_s + constants.DEPENDENCY_STEP_S
             asked = tuple(min(own, due) - run for own, due in zip(node.own, node.due, strict=True))
             for need in node.needs:
                 other = self.nodes[need]
--- a/alderbridge/hours/declaration.py
+++ b/alderbridge/hours/declaration.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..config import ConfigError
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
@@ -43,10 +43,10 @@
     workload: str
     calendar: str
     ends: bool = False  # a task must end before closing
-    run_factor: float = c.RUN_SAFETY  # times a task's estimate
+    run_factor: float = constants.RUN_SAFETY  # times a task's estimate
     stops: bool = False  # what runs at closing is stopped
     warm_up_s: float = 0.0  # before the opening
-    spread_s: float = c.OPENING_SPREAD_S  # after it
+    spread_s: float = constants.OPENING_SPREAD_S  # after it
 
     def holds(self, owner: str, workload: str) -> bool:
         return _matches(self.owner, owner) and _matches(self.workload, workload)
@@ -202,10 +202,10 @@
             workload,
             calendar,
             self.take("end before closing", _one_of({"yes": True, "no": False}), False),
-            self.take("run factor", _number(0.1, 100.0), c.RUN_SAFETY),
+            self.take("run factor", _number(0.1, 100.0), constants.RUN_SAFETY),
             self.take("at closing", _one_of({"stop": True, "run on": False}), False),
             self.take("warm up", _number(0.0, 3600.0), 0.0),
-            self.take("spread", _number(0.0, 3600.0), c.OPENING_SPREAD_S),
+            self.take("spread", _number(0.0, 3600.0), constants.OPENING_SPREAD_S),
         )
         for key in self.items:
             self.fault(key, "no such setting of a class")
@@ -256,8 +256,8 @@
 def _years(text: str) -> range:
     found = re.fullmatch(r"(\d{4})-(\d{4})", text)
     years = range(int(found[1]), int(found[2]) + 1) if found else range(0)
-    if not years or len(years) > c.HOLIDAY_YEARS:
-        raise _Fault(f"expected at most {c.HOLIDAY_YEARS} years, such as 2026-2030")
+    if not years or len(years) > constants.HOLIDAY_YEARS:
+        raise _Fault(f"expected at most {constants.HOLIDAY_YEARS} years, such as 2026-2030")
     return years
 
 
@@ -341,7 +341,8 @@
         zone = calendar.zone or "UTC"
         periods = table.periods(calendar.name, wall, 3)
         shown = ", ".join(f"{_clock(begin, zone)} to {_clock(end, zone)}" for begin, end in periods)
-        line = f"calendar {calendar.name}: open {shown or f'never in the next {c.HOURS_AHEAD_DAYS} days'} ({zone})"
+        never = f"never in the next {constants.CALENDAR_AHEAD_DAYS} days"
+        line = f"calendar {calendar.name}: open {shown or never} ({zone})"
         if calendar.holidays:
             last = EPOCH + timedelta(calendar.holidays[-1])
             line += f"; {len(calendar.holidays)} holidays, the last on {last}"
--- a/alderbridge/hours/gate.py
+++ b/alderbridge/hours/gate.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import TYPE_CHECKING
 
-from .. import constants as c
+from .. import constants
 from ..wire import JobSpec
 from .declaration import Text
 from .timetable import DAY, NEVER, Look, Timetables, shown
@@ -38,7 +38,7 @@
         for text in texts:
             for calendar in text.calendars:
                 left = calendar.holidays[-1] - clock() / DAY if calendar.holidays else NEVER
-                if left < c.HOLIDAYS_SHORT_DAYS:
+                if left < constants.HOLIDAYS_SHORT_DAYS:
                     log.warning(
                         "calendar=%s state=running out cause=its last holiday is in %d days", calendar.name, left
                     )
@@ -86,7 +86,7 @@
                 if opening <= wall - now + job.ready_since:
                     job.start_turn(opening, job.ready_since)  # it came while it was open
                     continue
-            spread = look.rule.spread_s if look.rule is not None else c.OPENING_SPREAD_S
+            spread = look.rule.spread_s if look.rule is not None else constants.OPENING_SPREAD_S
             waits.setdefault((opening, spread), []).append(job)
         for (opening, spread), group in waits.items():
             self._spread(group, opening, opening - (wall - now), spread)
@@ -103,7 +103,7 @@
             )
 
         total = sum(job.waiting for job in group)
-        pace = max(total / spread_s, c.OPENING_PACE) if spread_s else math.inf
+        pace = max(total / spread_s, constants.OPENING_PACE) if spread_s else math.inf
         before = 0
         for job in sorted(group, key=need):
             job.start_turn(opening, max(since, job.ready_since) + before / pace)
@@ -119,7 +119,7 @@
                 spec.team,
                 spec.job_class,
                 rule.calendar,
-                c.HOURS_AHEAD_DAYS,
+                constants.CALENDAR_AHEAD_DAYS,
                 spec.estimate_s,
             )
         else:
--- a/alderbridge/hours/timetable.py
+++ b/alderbridge/hours/timetable.py
@@ -14,7 +14,7 @@
 from datetime import UTC, datetime
 from typing import NamedTuple
 
-from .. import constants as c
+from .. import constants
 from ..wire import JobSpec
 from .declaration import Calendar, Class, Spans, Text
 
@@ -78,7 +78,7 @@
     def day(self, number: int) -> Periods:
         known = self.days.get(number)
         if known is None:
-            if len(self.days) > 2 * c.HOURS_AHEAD_DAYS:
+            if len(self.days) > 2 * constants.CALENDAR_AHEAD_DAYS:
                 self.days.clear()
             of = self.calendar.of
             known = self.days[number] = (
@@ -131,7 +131,7 @@
         One that has lasted for longer than a week has begun at 0: for ever.
         """
         now = math.floor(wall / DAY)
-        least, most = now - c.HOURS_BACK_DAYS, now + c.HOURS_AHEAD_DAYS
+        least, most = now - constants.CALENDAR_BACK_DAYS, now + constants.CALENDAR_AHEAD_DAYS
         since = until = None
         for number in range(least, most):
             for begin, end in self.day(number):
@@ -197,13 +197,15 @@
         rule = self.rule(spec)
         if rule is None:
             return OPEN
-        run_s = (spec.estimate_s or c.UNKNOWN_RUN_S) * rule.run_factor if rule.ends and not spec.service else 0.0
+        run_s = (
+            (spec.estimate_s or constants.UNKNOWN_RUN_S) * rule.run_factor if rule.ends and not spec.service else 0.0
+        )
         # Replicas have no end of their own: where tasks must end before closing they are stopped.
         stops = rule.stops or (rule.ends and spec.service)
         key = (id(rule), run_s, spec.save_s if stops else -1.0, skew_s)
         known = self.looks.get(key)
         if known is None or not known[0] <= wall < known[1]:
-            if len(self.looks) > c.QUEUE_ROWS * 10:
+            if len(self.looks) > constants.QUEUE_ROWS * 10:
                 self.looks.clear()
             known = self.looks[key] = self._look(rule, run_s, spec.save_s if stops else None, wall, skew_s)
         return known[2]
@@ -218,7 +220,9 @@
             # By the cautious end of the clock's bound: open at both ends of it, and all the time between.
             since, until = (begin + skew_s if begin else 0.0), end - skew_s
             stop = NEVER if save_s is None else until - save_s
-            last = min(until - c.ORDER_S - run_s, stop - c.LEAST_BEFORE_STOP_S)  # no start is ordered from here on
+            last = min(
+                until - constants.ORDER_DELIVERY_S - run_s, stop - constants.LEAST_BEFORE_STOP_S
+            )  # no start is ordered from here on
             if not closes_at and since <= wall < until:
                 closes_at, stop_at, fresh = until, stop, min(fresh, until)
             if last <= since or last <= wall:
@@ -261,10 +265,10 @@
     def _opening(self, spec: JobSpec, wall: float, skew_s: float) -> float:
         """When all are open next: each in turn says how long it is closed at least."""
         at = wall
-        for _ in range(c.HOURS_AHEAD_DAYS):
+        for _ in range(constants.CALENDAR_AHEAD_DAYS):
             looks = [table.look(spec, at, skew_s) for table in self.tables]
             later = max((look.opens_at for look in looks if not look.may_start), default=at)
-            if later <= at or later > wall + c.HOURS_AHEAD_DAYS * DAY:
+            if later <= at or later > wall + constants.CALENDAR_AHEAD_DAYS * DAY:
                 return NEVER if later > at else at
             at = later
         return NEVER
--- a/alderbridge/jobs.py
+++ b/alderbridge/jobs.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from . import constants as c
+from . import constants
 from .config import Team
 from .hours.gate import Gate
 from .mesh import (
@@ -307,9 +307,11 @@
     def fail_task(self, index: int, now: float) -> None:
         """The task ended with an error: it waits, and the job pauses a little longer each time."""
         self.requeue(index)
-        pause = min(c.ERROR_PAUSE_MAX_S, c.ERROR_PAUSE_S * 2 ** min(10, self.errors // max(1, self.spec.tasks)))
+        pause = min(
+            constants.ERROR_PAUSE_MAX_S, constants.ERROR_PAUSE_S * 2 ** min(10, self.errors // max(1, self.spec.tasks))
+        )
         self.errors += 1
-        self.paused_until = max(self.paused_until, now + pause) if self.errors > c.FAULTY_ERRORS else 0.0
+        self.paused_until = max(self.paused_until, now + pause) if self.errors > constants.QUARANTINE_ERRORS else 0.0
 
     def abort(self, now: float, cause: str = "withdrawn") -> None:
         if self.state is JobState.ACTIVE:
@@ -532,7 +534,7 @@
 
     def used(self, now: float = math.inf) -> dict[str, tuple[float, float]]:
         """Per team, what its tasks on machines take; counted anew from time to time, else as kept since."""
-        if now - self.counted_at < c.LEADER_ROUND_S:
+        if now - self.counted_at < constants.LEADER_ROUND_S:
             return dict(self.tally.teams)
         self.counted_at = now
         counted = UsageTally()
@@ -628,7 +630,7 @@
                 )
             )
         rows.sort(key=lambda row: row.due_in_s)
-        return rows[: c.QUEUE_ROWS]
+        return rows[: constants.QUEUE_ROWS]
 
     @staticmethod
     def _priority_boost(job: Job, now: float, offer: int, late: bool) -> tuple[int, int]:
@@ -641,15 +643,15 @@
             offer
             and not job.has_started
             and job.waiting == job.spec.tasks
-            and now - job.waiting_since >= c.BEGIN_TURN_S
+            and now - job.waiting_since >= constants.STARVED_JOB_S
         ):
             return offer if job.spec.gang else 1, 2
-        if offer and late and now - job.last_grant_at >= c.LATE_TURN_S and not job.boosted_grants_left:
-            job.boosted_grants_left = max(1, job.spec.tasks // c.LATE_SHARE)
+        if offer and late and now - job.last_grant_at >= constants.LATE_BOOST_S and not job.boosted_grants_left:
+            job.boosted_grants_left = max(1, job.spec.tasks // constants.LATE_BOOST_SHARE)
         return (min(offer, job.boosted_grants_left), 1) if offer and job.boosted_grants_left else (offer, 0)
 
     def raise_start_limit(self, job: Job, count: int, now: float) -> None:
-        mark = min(job.spec.tasks, job.next_index + count + c.MARK_AHEAD)
+        mark = min(job.spec.tasks, job.next_index + count + constants.START_LIMIT_AHEAD)
         if mark > job.wanted_start_limit:
             job.wanted_start_limit = mark
             job.mark_dirty(now)
@@ -859,10 +861,10 @@
                     yield (2.0 if job.is_blocked and not job.end_awaited else 0.0, job)
                 elif job.wanted_start_limit > job.start_limit:
                     yield (1.0, job)
-                elif now - job.last_write >= c.PROGRESS_S:
+                elif now - job.last_write >= constants.PROGRESS_WRITE_S:
                     yield (2.0 + job.last_write * 1e-9, job)
                 else:
-                    self.due_at = min(self.due_at, job.last_write + c.PROGRESS_S)
+                    self.due_at = min(self.due_at, job.last_write + constants.PROGRESS_WRITE_S)
             elif not job.has_full_record or job.stored_state is JobState.ACTIVE:
                 del lagging[job.spec.id]  # the next change puts it back
 
--- a/alderbridge/leader.py
+++ b/alderbridge/leader.py
@@ -18,8 +18,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from . import constants as c
-from . import placement, policy
+from . import constants, placement, policy
 from .allowances import QuotaAllocator
 from .config import Team, Tuning
 from .mesh import MachineSummaries, MachineSummary, QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
@@ -131,7 +130,7 @@
                 self._found(name, kind, now, RentedMachineState.BOOTING)
 
     def on_refused(self, kind: Kind, now: float) -> None:
-        self.market.refused_until[kind] = now + c.REFUSED_PAUSE_S
+        self.market.refused_until[kind] = now + constants.REFUSED_PAUSE_S
 
     def on_listing(self, hosts: list[ListedMachine], now: float) -> None:
         self.listed = True
@@ -280,14 +279,14 @@
                 self._up(name, rented, row, at, now, decision, resources, idle)
             else:
                 self._booting(name, rented, now, decision, resources, booting)
-        if self.listings >= c.LIST_MISSES:
+        if self.listings >= constants.LIST_MISSES:
             for name, (row, at) in rows.items():
-                if name not in self.rented_machines and row.silent_s + now - at > c.SILENT_S:
+                if name not in self.rented_machines and row.silent_s + now - at > constants.SILENT_S:
                     decision.terminate.append(name)  # recorded, silent and not listed: most likely taken
         walk = policy.Walk(resources, queue)
         for resource, name in idle:
             rented = self.rented_machines[name]
-            if not policy.block_ends(now - rented.rented_at, 2 * c.LEADER_ROUND_S):
+            if not policy.block_ends(now - rented.rented_at, 2 * constants.LEADER_ROUND_S):
                 continue
             if not self.scale_in_guard.may_return:
                 self.scale_in_guard.count_kept_machine()
@@ -295,23 +294,23 @@
                 self.begin_termination(name, now, decision, "idle at the end of its block")
         below_cap = max(0, self.tuning.max_machines - alive)
         wanted = policy.machines_wanted(walk, self.market, now, below_cap, Counter(r.kind for r in resources))
-        if now - self.hard_checked_at >= c.HARD_CHECK_S:
+        if now - self.hard_checked_at >= constants.HARD_CHECK_S:
             self.hard_checked_at = now
             hard = policy.hard_check(queue, self.market, now, booting, below_cap)
             wanted += hard[len(wanted) :]
-        decision.scale_out = [(kind, min(count, c.RENT_BATCH)) for kind, count in Counter(wanted).items()]
+        decision.scale_out = [(kind, min(count, constants.RENT_BATCH)) for kind, count in Counter(wanted).items()]
         return decision
 
     def _refresh_scale_in_guard(self, rows: dict[str, tuple[MachineSummary, float]], now: float) -> None:
         """Whether the rows account for the fleet; one line a second until they do, and one when they do."""
         before = self.scale_in_guard.knowledge
         unheard = [(name, row.silent_s + now - at) for name, (row, at) in rows.items() if row.state == "expected"]
-        silent = sum(silence > c.SILENT_S for _, silence in unheard)
+        silent = sum(silence > constants.SILENT_S for _, silence in unheard)
         inherited = sum(row.inherited for queue in self.queues.values() for row in queue.rows)
         knowledge = self.scale_in_guard.refresh(len(unheard) - silent, len(rows), inherited, now)
         self.to_prove_empty = set(self.scale_in_guard.machines_to_prove_empty(unheard, len(rows), inherited))
         if knowledge is not before or (
-            knowledge is not FleetKnowledge.RECONCILED and now - self.fleet_logged_at >= c.LEADER_ROUND_S
+            knowledge is not FleetKnowledge.RECONCILED and now - self.fleet_logged_at >= constants.LEADER_ROUND_S
         ):
             self.fleet_logged_at = now
             log.info(
@@ -336,12 +335,17 @@
         idle: list[tuple[Resource, str]],
     ) -> None:
         silent = row.silent_s + (now - at)
-        fresh = now - at < 3 * c.LEADER_ROUND_S
+        fresh = now - at < 3 * constants.LEADER_ROUND_S
         # A return is proof at once that nothing is left there; a lapsed lease takes longer. The
         # list proves nothing, but it shows which silent machines are worth asking for.
-        hint = rented.missed >= c.LIST_MISSES or row.state == "draining"
+        hint = rented.missed >= constants.LIST_MISSES or row.state == "draining"
         proof = name in self.to_prove_empty
-        if rented.failed or (row.state == "lapsed" and silent > c.LOST_S) or (hint and silent > c.SILENT_S) or proof:
+        if (
+            rented.failed
+            or (row.state == "lapsed" and silent > constants.LOST_MACHINE_S)
+            or (hint and silent > constants.SILENT_S)
+            or proof
+        ):
             self.begin_termination(
                 name, now, decision, "failed" if rented.failed else "inherited tasks wait" if proof else "lost"
             )
@@ -375,9 +379,11 @@
             return
         age = now - rented.rented_at
         if rented.state is RentedMachineState.TERMINATING:
-            if now - rented.terminating_since > c.LEADER_ROUND_S:
+            if now - rented.terminating_since > constants.LEADER_ROUND_S:
                 decision.terminate.append(name)
-        elif rented.failed or age > max(c.BOOT_PATIENCE * kind.boot_s, now - self.entered_at and 2 * self.lag_s):
+        elif rented.failed or age > max(
+            constants.BOOT_PATIENCE * kind.boot_s, now - self.entered_at and 2 * self.lag_s
+        ):
             self.begin_termination(name, now, decision, "failed" if rented.failed else "did not come up")
         else:
             resource = Resource(rented.kind, self.market.room(rented.kind))
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -11,8 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING, NamedTuple
 
-from .. import claims
-from .. import constants as c
+from .. import claims, constants
 from ..claims import Budget, Claim, Group, Held, Limit, Need, Teams, Victim, loss_s
 from ..config import Team
 from ..jobs import JobState
@@ -192,7 +191,7 @@
     def _holds(self, one: Service, rooms: list[list], most: int) -> int:
         """How many of the replicas go where room is, or comes in the time that lending takes; takes that room."""
         spec, found = one.spec, 0
-        horizon = max(one.due_in_s, spec.save_s + c.LEND_S)
+        horizon = max(one.due_in_s, spec.save_s + constants.LEND_S)
         here = self.zones_of(spec)
         for entry in rooms:
             kind, free, ends = entry
@@ -291,7 +290,7 @@
         needs = self.needs(services, resources, taken, promised)
         self.since = {need.spec.id: self.since.get(need.spec.id, now) for need in needs}
         for need in needs:
-            if now - self.since[need.spec.id] < c.LEND_FIRST_S:
+            if now - self.since[need.spec.id] < constants.LEND_FIRST_S:
                 self.tasks_served_by_lending[need.spec.id] += need.count
         return needs
 
@@ -299,7 +298,7 @@
         """Waiting tasks that no machine is rented for now: what just came is looked at within a second."""
         if not self.serves(spec):
             return 0
-        return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < c.LEND_FIRST_S else 0)
+        return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < constants.LEND_FIRST_S else 0)
 
     def _gpu_type(self, kind: Kind) -> bool:
         known = self.types.get(kind.type)
@@ -353,7 +352,7 @@
             self.seen.add((machine, claim.at))
             gpus = sum(spec.gpus for job, _, _ in claim.victims if (spec := specs.get(job)) is not None)
             self.paid.append((claim.at, claim.team, gpus))
-        least = wall - c.SPEND_MINUTE_S - c.SPEND_STEP_S
+        least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
         self.paid = deque(one for one in self.paid if one[0] > least)
         self.seen = {key for key in self.seen if key[1] > least or key[0] in held}
 
@@ -456,23 +455,25 @@
 
         What was stopped before costs as much more for each time: the same task is not stopped again and again.
         """
-        return victim.spec.gpus * (1 + victim.stops) * (loss_s(victim) + c.LEND_RISK * (victim.saved_s_ago or 0.0))
+        return (
+            victim.spec.gpus * (1 + victim.stops) * (loss_s(victim) + constants.LEND_RISK * (victim.saved_s_ago or 0.0))
+        )
 
     def place(self, need: Need, held: Held) -> float:
         """GPU seconds that replicas' GPUs idle there, and what is to be avoided: see ``constants``."""
         spec, name = need.spec, held.machine
         if self.opened[name] > 0:
             return 0.0
-        cost = c.LEND_OPEN_S * spec.gpus
+        cost = constants.LEND_OPEN_S * spec.gpus
         if spec.image not in self._site(name).images:
             kind = self.types.get(held.kind.type)
             fetch_s = spec.image_gb / kind.fetch_gb_per_s if kind is not None and kind.fetch_gb_per_s > 0 else 0.0
             cost += fetch_s * spec.gpus
-            if fetch_s >= c.LEND_HEAVY_S and self._elsewhere(spec, held):
-                cost += c.LEND_AVOID_S
+            if fetch_s >= constants.LEND_HEAVY_S and self._elsewhere(spec, held):
+                cost += constants.LEND_AVOID_S
         if name in self.whole and spec.gpus < self._gpus(held):
             last = sum(not self.opened[one] for one in self.whole) <= 1
-            cost += 2 * c.LEND_AVOID_S if last else c.LEND_OPEN_S * spec.gpus
+            cost += 2 * constants.LEND_AVOID_S if last else constants.LEND_OPEN_S * spec.gpus
         return cost
 
     def _site(self, name: str) -> Site:
--- a/alderbridge/machines.py
+++ b/alderbridge/machines.py
@@ -21,8 +21,7 @@
 
 import msgspec
 
-from . import constants as c
-from . import placement
+from . import constants, placement
 from .hours.gate import Gate
 from .mesh import MachineSummary, MachineTaskReport, MachineTasks, StopTask, TaskGrant, TaskStatusReport
 from .placement import Candidate
@@ -42,7 +41,7 @@
 
 TaskKey = tuple[str, int]  # job, index
 Load = tuple[float, float, float, float]  # Expected Run Time, cpus, memory, gpus
-_task_key = functools.lru_cache(c.TASK_KEYS)(split_task_id)  # the same tasks are reported again and again
+_task_key = functools.lru_cache(constants.TASK_KEY_CACHE)(split_task_id)  # the same tasks are reported again and again
 
 
 class MachineState(str, Enum):
@@ -417,7 +416,7 @@
             urgent = urgent or any(on.status != "ended" for key, on in old.items() if key not in tasks)
         deaf = False
         for key, pending in machine.pending.items():
-            deaf = deaf or pending.sent >= c.ORDER_TRIES and key not in tasks
+            deaf = deaf or pending.sent >= constants.ORDER_TRIES and key not in tasks
         if (
             deaf and now >= machine.quarantined_until
         ):  # what it is sent does not arrive: tasks wait elsewhere, not on it
@@ -492,8 +491,8 @@
             machine.errors.clear()
         elif cause == "error":
             machine.errors.append(job)
-            if len(machine.errors) >= c.FAULTY_ERRORS and len(set(machine.errors)) > 1:
-                machine.quarantined_until = now + c.FAULTY_S
+            if len(machine.errors) >= constants.QUARANTINE_ERRORS and len(set(machine.errors)) > 1:
+                machine.quarantined_until = now + constants.QUARANTINE_S
                 machine.errors.clear()
                 log.info("machine=%s state=aside cause=errors in a row", machine.name)
 
@@ -514,8 +513,8 @@
         if (
             not machine.stop_orders
             and not machine.pending
-            and len(machine.acknowledgements) < c.CLEARS_MOST
-            and machine.last_heartbeat_at - machine.acknowledgements_since < c.CLEAR_WAIT_S
+            and len(machine.acknowledgements) < constants.ACKNOWLEDGE_MAX
+            and machine.last_heartbeat_at - machine.acknowledgements_since < constants.ACKNOWLEDGE_WAIT_S
         ):
             return []
         orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(machine.acknowledgements)]
@@ -692,13 +691,13 @@
 
     def due_record_drops(self, now: float) -> list[str]:
         """Records to be dropped: of lapsed machines none until they had time to report again, somebody listening."""
-        if self.answering_since is not None and now - self.answering_since >= c.SILENT_S:
+        if self.answering_since is not None and now - self.answering_since >= constants.SILENT_S:
             return self.records_to_drop
         return [name for name in self.records_to_drop if name in self.terminated]
 
     def check_leases(self, now: float) -> None:
         """Machines whose lease has provably run out. While they report, a look is due once in most of a lease."""
-        wait = self.lease_s * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S
+        wait = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
         if now - self.oldest_lease_start <= wait:
             return
         self.oldest_lease_start = now  # who comes later counts from later; a view, and its settling, look anew
@@ -722,8 +721,8 @@
 
         A newer view's part may have renewed it, unknown to a member that is cut off: so none had begun by its end.
         """
-        lease = self.lease_s * (1 + 2 * c.CLOCK_DRIFT)
-        return now - since > lease + c.PROOF_MARGIN_S and self.no_newer_view_until - since > lease
+        lease = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
+        return now - since > lease + constants.PROOF_MARGIN_S and self.no_newer_view_until - since > lease
 
     def _expire(self, machine: Machine, cause: str) -> None:
         log.info("machine=%s state=lapsed cause=%s", machine.name, cause)
@@ -772,7 +771,7 @@
         """One line a second until every machine is squared, given up or known to be silent."""
         waits = not self.reconciliation.over
         for machine in self.machines.values():
-            if not machine.acknowledged and now - machine.last_heartbeat_at > c.SILENT_S:
+            if not machine.acknowledged and now - machine.last_heartbeat_at > constants.SILENT_S:
                 self.reconciliation.mark_silent(machine.name)
         if waits:
             log.info("part mandate=%d %s", self.fencing_token, self.reconciliation.line(now))
--- a/alderbridge/mesh.py
+++ b/alderbridge/mesh.py
@@ -16,8 +16,7 @@
 import curio
 import msgspec
 
-from . import __version__
-from . import constants as c
+from . import __version__, constants
 from .config import address
 from .net import connect
 from .poll import Listener, Poll, listening
@@ -312,7 +311,7 @@
         with memoryview(buffer) as view:
             while length - at >= _HEAD.size:
                 (size,) = _HEAD.unpack_from(view, at)
-                if size > c.MAX_FRAME:
+                if size > constants.MAX_FRAME:
                     raise msgspec.DecodeError(f"frame of {size} bytes")
                 if length - at - _HEAD.size < size:
                     return
@@ -376,7 +375,7 @@
         return frame.body
 
     def resend(self, now: float) -> list[Frame]:
-        if not self.unacked or now - self.progress_at < c.MESH_RESEND_S:
+        if not self.unacked or now - self.progress_at < constants.MESH_RESEND_S:
             return []
         self.progress_at = now
         return [self._frame(seq, body) for seq, body, _ in self.unacked]
@@ -387,11 +386,11 @@
 
     def is_quiet(self, now: float) -> bool:
         """Nothing sent lately whose acknowledgement would show that the connection is whole."""
-        return now - self.posted_at >= c.MESH_PROBE_S
+        return now - self.posted_at >= constants.MESH_PROBE_S
 
     def is_stalled(self, now: float) -> bool:
         """Sent again and again, and never acknowledged: after a cut, the other end may have closed unheard."""
-        if not self.unacked or now - self.alive_at < c.MESH_STALL_S:
+        if not self.unacked or now - self.alive_at < constants.MESH_STALL_S:
             return False
         self.alive_at = now  # the next connection has its time, too
         return True
@@ -417,7 +416,7 @@
     def put(self, label: str, frame: Frame) -> None:
         """Queue a frame; dropped while the peer is out of reach."""
         queue = self.queues[label]
-        if label not in self.connected or len(queue) > c.MESH_BACKLOG:
+        if label not in self.connected or len(queue) > constants.MESH_BACKLOG:
             return
         queue.append(self.encode(frame))
 
@@ -448,9 +447,9 @@
         listener = Listener(self.poll, listening(*self.set_answering, 64), lambda client: Incoming(self, client))
         try:
             while True:  # end silent connections; cheaper than a timer for each read
-                await curio.sleep(c.SWEEP_S)
+                await curio.sleep(constants.OVERDUE_CHECK_S)
                 listener.resume()
-                for one in [one for one in self.incoming if now() - one.received_at > c.MESH_SILENCE_S * 2]:
+                for one in [one for one in self.incoming if now() - one.received_at > constants.MESH_SILENCE_S * 2]:
                     one.close()
         finally:
             listener.close()
@@ -466,7 +465,7 @@
         while True:
             sock = None
             try:
-                sock = await curio.timeout_after(c.CONNECT_S, connect, *self.peers[label])
+                sock = await curio.timeout_after(constants.CONNECT_S, connect, *self.peers[label])
                 self.queues[label].clear()
                 self.renewing.discard(label)
                 self.connected.add(label)
@@ -485,7 +484,7 @@
                     queue.clear()
                     self.writing.add(label)
                     try:
-                        await curio.timeout_after(c.MESH_SILENCE_S, sock.sendall, data)
+                        await curio.timeout_after(constants.MESH_SILENCE_S, sock.sendall, data)
                     finally:
                         self.writing.discard(label)
             except (OSError, curio.TaskTimeout) as error:
@@ -495,7 +494,7 @@
                 self.open.pop(label, None)
                 if sock is not None:
                     await sock.close()
-            await curio.sleep(c.MESH_RETRY_S)
+            await curio.sleep(constants.MESH_RETRY_S)
 
 
 _space = memoryview(bytearray(262144))  # all read into it: making room for each read costs more than the read
--- a/alderbridge/net.py
+++ b/alderbridge/net.py
@@ -18,7 +18,7 @@
 from curio import socket as curio_socket
 from curio.traps import _read_wait
 
-from . import constants as c
+from . import constants
 from .poll import IN, OUT, Listener, Poll, listening
 
 log = logging.getLogger("net")
@@ -117,7 +117,7 @@
         """Where the body begins, and where it ends. (0, 0) where the head is another, or not all there."""
         at = 0
         if self.method:
-            at = data.find(b" ", len(self.method), c.PLAIN_HEAD)
+            at = data.find(b" ", len(self.method), constants.CACHED_HEAD_BYTES)
             if at < 0 or not data.startswith(self.method) or not _TARGET.fullmatch(data, len(self.method), at):
                 return 0, 0
         if not data.startswith(self.before, at):
@@ -130,7 +130,7 @@
         if end < 0 or not digits.isdigit() or not data.startswith(self.after, end):
             return 0, 0
         length, at = int(digits), end + len(self.after)
-        return (at, at + length) if length <= c.MAX_BODY else (0, 0)
+        return (at, at + length) if length <= constants.MAX_BODY else (0, 0)
 
 
 def learn(data: bytes, event: h11.Request | h11.Response) -> Plain | None:
@@ -141,7 +141,7 @@
     line = b"HTTP/1.1 " if isinstance(event, h11.Response) else b"%b %b HTTP/1.1\r\n" % (event.method, event.target)
     if (
         end < 4
-        or end > c.PLAIN_HEAD
+        or end > constants.CACHED_HEAD_BYTES
         or not head.startswith(line)
         or event.http_version != b"1.1"
         or names.count(b"content-length") > 1
@@ -200,7 +200,7 @@
     def __init__(self, server: Server, sock: socket.socket) -> None:
         self.server, self.sock, self.fd = server, sock, sock.fileno()
         self.state = State.READING
-        self.allow(c.IDLE_S)
+        self.allow(constants.IDLE_S)
         self.plain: Plain | None = None  # the head of its last request
         self.data = b""  # what has come of a request, and h11 has not been given
         self.begun = False  # the head of that request is known, its body has yet to come
@@ -288,7 +288,7 @@
             self.parse()  # in many pieces, which are to be put together once
         else:
             self.begun = True
-            self.allow(c.REQUEST_S)
+            self.allow(constants.REQUEST_S)
 
     def parse(self) -> None:
         if self.http is None:
@@ -315,10 +315,10 @@
                     self.request = event.method.decode(), event.target.decode("latin-1")
                     self.parts, self.size = [], 0
                     if not self.begun:
-                        self.allow(c.REQUEST_S)
+                        self.allow(constants.REQUEST_S)
                 elif isinstance(event, h11.Data):
                     self.size += len(event.data)
-                    if self.size > c.MAX_BODY:
+                    if self.size > constants.MAX_BODY:
                         return self.refuse(413, b'{"error":"body too large"}')
                     self.parts.append(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
@@ -389,7 +389,7 @@
             before, after = _head(status, tuple(extra))
             data = b"%b%d%b%b" % (before, len(body), after, body)
         self.state, self.out = State.WRITING, data
-        self.allow(c.REQUEST_S)
+        self.allow(constants.REQUEST_S)
         self.write()
 
     def write(self) -> None:
@@ -414,7 +414,7 @@
             http.start_next_cycle()
             self.request, self.through = None, bool(http.trailing_data[0])
         self.state, self.begun = State.READING, False
-        self.allow(c.IDLE_S)
+        self.allow(constants.IDLE_S)
         self.hear(IN)
         if self.through or self.data:
             self.server.poll.again(self)
@@ -450,7 +450,7 @@
     async def sweep(self, listener: Listener) -> None:
         """End what is overdue. One look a second costs less than a timer around each step of each request."""
         while True:
-            await curio.sleep(c.SWEEP_S)
+            await curio.sleep(constants.OVERDUE_CHECK_S)
             listener.resume()
             for connection in [one for one in self.open if now() > one.deadline]:
                 connection.close()
@@ -501,7 +501,7 @@
                 if method != "GET":  # it may have been carried out: the caller decides
                     raise
         try:
-            sock = await curio.timeout_after(c.CONNECT_S, connect, self.host, self.port)
+            sock = await curio.timeout_after(constants.CONNECT_S, connect, self.host, self.port)
         except curio.TaskTimeout:
             # Left to escape into the outer timeout it would be an error of its own, met by nobody.
             raise TimeoutError("connect") from None
@@ -560,7 +560,7 @@
             self.end(None)
 
     def overdue(self, now: float, limit_s: float) -> bool:
-        return now - self.began_at > (limit_s if self.connected else min(limit_s, c.CONNECT_S))
+        return now - self.began_at > (limit_s if self.connected else min(limit_s, constants.CONNECT_S))
 
     def close(self) -> None:
         self.end(None)
--- a/alderbridge/placement.py
+++ b/alderbridge/placement.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from . import constants as c
+from . import constants
 from .mesh import QueueRow
 from .wire import PRIORITIES, JobSpec, MachineType
 
@@ -123,7 +123,7 @@
         self.key = (late, rank, now + due - TURN_AHEAD_S) if row.priority_boost else (late, rank, due)
         self.label, self.row, self.spec, self.left = label, row, spec, row.offer
         self.young_until = now - row.waited_s + gather_s
-        self.patient_until = now - row.waited_s + c.KEEP_S  # no room is kept for it before
+        self.patient_until = now - row.waited_s + constants.RESERVE_AFTER_S  # no room is kept for it before
 
 
 Entry = tuple[bool, int, float, str, str, Offer]  # its key, its home, its job: no two are alike
--- a/alderbridge/policy.py
+++ b/alderbridge/policy.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from . import constants as c
+from . import constants
 from .config import Objective, Tuning
 from .placement import Room, allowed, fits
 from .wire import JobSpec, MachineType
@@ -60,13 +60,13 @@
 
 def expected_run_time(spec: JobSpec, tuning: Tuning) -> float:
     if spec.service or spec.gang:
-        return c.SERVICE_RUN_S  # its tasks need their slots side by side, not one after the other
-    return (spec.estimate_s or c.UNKNOWN_RUN_S) * tuning.workload_multiplier
+        return constants.SERVICE_RUN_S  # its tasks need their slots side by side, not one after the other
+    return (spec.estimate_s or constants.UNKNOWN_RUN_S) * tuning.workload_multiplier
 
 
 def max_queue_time(spec: JobSpec, tuning: Tuning) -> float:
     """3.1, Equation 1, with the floor."""
-    requested = spec.estimate_s or c.UNKNOWN_RUN_S
+    requested = spec.estimate_s or constants.UNKNOWN_RUN_S
     return max(tuning.queue_time_floor_s, requested * tuning.target_ratio)
 
 
@@ -99,11 +99,16 @@
         if not within:
             continue
         if start:
-            times.append((within * c.WAIT_SHARE, within))
+            times.append((within * constants.WAIT_SHARE, within))
         elif objective.kind in ("finished", "deadline") and ours:
-            least, gone = within * c.LEAST_SHARE, waited_s if deadline else 0.0
-            times.append((max(least, within - run * c.RUN_SAFETY) - gone, max(least, within - run * c.RUN_LUCK) - gone))
-    times += [(by - run * c.RUN_SAFETY, by - run * c.RUN_LUCK) for by in needed_s]
+            least, gone = within * constants.LEAST_SHARE, waited_s if deadline else 0.0
+            times.append(
+                (
+                    max(least, within - run * constants.RUN_SAFETY) - gone,
+                    max(least, within - run * constants.RUN_OPTIMISM) - gone,
+                )
+            )
+    times += [(by - run * constants.RUN_SAFETY, by - run * constants.RUN_OPTIMISM) for by in needed_s]
     floor = max_queue_time(spec, tuning)
     return sorted(times) or [(floor, floor)]
 
@@ -409,7 +414,7 @@
     coming = list(booting)
     for demand in queue:
         kind = market.best(demand, now)
-        if kind is None or demand.due_in_s > market.types[kind.type].boot_s + c.HARD_MARGIN_S:
+        if kind is None or demand.due_in_s > market.types[kind.type].boot_s + constants.HARD_MARGIN_S:
             continue
         left = demand.count
         kept = []
@@ -447,7 +452,7 @@
 
 def block_ends(age_s: float, within_s: float) -> bool:
     """Whether the paid block ends within that time; idle machines wait out their block."""
-    return c.PAID_BLOCK_S - age_s % c.PAID_BLOCK_S <= within_s
+    return constants.PAID_BLOCK_S - age_s % constants.PAID_BLOCK_S <= within_s
 
 
 class Need(NamedTuple):
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from .. import constants as c
+from .. import constants
 from ..mesh import QueueDelta, QueueRow, TeamUsage, TeamUsageDelta
 from .home_queue import Amounts
 
@@ -38,9 +38,9 @@
 
 def _counts_differ(told: int, count: int) -> bool:
     """Whether a count has changed by enough to be told at once: small ones by anything, others by an eighth."""
-    if told <= c.QUEUE_EXACT or count <= c.QUEUE_EXACT:
+    if told <= constants.QUEUE_EXACT or count <= constants.QUEUE_EXACT:
         return told != count
-    return abs(told - count) * c.QUEUE_SHARE > told
+    return abs(told - count) * constants.QUEUE_SHARE > told
 
 
 def _is_news(known: _Published, row: QueueRow, now: float) -> bool:
@@ -56,12 +56,15 @@
         return True
     if _counts_differ(told.offer, row.offer) or _counts_differ(told.waiting, row.waiting):
         return True
-    if abs(row.due_in_s + passed - told.due_in_s) > c.QUEUE_TIME_S or abs(row.run_s - told.run_s) > c.QUEUE_TIME_S:
+    if (
+        abs(row.due_in_s + passed - told.due_in_s) > constants.QUEUE_TIME_S
+        or abs(row.run_s - told.run_s) > constants.QUEUE_TIME_S
+    ):
         return True
-    if passed < c.LEADER_ROUND_S:
+    if passed < constants.LEADER_ROUND_S:
         return False
     return (row.waiting, row.offer, row.inherited) != (told.waiting, told.offer, told.inherited) or (
-        passed >= c.QUEUE_REFRESH_S
+        passed >= constants.QUEUE_REFRESH_S
     )
 
 
@@ -101,7 +104,7 @@
 
     def _forget_gone(self) -> None:
         """Jobs that every member knows to be gone; who is far behind is told the whole next time."""
-        if len(self.gone) > c.QUEUE_GONE:
+        if len(self.gone) > constants.QUEUE_ENDED_JOBS:
             newest = max(self.told.values(), default=0)
             self.told = {label: version for label, version in self.told.items() if version == newest}
         oldest = min(self.told.values(), default=self.version)
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable
 
-from .. import constants as c
+from .. import constants
 from ..mesh import QueueDelta, QueueRow, QueueSnapshot
 from ..placement import Offer, Offers
 from ..wire import JobSpec
@@ -57,10 +57,12 @@
         for label, rows in self.unknown.items():
             known = [(row, at, spec) for row, at in rows.values() if (spec := self.spec_of(row.job)) is not None]
             if known:
-                self.offers.change(label, [Offer(label, row, spec, at, c.GATHER_S) for row, at, spec in known], ())
+                self.offers.change(
+                    label, [Offer(label, row, spec, at, constants.PACKING_WAIT_S) for row, at, spec in known], ()
+                )
                 for row, _, _ in known:
                     del rows[row.job]
 
     def _offers_of(self, label: str, rows: Iterable[QueueRow], now: float) -> list[Offer]:
         specs = [(row, self.spec_of(row.job)) for row in rows if row.offer > 0]
-        return [Offer(label, row, spec, now, c.GATHER_S) for row, spec in specs if spec is not None]
+        return [Offer(label, row, spec, now, constants.PACKING_WAIT_S) for row, spec in specs if spec is not None]
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from .. import constants as c
+from .. import constants
 from ..mesh import KeepAlive, Message, PeerStatus, QueueSnapshot
 from .delta_tracker import DeltaTracker, Snapshot
 
@@ -89,7 +89,7 @@
         ready = [
             label
             for label, link in one.links.items()
-            if link.peer_fencing_token >= one.fencing_token and link.backlog() < c.QUEUE_BACKLOG
+            if link.peer_fencing_token >= one.fencing_token and link.backlog() < constants.QUEUE_BACKLOG
         ]
         for label in (self.me, *ready):
             numbered = label != self.me
@@ -112,7 +112,7 @@
             if (
                 last != message
                 or received != link.received
-                or one.now - at >= c.MESH_PROBE_S
+                or one.now - at >= constants.MESH_PROBE_S
                 or (isinstance(message, QueueSnapshot) and message.rows)
             ):
                 self.last[label] = (message, one.now, link.received)
--- a/alderbridge/queues/sender_clock.py
+++ b/alderbridge/queues/sender_clock.py
@@ -9,7 +9,7 @@
 
 import math
 
-from .. import constants as c
+from .. import constants
 
 
 class SenderClock:
@@ -22,6 +22,6 @@
 
     def moment(self, made_at: float, now: float) -> float:
         """The time here at which a message that arrives now was made; never later than now."""
-        trusted = self.offset + 2 * c.CLOCK_DRIFT * (now - self.seen_at)
+        trusted = self.offset + 2 * constants.CLOCK_DRIFT * (now - self.seen_at)
         self.offset, self.seen_at = min(now - made_at, trusted), now
         return made_at + self.offset
--- a/alderbridge/recovery/prober.py
+++ b/alderbridge/recovery/prober.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from .. import constants as c
+from .. import constants
 
 
 class HeartbeatProber:
@@ -39,6 +39,6 @@
 
     def unanswered(self, name: str, now: float) -> None:
         tries = self.tries.get(name, 0)
-        if 0 < tries < c.ASK_TRIES:
-            pause = self.rng.uniform(0.0, min(c.ASK_PAUSE_MAX_S, c.ASK_PAUSE_S * 2**tries))
+        if 0 < tries < constants.PROBE_TRIES:
+            pause = self.rng.uniform(0.0, min(constants.PROBE_BACKOFF_MAX_S, constants.PROBE_BACKOFF_S * 2**tries))
             heapq.heappush(self.queue, (now + pause, len(self.queue), name))
--- a/alderbridge/recovery/scale_in_guard.py
+++ b/alderbridge/recovery/scale_in_guard.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from .. import constants as c
+from .. import constants
 
 
 class FleetKnowledge(str, Enum):
@@ -26,14 +26,14 @@
 
     def __init__(self, lease_s: float) -> None:
         """``lease_s``: of the workers, in s; by then, and a settled view, silence proves absence."""
-        self.bound_s = lease_s * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S + c.SETTLE_S
+        self.bound_s = lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S + constants.VIEW_SETTLE_S
         self.knowledge = FleetKnowledge.RECONCILED
         self.since = 0.0  # when it was squared last
         self.returns = 0  # idle machines that stayed for it, so far in this squaring
 
     def refresh(self, unheard: int, machines: int, inherited: int, now: float) -> FleetKnowledge:
         """``unheard`` of ``machines`` may report at any moment; ``inherited``: tasks that wait behind barriers."""
-        if unheard <= machines * c.UNHEARD_SHARE and not inherited:
+        if unheard <= machines * constants.UNREPORTED_SHARE and not inherited:
             self._set_reconciled(now)
         elif self.knowledge is FleetKnowledge.RECONCILED:
             self._set_reconciling(now)
@@ -49,9 +49,9 @@
         machines of a zone that is cut off are many, and come back: for them the lease is waited for.
         """
         silent = list(silent)
-        if not inherited or len(silent) > max(c.PROOF_LEAST, machines * c.PROOF_SHARE):
+        if not inherited or len(silent) > max(constants.PROOF_LEAST, machines * constants.PROOF_SHARE):
             return []
-        return [name for name, silence in silent if silence > c.PROOF_SILENT_S]
+        return [name for name, silence in silent if silence > constants.PROOF_SILENT_S]
 
     @property
     def may_return(self) -> bool:
--- a/alderbridge/replica.py
+++ b/alderbridge/replica.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from . import constants as c
+from . import constants
 from .claims import Ledger
 from .declared import Declarations
 from .dependencies import Graph
@@ -112,7 +112,7 @@
 
     def oldest_first(self) -> list[tuple[float, str]]:
         """Active jobs by their submission, some that are over among them."""
-        if len(self.by_age) > len(self.active) * 5 // 4 + c.QUEUE_ROWS // 10:
+        if len(self.by_age) > len(self.active) * 5 // 4 + constants.QUEUE_ROWS // 10:
             self.by_age = [entry for entry in self.by_age if entry[1] in self.active]
         return self.by_age
 
--- a/alderbridge/shares.py
+++ b/alderbridge/shares.py
@@ -9,7 +9,7 @@
 
 import math
 
-from . import constants as c
+from . import constants
 from .net import TokenBucket
 
 
@@ -51,8 +51,8 @@
     def refresh(self, now: float) -> None:
         """What this member makes of its share, and what it may make of the others'."""
         # At once when users wait: who takes what is lent says so, and lends nothing itself, from the same round on.
-        if now - self.counted_at >= c.LEADER_ROUND_S or (self.is_short and self.reported_rate < self.share):
-            changes_made = math.ceil(self.changes_made / max(c.ROUND_S, now - self.counted_at))
+        if now - self.counted_at >= constants.LEADER_ROUND_S or (self.is_short and self.reported_rate < self.share):
+            changes_made = math.ceil(self.changes_made / max(constants.ROUND_S, now - self.counted_at))
             self.reported_rate = max(changes_made, math.ceil(self.share)) if self.is_short else changes_made
             self.changes_made, self.counted_at, self.is_short = 0, now, False
         if self.reported_rate < self.share:
@@ -60,7 +60,7 @@
             return
         lent, takers = 0.0, 1
         for changes, at in self.peers.values():
-            if changes >= 0 and now - at < c.LENT_S:
+            if changes >= 0 and now - at < constants.LENT_RATE_TTL_S:
                 lent += max(0.0, self.share - changes)
                 takers += changes >= self.share
         self.budget.change(self.share + lent / takers, self.share, now)
--- a/alderbridge/store.py
+++ b/alderbridge/store.py
@@ -6,8 +6,7 @@
 
 import msgspec
 
-from . import constants as c
-from . import wire
+from . import constants, wire
 from .config import address
 from .net import Client
 
@@ -30,7 +29,20 @@
 STOPS = "ab/s/"  # a job's tasks that claims have stopped, and how often
 
 
-class StoreRefusedError(Exception):
+class StoreError(Exception):
+    """A call to the store did not succeed.
+
+    * ``StoreRefusedError``: not carried out.
+
+      * ``RateLimitedError``: too many requests for a moment.
+
+    * ``LeaseExpiredError``: the lease of this process is gone.
+    * ``TransactionTooLargeError``: more than the store takes.
+    * ``WatchCompactedError``: the changes asked for are no longer kept.
+    """
+
+
+class StoreRefusedError(StoreError):
     """503 or 429: the store did not carry the request out."""
 
 
@@ -38,16 +50,16 @@
     """429: for a moment the store is asked too much. No outage: the same goes a little later."""
 
 
-class LeaseExpiredError(Exception):
-    """The hold has ended; what was attached to it is gone."""
+class LeaseExpiredError(StoreError):
+    """The lease has ended; what was attached to it is gone."""
 
 
-class TransactionTooLargeError(Exception):
+class TransactionTooLargeError(StoreError):
     """400: a value, or the transaction, is larger than the store takes now. Repeated unchanged it never will be."""
 
 
-class WatchCompactedError(Exception):
-    """The store no longer has the changes since that epoch."""
+class WatchCompactedError(StoreError):
+    """The store no longer has the changes since that revision."""
 
 
 class Store:
@@ -60,7 +72,7 @@
         method: str,
         target: str,
         body: Any = None,
-        timeout_s: float = c.STATE_TIMEOUT_S,
+        timeout_s: float = constants.STATE_TIMEOUT_S,
         client: Client | None = None,
     ) -> tuple[int, bytes]:
         raw = b"" if body is None else wire.encode(body)
@@ -131,7 +143,7 @@
         status, answer = await self._call(
             "GET",
             f"/follow?starts={ROOT}&from={revision}&wait_ms={wait_ms}",
-            timeout_s=c.FOLLOW_WAIT_S + c.STATE_TIMEOUT_S,
+            timeout_s=constants.WATCH_WAIT_S + constants.STATE_TIMEOUT_S,
             client=self.watch_client,
         )
         if status == 410:
--- a/alderbridge/view.py
+++ b/alderbridge/view.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from . import constants as c
+from . import constants
 from .contact import FailureDetector
 
 
@@ -64,7 +64,7 @@
         if lease_id != self.lease_id:
             self.requested_at, self.key_attached_at = sent_at, key_attached_at
         self.lease_id = lease_id
-        self.valid_until = sent_at + self.ttl_s * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S
+        self.valid_until = sent_at + self.ttl_s * (1 - constants.CLOCK_DRIFT) - constants.STORE_LEASE_MARGIN_S
 
     def mark_expired(self) -> None:
         self.lease_id = 0
@@ -102,7 +102,9 @@
         a view began, each member acts under it or not at all.
         """
         self.previous_synced_at, self.synced_at = self.synced_at, sent_at
-        self.fresh_until = sent_at + self.store_lease.ttl_s * (1 - c.CLOCK_DRIFT) - c.HOLD_MARGIN_S
+        self.fresh_until = (
+            sent_at + self.store_lease.ttl_s * (1 - constants.CLOCK_DRIFT) - constants.STORE_LEASE_MARGIN_S
+        )
 
     def mark_unreadable(self) -> None:
         """The store holds something that counts and that this program can't read: its replica is not fresh."""
@@ -121,10 +123,10 @@
             max(self.previous_synced_at, self.store_lease.requested_at if mine else float("-inf")),
         )
         self.failure_detector.unheard_grace_s = (
-            self.store_lease.ttl_s + c.PROOF_MARGIN_S if view.quorum_may_not_overlap else 0.0
+            self.store_lease.ttl_s + constants.PROOF_MARGIN_S if view.quorum_may_not_overlap else 0.0
         )
         self.job_owners, self.machine_owners = {}, {}
-        self.is_uniform = self.all_support(c.RECOVERY)
+        self.is_uniform = self.all_support(constants.VERSION_WITH_CARRY_OVER)
         return True
 
     def observe_member(self, label: str, member: MemberRecord | None, revision: int) -> None:
@@ -136,7 +138,7 @@
         else:
             self.registered[label] = (member.lease_id, revision)
             self.protocol_versions[label] = member.protocol_version
-        self.is_uniform = self.all_support(c.RECOVERY)
+        self.is_uniform = self.all_support(constants.VERSION_WITH_CARRY_OVER)
 
     def is_removed(self) -> bool:
         """Whether a majority has removed this process: its key is gone though its hold is not. It enters anew."""
@@ -174,7 +176,7 @@
     def machine_owner(self, machine: str) -> str:
         part = self.machine_owners.get(machine)
         if part is None:
-            if len(self.machine_owners) >= c.MAX_MACHINES:  # also of machines long gone
+            if len(self.machine_owners) >= constants.MAX_MACHINES:  # also of machines long gone
                 self.machine_owners.clear()
             members = self.view.members
             part = self.machine_owners[machine] = rendezvous_owner(machine, sorted(members)) if members else ""
@@ -216,14 +218,16 @@
         if alive != self.joining:
             self.joining_since = self.joining_since if self.joining else now
             self.joining, self.joining_changed_at = alive, now
-        return now - self.joining_changed_at >= c.JOIN_S or now - self.joining_since >= c.JOIN_MAX_S
+        return (
+            now - self.joining_changed_at >= constants.JOIN_QUIET_S or now - self.joining_since >= constants.JOIN_MAX_S
+        )
 
     def _contact_timeout_for(self, members: dict[str, int]) -> float:
         """What a view of these asks for: nothing, unless all are enough and understand it by their own keys."""
-        enough = len(members) >= c.CONTACT_LEAST and all(
-            self.protocol_versions[label] >= c.CONTACT for label in members
+        enough = len(members) >= constants.CONTACT_MIN_MEMBERS and all(
+            self.protocol_versions[label] >= constants.VERSION_WITH_FAILURE_DETECTOR for label in members
         )
-        return c.CONTACT_TTL_S if enough else 0.0
+        return constants.CONTACT_TIMEOUT_S if enough else 0.0
 
     def mark_quorum_overlap(self, view: View, settled: bool) -> View:
         """The view that is to follow this one; ``settled``: each member acts under this one or not at all.
@@ -237,7 +241,7 @@
             view if firm or not view.contact_timeout_s else msgspec.structs.replace(view, quorum_may_not_overlap=True)
         )
 
-    def next_view(self, now: float, most: int = c.CONTACT_LEAST) -> tuple[View, dict[str, int]] | None:
+    def next_view(self, now: float, most: int = constants.CONTACT_MIN_MEMBERS) -> tuple[View, dict[str, int]] | None:
         """The change this process should try now, with the stamps of members' keys to assert.
 
         A member whose key is gone has lost its hold: the store says so, and the
@@ -277,7 +281,7 @@
             # The lowest label takes the lead, others only if it does not; who is given up is no leader's affair alone.
             if self.leaderless_since is None:
                 self.leaderless_since = now
-            patience = (sorted(alive).index(self.me) + (not leaderless)) * c.PREDECESSOR_S
+            patience = (sorted(alive).index(self.me) + (not leaderless)) * constants.LEADER_PRECEDENCE_S
             if now - self.leaderless_since < patience:
                 return None
             leader = self.me if leaderless else leader
@@ -291,9 +295,11 @@
         view, failure_detector = self.view, self.failure_detector
         if view.members.get(self.me) != self.store_lease.lease_id:
             return None
-        if failure_detector.contact_ending_since is not None and now - self.synced_at < c.CONTACT_STORE_S:
+        if failure_detector.contact_ending_since is not None and now - self.synced_at < constants.STORE_REACHABLE_S:
             # No majority answers, and this one is not cut off from the store: it would be a loss to all to stop.
-            patience = c.CONTACT_PATIENCE_S + sorted(alive).index(self.me) * c.PREDECESSOR_S
+            patience = (
+                constants.CONTACT_WAIVER_PATIENCE_S + sorted(alive).index(self.me) * constants.LEADER_PRECEDENCE_S
+            )
             if now - failure_detector.contact_ending_since < patience:
                 return None
             leader = view.leader if view.leader in alive else self.me
@@ -302,12 +308,13 @@
             return None
         wanted = self._contact_timeout_for(alive)
         stuck = (
-            failure_detector.disputed_since is not None and now - failure_detector.disputed_since >= c.CONTACT_STUCK_S
+            failure_detector.disputed_since is not None
+            and now - failure_detector.disputed_since >= constants.DISPUTED_FAILURE_S
         )
         again = (
             not view.contact_timeout_s
             and wanted > 0
             and failure_detector.all_alive_since is not None
-            and now - failure_detector.all_alive_since >= c.CONTACT_AGAIN_S
+            and now - failure_detector.all_alive_since >= constants.CONTACT_RESUME_S
         )
         return View(self.me, alive, wanted) if stuck or again else None
--- a/alderbridge/wire.py
+++ b/alderbridge/wire.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from . import constants as c
+from . import constants
 
 JOB_ID = re.compile(r"wk-[0-9]{1,18}\Z")
 PRIORITIES = ("best_effort", "standard", "high", "production")  # lowest first
@@ -31,7 +31,7 @@
     team: Name = field(name="owner")
     kind: Literal["sweep", "standing", "group"] = field(name="shape")
     priority: Literal["production", "high", "standard", "best_effort"] = field(name="urgency")
-    tasks: Annotated[int, Meta(ge=1, le=c.MAX_PARTS)] = field(name="parts")
+    tasks: Annotated[int, Meta(ge=1, le=constants.MAX_TASKS)] = field(name="parts")
     cpus: Positive = field(name="vcpus")
     memory_gb: Amount = field(name="mem_gb")
     image: Name = field(name="bundle")
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -6,7 +6,7 @@
 import pytest
 from world import Broken, SimController, World
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge.contact import FailureDetector, PeerState
 from alderbridge.core import ControllerCore
 from alderbridge.store import VIEW
@@ -258,7 +258,7 @@
     for label in ("host-0", "host-3"):  # one of them leads
         sim = world.nodes[label]
         sim.cut_store_until = sim.cut_mesh_until = sim.cut_workers_until = 90.0
-    world.run(60.0 + c.CONTACT_TTL_S + 2.0)
+    world.run(60.0 + constants.CONTACT_TIMEOUT_S + 2.0)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"] and world.early == 2
     world.run(89.0)
     assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
@@ -292,7 +292,7 @@
         world.run(world.t + 0.1)
         assert all(sim.core.may_act() for sim in world.nodes.values())
     assert world.view.contact_timeout_s == 0.0 and len(world.view.members) == 5
-    world.run(70.0 + c.CONTACT_AGAIN_S + 5.0)
+    world.run(70.0 + constants.CONTACT_RESUME_S + 5.0)
     assert world.view.contact_timeout_s > 0 and world.fencing_tokens == 3
 
 
@@ -303,7 +303,7 @@
     contact.peers["host-2"].mark_failed()
     contact.failed_by["host-2"].add("host-1")
     before = world.fencing_tokens
-    world.run(30.0 + c.CONTACT_STUCK_S + 1.0)
+    world.run(30.0 + constants.DISPUTED_FAILURE_S + 1.0)
     assert world.fencing_tokens == before + 1 and len(world.view.members) == 3 and not world.early
     assert world.nodes["host-1"].core.membership.failure_detector.accepts("host-2")
 
@@ -322,7 +322,18 @@
 
 @pytest.mark.parametrize(
     "protocol_versions, asked",
-    [([c.CONTACT] * 3, True), ([c.CONTACT, c.CONTACT, c.CONTACT - 1], False), ([c.CONTACT] * 2, False)],
+    [
+        ([constants.VERSION_WITH_FAILURE_DETECTOR] * 3, True),
+        (
+            [
+                constants.VERSION_WITH_FAILURE_DETECTOR,
+                constants.VERSION_WITH_FAILURE_DETECTOR,
+                constants.VERSION_WITH_FAILURE_DETECTOR - 1,
+            ],
+            False,
+        ),
+        ([constants.VERSION_WITH_FAILURE_DETECTOR] * 2, False),
+    ],
 )
 def test_a_view_asks_for_contact_only_of_three_that_all_know_of_it(protocol_versions, asked):
     membership = Membership("host-0", 20.0)
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -9,8 +9,7 @@
 import world
 from world import Broken, World
 
-from alderbridge import cli, declared, wire
-from alderbridge import constants as c
+from alderbridge import cli, constants, declared, wire
 from alderbridge.config import ConfigError, NextState
 from alderbridge.core import ControllerCore
 from alderbridge.declared import Declarations, Head, Revision, records, texts
@@ -60,7 +59,10 @@
         ("[declaration]\nrevision = 1\nauthor = x\n", "[declaration] author: no such setting"),
         ("[declaration]\nrevision = 1\n[wrods]\na = b\n", "[wrods]: no such section"),
         ("revision = 1\n", "not an INI file: "),
-        ("[declaration]\nrevision = 1\n[words]\na = " + "x" * c.DECLARED_BYTES, "bytes when compiled, got"),
+        (
+            "[declaration]\nrevision = 1\n[words]\na = " + "x" * constants.CONFIGURATION_MAX_BYTES,
+            "bytes when compiled, got",
+        ),
         (None, "cannot be read: No such file or directory"),
     ],
 )
@@ -430,7 +432,9 @@
     monkeypatch.setattr(
         Membership,
         "all_support",
-        lambda self, protocol_version: protocol_version <= c.DECLARED or real(self, protocol_version),
+        lambda self, protocol_version: (
+            protocol_version <= constants.VERSION_WITH_CONFIGURATION or real(self, protocol_version)
+        ),
     )
 
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from alderbridge import constants as c
-from alderbridge import policy
+from alderbridge import constants, policy
 from alderbridge.config import Objective, Tuning
 from alderbridge.dependencies import NEVER, Graph
 from alderbridge.mesh import QueueRow
@@ -60,7 +59,7 @@
                 more = self.asked(other)
                 own = self.at[other] + self.specs[other].due_s if self.specs[other].due_s else NEVER
                 rank = max(rank, self.specs[other].rank, more[0])
-                due = min(due, min(own, more[1]) - self.specs[other].estimate_s - c.STEP_S)
+                due = min(due, min(own, more[1]) - self.specs[other].estimate_s - constants.DEPENDENCY_STEP_S)
         return rank, due
 
 
@@ -137,10 +136,13 @@
     objectives = [Objective("wait", "x", within_s=40.0), Objective("deadline", "x", times=1.0)]
     times = policy.queue_times(spec("wk-1", due_s=100.0), Tuning(), objectives, False, waited_s=30.0)
     assert times == sorted(
-        [(40.0 * c.WAIT_SHARE, 40.0), (100.0 - 10.0 * c.RUN_SAFETY - 30.0, 100.0 - 10.0 * c.RUN_LUCK - 30.0)]
+        [
+            (40.0 * constants.WAIT_SHARE, 40.0),
+            (100.0 - 10.0 * constants.RUN_SAFETY - 30.0, 100.0 - 10.0 * constants.RUN_OPTIMISM - 30.0),
+        ]
     )
     asked = policy.queue_times(spec("wk-1"), Tuning(), [], False, needed_s=[60.0])
-    assert asked == [(60.0 - 10.0 * c.RUN_SAFETY, 60.0 - 10.0 * c.RUN_LUCK)]
+    assert asked == [(60.0 - 10.0 * constants.RUN_SAFETY, 60.0 - 10.0 * constants.RUN_OPTIMISM)]
 
 
 def test_a_job_goes_with_the_priority_of_those_that_need_it():
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -5,8 +5,7 @@
 import pytest
 from world import Broken, World, platform
 
-from alderbridge import constants as c
-from alderbridge import controller, wire
+from alderbridge import constants, controller, wire
 from alderbridge import mesh as m
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
@@ -18,7 +17,9 @@
 
 # The lowest label that is up proposes at once, the others a head start later each: so a view that lacks somebody is
 # followed by another within this, however often members flap, while the store answers: two rounds and the follower.
-ELECTION_S = c.JOIN_MAX_S + 4 * c.PREDECESSOR_S + 2 * c.ROUND_S + 2 * c.FOLLOW_PAUSE_S + 0.3
+ELECTION_S = (
+    constants.JOIN_MAX_S + 4 * constants.LEADER_PRECEDENCE_S + 2 * constants.ROUND_S + 2 * constants.WATCH_PAUSE_S + 0.3
+)
 LOST_CALL_S = 2.5  # s; of the world's calls some are lost, and one that is costs its timeout
 
 
@@ -226,8 +227,8 @@
     offers.tell(
         "host-0",
         [
-            Offer("host-0", row(LARGE, c.KEEP_S, 5.0), LARGE, 100.0, c.GATHER_S),
-            Offer("host-0", row(SMALL, 5.0, 50.0), SMALL, 100.0, c.GATHER_S),
+            Offer("host-0", row(LARGE, constants.RESERVE_AFTER_S, 5.0), LARGE, 100.0, constants.PACKING_WAIT_S),
+            Offer("host-0", row(SMALL, 5.0, 50.0), SMALL, 100.0, constants.PACKING_WAIT_S),
         ],
     )
 
@@ -254,10 +255,10 @@
         )[0]
         return found.offer, found.priority_boost
 
-    assert told(10.0) == (400, 0) and told(c.BEGIN_TURN_S) == (1, 2)
+    assert told(10.0) == (400, 0) and told(constants.STARVED_JOB_S) == (1, 2)
     home.on_task_request("host-0", m.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.has_started = True
-    assert told(122.0) == (399, 0) and told(121.0 + c.LATE_TURN_S) == (50, 1)
+    assert told(122.0) == (399, 0) and told(121.0 + constants.LATE_BOOST_S) == (50, 1)
     home.on_task_request("host-0", m.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
     assert told(183.0) == (30, 1), "the turn lasts until its share is granted"
     home.on_task_request("host-0", m.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
@@ -291,7 +292,7 @@
 def test_the_largest_jobs_begin_though_small_ones_fill_the_fleet(monkeypatch):
     assert begins_beside_small_ones(8805)
     for wait in ("KEEP_S", "BEGIN_TURN_S", "LATE_TURN_S"):
-        monkeypatch.setattr(c, wait, 1e9)
+        monkeypatch.setattr(constants, wait, 1e9)
     assert not begins_beside_small_ones(8805)
 
 
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -6,8 +6,7 @@
 import pytest
 import world as w
 
-from alderbridge import constants as c
-from alderbridge import wire
+from alderbridge import constants, wire
 from alderbridge.core import ControllerCore
 from alderbridge.hours import Text, Timetable
 from alderbridge.hours.declaration import Calendar, Class
@@ -16,7 +15,7 @@
 from alderbridge.mesh import TaskRequest
 
 BASE = 20752 * DAY - 180.0  # three minutes before midnight, UTC
-SKEW_S, KEY, TTL_S = 2.0, "ab/hours", c.OUTLAST_S - w.LEASE_S
+SKEW_S, KEY, TTL_S = 2.0, "ab/hours", constants.TOTAL_LEASE_S - w.LEASE_S
 LATE_S = 5.0  # s; a report interval and the way
 
 
@@ -85,7 +84,7 @@
             if KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
                 sim.core.apply_calendars(self.texts[number - 1 : number + 1])
-                self.after(TTL_S + c.PROOF_MARGIN_S, self.enforce, sim, life, number)
+                self.after(TTL_S + constants.PROOF_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
         known = sim.core is not None and sim.life == life and sim.core.calendars is not None
@@ -111,7 +110,7 @@
         return [
             text
             for text, since, until in zip(self.texts, self.stored, after, strict=True)
-            if since + TTL_S + c.ORDER_S <= self.t < until + TTL_S + c.PROOF_MARGIN_S
+            if since + TTL_S + constants.ORDER_DELIVERY_S <= self.t < until + TTL_S + constants.PROOF_MARGIN_S
         ]
 
     def open_until(self, text: Text, spec: wire.JobSpec, ago_s: float = 0.0) -> tuple[Class | None, float]:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -11,8 +11,7 @@
 from test_claims import ClaimsWorld
 from world import Broken
 
-from alderbridge import claims, wire
-from alderbridge import constants as c
+from alderbridge import claims, constants, wire
 from alderbridge.claims import Budget, Held, Spent, Teams, Victim
 from alderbridge.claims.desk import Desk
 from alderbridge.config import ConfigError, Team, Tuning
@@ -358,7 +357,7 @@
     _, again = choose(service, left, {"data": (32.0, 8.0)}, lent=one)
     assert list(again) == [left[0].machine] and again != made
     assert one.needs([], resources, used, {}) == []  # withdrawn: nobody needs anything
-    one.pay({}, {}, 1000.0 + c.SPEND_MINUTE_S + c.SPEND_STEP_S + 1.0)
+    one.pay({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
     assert not one.paid and not one.seen
 
 
@@ -499,7 +498,7 @@
     site.lender = Lender([Text(TEXT.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
     site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
     site.leader.tasks_served_by_lending = site.lender.serves_soon
-    for now, asks in ((1.0, 0), (2.0, 0), (1.0 + c.LEND_FIRST_S, 1)):
+    for now, asks in ((1.0, 0), (2.0, 0), (1.0 + constants.LEND_FIRST_S, 1)):
         site.tell(now, 3)
         site.look(now)
         assert len(site.leader.demands(now)) == asks
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge.machines import MachineShard
 from alderbridge.mesh import MachineTaskReport, TaskGrant
 from alderbridge.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
@@ -112,7 +112,7 @@
     assert [order["verb"] for order in part.orders(machine)] == ["clear", "run"], "they were to be sent anyway"
     heartbeat(part, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
     assert part.orders(machine) == []
-    heartbeat(part, 2 + int(c.CLEAR_WAIT_S), [ended, ReportedTask("wk-1/1", 71, "running")])
+    heartbeat(part, 2 + int(constants.ACKNOWLEDGE_WAIT_S), [ended, ReportedTask("wk-1/1", 71, "running")])
     assert [order["verb"] for order in part.orders(machine)] == ["clear"]
 
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -12,8 +12,7 @@
 from test_meetings_store import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
 from world import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
 
-from alderbridge import constants as c
-from alderbridge import declared, wire
+from alderbridge import constants, declared, wire
 from alderbridge import mesh as m
 from alderbridge.claims import Claim
 from alderbridge.contact import FailureDetector
@@ -33,7 +32,7 @@
     assert batch is not None and not alone.carry_out(batch).failed
     if shown:
         alone.follow()
-    alone.t += c.STATE_TIMEOUT_S
+    alone.t += constants.STATE_TIMEOUT_S
     alone.core.on_batch_failed(batch, alone.t)
     return batch
 
@@ -196,7 +195,7 @@
     at_same_time(alone, there)
     ask()
     assert told == [shown, True]
-    alone.t += c.STATE_TIMEOUT_S
+    alone.t += constants.STATE_TIMEOUT_S
     alone.core.on_batch_failed(batch, alone.t)
     at_same_time(alone, there)
     ask()
@@ -408,9 +407,9 @@
     assert other.obeyed("hours", 0.1) == [0, 3]
     if shown:
         show(one, 0.1)
-    one.failed(proposal, c.STATE_TIMEOUT_S)
+    one.failed(proposal, constants.STATE_TIMEOUT_S)
     assert one.obeyed("hours", 2.0) == ([0, 3] if shown else [0])
-    again = one.due(membership, 2.0 + c.DECLARE_PAUSE_S, 9.0, 12, 4096)
+    again = one.due(membership, 2.0 + constants.CONFIGURATION_RETRY_S, 9.0, 12, 4096)
     assert (again is None) is shown, "its own head is not proposed over itself"
     if again is not None:
         assert again.conditions == proposal.conditions, "the store has it at 7: a conflict"
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -7,8 +7,7 @@
 from test_flapping import takes_itself_for_the_one_before
 from world import Broken, World, platform
 
-from alderbridge import constants as c
-from alderbridge import controller, wire
+from alderbridge import constants, controller, wire
 from alderbridge import mesh as m
 from alderbridge.config import Tuning
 from alderbridge.contact import FailureDetector
@@ -351,7 +350,7 @@
         control.store.get = store_says
         assert control.status_now(job, told.append) is None
         number = next(iter(control.polls))
-        control.clock[0] += c.ASK_S + 0.1
+        control.clock[0] += constants.QUERY_TIMEOUT_S + 0.1
         await control.after()
         await curio.sleep(0.05)
         control.core.query_replies.append(m.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1)))
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -155,7 +155,7 @@
     monkeypatch.setattr(
         Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: init(self, me, CANCEL_S, None)
     )
-    monkeypatch.setattr("alderbridge.constants.OUTLAST_S", CANCEL_S + LEASE_S)  # the world's holds last as long
+    monkeypatch.setattr("alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S)  # the world's holds last as long
 
 
 def answers_whatever_it_may(monkeypatch):
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -8,7 +8,7 @@
 from test_meetings_store import LEASE_S, SETTLED_S, Alone, machine_of
 from world import Broken, SimWorker, World
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge import mesh as m
 from alderbridge.jobs import JobState
 from alderbridge.machines import MachineState
@@ -209,7 +209,9 @@
     known = world.known()
     for name, (_, since) in world.kinds.items():
         worker = world.machines[name]
-        if world.t - since > c.BOOT_PATIENCE * 10.0 + c.LOST_S + OUT_S + 20.0:  # rented that long ago
+        if (
+            world.t - since > constants.BOOT_PATIENCE * 10.0 + constants.LOST_MACHINE_S + OUT_S + 20.0
+        ):  # rented that long ago
             assert worker is not None and worker.alive, f"{name} is gone, or never came, and is paid for"
             assert known[name].recorded, f"{name} is up, and nobody's"
     assert not [
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -14,8 +14,7 @@
 from test_meetings_machines import Reports
 from world import LEASE_S, TYPES, Broken, World
 
-from alderbridge import constants as c
-from alderbridge import placement, wire
+from alderbridge import constants, placement, wire
 from alderbridge.config import Team, Tuning
 from alderbridge.dependencies import Graph
 from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
@@ -187,7 +186,7 @@
 
 def test_room_below_a_limit_is_kept_for_a_job_of_which_nothing_began_for_long():
     """Else the small tasks of other homes took each CPU as it came free, and a large one never began."""
-    shares = Shares(10.0, waited_s=c.BEGIN_TURN_S)
+    shares = Shares(10.0, waited_s=constants.STARVED_JOB_S)
     shares.job("host-0", "wk-0", 7.0, 1, 1, 5.0)
     shares.job("host-0", "wk-1", 4.0, 5, 0, 10.0)
     shares.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -14,8 +14,7 @@
 from world import LABELS, TYPES, SimStore, platform
 from world import StoreRefusedError as StoreRefused
 
-from alderbridge import constants as c
-from alderbridge import controller, wire
+from alderbridge import constants, controller, wire
 from alderbridge import mesh as m
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
@@ -147,9 +146,9 @@
         self.answers: list[int] = []
         monkeypatch.setattr(controller, "now", lambda: self.t)
         monkeypatch.setattr(controller.time, "time", lambda: self.t)
-        monkeypatch.setattr(c, "WRITER_PAUSE_S", 0.0)
-        monkeypatch.setattr(c, "ROUND_S", 0.0)
-        monkeypatch.setattr(c, "FOLLOW_PAUSE_S", 0.0)
+        monkeypatch.setattr(constants, "WRITER_PAUSE_S", 0.0)
+        monkeypatch.setattr(constants, "ROUND_S", 0.0)
+        monkeypatch.setattr(constants, "WATCH_PAUSE_S", 0.0)
 
     async def start(self, slow: bool = False) -> "Service":
         for label in LABELS:
@@ -165,7 +164,7 @@
     def come(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
         self.store.holds[lease_id] = 1e9
-        self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, c.PROTOCOL_VERSION)}, (), lease_id)
+        self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
         self.store.commit({}, {VIEW: View(labels[0], {label: self.lease_ids[label] for label in labels})})
@@ -398,7 +397,7 @@
                 answers.append(await service.answer(asked, "withdraw", job))
                 if trouble in ("none", "lags"):  # the store can be asked: all but a cancel has its answer
                     assert all(status == 200 for status, _ in answers[:-1])
-                service.t += c.STORE_TROUBLE_S
+                service.t += constants.STORE_BACKOFF_S
                 service.lag.clear()
                 service.cut.clear()
                 if trouble in ("loading", "back"):
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -7,14 +7,16 @@
 from test_machines import SPEC
 from world import LEASE_S, SimWorker, World
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge.jobs import Job, JobShard, JobState, Record, TaskState
 from alderbridge.machines import MachineShard, MachineState
 from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, StopTask, TaskGrant, TaskRequest, TaskStatusReport
 from alderbridge.recovery import MachineProgress
 from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
 
-OUT_S = LEASE_S * (1 + 2 * c.CLOCK_DRIFT) + c.PROOF_MARGIN_S  # from the last renewal to the proof that the lease is out
+OUT_S = (
+    LEASE_S * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
+)  # from the last renewal to the proof that the lease is out
 RUNNING = ReportedTask("wk-1/0", 70, "running")
 SAME = object()
 
@@ -298,7 +300,9 @@
     world.run(61.0)
     world.end(leader, 2.0)
     world.run(66.0)
-    assert len({worker.name for worker in deaf}) > c.PROOF_LEAST and world.inherited(), "the meeting has come about"
+    assert len({worker.name for worker in deaf}) > constants.PROOF_LEAST and world.inherited(), (
+        "the meeting has come about"
+    )
     world.run(66.0 + OUT_S + len(world.labels) * 5.0)
     assert not world.inherited()
     world.run(300.0)
@@ -518,7 +522,7 @@
     assert one.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 80)]
     done = ReportedTask("wk-1/0", 80, "ended", "done")
     one.heartbeat(3.0, 3, tasks=[done])
-    one.heartbeat(3.0 + c.CLEAR_WAIT_S + 1, 4, tasks=[done])
+    one.heartbeat(3.0 + constants.ACKNOWLEDGE_WAIT_S + 1, 4, tasks=[done])
     assert not one.orders(), "80's result is not stored yet"
 
 
@@ -535,7 +539,7 @@
     one.told_home()
     one.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
     assert [(task.cause) for label, body in one.sent if label == "host-1" for task in body.tasks] == ["done"]
-    one.heartbeat(4.0 + c.CLEAR_WAIT_S, 4, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
+    one.heartbeat(4.0 + constants.ACKNOWLEDGE_WAIT_S, 4, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
     assert not one.orders()
 
 
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -4,12 +4,13 @@
 from test_machines import heartbeat, part_with_machine
 from world import World
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge.core import ControllerCore
 from alderbridge.machines import MachineState
 from alderbridge.store import MACHINES
 
-DOWN_S = c.OUTLAST_S + c.LOST_S  # hold and lease are over, and a silence of ``LOST_S`` after them
+# hold and lease are over, and a silence of ``LOST_S`` after them
+DOWN_S = constants.TOTAL_LEASE_S + constants.LOST_MACHINE_S
 
 
 def outage(seed, down_s=DOWN_S):
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -11,8 +11,7 @@
 import pytest
 from world import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimController, SimWorker, World
 
-from alderbridge import constants as c
-from alderbridge import placement, wire
+from alderbridge import constants, placement, wire
 from alderbridge.config import NextState
 from alderbridge.core import Submission
 from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
@@ -188,7 +187,7 @@
         submission = sim.core.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
         self.hopes[submission] = (spec, life)
-        self.after(c.SUBMIT_WAIT_S, self.given_up, submission)
+        self.after(constants.SUBMIT_WAIT_S, self.given_up, submission)
 
     def decided(self, submission: Submission) -> None:
         spec, _ = self.hopes.pop(submission, (None, None))
@@ -197,12 +196,12 @@
         if submission.outcome == "accepted":
             self.taken(spec.id)
         else:
-            self.after(c.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
 
     def given_up(self, submission: Submission) -> None:
         if submission in self.hopes:  # 503, or its controller is gone
             spec, _ = self.hopes.pop(submission)
-            self.after(c.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
 
     def taken(self, job: str) -> None:
         if job not in self.accepted_at:
@@ -317,7 +316,7 @@
             or core.job_shard.jobs_by_machine
             or core.submissions
         )
-        assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= c.QUEUE_ROWS // 10
+        assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
         assert not any(one.halts or one.pending or one.reserved for one in core.machine_shard.machines.values())
 
 
@@ -346,7 +345,7 @@
     taken = []
     core.write_rate_limit.budget.available(world.t + 2.0)
     while len(taken) < 42:
-        core.write_rate_limit.budget.level = 2.0 - c.AHEAD_SHARE * core.write_rate_limit.budget.burst
+        core.write_rate_limit.budget.level = 2.0 - constants.WRITE_AHEAD_SHARE * core.write_rate_limit.budget.burst
         batch = core.next_batch(world.t + 2.0)
         taken += [job.spec.id for job, _, _ in batch.jobs] + [one.job.spec.id for one, _ in batch.submissions]
         core.on_batch_written(batch, world.store.revision, world.t + 2.0)
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -12,8 +12,7 @@
 import pytest
 from world import LABELS, TYPES, SimController, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
 
-from alderbridge import constants as c
-from alderbridge import controller, declared, store, wire
+from alderbridge import constants, controller, declared, store, wire
 from alderbridge import mesh as m
 from alderbridge.claims import Claim, Ledger
 from alderbridge.config import Tuning
@@ -74,7 +73,7 @@
     def come(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
         self.store.holds[lease_id] = 1e9
-        self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, c.PROTOCOL_VERSION)}, (), lease_id)
+        self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
         """A newer view of these, and it has arrived here."""
@@ -132,7 +131,7 @@
         batch = self.batch()
         assert batch is not None
         self.core.on_batch_failed(batch, self.t)
-        self.t += c.STATE_TIMEOUT_S
+        self.t += constants.STATE_TIMEOUT_S
         self.follow()
         return batch
 
@@ -769,7 +768,9 @@
     control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
     control.store = steps = Steps(lose, late)
     steps.sim.holds[1000] = 1e9
-    steps.sim.commit({}, {MEMBERS + "host-0": MemberRecord(1000, c.PROTOCOL_VERSION)}, (), 1000)  # an earlier life's
+    steps.sim.commit(
+        {}, {MEMBERS + "host-0": MemberRecord(1000, constants.PROTOCOL_VERSION)}, (), 1000
+    )  # an earlier life's
 
     async def enter():
         for _ in range(3):
@@ -835,7 +836,7 @@
                 method(*args)
 
         world.after(world.rng.uniform(2.0, 12.0), carry_out)
-        world.after(c.STATE_TIMEOUT_S, self.at_work, life, fail)
+        world.after(constants.STATE_TIMEOUT_S, self.at_work, life, fail)
 
     def at_work(self, life: int, action, *answer) -> None:
         if life == self.life:
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -11,7 +11,7 @@
 from test_contact import Tied, Ties
 from world import Broken
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge import mesh as m
 from alderbridge.contact import FailureDetector, PeerState
 from alderbridge.core import ControllerCore
@@ -142,7 +142,7 @@
     label = world.follower()
     sim = world.nodes[label]
     world.cut([label], 60.0)
-    world.run(world.t + c.CONTACT_TTL_S - 2.0)
+    world.run(world.t + constants.CONTACT_TIMEOUT_S - 2.0)
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
     membership = sim.core.membership
@@ -253,13 +253,13 @@
     world.run(50.0)
     label = max(set(world.labels) - {world.view.leader})
     world.nodes[label].cut_store_until = world.t + 40.0
-    world.cut([label], c.CONTACT_TTL_S + 1.0)
-    world.run(50.0 + c.CONTACT_TTL_S + 1.0)
+    world.cut([label], constants.CONTACT_TIMEOUT_S + 1.0)
+    world.run(50.0 + constants.CONTACT_TIMEOUT_S + 1.0)
     assert (
         label in world.view.members
         and label in world.nodes[world.view.leader].core.membership.failure_detector.failed_by_quorum()
     )
-    world.run(50.0 + c.CONTACT_TTL_S + 8.0)
+    world.run(50.0 + constants.CONTACT_TIMEOUT_S + 8.0)
     membership = world.nodes[label].core.membership
     assert label not in world.view.members and world.late
     assert world.t < min(membership.fresh_until, membership.store_lease.valid_until)
--- a/tests/test_meetings_unanswered.py
+++ b/tests/test_meetings_unanswered.py
@@ -3,8 +3,7 @@
 import pytest
 from world import LABELS, platform
 
-from alderbridge import constants as c
-from alderbridge import controller, wire
+from alderbridge import constants, controller, wire
 from alderbridge.config import Tuning
 from alderbridge.controller import Controller
 from alderbridge.poll import Poll
@@ -28,7 +27,7 @@
         for step in range(2400):
             clock[0] = step / 10
             if not away(clock[0]):  # the watch is answered at once where the store can be reached
-                control.followed(clock[0] - c.STATE_TIMEOUT_S if slow else clock[0])
+                control.followed(clock[0] - constants.STATE_TIMEOUT_S if slow else clock[0])
             if clock[0] in asked:
                 control.noted(
                     JOB,
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_meetings_upgrade.py
@@ -10,7 +10,7 @@
 from test_meetings_terms import Dark, Terms
 from world import KNOWN_S, Broken, SimController, World
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge.store import MEMBERS, VIEW
 from alderbridge.view import MemberRecord, Membership, View
 
@@ -19,7 +19,10 @@
     def start(self):
         super().start()
         if self.old:
-            self.core.membership.store_lease.ttl_s, self.core.membership.older_version_margin_s = c.HOLD_TTL_S, 0.0
+            self.core.membership.store_lease.ttl_s, self.core.membership.older_version_margin_s = (
+                constants.STORE_LEASE_TTL_S,
+                0.0,
+            )
 
     def seen(self, rows):
         """A view as this version reads it."""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,9 +8,8 @@
 import msgspec
 import pytest
 
-from alderbridge import constants as c
+from alderbridge import constants, net
 from alderbridge import mesh as m
-from alderbridge import net
 from alderbridge.poll import OUT, Poll
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -44,11 +43,11 @@
 
 def test_a_frame_beyond_any_real_one_is_an_error():
     with pytest.raises(msgspec.DecodeError):
-        list(m.split_frames(bytearray((c.MAX_FRAME + 1).to_bytes(4, "big"))))
+        list(m.split_frames(bytearray((constants.MAX_FRAME + 1).to_bytes(4, "big"))))
 
 
 def test_an_overdue_connection_is_ended_and_others_go_on(monkeypatch):
-    monkeypatch.setattr(c, "SWEEP_S", 0.0)
+    monkeypatch.setattr(constants, "OVERDUE_CHECK_S", 0.0)
     clock = [100.0]
     monkeypatch.setattr(net, "now", lambda: clock[0])
 
@@ -63,7 +62,7 @@
         await ends[0].sendall(b"GET / HT")  # and no more
         await ends[1].sendall(GET)
         assert b"200" in await ends[1].recv(1000)
-        clock[0] += c.IDLE_S - 1.0
+        clock[0] += constants.IDLE_S - 1.0
         await ends[1].sendall(GET)
         assert b"200" in await ends[1].recv(1000)
         clock[0] += 2.0
@@ -182,7 +181,7 @@
             target = rng.choice((b"", b"v1/jobs/wk-1", b"v1/jobs/wk-2", b"a\x7f"))
             yield b"GET /%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (target, rng.choice((b"x", b"y")))
         elif rng.random() < 0.02:
-            yield heads[0] % (c.MAX_BODY + rng.choice((0, 1))) + b"x" * (c.MAX_BODY + 1)
+            yield heads[0] % (constants.MAX_BODY + rng.choice((0, 1))) + b"x" * (constants.MAX_BODY + 1)
         else:
             yield (rng.choice(odd) if rng.random() < 0.06 else rng.choice(heads)) % size + body
 
@@ -272,7 +271,7 @@
 
 def test_a_connect_that_hangs_is_no_answer(monkeypatch):
     """It used to escape as another error, and the records of that transaction were forgotten."""
-    monkeypatch.setattr(c, "CONNECT_S", 0.01)
+    monkeypatch.setattr(constants, "CONNECT_S", 0.01)
 
     async def hang(*_address):
         await curio.sleep(60.0)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -6,7 +6,7 @@
 import pytest
 from world import Broken, SimController, World
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge import mesh as m
 from alderbridge.queues import DeltaTracker, HomeQueue, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
 from alderbridge.shares import WriteRateLimit
@@ -14,7 +14,7 @@
 from alderbridge.wire import JobSpec
 
 TEAMS = ("a", "b", "c")
-OLDER = c.QUEUE_CHANGES - 1
+OLDER = constants.VERSION_WITH_QUEUE_DELTAS - 1
 NEW_MESSAGES = (m.QueueDelta, m.TeamUsageDelta, m.PeerStatus, m.QuotaDelta)
 
 
@@ -77,7 +77,7 @@
         return Snapshot(rows, reserved, reserved, {}, self.allocations_received)
 
     def step(self):
-        self.now += c.ROUND_S
+        self.now += constants.ROUND_S
         self.change()
         one = Round(self.now, 1, "leader", self.links, self.snapshot(), m.PeerStatus([], [], 0))
         for told in self.queue_publisher.tell(one, True):
@@ -108,8 +108,10 @@
         known = {one.job: one for one in self.known[label].aged_rows(self.now)}
         assert known.keys() == rows.keys()
         for job, now in rows.items():
-            assert abs(known[job].due_in_s - now.due_in_s) <= c.QUEUE_TIME_S + 1e-6
-            assert abs(known[job].waiting - now.waiting) * c.QUEUE_SHARE <= max(known[job].waiting, c.QUEUE_SHARE)
+            assert abs(known[job].due_in_s - now.due_in_s) <= constants.QUEUE_TIME_S + 1e-6
+            assert abs(known[job].waiting - now.waiting) * constants.QUEUE_SHARE <= max(
+                known[job].waiting, constants.QUEUE_SHARE
+            )
         if not offered_only:
             snapshot = self.snapshot()
             assert (self.known[label].used, self.known[label].reserved) == (snapshot.used, snapshot.reserved)
@@ -122,7 +124,7 @@
     for _ in range(400):
         run.step()
         run.check("leader", offered_only=False)
-        assert run.links["part"].unacknowledged <= c.QUEUE_BACKLOG
+        assert run.links["part"].unacknowledged <= constants.QUEUE_BACKLOG
     run.arrive("part", 1.0)
     run.step()
     run.arrive("part", 1.0)
@@ -159,10 +161,10 @@
     delta_tracker = DeltaTracker()
     delta_tracker.update([row(f"wk-{number}") for number in range(3)], 0.0)
     assert delta_tracker.changes_for("slow", True).whole and delta_tracker.changes_for("quick", True).whole
-    for at in range(1, c.QUEUE_GONE + 10):
+    for at in range(1, constants.QUEUE_ENDED_JOBS + 10):
         delta_tracker.update([row(f"wk-{3 + at}")], float(at))
         delta_tracker.changes_for("quick", True)
-    assert len(delta_tracker.gone) <= c.QUEUE_GONE
+    assert len(delta_tracker.gone) <= constants.QUEUE_ENDED_JOBS
     changes = delta_tracker.changes_for("slow", True)
     assert changes.whole and len(changes.rows) == 1
 
@@ -261,7 +263,7 @@
     share.record_peer_rate("b", 30, 0.1)
     share.refresh(0.2)
     assert share.reported_rate == 30 and share.budget.rate == 30.0 + 25.0 / 2
-    share.refresh(0.2 + c.LENT_S)
+    share.refresh(0.2 + constants.LENT_RATE_TTL_S)
     assert share.budget.rate == 30.0, "what was told long ago is not lent"
 
 
@@ -330,7 +332,9 @@
     monkeypatch.setattr(
         Membership,
         "all_support",
-        lambda self, protocol_version: protocol_version == c.QUEUE_CHANGES or real(self, protocol_version),
+        lambda self, protocol_version: (
+            protocol_version == constants.VERSION_WITH_QUEUE_DELTAS or real(self, protocol_version)
+        ),
     )
     with pytest.raises(Broken, match="form"):
         MixedWorld(41001, ["host-2"], jobs=20, trouble=False).run(60.0)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,8 +7,7 @@
 from test_machines import SPEC, heartbeat, part_with_machine
 from world import Broken, World
 
-from alderbridge import constants as c
-from alderbridge import policy, recovery
+from alderbridge import constants, policy, recovery
 from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
 from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, QueueRow, StopTask, TaskGrant, TaskStatusReport
 from alderbridge.recovery import (
@@ -235,8 +234,8 @@
         if asking.next(now, lambda name: False) is not None:
             asked.append(now)
             asking.unanswered("n-1", now)
-    assert len(asked) == c.ASK_TRIES - 1
-    assert all(b - a <= c.ASK_PAUSE_MAX_S + 0.2 for a, b in zip([10.0, *asked], asked, strict=False))
+    assert len(asked) == constants.PROBE_TRIES - 1
+    assert all(b - a <= constants.PROBE_BACKOFF_MAX_S + 0.2 for a, b in zip([10.0, *asked], asked, strict=False))
 
 
 def test_the_leader_returns_nothing_and_rents_nothing_for_tasks_that_may_run():
@@ -272,7 +271,7 @@
             for number, at in enumerate(times):
                 if at <= now:
                     membership.observe_member(
-                        f"host-{number}", MemberRecord(number + 1, c.PROTOCOL_VERSION), number + 1
+                        f"host-{number}", MemberRecord(number + 1, constants.PROTOCOL_VERSION), number + 1
                     )
             change = membership.next_view(now)
             if change is not None:
@@ -283,7 +282,7 @@
     views, view = joined([0.0, 0.2, 0.4, 0.6, 0.8])
     assert len(views) <= 2 and len(view.members) == 5
     views, view = joined([0.0, 3.0])
-    assert len(views) == 2 and views[1] - 3.0 <= c.JOIN_S + 0.2
+    assert len(views) == 2 and views[1] - 3.0 <= constants.JOIN_QUIET_S + 0.2
 
 
 def test_the_account_of_squaring_ends_and_says_how_far_it_is():
@@ -378,7 +377,9 @@
     """Its part knows all that may be on it; only what that is waits for the lease."""
     seeds = (8106, 8110, 8113, 8114)
     carried_over = [seconds_behind_the_barrier(seed) for seed in seeds]
-    monkeypatch.setattr(Membership, "all_support", lambda self, protocol_version: protocol_version < c.RECOVERY)
+    monkeypatch.setattr(
+        Membership, "all_support", lambda self, protocol_version: protocol_version < constants.VERSION_WITH_CARRY_OVER
+    )
     waited = [seconds_behind_the_barrier(seed) for seed in seeds]
     assert max(carried_over) < 4.0 and max(waited) > 4.0
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -4,7 +4,7 @@
 import production
 import pytest
 
-from alderbridge import constants as c
+from alderbridge import constants
 from alderbridge import mesh as m
 from alderbridge.config import NextState, State
 from alderbridge.dependencies import Graph
@@ -84,7 +84,12 @@
     )
     done = msgspec.json.encode(Record(JobState.DONE, done_at=12.5))
     assert production.value(JOBS + "wk-1", done) == b'{"state":"done"}'
-    assert msgspec.json.decode(msgspec.json.encode(MemberRecord(7, c.PIPELINES)), type=production.Presence).permit == 7
+    assert (
+        msgspec.json.decode(
+            msgspec.json.encode(MemberRecord(7, constants.VERSION_WITH_DEPENDENCIES)), type=production.Presence
+        ).permit
+        == 7
+    )
     row = m.QueueRow("wk-1", 3, 2, 1.5, 2.0, "a", 0.5, True, False, 2)
     frame = m.Frame("0.2.0", "host-0", 5, 0, 0, m.QueueSnapshot([row, row], {}, {}, {}, 1))
     seen = msgspec.msgpack.decode(msgspec.msgpack.encode(frame), type=production.Frame)
@@ -110,8 +115,10 @@
     membership = Membership("host-0", 12.0)
     membership.observe_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     for lease_id, label in enumerate(("host-0", "host-1", "host-2"), 1):
-        membership.observe_member(label, MemberRecord(lease_id, protocols.get(label, c.PIPELINES)), lease_id)
-    assert membership.all_support(c.PIPELINES) is kept
+        membership.observe_member(
+            label, MemberRecord(lease_id, protocols.get(label, constants.VERSION_WITH_DEPENDENCIES)), lease_id
+        )
+    assert membership.all_support(constants.VERSION_WITH_DEPENDENCIES) is kept
 
 
 def test_a_lost_moment_of_readiness_costs_only_time():
@@ -154,11 +161,11 @@
     membership = Membership("host-0", 20.0, 12.0)
     membership.store_lease.record_renewal(1, 0.0)
     membership.record_sync(0.0)
-    for label, lease_id, protocol_version in (("host-0", 1, c.PROTOCOL_VERSION), ("host-1", 2, 1)):
+    for label, lease_id, protocol_version in (("host-0", 1, constants.PROTOCOL_VERSION), ("host-1", 2, 1)):
         membership.observe_member(label, MemberRecord(lease_id, protocol_version), lease_id)
     membership.observe_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     assert membership.may_act(11.0) and not membership.may_act(12.0)
-    membership.observe_member("host-1", MemberRecord(3, c.PROTOCOL_VERSION), 6)  # it is back as the newer one
+    membership.observe_member("host-1", MemberRecord(3, constants.PROTOCOL_VERSION), 6)  # it is back as the newer one
     assert not membership.may_act(12.0), "the view still names the older one"
     membership.observe_view(View("host-0", {"host-0": 1, "host-1": 3}), 7)
     assert membership.may_act(19.0) and not membership.may_act(20.0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -27,9 +27,8 @@
 import msgspec
 import production
 
-from alderbridge import constants as c
+from alderbridge import constants, wire
 from alderbridge import mesh as m
-from alderbridge import wire
 from alderbridge.config import Cloud as CloudSettings
 from alderbridge.config import (
     Endpoints,
@@ -230,7 +229,7 @@
     def outage(self, for_s: float) -> None:
         self.down_until = max(self.down_until, self.world.t + for_s)
         for lease_id in self.holds:
-            self.holds[lease_id] = self.down_until + c.OUTLAST_S - LEASE_S
+            self.holds[lease_id] = self.down_until + constants.TOTAL_LEASE_S - LEASE_S
 
     def end(self, lease_id: int) -> None:
         if self.holds.pop(lease_id, None) is None:
@@ -332,10 +331,10 @@
         for step, pause in (
             (self.hold, 1.5),
             (self.follow, 0.15),
-            (self.view, c.ROUND_S),
+            (self.view, constants.ROUND_S),
             (self.write, 0.05),
-            (self.round, c.ROUND_S),
-            (self.lead, c.LEADER_ROUND_S),
+            (self.round, constants.ROUND_S),
+            (self.lead, constants.LEADER_ROUND_S),
         ):
             world.after(world.rng.random() * 0.2, self.loop, life, step, pause)
 
@@ -378,7 +377,7 @@
         if world.t < self.refused_until and not cut:
             # What it followed when the refusals began is open, and hangs until the client gives it up.
             hangs, self.follow_hangs = self.follow_hangs and reads, self.follow_hangs and not reads
-            world.after(c.FOLLOW_WAIT_S + STORE_S if hangs else 0.01, settle, None)
+            world.after(constants.WATCH_WAIT_S + STORE_S if hangs else 0.01, settle, None)
             return
         lost = rng.random()
         if cut or lost < 0.01:
@@ -442,7 +441,7 @@
             return lease_id
 
         def got(lease_id: int) -> None:
-            member = MemberRecord(lease_id, 1 if self.old else c.PROTOCOL_VERSION)
+            member = MemberRecord(lease_id, 1 if self.old else constants.PROTOCOL_VERSION)
             self.call(
                 lambda answer: entered(lease_id, answer),
                 failed,
@@ -660,8 +659,8 @@
             if world.asking.pop(number, None) is not None and life == self.life:
                 self.status_stored(job, told)
 
-        world.asking[number] = (self.label, life, world.t + c.ASK_S, answered)
-        world.after(c.ASK_S, given_up)
+        world.asking[number] = (self.label, life, world.t + constants.QUERY_TIMEOUT_S, answered)
+        world.after(constants.QUERY_TIMEOUT_S, given_up)
         core.send_unreliable(home, m.JobQuery(number, "status", job))
         self.flush()
 
@@ -731,14 +730,14 @@
             if submission is None:
                 self.status(spec.id, told)
             else:
-                wait(submission, world.t + c.SUBMIT_WAIT_S)
+                wait(submission, world.t + constants.SUBMIT_WAIT_S)
 
     def withdraw(self, job: str, told, since: float | None = None) -> None:
         """``told`` the job's end when the store has it; None: this is not its home, or the store is slow."""
         core, life, world = self.core, self.life, self.world
         since = world.t if since is None else since
         state = core.cancel(job, world.t)
-        if state == "" and world.t - since < c.SUBMIT_WAIT_S:
+        if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
             world.after(0.1, lambda: life == self.life and self.withdraw(job, told, since))
         else:
             told(state or None)
@@ -1277,7 +1276,8 @@
             return
         if core is not None and core.types and core.membership.may_act(self.t) and core.loaded:
             ready = not spec.needs or (
-                core.membership.all_support(c.PIPELINES) and all(map(core.knows_job, spec.needs))
+                core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
+                and all(map(core.knows_job, spec.needs))
             )
             if ready and not core.knows_job(spec.id):
                 core.submit(spec, self.t, self.t + sim.ahead_s)
@@ -1465,7 +1465,7 @@
             self.asking[number] = (
                 sim.label,
                 sim.life,
-                self.t + c.SUBMIT_WAIT_S,
+                self.t + constants.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
             core.send_unreliable(home, m.JobQuery(number, "withdraw", job))
@@ -1803,7 +1803,7 @@
         elif kind == "cut_alone":  # not from workers and users
             sim.cut_store_until = sim.cut_mesh_until = self.t + max(10.0, length)
             if rng.random() < 0.5:
-                sim.mesh_held_until = self.t + c.MESH_STALL_S
+                sim.mesh_held_until = self.t + constants.MESH_STALL_S
         elif kind == "refused":
             if rng.random() < 0.5:  # at first it carries things out, and the answers are lost
                 self.store.late_share, self.store.late_until = 0.8, self.t + 3.0
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -29,7 +29,7 @@
 import bench_node as base  # noqa: E402
 import msgspec  # noqa: E402
 
-from alderbridge import constants as c  # noqa: E402
+from alderbridge import constants  # noqa: E402
 from alderbridge.core import ControllerCore  # noqa: E402
 from alderbridge.store import MEMBERS, VIEW  # noqa: E402
 from alderbridge.view import MemberRecord  # noqa: E402
@@ -220,7 +220,7 @@
         core = self.nodes[label]
         if worker.dead or worker.gone or core is None or core.membership.fencing_token != fencing_token:
             if core is not None:
-                core.machine_shard.prober.unanswered(name, self.now + c.ASK_WORKER_S)
+                core.machine_shard.prober.unanswered(name, self.now + constants.PROBE_TIMEOUT_S)
             return
         self.lease(worker)
         worker.fencing_token = max(worker.fencing_token, fencing_token)
@@ -336,7 +336,7 @@
     parser.add_argument("--sources", help="root of another checkout whose service is measured")
     args = parser.parse_args()
     logging.basicConfig(level=logging.ERROR)
-    gc.set_threshold(*c.GC_THRESHOLDS)
+    gc.set_threshold(*constants.GC_THRESHOLDS)
     columns = {}
     for size in args.machines:
         columns[f"{size} calm"], columns[f"{size} fall"] = measure(size, args, False), measure(size, args, True)
--- a/tools/bench_grid.py
+++ b/tools/bench_grid.py
@@ -21,7 +21,7 @@
 import left_out_fit
 import numpy
 
-from alderbridge import constants as c
+from alderbridge import constants
 
 LOAD = 1.5  # a full fleet, as bench_node has it
 SEED = 1
@@ -70,7 +70,7 @@
     """One run in this process, as a row of the results."""
     logging.basicConfig(level=logging.ERROR)
     gc.freeze()  # as the program does
-    gc.set_threshold(*c.GC_THRESHOLDS)
+    gc.set_threshold(*constants.GC_THRESHOLDS)
     args = argparse.Namespace(
         load=LOAD, seed=SEED, profile=None, controllers=point.controllers, teams=point.teams, seconds=seconds
     )
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -33,14 +33,19 @@
 
 import msgspec  # noqa: E402
 
-from alderbridge import config, mesh, net, wire  # noqa: E402
-from alderbridge import constants as c  # noqa: E402
+from alderbridge import (  # noqa: E402
+    config,
+    constants,  # noqa: E402
+    mesh,
+    net,
+    wire,
+)
 from alderbridge.core import ControllerCore  # noqa: E402
 from alderbridge.store import MEMBERS, VIEW  # noqa: E402
 from alderbridge.view import MemberRecord  # noqa: E402
 
 PROTOCOL_VERSION = getattr(
-    c, "PROTOCOL_VERSION", c.PIPELINES
+    constants, "PROTOCOL_VERSION", constants.VERSION_WITH_DEPENDENCIES
 )  # earlier checkouts, which bench_fall measures, have but that
 LABELS = [f"host-{number}" for number in range(5)]
 ZONES = ["a", "b", "c"]
@@ -241,9 +246,13 @@
         self.commit({}, {VIEW: {"leader": self.labels[0], "members": members}}, [])
         for label in self.labels:
             self.at(0.0, self.follow, label)
-            for offset, pause, step in ((0.01, c.ROUND_S, self.round), (0.02, 0.05, self.write), (0.5, 1.0, self.hold)):
+            for offset, pause, step in (
+                (0.01, constants.ROUND_S, self.round),
+                (0.02, 0.05, self.write),
+                (0.5, 1.0, self.hold),
+            ):
                 self.at(offset + 0.03 * self.labels.index(label), self.every, pause, step, label)
-        self.at(1.0, self.every, c.LEADER_ROUND_S, self.lead, self.labels[0])
+        self.at(1.0, self.every, constants.LEADER_ROUND_S, self.lead, self.labels[0])
         self.at(1.5, self.every, 1.0, self.sample, self.labels[0])
         self.workers: list[Worker] = []
         for _ in range(machines * 9 // 10):  # as in a steady hour: the same starts a machine at each size
@@ -572,7 +581,7 @@
 
         return bench_grid.play_grid(args.grid, args.jobs, args.seconds)
     gc.freeze()  # as the program does
-    gc.set_threshold(*c.GC_THRESHOLDS)
+    gc.set_threshold(*constants.GC_THRESHOLDS)
     results = []
     for size in args.machines:
         bench = play(size, args)
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -24,7 +24,7 @@
 import bench_node as base  # noqa: E402
 
 from alderbridge import config, wire  # noqa: E402
-from alderbridge import constants as c  # noqa: E402
+from alderbridge import constants  # noqa: E402
 from alderbridge.hours import Text  # noqa: E402
 from alderbridge.hours.declaration import Calendar, Class  # noqa: E402
 
@@ -126,11 +126,11 @@
     parser.add_argument("--tasks", type=int, default=20)
     parser.add_argument("--load", type=float, default=0.5)
     parser.add_argument("--warm", type=float, default=60.0)
-    parser.add_argument("--spread", type=float, default=c.OPENING_SPREAD_S)
+    parser.add_argument("--spread", type=float, default=constants.OPENING_SPREAD_S)
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     logging.basicConfig(level=logging.CRITICAL)
-    gc.set_threshold(*c.GC_THRESHOLDS)
+    gc.set_threshold(*constants.GC_THRESHOLDS)
     for size in args.machines:
         for mode, spread_s, warm_s in (
             ("naive", 0.0, 0.0),
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -25,8 +25,10 @@
 import bench_fall as fall  # noqa: E402
 import bench_node as base  # noqa: E402
 
-from alderbridge import constants as c  # noqa: E402
-from alderbridge import wire  # noqa: E402
+from alderbridge import (
+    constants,  # noqa: E402
+    wire,  # noqa: E402
+)
 from alderbridge.claims import Limit, Need  # noqa: E402
 from alderbridge.store import CLAIMS  # noqa: E402
 from alderbridge.urgency import Rules, parse  # noqa: E402
@@ -209,7 +211,7 @@
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     logging.basicConfig(level=logging.ERROR)
-    gc.set_threshold(*c.GC_THRESHOLDS)
+    gc.set_threshold(*constants.GC_THRESHOLDS)
     for size in args.machines:
         columns = {way: measure(size, way, args.seed, args.share) for way in args.ways}
         print(f"{f'{size} machines':<38}" + "".join(f"{way:>10}" for way in columns))
