--- a/alderbridge/hours/declaration.py
+++ b/alderbridge/calendars/declaration.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from .. import constants
-from ..config import ConfigError
+from alderbridge import constants
+from alderbridge.settings import ConfigError
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 EPOCH = date(1970, 1, 1)
@@ -246,7 +246,7 @@
 
 
 def _zone(text: str) -> str:
-    from .timetable import load_zone
+    from alderbridge.calendars.timetable import load_zone
 
     if load_zone(text) is None:
         raise _Fault("expected a time zone such as Europe/Oslo")
@@ -332,7 +332,7 @@
 
 def check_lines(text: Text, wall: float | None = None) -> list[str]:
     """What ``--check`` prints: the next openings of each calendar from ``wall``, or now; what holds for each class."""
-    from .timetable import Timetable
+    from alderbridge.calendars.timetable import Timetable
 
     wall = time.time() if wall is None else wall
     table = Timetable(text)
@@ -358,7 +358,7 @@
 
 
 def _clock(wall: float, zone: str) -> str:
-    from .timetable import load_zone
+    from alderbridge.calendars.timetable import load_zone
 
     if not abs(wall) < 1e11:
         return "no end"
--- a/alderbridge/hours/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -17,13 +17,13 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import TYPE_CHECKING
 
-from .. import constants
-from ..wire import JobSpec
-from .declaration import Text
-from .timetable import DAY, NEVER, Look, Timetables, shown
+from alderbridge import constants
+from alderbridge.calendars.declaration import Text
+from alderbridge.calendars.timetable import DAY, NEVER, Look, Timetables, shown
+from alderbridge.protocol.wire import JobSpec
 
 if TYPE_CHECKING:
-    from ..jobs import Job
+    from alderbridge.jobs.shard import Job
 
 log = logging.getLogger("hours")
 
--- a/alderbridge/hours/timetable.py
+++ b/alderbridge/calendars/timetable.py
@@ -14,9 +14,9 @@
 from datetime import UTC, datetime
 from typing import NamedTuple
 
-from .. import constants
-from ..wire import JobSpec
-from .declaration import Calendar, Class, Spans, Text
+from alderbridge import constants
+from alderbridge.calendars.declaration import Calendar, Class, Spans, Text
+from alderbridge.protocol.wire import JobSpec
 
 log = logging.getLogger("hours")
 
--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -10,11 +10,11 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from . import __version__, constants
-from .config import DEFAULT_INI, ConfigError, Platform, Tuning, load_platform, load_tuning
+from alderbridge import __version__, constants
+from alderbridge.settings import DEFAULT_INI, ConfigError, Platform, Tuning, load_platform, load_tuning
 
 if TYPE_CHECKING:
-    from .declared import Declared
+    from alderbridge.configuration import Declared
 
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -35,9 +35,9 @@
         tuning = load_tuning(args.settings)
         own = {}
         if tuning.declared:
-            from . import declared  # only here, with the packages of what is declared
+            from alderbridge import configuration  # only here, with the packages of what is declared
 
-            own = {kind: declared.load(path, kind) for kind, path in tuning.declared.items()}
+            own = {kind: configuration.load(path, kind) for kind, path in tuning.declared.items()}
         level = os.environ.get("LOG_LEVEL", "info")
         if level not in _LEVELS:
             raise ConfigError(f"environment: LOG_LEVEL: expected one of {', '.join(_LEVELS)}, got {level!r}")
@@ -53,7 +53,7 @@
                 f"value_kb {kept.value_kb:g}, txn_ops {kept.txn_ops}"
             )
         for kind, path in tuning.declared.items():
-            print("\n".join([f"{path}: good", *declared.check_lines(own[kind])]))
+            print("\n".join([f"{path}: good", *configuration.check_lines(own[kind])]))
         return 0
     return _serve(platform, tuning, level, own)
 
@@ -61,8 +61,8 @@
 def _serve(platform: Platform, tuning: Tuning, level: str, own: dict[str, Declared]) -> int:
     import curio  # only here: --help and --check need neither the loop nor its start-up time
 
-    from .controller import Controller
-    from .poll import Poll
+    from alderbridge.controller.process import Controller
+    from alderbridge.transport.selector import Poll
 
     gc.freeze()  # modules and classes stay for good
     gc.set_threshold(*constants.GC_THRESHOLDS)
--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -4,9 +4,10 @@
 
 import msgspec
 
-from . import constants, wire
-from .config import address
-from .net import Client
+from alderbridge import constants
+from alderbridge.protocol import wire
+from alderbridge.settings import address
+from alderbridge.transport.http import Client
 
 _machine_types = msgspec.json.Decoder(wire.MachineTypes)
 _listing = msgspec.json.Decoder(wire.MachineListing)
--- a/alderbridge/declared/__init__.py
+++ b/alderbridge/configuration/__init__.py
@@ -9,9 +9,9 @@
 * ``Declarations``: the states unread, read, proposed, stored, in force and refused; what to write next.
 """
 
-from .declarations import Declarations, Proposal, State
-from .records import Head, Revision
-from .texts import KINDS, READERS, Declared, check_lines, load
+from alderbridge.configuration.declarations import Declarations, Proposal, State
+from alderbridge.configuration.records import Head, Revision
+from alderbridge.configuration.texts import KINDS, READERS, Declared, check_lines, load
 
 __all__ = [
     "KINDS",
--- a/alderbridge/declared/declarations.py
+++ b/alderbridge/configuration/declarations.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from .. import constants
-from ..store import DECLARED
-from ..view import Membership
-from .records import Head, Revision, head_key, parts_of, piece_keys, pieces
-from .texts import KINDS, Declared, compiled, digest_of
+from alderbridge import constants
+from alderbridge.configuration.records import Head, Revision, head_key, parts_of, piece_keys, pieces
+from alderbridge.configuration.texts import KINDS, Declared, compiled, digest_of
+from alderbridge.membership.view import Membership
+from alderbridge.state.store import DECLARED
 
 log = logging.getLogger("declared")
 _head = msgspec.json.Decoder(Head)
--- a/alderbridge/declared/records.py
+++ b/alderbridge/configuration/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..store import DECLARED
+from alderbridge.state.store import DECLARED
 
 
 class Revision(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/alderbridge/declared/texts.py
+++ b/alderbridge/configuration/texts.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from .. import constants
-from ..config import KINDS, ConfigError, read_ini
+from alderbridge import constants
+from alderbridge.settings import KINDS, ConfigError, read_ini
 
 READERS: dict[str, Any] = {}  # kind -> its module ``declaration``, once imported
 SECTION = "declaration"
--- a/alderbridge/core.py
+++ b/alderbridge/controller/core.py
@@ -20,33 +20,35 @@
 
 import msgspec
 
-from . import constants, placement, policy, wire
-from . import mesh as m
-from .claims import Teams, Transaction
-from .claims.desk import Desk, Source
-from .config import Platform, Tuning
-from .declared import Declarations, Declared, Proposal
-from .dependencies import Graph
-from .hours.declaration import Text as Hours
-from .hours.gate import Gate
-from .hours.timetable import NEVER
-from .jobs import Job, JobShard, JobState, Record
-from .leader import Leader
-from .machines import Machine, MachineShard
-from .queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
-from .replica import Replica, list_keys
-from .shares import WriteRateLimit
-from .store import JOBS, LISTS, MACHINES, MEMBERS, VIEW
-from .urgency import Rules, Text
-from .view import Membership, MemberStatus, View
+from alderbridge import constants
+from alderbridge.calendars.declaration import Text as Hours
+from alderbridge.calendars.gate import Gate
+from alderbridge.calendars.timetable import NEVER
+from alderbridge.configuration import Declarations, Declared, Proposal
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.leader.leader import Leader
+from alderbridge.machines.shard import Machine, MachineShard
+from alderbridge.membership.view import Membership, MemberStatus, View
+from alderbridge.preemption import Teams, Transaction
+from alderbridge.preemption.desk import Desk, Source
+from alderbridge.priorities import Rules, Text
+from alderbridge.protocol import messages, wire
+from alderbridge.queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
+from alderbridge.scheduling import placement, policy
+from alderbridge.settings import Platform, Tuning
+from alderbridge.state.replica import Replica, list_keys
+from alderbridge.state.store import JOBS, LISTS, MACHINES, MEMBERS, VIEW
+from alderbridge.state.write_rate_limit import WriteRateLimit
+from alderbridge.transport.channel import Channel
 
 if TYPE_CHECKING:
-    from .lending import Lender
+    from alderbridge.lending import Lender
 
 log = logging.getLogger("core")
 
 
-def _nothing_lent(row: m.QueueRow, spec: wire.JobSpec) -> int:
+def _nothing_lent(row: messages.QueueRow, spec: wire.JobSpec) -> int:
     return 0
 
 
@@ -148,9 +150,9 @@
         ] = {}  # machine -> GPUs that lending work leaves free, as the leader told last
         self.reserved_gpus_until = self.kept_at = float("-inf")
         self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> its claim's stamp, tasks asked for its room
-        self.channels = {peer.label: m.Channel(self.me) for peer in platform.peers}
-        self.inbox: deque[tuple[int, m.Message]] = deque()
-        self.deferred: dict[str, list[m.Message]] = {}  # before the next message there, or in the next round
+        self.channels = {peer.label: Channel(self.me) for peer in platform.peers}
+        self.inbox: deque[tuple[int, messages.Message]] = deque()
+        self.deferred: dict[str, list[messages.Message]] = {}  # before the next message there, or in the next round
         self.local_seq = self.local_processed_seq = 0
         self.now = now
         self.loaded = False
@@ -175,12 +177,12 @@
         self.guaranteed_at, self.guaranteed_jobs = float("-inf"), set()
         self.entered_at = now  # when the view arrived here
         # left for the controller
-        self.outgoing_frames: list[tuple[str, m.Frame]] = []
+        self.outgoing_frames: list[tuple[str, messages.Frame]] = []
         self.queue_publisher = QueuePublisher(self.me)
         self.sender_clocks: dict[str, SenderClock] = {}
         self.channel_renewals: list[str] = []  # peers to be connected anew
-        self.queries: deque[tuple[str, m.JobQuery]] = deque()
-        self.query_replies: deque[m.JobQueryReply] = deque()
+        self.queries: deque[tuple[str, messages.JobQuery]] = deque()
+        self.query_replies: deque[messages.JobQueryReply] = deque()
         # submissions decided, jobs whose end is stored, machines that have all grants they asked for
         self.notifications: deque[Submission | str | Machine] = deque()
 
@@ -258,7 +260,7 @@
 
     # -- messages ------------------------------------------------------------
 
-    def send(self, label: str, body: m.Message) -> int:
+    def send(self, label: str, body: messages.Message) -> int:
         """A message that must arrive; its number in the channel to that member."""
         if label == self.me:
             self.local_seq += 1
@@ -273,7 +275,7 @@
         self.outgoing_frames.append((label, frame))
         return frame.seq
 
-    def send_deferred(self, label: str, body: m.Message) -> int:
+    def send_deferred(self, label: str, body: messages.Message) -> int:
         """One that must arrive, and may wait for company: a write for each wakes the peer, which costs more than it."""
         if label == self.me:
             return self.send(label, body)
@@ -285,14 +287,14 @@
         channel = self.channels[label]
         self.outgoing_frames += [(label, channel.post(body, self.now)) for body in self.deferred.pop(label, ())]
 
-    def send_unreliable(self, label: str, body: m.Message) -> None:
+    def send_unreliable(self, label: str, body: messages.Message) -> None:
         """A message that may be lost."""
         if label == self.me:
             self.dispatch(label, body)
         elif label in self.channels:
             self.outgoing_frames.append((label, self.channels[label].post_unreliable(body)))
 
-    def on_frame(self, frame: m.Frame, now: float) -> None:
+    def on_frame(self, frame: messages.Frame, now: float) -> None:
         self.now = now
         channel, membership = self.channels.get(frame.sender), self.membership
         if channel is None:
@@ -301,7 +303,7 @@
         if frame.fencing_token != membership.fencing_token or membership.failure_detector.accepts(frame.sender):
             if membership.status(now) is MemberStatus.OUTSIDE:
                 self.is_member = False  # its hold is lost: its acknowledgement would count for who it was
-            if self.is_member or isinstance(frame.body, m.JobQuery | m.JobQueryReply):
+            if self.is_member or isinstance(frame.body, messages.JobQuery | messages.JobQueryReply):
                 body = channel.receive(frame, now)
             else:
                 # What the view's members say is meant for an earlier life of this label, which acknowledgements do not
@@ -314,13 +316,13 @@
             self.dispatch(frame.sender, body)
             self.pump()
 
-    def observe_frame(self, frame: m.Frame, acked_at: float, now: float) -> None:
+    def observe_frame(self, frame: messages.Frame, acked_at: float, now: float) -> None:
         """A frame under this mandate: whose sender may have restarted, and know nothing of whom it had given up."""
         failure_detector = self.membership.failure_detector
         failure_detector.excluded.discard(frame.sender)
         if frame.sender_lease_id and frame.sender_lease_id == self.membership.view.members.get(frame.sender):
             failure_detector.record_frame(frame.sender, acked_at, now)
-            if isinstance(frame.body, m.QueueSnapshot | m.PeerStatus):
+            if isinstance(frame.body, messages.QueueSnapshot | messages.PeerStatus):
                 failure_detector.record_peer_report(frame.sender, frame.body.suspected, frame.body.failed)
 
     def pump(self) -> None:
@@ -330,69 +332,69 @@
             self.local_processed_seq = seq
             self.dispatch(self.me, body)
 
-    def dispatch(self, label: str, body: m.Message) -> None:
+    def dispatch(self, label: str, body: messages.Message) -> None:
         match body:
-            case m.MachineTaskReport():
+            case messages.MachineTaskReport():
                 self.job_shard.on_task_report(label, body, self.now)
-            case m.AcknowledgeFinished():
+            case messages.AcknowledgeFinished():
                 self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
-            case m.TaskRequest():
+            case messages.TaskRequest():
                 self.job_shard.on_task_request(label, body, self.now, self.may_act())
                 self.queue_publisher.delta_tracker.tell_again(label, body.job)
-            case m.TaskGrant():
+            case messages.TaskGrant():
                 machine = self.machine_shard.on_task_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
                     self.notifications.append(machine)
-            case m.QueueSnapshot():
+            case messages.QueueSnapshot():
                 self.on_queue(label, body)
-            case m.QueueDelta():
+            case messages.QueueDelta():
                 self.on_queue_changes(label, body)
-            case m.TeamUsageDelta():
+            case messages.TeamUsageDelta():
                 self.leader.on_team_changes(label, body)
-            case m.PeerStatus():
+            case messages.PeerStatus():
                 self.write_rate_limit.record_peer_rate(label, body.changes, self.now)
-            case m.MachineSummaries():
+            case messages.MachineSummaries():
                 self.leader.on_machine_summaries(label, body, self.now)
-            case m.StopTask():
+            case messages.StopTask():
                 self.machine_shard.on_stop_task(body)
-            case m.QuotaAllocation():
+            case messages.QuotaAllocation():
                 self.job_shard.allocate_quota(body.teams)
-            case m.QuotaDelta():
+            case messages.QuotaDelta():
                 self.job_shard.allocate_quota(body.teams, whole=False)
-            case m.DrainMachines():
+            case messages.DrainMachines():
                 self.machine_shard.drain(body.machines)
-            case m.MachinesTerminated():
+            case messages.MachinesTerminated():
                 self.machine_records_to_drop += self.machine_shard.on_terminated(body.machines)
-            case m.ListMachineTasks():
+            case messages.ListMachineTasks():
                 sources = self.preemption_policies()
                 self.send_unreliable(
                     label,
-                    m.MachineTaskList(
+                    messages.MachineTaskList(
                         self.machine_shard.machine_tasks(
                             self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
                         ),
                         True,
                     ),
                 )
-            case m.GpuReservation():
+            case messages.GpuReservation():
                 self.reserved_gpus, self.reserved_gpus_until = body.gpus, self.now + constants.GPU_RESERVATION_TTL_S
-            case m.MachineTaskList():
+            case messages.MachineTaskList():
                 self.preemption_planner.on_tasks(label, body, self.now)
-            case m.JobQuery():
+            case messages.JobQuery():
                 self.queries.append((label, body))
-            case m.JobQueryReply():
+            case messages.JobQueryReply():
                 self.query_replies.append(body)
             case _:
                 pass
 
-    def on_queue(self, label: str, queue: m.QueueSnapshot) -> None:
+    def on_queue(self, label: str, queue: messages.QueueSnapshot) -> None:
         """The whole queue of a home that tells no changes."""
         self.offer_book.take_queue(label, queue, self.now)
         self.leader.on_queue(label, queue, self.now)
         if label != self.me:
             self.write_rate_limit.record_peer_rate(label, queue.changes, self.now)
 
-    def on_queue_changes(self, label: str, changes: m.QueueDelta) -> None:
+    def on_queue_changes(self, label: str, changes: messages.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
         at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.now)
         self.offer_book.take_changes(label, changes, at)
@@ -1019,7 +1021,7 @@
             candidate, self.offers, lambda spec: self.machine_shard.fetch_s(machine, spec), room_elsewhere, keep, now
         ):
             take = self.machine_shard.reserve(machine, want.job, want.count)
-            self.send(want.owner, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
+            self.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
         self.pump()
 
     # -- claims ------------------------------------------------------------------------
@@ -1034,7 +1036,7 @@
         if not lendings:
             self.lender = None
         elif self.lender is None or self.lender.texts != lendings:
-            from .lending import Lender  # only here: start-up is charged
+            from alderbridge.lending import Lender  # only here: start-up is charged
 
             self.lender = Lender(lendings, self.shared.teams, self.types, self.lender)
         self.leader.tasks_served_by_lending = self.lender.serves_soon if self.lender is not None else _nothing_lent
@@ -1068,7 +1070,7 @@
         room = candidate.free
         for want in placement.keep(candidate, self.offers, claim.job, claim.count - used):
             take = self.machine_shard.reserve(machine, want.job, want.count)
-            self.send(want.owner, m.TaskRequest(take, want.job, want.machine, want.zone, want.count))
+            self.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
             used, room = used + want.count, placement.minus(room, spec, want.count)
         self.claim_requests[machine.name] = (entry.revision, used)
         return msgspec.structs.replace(candidate, free=placement.minus(room, spec, claim.count - used))
@@ -1087,13 +1089,13 @@
         sources = self.preemption_policies()
         if self.preemption_planner.round(now, now + self.wall_offset_s, sources, teams, self.max_changes):
             for label in self.membership.view.members:
-                self.send_unreliable(label, m.ListMachineTasks())
+                self.send_unreliable(label, messages.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
             gpus = self.lender.keep(self.preemption_planner, now)
             if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
-                    self.send_unreliable(label, m.GpuReservation(gpus))
+                    self.send_unreliable(label, messages.GpuReservation(gpus))
 
     # -- rounds ----------------------------------------------------------------------
 
@@ -1106,7 +1108,7 @@
             self.flush_deferred(label)
         if self.membership.status(now) is MemberStatus.OUTSIDE:
             for label in self.channels:
-                self.send_unreliable(label, m.KeepAlive())
+                self.send_unreliable(label, messages.KeepAlive())
             return
         self.membership.failure_detector.refresh(now)
         self.refresh_settlement(now)
@@ -1156,7 +1158,7 @@
         """The members are told of the queue, and whoever is none that this process is there."""
         membership, failure_detector = self.membership, self.membership.failure_detector
         links = {label: self.channels[label] for label in self.queue_subscribers()}
-        status = m.PeerStatus(
+        status = messages.PeerStatus(
             failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
         )
         one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
@@ -1167,7 +1169,7 @@
                 self.send_unreliable(told.label, told.message)
         for label in self.channels:
             if label not in links:
-                self.send_unreliable(label, m.KeepAlive())
+                self.send_unreliable(label, messages.KeepAlive())
 
     def queue_subscribers(self) -> list[str]:
         """The other members of the view; but for older processes in a member's place, once changes are told."""
@@ -1184,7 +1186,7 @@
         """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
         for label, channel in self.channels.items():
             if label in self.membership.view.members and channel.is_quiet(now):
-                self.send(label, m.KeepAlive())
+                self.send(label, messages.KeepAlive())
             if channel.is_stalled(now):
                 self.channel_renewals.append(label)
             self.outgoing_frames += [(label, frame) for frame in channel.resend(now)]
@@ -1193,10 +1195,11 @@
         """The leader is told of this part's machines, once a second."""
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
-        self.send_unreliable(leader, m.MachineSummaries(self.machine_shard.summaries(now, self.run_time)))
+        self.send_unreliable(leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.run_time)))
         if self.ledger.entries and self.membership.all_support(constants.VERSION_WITH_CONFIGURATION):
             self.send_unreliable(
-                leader, m.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False)
+                leader,
+                messages.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False),
             )
 
     def send_quota_updates(self, now: float) -> None:
@@ -1204,9 +1207,9 @@
         by_changes = self.membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)
         for label, teams in self.leader.quota_updates(now).items():
             if by_changes:
-                self.send(label, m.QuotaDelta(teams))
+                self.send(label, messages.QuotaDelta(teams))
             else:
-                self.send(label, m.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
+                self.send(label, messages.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
 
     def jobs_within_guarantee(self) -> set[str]:
         """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs, on any home."""
@@ -1246,7 +1249,7 @@
         self.now = now
         self.leader.on_terminated(names)
         for label in self.membership.view.members:
-            self.send(label, m.MachinesTerminated(names))
+            self.send(label, messages.MachinesTerminated(names))
         self.pump()
 
     def set_machine_types(self, types: dict[str, wire.MachineType]) -> None:
@@ -1268,7 +1271,7 @@
         for name in names:
             by_part.setdefault(self.membership.machine_owner(name), []).append(name)
         for label, part in by_part.items():
-            self.send(label, m.DrainMachines(part))
+            self.send(label, messages.DrainMachines(part))
         self.pump()
 
     # -- users -------------------------------------------------------------------------
--- a/alderbridge/controller.py
+++ b/alderbridge/controller/process.py
@@ -11,18 +11,18 @@
 import h11
 import msgspec
 
-from . import constants, placement, wire
-from . import mesh as m
-from .cloud import Cloud, CloudError, NoCapacityError
-from .config import Platform, Tuning, address
-from .core import ControllerCore, WriteBatch
-from .declared import Declared
-from .jobs import JobState, Record
-from .leader import ScalingDecision
-from .machines import Machine
-from .net import Answer, Exchange, Reading, Server, TokenBucket, UnansweredError
-from .poll import Poll
-from .store import (
+from alderbridge import constants
+from alderbridge.cloud import Cloud, CloudError, NoCapacityError
+from alderbridge.configuration import Declared
+from alderbridge.controller.core import ControllerCore, WriteBatch
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.leader.leader import ScalingDecision
+from alderbridge.machines.shard import Machine
+from alderbridge.membership.view import MemberRecord, MemberStatus
+from alderbridge.protocol import messages, wire
+from alderbridge.scheduling import placement
+from alderbridge.settings import Platform, Tuning, address
+from alderbridge.state.store import (
     JOBS,
     MEMBERS,
     ROOT,
@@ -35,7 +35,9 @@
     TransactionTooLargeError,
     WatchCompactedError,
 )
-from .view import MemberRecord, MemberStatus
+from alderbridge.transport import mesh
+from alderbridge.transport.http import Answer, Exchange, Reading, Server, TokenBucket, UnansweredError
+from alderbridge.transport.selector import Poll
 
 log = logging.getLogger("controller")
 now = time.monotonic
@@ -57,11 +59,13 @@
         self.membership = self.core.membership
         self.store = Store(platform.endpoints.state)
         self.cloud = Cloud(platform.endpoints.cloud)
-        self.mesh = m.Mesh(platform.mesh_addr, {peer.label: peer.addr for peer in platform.peers}, self.on_frames, poll)
+        self.mesh = mesh.Mesh(
+            platform.mesh_addr, {peer.label: peer.addr for peer in platform.peers}, self.on_frames, poll
+        )
         self.waiters: dict[object, list[curio.Event]] = {}  # submission or job -> who waits for it
         self.taking: dict[Machine, list[tuple[int, Callable[[Answer], None]]]] = {}  # reports not answered yet
         self.takes: deque[tuple[float, Machine]] = deque()  # until when their answers wait for grants
-        self.asks: dict[int, tuple[curio.Event, list[m.JobQueryReply]]] = {}
+        self.asks: dict[int, tuple[curio.Event, list[messages.JobQueryReply]]] = {}
         self.polls: dict[int, tuple[str, Callable[[Answer], None]]] = {}  # users' questions that others answer
         self.poll_ends: deque[tuple[float, int]] = deque()
         # Numbers of questions go on from the time of day: an answer to an earlier life of this label, on its way
@@ -78,7 +82,7 @@
         self.rent_names = 0
         self.server = Server(self.handle, int(shared.limits.max_sockets * constants.SOCKET_RESERVE), poll)
 
-    def on_frames(self, frames: list[m.Frame]) -> None:
+    def on_frames(self, frames: list[messages.Frame]) -> None:
         for frame in frames:
             self.core.on_frame(frame, now())
 
@@ -646,10 +650,10 @@
         self.ask_count += 1
         self.polls[self.ask_count] = (job, reply)
         self.poll_ends.append((now() + constants.QUERY_TIMEOUT_S, self.ask_count))
-        self.core.send_unreliable(owner, m.JobQuery(self.ask_count, "status", job))
+        self.core.send_unreliable(owner, messages.JobQuery(self.ask_count, "status", job))
         return None
 
-    async def told(self, number: int, answer: m.JobQueryReply | None) -> None:
+    async def told(self, number: int, answer: messages.JobQueryReply | None) -> None:
         """The job's home has answered a user's question, or not in time."""
         if number not in self.polls:
             return
@@ -751,7 +755,7 @@
         self.ask_count += 1
         number, event, replies = self.ask_count, curio.Event(), []
         self.asks[number] = (event, replies)
-        self.core.send_unreliable(label, m.JobQuery(number, what, job))
+        self.core.send_unreliable(label, messages.JobQuery(number, what, job))
         await self.after()
         try:
             await curio.timeout_after(
@@ -766,15 +770,15 @@
             return None
         return reply.status, reply.body, []
 
-    def answer_status(self, label: str, ask: m.JobQuery) -> None:
+    def answer_status(self, label: str, ask: messages.JobQuery) -> None:
         """From memory, so nothing has to wait for it."""
         state = self.core.local_job_state(ask.job, now())
         status, body = (503, b"") if state is None else (200, wire.job_status_body(ask.job, *state))
-        self.core.send_unreliable(label, m.JobQueryReply(ask.query_id, status, body))
+        self.core.send_unreliable(label, messages.JobQueryReply(ask.query_id, status, body))
 
-    async def answer_ask(self, label: str, ask: m.JobQuery) -> None:
+    async def answer_ask(self, label: str, ask: messages.JobQuery) -> None:
         status, body, _ = await self.withdraw_here(ask.job)
-        self.core.send_unreliable(label, m.JobQueryReply(ask.query_id, status, body))
+        self.core.send_unreliable(label, messages.JobQueryReply(ask.query_id, status, body))
         await self.after()
 
 
--- a/alderbridge/dependencies.py
+++ b/alderbridge/jobs/dependencies.py
@@ -23,8 +23,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from . import constants
-from .wire import JobSpec
+from alderbridge import constants
+from alderbridge.protocol.wire import JobSpec
 
 NEVER = float("inf")
 
--- a/alderbridge/jobs.py
+++ b/alderbridge/jobs/shard.py
@@ -23,10 +23,9 @@
 
 import msgspec
 
-from . import constants
-from .config import Team
-from .hours.gate import Gate
-from .mesh import (
+from alderbridge import constants
+from alderbridge.calendars.gate import Gate
+from alderbridge.protocol.messages import (
     AcknowledgeFinished,
     MachineTaskReport,
     Message,
@@ -36,8 +35,9 @@
     TaskRequest,
     TaskStatusReport,
 )
-from .recovery import Action, Barrier, ObservedState, RecordedState, reconcile
-from .wire import JobSpec, MachineRecord
+from alderbridge.protocol.wire import JobSpec, MachineRecord
+from alderbridge.reconciliation import Action, Barrier, ObservedState, RecordedState, reconcile
+from alderbridge.settings import Team
 
 log = logging.getLogger("jobs")
 
--- a/alderbridge/leader.py
+++ b/alderbridge/leader/leader.py
@@ -18,15 +18,23 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from . import constants, placement, policy
-from .allowances import QuotaAllocator
-from .config import Team, Tuning
-from .mesh import MachineSummaries, MachineSummary, QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
-from .policy import Demand, Kind, Market, Resource
-from .queues import HomeQueues
-from .recovery import FleetKnowledge, ScaleInGuard
-from .replica import Replica
-from .wire import JobSpec, ListedMachine, MachineType
+from alderbridge import constants
+from alderbridge.leader.quota import QuotaAllocator
+from alderbridge.protocol.messages import (
+    MachineSummaries,
+    MachineSummary,
+    QueueDelta,
+    QueueRow,
+    QueueSnapshot,
+    TeamUsageDelta,
+)
+from alderbridge.protocol.wire import JobSpec, ListedMachine, MachineType
+from alderbridge.queues import HomeQueues
+from alderbridge.reconciliation import FleetKnowledge, ScaleInGuard
+from alderbridge.scheduling import placement, policy
+from alderbridge.scheduling.policy import Demand, Kind, Market, Resource
+from alderbridge.settings import Team, Tuning
+from alderbridge.state.replica import Replica
 
 log = logging.getLogger("leader")
 
--- a/alderbridge/allowances.py
+++ b/alderbridge/leader/quota.py
@@ -9,12 +9,13 @@
 
 from collections.abc import Callable, Mapping
 
-from . import constants, policy
-from .config import Team
-from .mesh import QueueRow
-from .policy import Need
-from .queues import HomeQueue
-from .wire import JobSpec
+from alderbridge import constants
+from alderbridge.protocol.messages import QueueRow
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.queues import HomeQueue
+from alderbridge.scheduling import policy
+from alderbridge.scheduling.policy import Need
+from alderbridge.settings import Team
 
 Amounts = tuple[float, float]  # cpus, gpus
 Order = Callable[[QueueRow, JobSpec], tuple]  # by which rows are sorted
--- a/alderbridge/lending/declaration.py
+++ b/alderbridge/lending/declaration.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ..config import ConfigError
-from ..wire import JobSpec
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.settings import ConfigError
 
 # section -> key -> (field, default, lowest, highest, whole number); lengths of time in s
 _KEYS: dict[str, dict[str, tuple[str, float, float, float, bool]]] = {
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -11,19 +11,19 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING, NamedTuple
 
-from .. import claims, constants
-from ..claims import Budget, Claim, Group, Held, Limit, Need, Teams, Victim, loss_s
-from ..config import Team
-from ..jobs import JobState
-from ..mesh import MachineTasks, QueueRow
-from ..placement import Offer, allowed, fits, order
-from ..policy import Kind, Resource
-from ..wire import JobSpec, MachineType
-from .declaration import Lend, Text
-from .reserve import Free, Reserve, hold
+from alderbridge import constants, preemption
+from alderbridge.jobs.shard import JobState
+from alderbridge.lending.declaration import Lend, Text
+from alderbridge.lending.reserve import Free, Reserve, hold
+from alderbridge.preemption import Budget, Claim, Group, Held, Limit, Need, Teams, Victim, loss_s
+from alderbridge.protocol.messages import MachineTasks, QueueRow
+from alderbridge.protocol.wire import JobSpec, MachineType
+from alderbridge.scheduling.placement import Offer, allowed, fits, order
+from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.settings import Team
 
 if TYPE_CHECKING:
-    from ..claims.desk import Desk
+    from alderbridge.preemption.desk import Desk
 
 REASON = "serving"
 
@@ -397,7 +397,7 @@
                     break
                 self.need = need._replace(zone=zone, count=min(need.count - served, most_there))
                 here = [one for one in machines if one.machine not in taken and zone in (None, one.kind.zone)]
-                found = claims.choose(
+                found = preemption.choose(
                     [self.need], here, self.allowed, self.cost, budget, wall, self.take, self.place, most
                 )
                 for group in found:
@@ -429,7 +429,7 @@
         beyond = self.teams.beyond(spec)
         if spec.team != team and (need.spec.id in self.own_only or not beyond):
             return False
-        if not claims.allowed(need.spec, need.guaranteed, spec, beyond):
+        if not preemption.allowed(need.spec, need.guaranteed, spec, beyond):
             return False
         return all(
             victim.ran_s >= one.least_run_s
--- a/alderbridge/machines.py
+++ b/alderbridge/machines/shard.py
@@ -21,12 +21,17 @@
 
 import msgspec
 
-from . import constants, placement
-from .hours.gate import Gate
-from .mesh import MachineSummary, MachineTaskReport, MachineTasks, StopTask, TaskGrant, TaskStatusReport
-from .placement import Candidate
-from .recovery import HeartbeatProber, ReconciliationProgress
-from .wire import (
+from alderbridge import constants
+from alderbridge.calendars.gate import Gate
+from alderbridge.protocol.messages import (
+    MachineSummary,
+    MachineTaskReport,
+    MachineTasks,
+    StopTask,
+    TaskGrant,
+    TaskStatusReport,
+)
+from alderbridge.protocol.wire import (
     Heartbeat,
     JobSpec,
     MachineRecord,
@@ -36,6 +41,9 @@
     split_task_id,
     stop_order,
 )
+from alderbridge.reconciliation import HeartbeatProber, ReconciliationProgress
+from alderbridge.scheduling import placement
+from alderbridge.scheduling.placement import Candidate
 
 log = logging.getLogger("machines")
 
--- a/alderbridge/contact.py
+++ b/alderbridge/membership/failure_detector.py
@@ -20,7 +20,7 @@
 from collections.abc import Collection
 from enum import Enum
 
-from . import constants
+from alderbridge import constants
 
 log = logging.getLogger("contact")
 
--- a/alderbridge/view.py
+++ b/alderbridge/membership/view.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from . import constants
-from .contact import FailureDetector
+from alderbridge import constants
+from alderbridge.membership.failure_detector import FailureDetector
 
 
 class View(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/alderbridge/claims/__init__.py
+++ b/alderbridge/preemption/__init__.py
@@ -4,11 +4,11 @@
 ``ledger``), the part of the machine carries out, proof clears.
 """
 
-from .budget import Budget, Limit
-from .choosing import Group, Held, Need, Victim, choose, loss, loss_s
-from .ledger import ClaimState, Ledger, Transaction
-from .preemption import Teams, allowed
-from .records import Claim, Spent, Stops, budget_of
+from alderbridge.preemption.budget import Budget, Limit
+from alderbridge.preemption.choosing import Group, Held, Need, Victim, choose, loss, loss_s
+from alderbridge.preemption.ledger import ClaimState, Ledger, Transaction
+from alderbridge.preemption.preemption import Teams, allowed
+from alderbridge.preemption.records import Claim, Spent, Stops, budget_of
 
 __all__ = [
     "Budget",
--- a/alderbridge/claims/budget.py
+++ b/alderbridge/preemption/budget.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
-from .records import Spent, budget_of
+from alderbridge.preemption.records import Spent, budget_of
 
 if TYPE_CHECKING:
-    from .choosing import Need
+    from alderbridge.preemption.choosing import Need
 
 
 class Limit(NamedTuple):
--- a/alderbridge/claims/choosing.py
+++ b/alderbridge/preemption/choosing.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from .. import constants
-from ..placement import Room, allowed, fits, minus
-from ..policy import Kind
-from ..wire import JobSpec
-from .budget import Budget
-from .records import Claim
+from alderbridge import constants
+from alderbridge.preemption.budget import Budget
+from alderbridge.preemption.records import Claim
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.scheduling.placement import Room, allowed, fits, minus
+from alderbridge.scheduling.policy import Kind
 
 Group = dict[str, Claim]  # machine -> claim; stored in one transaction
 
--- a/alderbridge/claims/desk.py
+++ b/alderbridge/preemption/desk.py
@@ -12,18 +12,18 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
-from .. import constants
-from ..leader import Leader
-from ..mesh import MachineTaskList, MachineTasks, QueueRow
-from ..placement import fits
-from ..policy import Kind
-from ..recovery import FleetKnowledge
-from ..wire import JobSpec
-from .budget import Budget, Limit
-from .choosing import Group, Held, Need, Victim
-from .ledger import Ledger
-from .preemption import Teams
-from .records import Claim, budget_of
+from alderbridge import constants
+from alderbridge.leader.leader import Leader
+from alderbridge.preemption.budget import Budget, Limit
+from alderbridge.preemption.choosing import Group, Held, Need, Victim
+from alderbridge.preemption.ledger import Ledger
+from alderbridge.preemption.preemption import Teams
+from alderbridge.preemption.records import Claim, budget_of
+from alderbridge.protocol.messages import MachineTaskList, MachineTasks, QueueRow
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.reconciliation import FleetKnowledge
+from alderbridge.scheduling.placement import fits
+from alderbridge.scheduling.policy import Kind
 
 log = logging.getLogger("claims")
 
--- a/alderbridge/claims/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -21,10 +21,10 @@
 
 import msgspec
 
-from .. import constants
-from ..store import BUDGETS, CLAIMS, STOPS
-from .choosing import Group
-from .records import Claim, Spent, Stops, budget_of
+from alderbridge import constants
+from alderbridge.preemption.choosing import Group
+from alderbridge.preemption.records import Claim, Spent, Stops, budget_of
+from alderbridge.state.store import BUDGETS, CLAIMS, STOPS
 
 log = logging.getLogger("claims")
 _claim = msgspec.json.Decoder(Claim)
--- a/alderbridge/claims/preemption.py
+++ b/alderbridge/preemption/preemption.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable, Mapping
 
-from ..config import Team
-from ..wire import JobSpec
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.settings import Team
 
 
 def allowed(need: JobSpec, guaranteed: bool, victim: JobSpec, beyond: bool) -> bool:
--- a/alderbridge/claims/records.py
+++ b/alderbridge/preemption/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .. import constants
+from alderbridge import constants
 
 Task = tuple[str, int, int]  # job, index, attempt
 
--- a/alderbridge/urgency/declaration.py
+++ b/alderbridge/priorities/declaration.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ..config import ConfigError
-from ..wire import PRIORITIES, JobSpec
+from alderbridge.protocol.wire import PRIORITIES, JobSpec
+from alderbridge.settings import ConfigError
 
 # key -> (default, lowest, highest, whole number)
 _NUMBERS: dict[str, tuple[float, float, float, bool]] = {
--- a/alderbridge/urgency/needs.py
+++ b/alderbridge/priorities/needs.py
@@ -6,13 +6,13 @@
 from collections.abc import Container, Iterable, Mapping
 from typing import TYPE_CHECKING
 
-from ..claims.choosing import Need
-from ..mesh import QueueRow
-from ..placement import order
-from ..policy import Demand, Resource, Walk
+from alderbridge.preemption.choosing import Need
+from alderbridge.protocol.messages import QueueRow
+from alderbridge.scheduling.placement import order
+from alderbridge.scheduling.policy import Demand, Resource, Walk
 
 if TYPE_CHECKING:
-    from .rules import Rules
+    from alderbridge.priorities.rules import Rules
 
 
 def needs(
--- a/alderbridge/urgency/rules.py
+++ b/alderbridge/priorities/rules.py
@@ -5,17 +5,17 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from ..claims.budget import Budget, Limit
-from ..claims.choosing import Group, Held, Need, Victim, choose, loss
-from ..claims.preemption import Teams, allowed
-from ..mesh import MachineTasks
-from ..policy import Kind
-from ..wire import JobSpec
-from .declaration import PriorityClass, Text
-from .needs import needs
+from alderbridge.preemption.budget import Budget, Limit
+from alderbridge.preemption.choosing import Group, Held, Need, Victim, choose, loss
+from alderbridge.preemption.preemption import Teams, allowed
+from alderbridge.priorities.declaration import PriorityClass, Text
+from alderbridge.priorities.needs import needs
+from alderbridge.protocol.messages import MachineTasks
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.scheduling.policy import Kind
 
 if TYPE_CHECKING:
-    from ..claims.desk import Desk
+    from alderbridge.preemption.desk import Desk
 
 REASON = "urgent"
 
--- /dev/null
+++ b/alderbridge/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Every structure that is encoded, and the names that go over the wire."""
--- a/alderbridge/wire.py
+++ b/alderbridge/protocol/wire.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from . import constants
+from alderbridge import constants
 
 JOB_ID = re.compile(r"wk-[0-9]{1,18}\Z")
 PRIORITIES = ("best_effort", "standard", "high", "production")  # lowest first
--- a/alderbridge/queues/__init__.py
+++ b/alderbridge/queues/__init__.py
@@ -4,11 +4,11 @@
 version are told the whole queue in every round, as ever. Why nothing unsafe rests on it: ``docs/design.md``, "Queues".
 """
 
-from .delta_tracker import DeltaTracker, Snapshot
-from .home_queue import HomeQueue, HomeQueues
-from .offer_book import OfferBook
-from .queue_publisher import Form, QueuePublisher, Round
-from .sender_clock import SenderClock
+from alderbridge.queues.delta_tracker import DeltaTracker, Snapshot
+from alderbridge.queues.home_queue import HomeQueue, HomeQueues
+from alderbridge.queues.offer_book import OfferBook
+from alderbridge.queues.queue_publisher import Form, QueuePublisher, Round
+from alderbridge.queues.sender_clock import SenderClock
 
 __all__ = [
     "Form",
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from .. import constants
-from ..mesh import QueueDelta, QueueRow, TeamUsage, TeamUsageDelta
-from .home_queue import Amounts
+from alderbridge import constants
+from alderbridge.protocol.messages import QueueDelta, QueueRow, TeamUsage, TeamUsageDelta
+from alderbridge.queues.home_queue import Amounts
 
 _NOTHING: Amounts = (0.0, 0.0)
 
--- a/alderbridge/queues/home_queue.py
+++ b/alderbridge/queues/home_queue.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..mesh import QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
+from alderbridge.protocol.messages import QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
 
 Amounts = tuple[float, float]  # cpus, gpus
 _NOTHING: Amounts = (0.0, 0.0)
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Callable, Iterable
 
-from .. import constants
-from ..mesh import QueueDelta, QueueRow, QueueSnapshot
-from ..placement import Offer, Offers
-from ..wire import JobSpec
+from alderbridge import constants
+from alderbridge.protocol.messages import QueueDelta, QueueRow, QueueSnapshot
+from alderbridge.protocol.wire import JobSpec
+from alderbridge.scheduling.placement import Offer, Offers
 
 
 class OfferBook:
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -13,9 +13,9 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from .. import constants
-from ..mesh import KeepAlive, Message, PeerStatus, QueueSnapshot
-from .delta_tracker import DeltaTracker, Snapshot
+from alderbridge import constants
+from alderbridge.protocol.messages import KeepAlive, Message, PeerStatus, QueueSnapshot
+from alderbridge.queues.delta_tracker import DeltaTracker, Snapshot
 
 
 class Form(Enum):
--- a/alderbridge/queues/sender_clock.py
+++ b/alderbridge/queues/sender_clock.py
@@ -9,7 +9,7 @@
 
 import math
 
-from .. import constants
+from alderbridge import constants
 
 
 class SenderClock:
--- a/alderbridge/recovery/__init__.py
+++ b/alderbridge/reconciliation/__init__.py
@@ -10,11 +10,11 @@
 * ``ScaleInGuard``: what the leader leaves undone while it does not know the fleet.
 """
 
-from .barrier import Barrier
-from .prober import HeartbeatProber
-from .progress import MachineProgress, ReconciliationProgress
-from .scale_in_guard import FleetKnowledge, ScaleInGuard
-from .transitions import TRANSITIONS, Action, ObservedState, RecordedState, reconcile
+from alderbridge.reconciliation.barrier import Barrier
+from alderbridge.reconciliation.prober import HeartbeatProber
+from alderbridge.reconciliation.progress import MachineProgress, ReconciliationProgress
+from alderbridge.reconciliation.scale_in_guard import FleetKnowledge, ScaleInGuard
+from alderbridge.reconciliation.transitions import TRANSITIONS, Action, ObservedState, RecordedState, reconcile
 
 __all__ = [
     "TRANSITIONS",
--- a/alderbridge/recovery/barrier.py
+++ b/alderbridge/reconciliation/barrier.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from ..placement import allowed
-from ..wire import JobSpec, MachineRecord
+from alderbridge.protocol.wire import JobSpec, MachineRecord
+from alderbridge.scheduling.placement import allowed
 
 
 class Barrier:
--- a/alderbridge/recovery/prober.py
+++ b/alderbridge/reconciliation/prober.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from .. import constants
+from alderbridge import constants
 
 
 class HeartbeatProber:
--- a/alderbridge/recovery/scale_in_guard.py
+++ b/alderbridge/reconciliation/scale_in_guard.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from enum import Enum
 
-from .. import constants
+from alderbridge import constants
 
 
 class FleetKnowledge(str, Enum):
--- /dev/null
+++ b/alderbridge/scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""The policy that predicts missed deadlines, and the placement of tasks on machines."""
--- a/alderbridge/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from . import constants
-from .mesh import QueueRow
-from .wire import PRIORITIES, JobSpec, MachineType
+from alderbridge import constants
+from alderbridge.protocol.messages import QueueRow
+from alderbridge.protocol.wire import PRIORITIES, JobSpec, MachineType
 
 Room = tuple[float, float, float]  # cpus, memory, gpus
 _GUARANTEED = len(PRIORITIES)  # ranks above the highest priority
--- a/alderbridge/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -24,10 +24,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from . import constants
-from .config import Objective, Tuning
-from .placement import Room, allowed, fits
-from .wire import JobSpec, MachineType
+from alderbridge import constants
+from alderbridge.protocol.wire import JobSpec, MachineType
+from alderbridge.scheduling.placement import Room, allowed, fits
+from alderbridge.settings import Objective, Tuning
 
 
 class Kind(NamedTuple):
--- a/alderbridge/config.py
+++ b/alderbridge/settings.py
@@ -7,10 +7,14 @@
 
 import msgspec
 
-from . import constants
+from alderbridge import constants
 
 DEFAULT_INI = "/etc/alderbridge/alderbridge.ini"
-KINDS = {"priorities": "urgency", "hours": "hours", "lending": "lending"}  # what operators declare -> its package
+KINDS = {
+    "priorities": "priorities",
+    "hours": "calendars",
+    "lending": "lending",
+}  # what operators declare -> its package
 
 
 class ConfigError(Exception):
--- a/alderbridge/replica.py
+++ b/alderbridge/state/replica.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from . import constants
-from .claims import Ledger
-from .declared import Declarations
-from .dependencies import Graph
-from .jobs import JobState, Record
-from .store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, STOPS, TYPES, VIEW
-from .view import MemberRecord, Membership, View
-from .wire import JobSpec, MachineRecord, MachineType, MachineTypes, WatchEvent
+from alderbridge import constants
+from alderbridge.configuration import Declarations
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.membership.view import MemberRecord, Membership, View
+from alderbridge.preemption import Ledger
+from alderbridge.protocol.wire import JobSpec, MachineRecord, MachineType, MachineTypes, WatchEvent
+from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, STOPS, TYPES, VIEW
 
 _record = msgspec.json.Decoder(Record)
 _view = msgspec.json.Decoder(View)
--- a/alderbridge/store.py
+++ b/alderbridge/state/store.py
@@ -6,9 +6,10 @@
 
 import msgspec
 
-from . import constants, wire
-from .config import address
-from .net import Client
+from alderbridge import constants
+from alderbridge.protocol import wire
+from alderbridge.settings import address
+from alderbridge.transport.http import Client
 
 _rows = msgspec.json.Decoder(wire.KeyValuePage)
 _row = msgspec.json.Decoder(wire.KeyValue)
--- a/alderbridge/shares.py
+++ b/alderbridge/state/write_rate_limit.py
@@ -9,8 +9,8 @@
 
 import math
 
-from . import constants
-from .net import TokenBucket
+from alderbridge import constants
+from alderbridge.transport.http import TokenBucket
 
 
 class WriteRateLimit:
--- a/alderbridge/net.py
+++ b/alderbridge/transport/http.py
@@ -18,8 +18,8 @@
 from curio import socket as curio_socket
 from curio.traps import _read_wait
 
-from . import constants
-from .poll import IN, OUT, Listener, Poll, listening
+from alderbridge import constants
+from alderbridge.transport.selector import IN, OUT, Listener, Poll, listening
 
 log = logging.getLogger("net")
 now = time.monotonic
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -6,19 +6,20 @@
 
 from msgspec import Raw
 
-from alderbridge import config, mesh, wire
-from alderbridge.claims.records import Claim, Spent, Stops
-from alderbridge.declared.records import Head, Revision, head_key, piece_keys
-from alderbridge.hours import declaration as hours
-from alderbridge.jobs import JobState, Record, TaskState
+from alderbridge import settings
+from alderbridge.calendars import declaration as hours
+from alderbridge.configuration.records import Head, Revision, head_key, piece_keys
+from alderbridge.jobs.shard import JobState, Record, TaskState
 from alderbridge.lending import declaration as lending
 from alderbridge.lending import lender
-from alderbridge.machines import MachineState
-from alderbridge.replica import list_keys
-from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, ROOT, STOPS, TYPES, VIEW
-from alderbridge.urgency import declaration as priorities
-from alderbridge.urgency import rules
-from alderbridge.view import MemberRecord, View
+from alderbridge.machines.shard import MachineState
+from alderbridge.membership.view import MemberRecord, View
+from alderbridge.preemption.records import Claim, Spent, Stops
+from alderbridge.priorities import declaration as priorities
+from alderbridge.priorities import rules
+from alderbridge.protocol import messages, wire
+from alderbridge.state.replica import list_keys
+from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, ROOT, STOPS, TYPES, VIEW
 
 JOB = wire.JobSpec(
     id="wk-000017",
@@ -70,7 +71,7 @@
 )
 MACHINE_TYPE_REQUIRED = wire.MachineType(name="m8", cpus=8.5, memory_gb=32.5, price=1.5, boot_s=30.5)
 
-QUEUE_ROW = mesh.QueueRow(
+QUEUE_ROW = messages.QueueRow(
     job="wk-000017",
     waiting=9,
     offer=8,
@@ -84,7 +85,7 @@
     inherited=2,
     priority_boost=1,
 )
-QUEUE_ROW_OLDER = mesh.QueueRow(
+QUEUE_ROW_OLDER = messages.QueueRow(
     job="wk-000017",
     waiting=9,
     offer=8,
@@ -98,8 +99,8 @@
 
 # Messages between controllers, each in a frame.
 MESSAGES = {
-    "message-pulse": mesh.KeepAlive(),
-    "message-queue": mesh.QueueSnapshot(
+    "message-pulse": messages.KeepAlive(),
+    "message-queue": messages.QueueSnapshot(
         rows=[QUEUE_ROW],
         used={"forecasts": (1.5, 2.5)},
         reserved={"forecasts": (3.5, 4.5)},
@@ -109,17 +110,17 @@
         failed=["host-3"],
         changes=55,
     ),
-    "message-queue-changes": mesh.QueueDelta(at=812.5, rows=[QUEUE_ROW], gone=["wk-000009"], whole=True),
-    "message-team-changes": mesh.TeamUsageDelta(
-        teams={"forecasts": mesh.TeamUsage(used=(1.5, 2.5), reserved=(3.5, 4.5), demand=(5.5, 6.5))},
+    "message-queue-changes": messages.QueueDelta(at=812.5, rows=[QUEUE_ROW], gone=["wk-000009"], whole=True),
+    "message-team-changes": messages.TeamUsageDelta(
+        teams={"forecasts": messages.TeamUsage(used=(1.5, 2.5), reserved=(3.5, 4.5), demand=(5.5, 6.5))},
         allocations_received=7,
         whole=True,
     ),
-    "message-status": mesh.PeerStatus(suspected=["host-2"], failed=["host-3"], changes=55),
-    "message-allot-changes": mesh.QuotaDelta(teams={"forecasts": (7.5, 8.5)}),
-    "message-room": mesh.MachineSummaries(
+    "message-status": messages.PeerStatus(suspected=["host-2"], failed=["host-3"], changes=55),
+    "message-allot-changes": messages.QuotaDelta(teams={"forecasts": (7.5, 8.5)}),
+    "message-room": messages.MachineSummaries(
         rows=[
-            mesh.MachineSummary(
+            messages.MachineSummary(
                 machine="vm-1",
                 type="g4",
                 zone="north-1",
@@ -132,24 +133,24 @@
             )
         ]
     ),
-    "message-take": mesh.TaskRequest(request_id=4, job="wk-000017", machine="vm-1", zone="north-1", count=6),
-    "message-grant": mesh.TaskGrant(request_id=4, job="wk-000017", machine="vm-1", tasks=[(5, 2)]),
-    "message-seen": mesh.MachineTaskReport(
+    "message-take": messages.TaskRequest(request_id=4, job="wk-000017", machine="vm-1", zone="north-1", count=6),
+    "message-grant": messages.TaskGrant(request_id=4, job="wk-000017", machine="vm-1", tasks=[(5, 2)]),
+    "message-seen": messages.MachineTaskReport(
         machine="vm-1",
         zone="north-1",
         processed_seq=31,
-        tasks=[mesh.TaskStatusReport(job="wk-000017", index=5, attempt=2, status="ended", cause="error")],
+        tasks=[messages.TaskStatusReport(job="wk-000017", index=5, attempt=2, status="ended", cause="error")],
         pending=[("wk-000018", 6, 3)],
     ),
-    "message-clear": mesh.AcknowledgeFinished(machine="vm-1", job="wk-000017", index=5, attempt=2),
-    "message-halt": mesh.StopTask(machine="vm-1", job="wk-000017", index=5, attempt=2, wind_down_s=3.5),
-    "message-allot": mesh.QuotaAllocation(teams={"forecasts": (7.5, 8.5)}),
-    "message-drain": mesh.DrainMachines(machines=["vm-1", "vm-2"]),
-    "message-gone": mesh.MachinesTerminated(machines=["vm-1", "vm-2"]),
-    "message-show": mesh.ListMachineTasks(),
-    "message-tasks": mesh.MachineTaskList(
+    "message-clear": messages.AcknowledgeFinished(machine="vm-1", job="wk-000017", index=5, attempt=2),
+    "message-halt": messages.StopTask(machine="vm-1", job="wk-000017", index=5, attempt=2, wind_down_s=3.5),
+    "message-allot": messages.QuotaAllocation(teams={"forecasts": (7.5, 8.5)}),
+    "message-drain": messages.DrainMachines(machines=["vm-1", "vm-2"]),
+    "message-gone": messages.MachinesTerminated(machines=["vm-1", "vm-2"]),
+    "message-show": messages.ListMachineTasks(),
+    "message-tasks": messages.MachineTaskList(
         rows=[
-            mesh.MachineTasks(
+            messages.MachineTasks(
                 machine="vm-1",
                 free=(2.5, 3.5, 4.5),
                 tasks=[("wk-000017", 5, 2, 61.5, True)],
@@ -158,29 +159,31 @@
         ],
         whole=True,
     ),
-    "message-keep": mesh.GpuReservation(gpus={"vm-1": 2.5}),
-    "message-ask": mesh.JobQuery(query_id=14, kind="withdraw", job="wk-000017"),
-    "message-reply": mesh.JobQueryReply(query_id=14, status=404, body=b'{"error":"no such job"}'),
+    "message-keep": messages.GpuReservation(gpus={"vm-1": 2.5}),
+    "message-ask": messages.JobQuery(query_id=14, kind="withdraw", job="wk-000017"),
+    "message-reply": messages.JobQueryReply(query_id=14, status=404, body=b'{"error":"no such job"}'),
 }
 FRAMES = {
-    name: mesh.Frame(version="0.9.1", sender="host-1", fencing_token=21, seq=33, ack=32, body=body, sender_lease_id=5)
+    name: messages.Frame(
+        version="0.9.1", sender="host-1", fencing_token=21, seq=33, ack=32, body=body, sender_lease_id=5
+    )
     for name, body in MESSAGES.items()
 }
 
 # Frames of older versions, which end before the newest fields.
 OLDER_FRAMES = {
-    name: mesh.Frame(version="0.1.0", sender="host-1", fencing_token=21, seq=33, ack=32, body=body)
+    name: messages.Frame(version="0.1.0", sender="host-1", fencing_token=21, seq=33, ack=32, body=body)
     for name, body in {
-        "older-message-pulse": mesh.KeepAlive(),
-        "older-message-queue": mesh.QueueSnapshot(
+        "older-message-pulse": messages.KeepAlive(),
+        "older-message-queue": messages.QueueSnapshot(
             rows=[QUEUE_ROW_OLDER],
             used={"forecasts": (1.5, 2.5)},
             reserved={"forecasts": (3.5, 4.5)},
             demand={"forecasts": (5.5, 6.5)},
             allocations_received=7,
         ),
-        "older-message-tasks": mesh.MachineTaskList(
-            rows=[mesh.MachineTasks(machine="vm-1", free=(2.5, 3.5, 4.5), tasks=[("wk-000017", 5, 2, 61.5, True)])],
+        "older-message-tasks": messages.MachineTaskList(
+            rows=[messages.MachineTasks(machine="vm-1", free=(2.5, 3.5, 4.5), tasks=[("wk-000017", 5, 2, 61.5, True)])],
             whole=True,
         ),
     }.items()
@@ -424,56 +427,56 @@
         ],
         "priorities, lowest first": wire.PRIORITIES,
         "reasons of claims, for priority and for lent GPUs": [rules.REASON, lender.REASON],
-        "kinds of declarations": list(config.KINDS),
+        "kinds of declarations": list(settings.KINDS),
     },
 }
 
 # Settings of the platform, and of operators.
 PLATFORM = {
-    "settings-platform": config.Platform(
+    "settings-platform": settings.Platform(
         label="host-1",
         location="north-1",
         listen="10.0.0.1:8001",
         mesh_addr="10.0.0.1:9001",
-        peers=[config.Peer(label="host-2", location="south-2", addr="10.0.0.2:9001")],
-        endpoints=config.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
-        settings=config.Shared(
+        peers=[settings.Peer(label="host-2", location="south-2", addr="10.0.0.2:9001")],
+        endpoints=settings.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
+        settings=settings.Shared(
             zones=["north-1", "south-2"],
-            teams=[config.Team(name="forecasts", cpus=10.5, cpus_max=20.5, gpus=1.5, gpus_max=2.5)],
-            workers=config.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
-            state=config.State(
+            teams=[settings.Team(name="forecasts", cpus=10.5, cpus_max=20.5, gpus=1.5, gpus_max=2.5)],
+            workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
+            state=settings.State(
                 rps=50.5,
                 write_rps=20.5,
                 value_kb=64.5,
                 txn_ops=32,
-                next=config.NextState(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
+                next=settings.NextState(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
             ),
-            cloud=config.Cloud(rps=5.5, list_lag_s=3.5),
-            limits=config.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
-            objectives=[config.Objective(kind="wait", job_class="batch-fit", within_s=60.5, share=0.95, times=1.25)],
+            cloud=settings.Cloud(rps=5.5, list_lag_s=3.5),
+            limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
+            objectives=[settings.Objective(kind="wait", job_class="batch-fit", within_s=60.5, share=0.95, times=1.25)],
             skew_ms=200.5,
         ),
     ),
-    "settings-platform-required": config.Platform(
+    "settings-platform-required": settings.Platform(
         label="host-1",
         location="north-1",
         listen="10.0.0.1:8001",
         mesh_addr="10.0.0.1:9001",
         peers=[],
-        endpoints=config.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
-        settings=config.Shared(
+        endpoints=settings.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
+        settings=settings.Shared(
             zones=["north-1"],
-            teams=[config.Team(name="forecasts", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
-            workers=config.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
-            state=config.State(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
-            cloud=config.Cloud(rps=5.5, list_lag_s=3.5),
-            limits=config.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
-            objectives=[config.Objective(kind="wait", job_class=None, within_s=None, share=0.0, times=None)],
+            teams=[settings.Team(name="forecasts", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
+            workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
+            state=settings.State(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
+            cloud=settings.Cloud(rps=5.5, list_lag_s=3.5),
+            limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
+            objectives=[settings.Objective(kind="wait", job_class=None, within_s=None, share=0.0, times=None)],
             skew_ms=0.0,
         ),
     ),
 }
-OPERATORS = config.Tuning(
+OPERATORS = settings.Tuning(
     target_ratio=0.55,
     workload_multiplier=1.75,
     queue_time_floor_s=4.5,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -5,13 +5,13 @@
 import pytest
 from world import LABELS, TYPES, platform
 
-from alderbridge import wire
-from alderbridge.config import Tuning
-from alderbridge.controller import Controller
-from alderbridge.jobs import JobState, Record
-from alderbridge.net import UnansweredError
-from alderbridge.poll import Poll
-from alderbridge.store import JOBS
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.protocol import wire
+from alderbridge.settings import Tuning
+from alderbridge.state.store import JOBS
+from alderbridge.transport.http import UnansweredError
+from alderbridge.transport.selector import Poll
 
 JOB = {
     "id": "wk-000412",
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,15 +9,16 @@
 import pytest
 from world import TEAMS, TYPES, Broken, World
 
-from alderbridge import claims, wire
-from alderbridge.claims import Budget, Held, Ledger, Limit, Need, Spent, Victim, choose
-from alderbridge.claims.desk import Desk
-from alderbridge.config import ConfigError
-from alderbridge.jobs import JobState, Record
-from alderbridge.placement import allowed, fits, minus
-from alderbridge.policy import Kind
-from alderbridge.store import BUDGETS, CLAIMS, JOBS
-from alderbridge.urgency import Text, check_lines, needs, parse, rules
+from alderbridge import preemption
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.preemption import Budget, Held, Ledger, Limit, Need, Spent, Victim, choose
+from alderbridge.preemption.desk import Desk
+from alderbridge.priorities import Text, check_lines, needs, parse, rules
+from alderbridge.protocol import wire
+from alderbridge.scheduling.placement import allowed, fits, minus
+from alderbridge.scheduling.policy import Kind
+from alderbridge.settings import ConfigError
+from alderbridge.state.store import BUDGETS, CLAIMS, JOBS
 
 INI = """
 [class */urgent]
@@ -51,7 +52,7 @@
 
     def __init__(self, seed: int, falls_in_claims: bool = True, **more) -> None:
         self.text = declared()
-        self.open: dict[str, claims.Claim] = {}  # machine -> the claim in the store
+        self.open: dict[str, preemption.Claim] = {}  # machine -> the claim in the store
         self.victims: Counter[tuple[str, int]] = Counter()
         self.claimed: set[tuple[str, int]] = set()  # task, attempt
         self.spent: list[tuple[float, str, int]] = []
@@ -168,7 +169,7 @@
         )
         return guarantee > 0 and taken <= guarantee + 1e-9
 
-    def there(self, machine: str, claim: claims.Claim) -> int:
+    def there(self, machine: str, claim: preemption.Claim) -> int:
         """Victims still on the machine, as the same attempt."""
         worker = self.machines.get(machine)
         tasks = worker.tasks if worker is not None else {}
@@ -191,7 +192,7 @@
         if new and self.falls_in_claims and self.t < self.quiet_from:
             self.shake(list(new.values()))
 
-    def may_claim(self, machine: str, claim: claims.Claim) -> None:
+    def may_claim(self, machine: str, claim: preemption.Claim) -> None:
         need, team = self.specs[claim.job], self.specs[claim.job].team
         made_for = sum(
             other.count
@@ -385,7 +386,7 @@
 def pick(need_spec, count, *machines, most=12, limit=ANY, may=lambda need, victim: True):
     need = Need(need_spec, count, 5.0, "urgent")
     budget = Budget(Spent(), 100.0, {}, 100, lambda need: limit)
-    return choose([need], machines, may, claims.loss, budget, 100.0, most=most)
+    return choose([need], machines, may, preemption.loss, budget, 100.0, most=most)
 
 
 def stopped(groups):
@@ -428,7 +429,7 @@
     machines = [held("a", young, cpus=2.0), held("b", old, cpus=2.0)]
     urgent_first = [Need(job("9", "high"), 1, 5.0, "urgent"), Need(middle, 1, 5.0, "urgent")]
     for needs_in_turn, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
-        groups = choose(needs_in_turn, machines, lambda need, victim: True, claims.loss, budget, 100.0)
+        groups = choose(needs_in_turn, machines, lambda need, victim: True, preemption.loss, budget, 100.0)
         assert stopped(groups) == expected
 
 
@@ -473,11 +474,11 @@
 
 def test_what_the_protocol_allows():
     high, low = job("1", "high", team="a"), job("2", "best_effort", team="b")
-    assert claims.allowed(high, False, low, False) and not claims.allowed(low, False, high, True)
-    assert claims.allowed(low, True, high, True)  # a guarantee, against another team's excess
-    assert not claims.allowed(low, True, high, False) and not claims.allowed(low, False, low, True)
-    assert not claims.allowed(job("3", team="b"), True, job("4", team="b"), True)  # within one team priority alone
-    teams = claims.Teams(TEAMS, {"bound": (10.0, 0.0)})
+    assert preemption.allowed(high, False, low, False) and not preemption.allowed(low, False, high, True)
+    assert preemption.allowed(low, True, high, True)  # a guarantee, against another team's excess
+    assert not preemption.allowed(low, True, high, False) and not preemption.allowed(low, False, low, True)
+    assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)  # within one team priority alone
+    teams = preemption.Teams(TEAMS, {"bound": (10.0, 0.0)})
     assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
     teams.take(job("5", team="bound"), 1)
     assert not teams.beyond(job("5", team="bound"))
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -7,10 +7,10 @@
 from world import Broken, SimController, World
 
 from alderbridge import constants
-from alderbridge.contact import FailureDetector, PeerState
-from alderbridge.core import ControllerCore
-from alderbridge.store import VIEW
-from alderbridge.view import MemberRecord, Membership, View
+from alderbridge.controller.core import ControllerCore
+from alderbridge.membership.failure_detector import FailureDetector, PeerState
+from alderbridge.membership.view import MemberRecord, Membership, View
+from alderbridge.state.store import VIEW
 
 
 class Tied(SimController):
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -9,13 +9,14 @@
 import world
 from world import Broken, World
 
-from alderbridge import cli, constants, declared, wire
-from alderbridge.config import ConfigError, NextState
-from alderbridge.core import ControllerCore
-from alderbridge.declared import Declarations, Head, Revision, records, texts
-from alderbridge.declared import declarations as machine
-from alderbridge.store import DECLARED
-from alderbridge.view import Membership
+from alderbridge import cli, configuration, constants
+from alderbridge.configuration import Declarations, Head, Revision, records, texts
+from alderbridge.configuration import declarations as machine
+from alderbridge.controller.core import ControllerCore
+from alderbridge.membership.view import Membership
+from alderbridge.protocol import wire
+from alderbridge.settings import ConfigError, NextState
+from alderbridge.state.store import DECLARED
 
 
 class Text(msgspec.Struct):
@@ -32,13 +33,13 @@
 @pytest.fixture(autouse=True)
 def readers(monkeypatch):
     reader = SimpleNamespace(Text=Text, parse=parse, check_lines=lambda text: [f"words: {' '.join(text.words)}"])
-    for kind in declared.KINDS:
+    for kind in configuration.KINDS:
         monkeypatch.setitem(texts.READERS, kind, reader)
 
 
 def declare(kind, revision, words):
     raw = msgspec.json.encode(Text(words)) if words else b""
-    return declared.Declared(kind, revision, texts.digest_of(raw), raw)
+    return configuration.Declared(kind, revision, texts.digest_of(raw), raw)
 
 
 # -- files
@@ -71,7 +72,7 @@
     if text is not None:
         path.write_text(text)
     with pytest.raises(ConfigError) as error:
-        declared.load(str(path), "hours")
+        configuration.load(str(path), "hours")
     assert fault in str(error.value) and str(error.value).startswith(str(path)) and "\n" not in str(error.value)
 
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -4,12 +4,13 @@
 
 import pytest
 
-from alderbridge import constants, policy
-from alderbridge.config import Objective, Tuning
-from alderbridge.dependencies import NEVER, Graph
-from alderbridge.mesh import QueueRow
-from alderbridge.placement import order
-from alderbridge.wire import JobSpec, MalformedBodyError, parse_job
+from alderbridge import constants
+from alderbridge.jobs.dependencies import NEVER, Graph
+from alderbridge.protocol.messages import QueueRow
+from alderbridge.protocol.wire import JobSpec, MalformedBodyError, parse_job
+from alderbridge.scheduling import policy
+from alderbridge.scheduling.placement import order
+from alderbridge.settings import Objective, Tuning
 
 
 def spec(job, priority="standard", estimate_s=10.0, due_s=None, **more):
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -14,10 +14,12 @@
 import msgspec
 import pytest
 
-from alderbridge import config, mesh, wire
+from alderbridge import settings
 from alderbridge.cloud import Cloud
-from alderbridge.declared import texts
-from alderbridge.store import Store
+from alderbridge.configuration import texts
+from alderbridge.protocol import messages, wire
+from alderbridge.state.store import Store
+from alderbridge.transport import mesh
 
 FOLDER = Path(__file__).parent / "encoded_forms"
 BOTH_WAYS = examples.RECORDS | examples.RECEIVED | {"settings-platform": examples.PLATFORM["settings-platform"]}
@@ -29,7 +31,7 @@
 MADE = examples.SENT | {name: wire.encode(value) for name, value in examples.TEXTS.items()}
 REQUESTS = ("requests-store", "requests-cloud")
 SPARSE = type(examples.RECORDS["declared-hours"].calendars[0])  # a calendar has hours, or is made of others
-INI_FILES = {"operators", *config.KINDS}
+INI_FILES = {"operators", *settings.KINDS}
 
 
 def content(file):
@@ -163,16 +165,16 @@
 
 @pytest.mark.parametrize("name", examples.PLATFORM)
 def test_each_key_of_the_platforms_settings_lands_in_its_value(name):
-    assert config.load_platform(str(FOLDER / f"{name}.json")) == examples.PLATFORM[name]
+    assert settings.load_platform(str(FOLDER / f"{name}.json")) == examples.PLATFORM[name]
 
 
 def test_each_key_of_the_operators_settings_lands_in_its_value():
-    found = config.load_tuning(str(FOLDER / "operators.ini"))
+    found = settings.load_tuning(str(FOLDER / "operators.ini"))
     files = {kind: str(FOLDER / file) for kind, file in examples.OPERATORS.declared.items()}
     assert found == msgspec.structs.replace(examples.OPERATORS, declared=files)
 
 
-@pytest.mark.parametrize("kind", config.KINDS)
+@pytest.mark.parametrize("kind", settings.KINDS)
 def test_what_operators_declare_is_compiled_to_the_same_text(kind):
     found = texts.load(str(FOLDER / f"{kind}.ini"), kind)
     text = content(f"declared-{kind}.json")
@@ -187,10 +189,10 @@
 def test_each_file_is_read_by_a_test_and_each_message_has_one():
     expected = {f"{name}.hex" for name in [*examples.FRAMES, *examples.OLDER_FRAMES]}
     expected |= {f"{name}.json" for name in [*BOTH_WAYS, *ONE_WAY, *MADE]}
-    expected |= {f"{name}.txt" for name in [*REQUESTS, *(f"digest-{kind}" for kind in config.KINDS)]}
+    expected |= {f"{name}.txt" for name in [*REQUESTS, *(f"digest-{kind}" for kind in settings.KINDS)]}
     expected |= {f"{name}.ini" for name in INI_FILES}
     assert {path.name for path in FOLDER.iterdir()} == expected
-    assert {type(body) for body in examples.MESSAGES.values()} == set(get_args(mesh.Body))
+    assert {type(body) for body in examples.MESSAGES.values()} == set(get_args(messages.Body))
 
 
 def test_examples_of_frames_and_values_fill_in_every_field():
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -5,15 +5,16 @@
 import pytest
 from world import Broken, World, platform
 
-from alderbridge import constants, controller, wire
-from alderbridge import mesh as m
-from alderbridge.config import Tuning
-from alderbridge.controller import Controller
-from alderbridge.core import ControllerCore
-from alderbridge.jobs import Job, JobShard, JobState, Record
-from alderbridge.placement import Candidate, Offer, Offers, fill
-from alderbridge.poll import Poll
-from alderbridge.view import Membership, MemberStatus
+from alderbridge import constants
+from alderbridge.controller import process
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.membership.view import Membership, MemberStatus
+from alderbridge.protocol import messages, wire
+from alderbridge.scheduling.placement import Candidate, Offer, Offers, fill
+from alderbridge.settings import Tuning
+from alderbridge.transport.selector import Poll
 
 # The lowest label that is up proposes at once, the others a head start later each: so a view that lacks somebody is
 # followed by another within this, however often members flap, while the store answers: two rounds and the follower.
@@ -89,15 +90,15 @@
     while not (core := world.nodes[home].core).loaded:
         world.run(world.t + 0.01)
     assert not core.is_member and core.membership.fencing_token == owner.membership.fencing_token
-    seen = m.MachineTaskReport(
-        run.machine, run.zone, 0, [m.TaskStatusReport(name, index, run.attempt, "running", None)], []
+    seen = messages.MachineTaskReport(
+        run.machine, run.zone, 0, [messages.TaskStatusReport(name, index, run.attempt, "running", None)], []
     )
     core.on_frame(owner.channels[home].post(seen, world.t), world.t)
-    assert not [body for _, body in core.outgoing_frames if not isinstance(body.body, m.KeepAlive)], (
+    assert not [body for _, body in core.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
         "no halt of what it ran"
     )
     assert core.channels[part].received == 0, "nor an acknowledgement"
-    core.on_frame(owner.channels[home].post_unreliable(m.JobQuery(7, "status", name)), world.t)
+    core.on_frame(owner.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
     assert [ask.query_id for _, ask in core.queries] == [7], "questions are taken; 503 has the asker read the store"
 
 
@@ -173,7 +174,7 @@
         async def deliver():
             while not second.asks:
                 await curio.sleep(0)
-            second.core.query_replies.append(m.JobQueryReply(next(iter(second.asks)), 200, body))
+            second.core.query_replies.append(messages.JobQueryReply(next(iter(second.asks)), 200, body))
             await second.after()
 
         task = await curio.spawn(deliver)
@@ -187,7 +188,7 @@
 
 def test_a_job_about_which_nothing_is_answered_is_named_now_and_then(monkeypatch, caplog):
     control, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()), [100.0]
-    monkeypatch.setattr(controller, "now", lambda: clock[0])
+    monkeypatch.setattr(process, "now", lambda: clock[0])
     caplog.set_level("INFO")
     for status in [503] * 20 + [200] + [503] * 5:
         control.noted("wk-000001", (status, b"", []))
@@ -219,7 +220,7 @@
 
 
 def row(spec, waited, due, **more):
-    return m.QueueRow(spec.id, spec.tasks, spec.tasks, due, 20.0, None, waited, False, False, **more)
+    return messages.QueueRow(spec.id, spec.tasks, spec.tasks, due, 20.0, None, waited, False, False, **more)
 
 
 def test_room_is_kept_for_a_task_that_fits_no_rest_of_a_machine():
@@ -256,12 +257,12 @@
         return found.offer, found.priority_boost
 
     assert told(10.0) == (400, 0) and told(constants.STARVED_JOB_S) == (1, 2)
-    home.on_task_request("host-0", m.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
+    home.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.has_started = True
     assert told(122.0) == (399, 0) and told(121.0 + constants.LATE_BOOST_S) == (50, 1)
-    home.on_task_request("host-0", m.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
+    home.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
     assert told(183.0) == (30, 1), "the turn lasts until its share is granted"
-    home.on_task_request("host-0", m.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
+    home.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
     assert told(185.0) == (349, 0)
     first, other = Offers(), msgspec.structs.replace(LARGE, priority="high")
     first.tell(
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from alderbridge import wire
-from alderbridge.config import ConfigError
-from alderbridge.hours import Text, Timetable, Timetables, check_lines, parse
-from alderbridge.hours.declaration import Calendar, Class, day_number
-from alderbridge.hours.timetable import DAY, NEVER, load_zone
+from alderbridge.calendars import Text, Timetable, Timetables, check_lines, parse
+from alderbridge.calendars.declaration import Calendar, Class, day_number
+from alderbridge.calendars.timetable import DAY, NEVER, load_zone
+from alderbridge.protocol import wire
+from alderbridge.settings import ConfigError
 
 ZONES = ("Europe/Oslo", "Europe/London")
 SPEC = wire.JobSpec(
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -6,13 +6,14 @@
 import pytest
 import world as w
 
-from alderbridge import constants, wire
-from alderbridge.core import ControllerCore
-from alderbridge.hours import Text, Timetable
-from alderbridge.hours.declaration import Calendar, Class
-from alderbridge.hours.timetable import DAY, NEVER
-from alderbridge.jobs import JobShard
-from alderbridge.mesh import TaskRequest
+from alderbridge import constants
+from alderbridge.calendars import Text, Timetable
+from alderbridge.calendars.declaration import Calendar, Class
+from alderbridge.calendars.timetable import DAY, NEVER
+from alderbridge.controller.core import ControllerCore
+from alderbridge.jobs.shard import JobShard
+from alderbridge.protocol import wire
+from alderbridge.protocol.messages import TaskRequest
 
 BASE = 20752 * DAY - 180.0  # three minutes before midnight, UTC
 SKEW_S, KEY, TTL_S = 2.0, "ab/hours", constants.TOTAL_LEASE_S - w.LEASE_S
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -11,22 +11,30 @@
 from test_claims import ClaimsWorld
 from world import Broken
 
-from alderbridge import claims, constants, wire
-from alderbridge.claims import Budget, Held, Spent, Teams, Victim
-from alderbridge.claims.desk import Desk
-from alderbridge.config import ConfigError, Team, Tuning
-from alderbridge.dependencies import Graph
-from alderbridge.jobs import JobState, Record
-from alderbridge.leader import Leader
+from alderbridge import constants, preemption
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.leader.leader import Leader
 from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, check_lines, hold, parse
 from alderbridge.lending.lender import Site
 from alderbridge.lending.reserve import Free
-from alderbridge.mesh import MachineSummaries, MachineSummary, MachineTaskList, MachineTasks, QueueRow, QueueSnapshot
-from alderbridge.placement import Offer, fits
-from alderbridge.policy import Kind, Resource
-from alderbridge.replica import Replica
-from alderbridge.view import Membership
-from alderbridge.wire import JobSpec, MachineType
+from alderbridge.membership.view import Membership
+from alderbridge.preemption import Budget, Held, Spent, Teams, Victim
+from alderbridge.preemption.desk import Desk
+from alderbridge.protocol import wire
+from alderbridge.protocol.messages import (
+    MachineSummaries,
+    MachineSummary,
+    MachineTaskList,
+    MachineTasks,
+    QueueRow,
+    QueueSnapshot,
+)
+from alderbridge.protocol.wire import JobSpec, MachineType
+from alderbridge.scheduling.placement import Offer, fits
+from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.settings import ConfigError, Team, Tuning
+from alderbridge.state.replica import Replica
 
 ZONES = ["a", "b", "c"]
 TYPES = {
@@ -264,7 +272,7 @@
 
 BROKEN = {
     "a team below its guarantee for another": (Teams, "beyond", lambda self, spec: True),
-    "preemption that the protocol does not allow": (claims, "allowed", lambda *args: True),
+    "preemption that the protocol does not allow": (preemption, "allowed", lambda *args: True),
     "faster than the pace": (Lender, "_left", lambda self, team: 1000.0),
     "more in a zone than apart allows": (Lender, "_quota", staticmethod(lambda spec, here, zone: spec.tasks)),
     "room that its team may not use": (Lender, "_headroom", lambda self, spec, used: math.inf),
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -3,9 +3,9 @@
 from random import Random
 
 from alderbridge import constants
-from alderbridge.machines import MachineShard
-from alderbridge.mesh import MachineTaskReport, TaskGrant
-from alderbridge.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
+from alderbridge.machines.shard import MachineShard
+from alderbridge.protocol.messages import MachineTaskReport, TaskGrant
+from alderbridge.protocol.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
 
 SPEC = JobSpec(
     id="wk-1",
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,15 +6,16 @@
 import pytest
 from world import KNOWN_S, ROOM_S, ZONES, Broken, World
 
-from alderbridge import placement, wire
-from alderbridge.contact import FailureDetector
-from alderbridge.controller import Controller
-from alderbridge.core import ControllerCore
-from alderbridge.jobs import JobShard, JobState
-from alderbridge.leader import Leader
-from alderbridge.machines import MachineShard
-from alderbridge.store import JOBS, VIEW
-from alderbridge.view import Membership, StoreLease
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import JobShard, JobState
+from alderbridge.leader.leader import Leader
+from alderbridge.machines.shard import MachineShard
+from alderbridge.membership.failure_detector import FailureDetector
+from alderbridge.membership.view import Membership, StoreLease
+from alderbridge.protocol import wire
+from alderbridge.scheduling import placement
+from alderbridge.state.store import JOBS, VIEW
 
 
 def meetings(seed, nodes, times=2, jobs=18, **more):
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -12,16 +12,16 @@
 from test_meetings_store import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
 from world import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
 
-from alderbridge import constants, declared, wire
-from alderbridge import mesh as m
-from alderbridge.claims import Claim
-from alderbridge.contact import FailureDetector
-from alderbridge.core import ControllerCore
-from alderbridge.declared import Declarations, texts
-from alderbridge.jobs import JobState, Record, TaskState
-from alderbridge.machines import MachineState
-from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
-from alderbridge.view import View, rendezvous_owner
+from alderbridge import configuration, constants
+from alderbridge.configuration import Declarations, texts
+from alderbridge.controller.core import ControllerCore
+from alderbridge.jobs.shard import JobState, Record, TaskState
+from alderbridge.machines.shard import MachineState
+from alderbridge.membership.failure_detector import FailureDetector
+from alderbridge.membership.view import View, rendezvous_owner
+from alderbridge.preemption import Claim
+from alderbridge.protocol import messages, wire
+from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
 
 # -- one node, one store: what is written is read by others at once ------------------
 
@@ -143,13 +143,15 @@
     alone.follow()
     at_once(alone, shown)
     alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
-    assert stored(alone).done == [(0, 1)] and not [body for body in sent if isinstance(body, m.AcknowledgeFinished)]
+    assert stored(alone).done == [(0, 1)] and not [
+        body for body in sent if isinstance(body, messages.AcknowledgeFinished)
+    ]
     at_same_time(alone, there)
     assert there.core.replica.left[SPEC.id] == SPEC.tasks - 1
     alone.t += 1.0
     alone.follow()
     alone.write()
-    assert [body.index for body in sent if isinstance(body, m.AcknowledgeFinished)] == [0], (
+    assert [body.index for body in sent if isinstance(body, messages.AcknowledgeFinished)] == [0], (
         "once: it has read its own write"
     )
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
@@ -390,7 +392,7 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_a_head_in_doubt_is_obeyed_beside_the_one_before_by_whoever_has_read_it(shown):
     raw = msgspec.json.encode({"words": ["a"]})
-    own = declared.Declared("hours", 3, texts.digest_of(raw), raw)
+    own = configuration.Declared("hours", 3, texts.digest_of(raw), raw)
     one, other = (Declarations(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
     membership = SimpleNamespace(
         registered={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
@@ -470,9 +472,11 @@
             super().follow()
 
     def frame(self, data: bytes) -> None:
-        if self.world.halts_lost and isinstance(msgspec.msgpack.decode(data, type=m.Frame).body, m.StopTask):
-            frame = msgspec.msgpack.decode(data, type=m.Frame)
-            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.KeepAlive()))
+        if self.world.halts_lost and isinstance(
+            msgspec.msgpack.decode(data, type=messages.Frame).body, messages.StopTask
+        ):
+            frame = msgspec.msgpack.decode(data, type=messages.Frame)
+            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=messages.KeepAlive()))
         super().frame(data)
 
 
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -7,16 +7,17 @@
 from test_flapping import takes_itself_for_the_one_before
 from world import Broken, World, platform
 
-from alderbridge import constants, controller, wire
-from alderbridge import mesh as m
-from alderbridge.config import Tuning
-from alderbridge.contact import FailureDetector
-from alderbridge.controller import Controller
-from alderbridge.core import ControllerCore
-from alderbridge.jobs import JobState, Record
-from alderbridge.machines import Machine
-from alderbridge.poll import Poll
-from alderbridge.view import Membership, MemberStatus, StoreLease, View
+from alderbridge import constants
+from alderbridge.controller import process
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.machines.shard import Machine
+from alderbridge.membership.failure_detector import FailureDetector
+from alderbridge.membership.view import Membership, MemberStatus, StoreLease, View
+from alderbridge.protocol import messages, wire
+from alderbridge.settings import Tuning
+from alderbridge.transport.selector import Poll
 
 
 def dark(world, ones, for_s):
@@ -122,11 +123,11 @@
     world = World(15020, trouble=False, jobs=0)
     world.run(20.0)
     one, other = world.nodes["host-0"].core, world.nodes["host-1"].core
-    assert one.inside
+    assert one.is_member
     before = one.channels["host-1"].received
     one.membership.store_lease.mark_expired()
     for _ in range(2):
-        one.on_frame(other.channels["host-0"].post(m.KeepAlive(), world.t), world.t)
+        one.on_frame(other.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
     assert one.channels["host-1"].received == before
 
 
@@ -311,7 +312,7 @@
 def control(monkeypatch):
     """One of three, with a clock that the test moves: ``clock[0]``."""
     clock = [100.0]
-    monkeypatch.setattr(controller, "now", lambda: clock[0])
+    monkeypatch.setattr(process, "now", lambda: clock[0])
     one = Controller(platform("host-0", LABELS), Tuning(), Poll())
     core = one.core
     core.membership.store_lease.record_renewal(1, 100.0, 100.0)
@@ -353,7 +354,9 @@
         control.clock[0] += constants.QUERY_TIMEOUT_S + 0.1
         await control.after()
         await curio.sleep(0.05)
-        control.core.query_replies.append(m.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1)))
+        control.core.query_replies.append(
+            messages.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1))
+        )
         await control.after()
         await curio.sleep(0.05)
 
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -9,12 +9,12 @@
 from test_machines import heartbeat, part_with_machine
 from world import CANCEL_S, LEASE_S, Broken, SimController, World
 
-from alderbridge import mesh as m
-from alderbridge.core import ControllerCore
-from alderbridge.mesh import TaskGrant
-from alderbridge.store import VIEW
-from alderbridge.view import Membership, View
-from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
+from alderbridge.controller.core import ControllerCore
+from alderbridge.membership.view import Membership, View
+from alderbridge.protocol import messages
+from alderbridge.protocol.messages import TaskGrant
+from alderbridge.protocol.wire import Heartbeat, MachineRecord, ReportedTask
+from alderbridge.state.store import VIEW
 
 REFUSED_AT, REFUSED_S = 60.0, 14.0
 OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # longer than ``CANCEL_S``
@@ -60,9 +60,9 @@
         if self.world.t < self.still_until:
             self.world.after(self.still_until - self.world.t, self.frame, data)
             return
-        frame = msgspec.msgpack.decode(data, type=m.Frame)
-        if self.world.halts_lost and isinstance(frame.body, m.StopTask):
-            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=m.KeepAlive()))
+        frame = msgspec.msgpack.decode(data, type=messages.Frame)
+        if self.world.halts_lost and isinstance(frame.body, messages.StopTask):
+            data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=messages.KeepAlive()))
         super().frame(data)
 
     def heartbeat(self, raw: bytes, reply) -> None:
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -9,12 +9,12 @@
 from world import Broken, SimWorker, World
 
 from alderbridge import constants
-from alderbridge import mesh as m
-from alderbridge.jobs import JobState
-from alderbridge.machines import MachineState
-from alderbridge.store import MACHINES, VIEW
-from alderbridge.view import View
-from alderbridge.wire import Heartbeat, ReportedTask
+from alderbridge.jobs.shard import JobState
+from alderbridge.machines.shard import MachineState
+from alderbridge.membership.view import View
+from alderbridge.protocol import messages
+from alderbridge.protocol.wire import Heartbeat, ReportedTask
+from alderbridge.state.store import MACHINES, VIEW
 
 RUNNING_1 = ReportedTask("wk-000001/0", 70, "running")
 
@@ -64,7 +64,7 @@
     assert MACHINES + name in put.puts
     alone.core.machine_shard.on_task_grant(
         "host-0",
-        m.TaskGrant(alone.core.machine_shard.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]),
+        messages.TaskGrant(alone.core.machine_shard.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]),
         alone.t,
     )
     assert not alone.core.machine_shard.orders(machine), "not before the store holds its record"
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -14,17 +14,26 @@
 from test_meetings_machines import Reports
 from world import LEASE_S, TYPES, Broken, World
 
-from alderbridge import constants, placement, wire
-from alderbridge.config import Team, Tuning
-from alderbridge.dependencies import Graph
-from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
-from alderbridge.leader import Leader
-from alderbridge.mesh import MachineTaskReport, QueueRow, QueueSnapshot, TaskGrant, TaskRequest, TaskStatusReport
-from alderbridge.recovery import TRANSITIONS, Action, Barrier, ObservedState, RecordedState
-from alderbridge.replica import Replica
-from alderbridge.store import VIEW
-from alderbridge.view import Membership, View
-from alderbridge.wire import MachineRecord
+from alderbridge import constants
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
+from alderbridge.leader.leader import Leader
+from alderbridge.membership.view import Membership, View
+from alderbridge.protocol import wire
+from alderbridge.protocol.messages import (
+    MachineTaskReport,
+    QueueRow,
+    QueueSnapshot,
+    TaskGrant,
+    TaskRequest,
+    TaskStatusReport,
+)
+from alderbridge.protocol.wire import MachineRecord
+from alderbridge.reconciliation import TRANSITIONS, Action, Barrier, ObservedState, RecordedState
+from alderbridge.scheduling import placement
+from alderbridge.settings import Team, Tuning
+from alderbridge.state.replica import Replica
+from alderbridge.state.store import VIEW
 
 CPUS = 4.0
 BOUND = msgspec.structs.replace(SPEC, tasks=2, cpus=CPUS, team="bound", spot=True)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -14,15 +14,16 @@
 from world import LABELS, TYPES, SimStore, platform
 from world import StoreRefusedError as StoreRefused
 
-from alderbridge import constants, controller, wire
-from alderbridge import mesh as m
-from alderbridge.config import Tuning
-from alderbridge.controller import Controller
-from alderbridge.jobs import Job, JobState, TaskRun, TaskState
-from alderbridge.net import UnansweredError
-from alderbridge.poll import Poll
-from alderbridge.store import JOBS, MEMBERS, VIEW, StoreRefusedError
-from alderbridge.view import MemberRecord, View, rendezvous_owner
+from alderbridge import constants
+from alderbridge.controller import process
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import Job, JobState, TaskRun, TaskState
+from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
+from alderbridge.protocol import messages, wire
+from alderbridge.settings import Tuning
+from alderbridge.state.store import JOBS, MEMBERS, VIEW, StoreRefusedError
+from alderbridge.transport.http import UnansweredError
+from alderbridge.transport.selector import Poll
 
 BODY = {
     "workload": "x",
@@ -115,7 +116,7 @@
     def __init__(self, service: "Service", label: str) -> None:
         self.service, self.label = service, label
 
-    def put(self, label: str, frame: m.Frame) -> None:
+    def put(self, label: str, frame: messages.Frame) -> None:
         self.service.frames.setdefault((self.label, label), []).append(frame)
 
     def renew(self, label: str) -> None:
@@ -133,7 +134,7 @@
         self.store = SimStore(self)
         self.controls: dict[str, Controller] = {}
         self.writers: dict[str, curio.Task] = {}
-        self.frames: dict[tuple[str, str], list[m.Frame]] = {}
+        self.frames: dict[tuple[str, str], list[messages.Frame]] = {}
         self.lease_ids: dict[str, int] = {}
         self.cut: set[str] = set()  # from the store
         self.lag: set[str] = set()  # follow nothing
@@ -144,8 +145,8 @@
         self.cancelled: set[str] = set()  # what they have asked for
         self.needs: dict[str, list[str]] = {}
         self.answers: list[int] = []
-        monkeypatch.setattr(controller, "now", lambda: self.t)
-        monkeypatch.setattr(controller.time, "time", lambda: self.t)
+        monkeypatch.setattr(process, "now", lambda: self.t)
+        monkeypatch.setattr(process.time, "time", lambda: self.t)
         monkeypatch.setattr(constants, "WRITER_PAUSE_S", 0.0)
         monkeypatch.setattr(constants, "ROUND_S", 0.0)
         monkeypatch.setattr(constants, "WATCH_PAUSE_S", 0.0)
@@ -313,7 +314,9 @@
                 self.run(one)
                 core.job_shard.on_task_report(
                     core.me,
-                    m.MachineTaskReport(MACHINE, "a", 1 << 40, [m.TaskStatusReport(job, 0, 7, "ended", "done")], []),
+                    messages.MachineTaskReport(
+                        MACHINE, "a", 1 << 40, [messages.TaskStatusReport(job, 0, 7, "ended", "done")], []
+                    ),
                     self.t,
                 )
                 return True
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -8,11 +8,18 @@
 from world import LEASE_S, SimWorker, World
 
 from alderbridge import constants
-from alderbridge.jobs import Job, JobShard, JobState, Record, TaskState
-from alderbridge.machines import MachineShard, MachineState
-from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, StopTask, TaskGrant, TaskRequest, TaskStatusReport
-from alderbridge.recovery import MachineProgress
-from alderbridge.wire import Heartbeat, MachineRecord, ReportedTask
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskState
+from alderbridge.machines.shard import MachineShard, MachineState
+from alderbridge.protocol.messages import (
+    AcknowledgeFinished,
+    MachineTaskReport,
+    StopTask,
+    TaskGrant,
+    TaskRequest,
+    TaskStatusReport,
+)
+from alderbridge.protocol.wire import Heartbeat, MachineRecord, ReportedTask
+from alderbridge.reconciliation import MachineProgress
 
 OUT_S = (
     LEASE_S * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -5,9 +5,9 @@
 from world import World
 
 from alderbridge import constants
-from alderbridge.core import ControllerCore
-from alderbridge.machines import MachineState
-from alderbridge.store import MACHINES
+from alderbridge.controller.core import ControllerCore
+from alderbridge.machines.shard import MachineState
+from alderbridge.state.store import MACHINES
 
 # hold and lease are over, and a silence of ``LOST_S`` after them
 DOWN_S = constants.TOTAL_LEASE_S + constants.LOST_MACHINE_S
@@ -67,7 +67,7 @@
         for name in sorted(sim.core.machine_shard.machines)
         if sim.core.machine_shard.machines[name].recorded
     )
-    core.machine_shard.machines[name].lapse()
+    core.machine_shard.machines[name].expire()
     core.machine_shard._drop_record(core.machine_shard.machines[name])
     assert ControllerCore.keep_record(core, name) and not core.keep_record(name), (
         "once: nothing is to be dropped any more"
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -11,14 +11,16 @@
 import pytest
 from world import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimController, SimWorker, World
 
-from alderbridge import constants, placement, wire
-from alderbridge.config import NextState
-from alderbridge.core import Submission
-from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
-from alderbridge.machines import MachineShard
-from alderbridge.recovery import Barrier
-from alderbridge.store import VIEW
-from alderbridge.view import View
+from alderbridge import constants
+from alderbridge.controller.core import Submission
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
+from alderbridge.machines.shard import MachineShard
+from alderbridge.membership.view import View
+from alderbridge.protocol import wire
+from alderbridge.reconciliation import Barrier
+from alderbridge.scheduling import placement
+from alderbridge.settings import NextState
+from alderbridge.state.store import VIEW
 
 STANDING_S = 8  # s; more than two reports and the answers to them
 AWAY = "a"  # the zone that is cut off
@@ -317,7 +319,7 @@
             or core.submissions
         )
         assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
-        assert not any(one.halts or one.pending or one.reserved for one in core.machine_shard.machines.values())
+        assert not any(one.stop_orders or one.pending or one.reserved for one in core.machine_shard.machines.values())
 
 
 @pytest.mark.parametrize("alone", (False, True))
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -12,19 +12,21 @@
 import pytest
 from world import LABELS, TYPES, SimController, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
 
-from alderbridge import constants, controller, declared, store, wire
-from alderbridge import mesh as m
-from alderbridge.claims import Claim, Ledger
-from alderbridge.config import Tuning
-from alderbridge.controller import Controller
-from alderbridge.core import ControllerCore
-from alderbridge.declared import Declarations, Head, Revision, records, texts
-from alderbridge.jobs import JobState, Record, TaskRun, TaskState
-from alderbridge.machines import MachineState
-from alderbridge.net import UnansweredError
-from alderbridge.poll import Poll
-from alderbridge.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
-from alderbridge.view import MemberRecord, View, rendezvous_owner
+from alderbridge import configuration, constants
+from alderbridge.configuration import Declarations, Head, Revision, records, texts
+from alderbridge.controller import process
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import JobState, Record, TaskRun, TaskState
+from alderbridge.machines.shard import MachineState
+from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
+from alderbridge.preemption import Claim, Ledger
+from alderbridge.protocol import messages, wire
+from alderbridge.settings import Tuning
+from alderbridge.state import store
+from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
+from alderbridge.transport.http import UnansweredError
+from alderbridge.transport.selector import Poll
 
 SPEC = wire.JobSpec(
     id="wk-000001",
@@ -162,7 +164,9 @@
         self.core.job_shard.jobs_by_machine.setdefault(machine, set()).add(job.spec.id)
 
     def ended(self, machine: str, index: int, job: str = SPEC.id):
-        return m.MachineTaskReport(machine, "a", 1 << 40, [m.TaskStatusReport(job, index, 7, "ended", "done")], [])
+        return messages.MachineTaskReport(
+            machine, "a", 1 << 40, [messages.TaskStatusReport(job, index, 7, "ended", "done")], []
+        )
 
 
 def machine_of(part: str, *members: str) -> str:
@@ -332,12 +336,12 @@
     batch = alone.batch()
     assert batch.jobs
     alone.core.job_shard.on_task_report("host-0", seen, alone.t)  # told again with whatever is news on the machine
-    assert not [body for body in sent if isinstance(body, m.AcknowledgeFinished)], (
+    assert not [body for body in sent if isinstance(body, messages.AcknowledgeFinished)], (
         "the worker would forget what nobody has yet"
     )
     alone.core.on_batch_failed(batch, alone.t)
     alone.write()
-    assert [body.index for body in sent if isinstance(body, m.AcknowledgeFinished)] == [0]
+    assert [body.index for body in sent if isinstance(body, messages.AcknowledgeFinished)] == [0]
     alone.go(2.0)
     alone.write()
     assert not job.unacknowledged_results and job.dirty_since is None
@@ -591,7 +595,7 @@
 def test_the_answer_to_a_text_does_not_bring_it_back_when_another_head_has_dropped_it():
     """Counted on as stored, it was named by this file's head: nobody could read that, and all stopped acting."""
     raw = msgspec.json.encode({"words": ["a" * 900]})
-    own = declared.Declared("hours", 3, texts.digest_of(raw), raw)
+    own = configuration.Declared("hours", 3, texts.digest_of(raw), raw)
     one = Declarations({"hours": own}, 20.0, ["host-0"])
     other = Revision(2, "other", 0)
     membership = SimpleNamespace(
@@ -664,7 +668,7 @@
     async def poll():
         assert control.status_now(SPEC.id, answers.append) is None
         control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
-        await control.told(control.ask_count, m.JobQueryReply(control.ask_count, 200, body))
+        await control.told(control.ask_count, messages.JobQueryReply(control.ask_count, 200, body))
 
     async def known():
         async def ask(label, what, job):
@@ -777,7 +781,7 @@
             if not control.membership.store_lease.lease_id:
                 try:
                     await control.acquire_store_lease()
-                except (UnansweredError, controller.StoreRefusedError):
+                except (UnansweredError, process.StoreRefusedError):
                     pass
 
     curio.run(enter)
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -12,11 +12,11 @@
 from world import Broken
 
 from alderbridge import constants
-from alderbridge import mesh as m
-from alderbridge.contact import FailureDetector, PeerState
-from alderbridge.core import ControllerCore
-from alderbridge.store import JOBS, VIEW
-from alderbridge.view import Membership, StoreLease
+from alderbridge.controller.core import ControllerCore
+from alderbridge.membership.failure_detector import FailureDetector, PeerState
+from alderbridge.membership.view import Membership, StoreLease
+from alderbridge.protocol import messages
+from alderbridge.state.store import JOBS, VIEW
 
 
 class Dark(Tied):
@@ -323,7 +323,9 @@
         self.thawed(functools.partial(super().call, too_large=too_large), then, fail, method, *args)
 
     def flush(self):
-        if self.core is not None and any(isinstance(frame.body, m.TaskGrant) for _, frame in self.core.outgoing_frames):
+        if self.core is not None and any(
+            isinstance(frame.body, messages.TaskGrant) for _, frame in self.core.outgoing_frames
+        ):
             self.jump(0.1)
         super().flush()
 
--- a/tests/test_meetings_unanswered.py
+++ b/tests/test_meetings_unanswered.py
@@ -3,10 +3,12 @@
 import pytest
 from world import LABELS, platform
 
-from alderbridge import constants, controller, wire
-from alderbridge.config import Tuning
-from alderbridge.controller import Controller
-from alderbridge.poll import Poll
+from alderbridge import constants
+from alderbridge.controller import process
+from alderbridge.controller.process import Controller
+from alderbridge.protocol import wire
+from alderbridge.settings import Tuning
+from alderbridge.transport.selector import Poll
 
 JOB = "wk-000001"
 POLL_S = 25.0  # from one question about a job to the next at the same of five controllers: users ask each 5 s
@@ -17,7 +19,7 @@
 def day(monkeypatch, caplog):
     """``day(asked, refuses)``: for how long a controller calls a job unanswered; the store is away in ``OUTAGES``."""
     control, clock = Controller(platform("host-0", LABELS), Tuning(), Poll()), [0.0]
-    monkeypatch.setattr(controller, "now", lambda: clock[0])
+    monkeypatch.setattr(process, "now", lambda: clock[0])
     caplog.set_level("INFO")
 
     def away(at):
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_meetings_upgrade.py
@@ -11,8 +11,8 @@
 from world import KNOWN_S, Broken, SimController, World
 
 from alderbridge import constants
-from alderbridge.store import MEMBERS, VIEW
-from alderbridge.view import MemberRecord, Membership, View
+from alderbridge.membership.view import MemberRecord, Membership, View
+from alderbridge.state.store import MEMBERS, VIEW
 
 
 class Versioned(SimController):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,9 +8,10 @@
 import msgspec
 import pytest
 
-from alderbridge import constants, net
-from alderbridge import mesh as m
-from alderbridge.poll import OUT, Poll
+from alderbridge import constants
+from alderbridge.protocol import messages
+from alderbridge.transport import http, mesh
+from alderbridge.transport.selector import OUT, Poll
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 with socket.create_server(("127.0.0.1", 0)) as free:
@@ -22,7 +23,10 @@
 
 
 def frames(count):
-    return [m.Frame("v", "host-1", 7, seq, 0, m.DrainMachines([f"n-{seq}"] * seq)) for seq in range(1, count + 1)]
+    return [
+        messages.Frame("v", "host-1", 7, seq, 0, messages.DrainMachines([f"n-{seq}"] * seq))
+        for seq in range(1, count + 1)
+    ]
 
 
 def wired(frame):
@@ -37,22 +41,22 @@
     buffer, got = bytearray(), []
     for at in range(0, len(data), piece):
         buffer += data[at : at + piece]
-        got += m.split_frames(buffer)
+        got += mesh.split_frames(buffer)
     assert got == sent and not buffer
 
 
 def test_a_frame_beyond_any_real_one_is_an_error():
     with pytest.raises(msgspec.DecodeError):
-        list(m.split_frames(bytearray((constants.MAX_FRAME + 1).to_bytes(4, "big"))))
+        list(mesh.split_frames(bytearray((constants.MAX_FRAME + 1).to_bytes(4, "big"))))
 
 
 def test_an_overdue_connection_is_ended_and_others_go_on(monkeypatch):
     monkeypatch.setattr(constants, "OVERDUE_CHECK_S", 0.0)
     clock = [100.0]
-    monkeypatch.setattr(net, "now", lambda: clock[0])
+    monkeypatch.setattr(http, "now", lambda: clock[0])
 
     poll = Poll()
-    server = net.Server(lambda *_request: (200, b"{}", []), 2, poll)
+    server = http.Server(lambda *_request: (200, b"{}", []), 2, poll)
 
     async def play():
         serving = [await curio.spawn(poll.serve, nothing), await curio.spawn(server.serve, "127.0.0.1", PORT)]
@@ -134,9 +138,9 @@
         replies.append((reply, answer))
         return None
 
-    server = net.Server(handler, 1, poll)
+    server = http.Server(handler, 1, poll)
     sock = Sock([*pieces, b""], most)
-    connection = net.Connection(server, sock)
+    connection = http.Connection(server, sock)
     for _ in range(100_000):
         if not known:
             server.report = server.question = connection.plain = None
@@ -246,20 +250,20 @@
     async def connect(*_address):
         return There()
 
-    monkeypatch.setattr(net, "read", read)
-    monkeypatch.setattr(net, "connect", connect)
+    monkeypatch.setattr(http, "read", read)
+    monkeypatch.setattr(http, "connect", connect)
 
     async def play(known):
         results = []
         for pieces in answers:
             if not known:
-                net._answers.clear()
+                http._answers.clear()
             there, body = There(), b"q" * rng.choice((0, 3))
-            there.pieces, client = list(pieces), net.Client("h", 1)
+            there.pieces, client = list(pieces), http.Client("h", 1)
             client.idle.append(there)
             try:
                 answer = await client.request("POST", "/holds/107/extend", body)
-            except net.UnansweredError:
+            except http.UnansweredError:
                 answer = None
             head = b"POST /holds/107/extend HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
             assert there.sent == head % len(body) + body
@@ -277,20 +281,24 @@
         await curio.sleep(60.0)
 
     monkeypatch.setattr(curio, "open_connection", hang)
-    with pytest.raises(net.UnansweredError):
-        curio.run(net.Client("127.0.0.1", 1).request, "GET", "/kv")
+    with pytest.raises(http.UnansweredError):
+        curio.run(http.Client("127.0.0.1", 1).request, "GET", "/kv")
 
 
 def test_a_body_for_several_peers_is_encoded_once_into_the_same_bytes():
-    encode = m.Encoder()
-    body = m.DrainMachines(["n-1", "n-2"])
-    for frame in (m.Frame("v", "host-1", 7, 0, 3, body), m.Frame("v", "host-1", 7, 9, 4, body), *frames(3)):
+    encode = mesh.Encoder()
+    body = messages.DrainMachines(["n-1", "n-2"])
+    for frame in (
+        messages.Frame("v", "host-1", 7, 0, 3, body),
+        messages.Frame("v", "host-1", 7, 9, 4, body),
+        *frames(3),
+    ):
         assert encode(frame) == wired(frame)
 
 
 def test_what_a_full_socket_does_not_take_is_written_later_in_order():
     """Written past a task's wake-up, nothing may be lost or swapped when the socket is full."""
-    sent = [m.Frame("v", "host-0", 7, seq, 0, m.DrainMachines(["n" * 100_000])) for seq in range(1, 60)]
+    sent = [messages.Frame("v", "host-0", 7, seq, 0, messages.DrainMachines(["n" * 100_000])) for seq in range(1, 60)]
 
     poll = Poll()
 
@@ -302,8 +310,8 @@
 
         listener = curio.tcp_server_socket("127.0.0.1", 0)
         port = listener.getsockname()[1]
-        there = m.Mesh("127.0.0.1:1", {}, deliver, poll)
-        here = m.Mesh("127.0.0.1:1", {"peer": f"127.0.0.1:{port}"}, deliver, poll)
+        there = mesh.Mesh("127.0.0.1:1", {}, deliver, poll)
+        here = mesh.Mesh("127.0.0.1:1", {"peer": f"127.0.0.1:{port}"}, deliver, poll)
         sender = await curio.spawn(here.send_to, "peer")
         client, _ = await listener.accept()
         while "peer" not in here.open:
@@ -311,7 +319,7 @@
         for frame in sent:
             here.put("peer", frame)
             await here.flush()
-        reader = m.Incoming(there, client._socket)
+        reader = mesh.Incoming(there, client._socket)
         serving = await curio.spawn(poll.serve, nothing)
         for _ in range(500):
             if len(got) == len(sent):
@@ -349,7 +357,7 @@
         seen.append("later")
 
     async def note():
-        after.append((net.now(), list(seen)))
+        after.append((http.now(), list(seen)))
 
     async def play():
         serving = await curio.spawn(poll.serve, note)
@@ -361,7 +369,7 @@
         while not after or seen[-1] != "later":
             await curio.sleep(0.01)
         assert set(after[0][1]) == {(0, b"x"), (1, b"x"), (2, b"x"), (2, None), (3, b"x")}
-        poll.alarm = due = net.now() + 0.03
+        poll.alarm = due = http.now() + 0.03
         count = len(after)
         while len(after) == count:
             await curio.sleep(0.01)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from alderbridge.mesh import QueueRow
-from alderbridge.placement import Busy, Candidate, Offer, Offers, allowed, fill, fits, minus
-from alderbridge.wire import PRIORITIES, JobSpec
+from alderbridge.protocol.messages import QueueRow
+from alderbridge.protocol.wire import PRIORITIES, JobSpec
+from alderbridge.scheduling.placement import Busy, Candidate, Offer, Offers, allowed, fill, fits, minus
 
 
 def spec(spot=True, **more):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,16 +6,16 @@
 import msgspec
 import pytest
 
-from alderbridge import placement, policy
-from alderbridge.config import Objective, Team, Tuning
-from alderbridge.dependencies import Graph
-from alderbridge.jobs import JobState, Record
-from alderbridge.leader import Leader
-from alderbridge.mesh import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
-from alderbridge.policy import Demand, Kind, Market, Resource
-from alderbridge.replica import Replica
-from alderbridge.view import Membership
-from alderbridge.wire import JobSpec, MachineType
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.leader.leader import Leader
+from alderbridge.membership.view import Membership
+from alderbridge.protocol.messages import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
+from alderbridge.protocol.wire import JobSpec, MachineType
+from alderbridge.scheduling import placement, policy
+from alderbridge.scheduling.policy import Demand, Kind, Market, Resource
+from alderbridge.settings import Objective, Team, Tuning
+from alderbridge.state.replica import Replica
 
 BIG = MachineType(name="big", cpus=8.0, memory_gb=32.0, price=1.0, spot_price=0.3, boot_s=40.0, zones=["a"])
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -7,19 +7,19 @@
 from world import Broken, SimController, World
 
 from alderbridge import constants
-from alderbridge import mesh as m
+from alderbridge.membership.view import MemberRecord
+from alderbridge.protocol import messages
+from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import DeltaTracker, HomeQueue, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
-from alderbridge.shares import WriteRateLimit
-from alderbridge.view import MemberRecord
-from alderbridge.wire import JobSpec
+from alderbridge.state.write_rate_limit import WriteRateLimit
 
 TEAMS = ("a", "b", "c")
 OLDER = constants.VERSION_WITH_QUEUE_DELTAS - 1
-NEW_MESSAGES = (m.QueueDelta, m.TeamUsageDelta, m.PeerStatus, m.QuotaDelta)
+NEW_MESSAGES = (messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus, messages.QuotaDelta)
 
 
 def row(job, waiting=5, offer=5, due=30.0, waited=1.0, **more):
-    return m.QueueRow(job, waiting, offer, due, 10.0, None, waited, False, False, **more)
+    return messages.QueueRow(job, waiting, offer, due, 10.0, None, waited, False, False, **more)
 
 
 def spec(job, cpus=2.0):
@@ -48,7 +48,7 @@
         self.links = {"leader": Link(), "part": Link()}
         self.known = {label: HomeQueue() for label in ("home", *self.links)}
         self.clocks = {label: SenderClock() for label in self.known}
-        self.in_flight: dict[str, list[m.Message]] = {label: [] for label in self.links}
+        self.in_flight: dict[str, list[messages.Message]] = {label: [] for label in self.links}
         self.messages = 0
 
     def change(self):
@@ -79,7 +79,7 @@
     def step(self):
         self.now += constants.ROUND_S
         self.change()
-        one = Round(self.now, 1, "leader", self.links, self.snapshot(), m.PeerStatus([], [], 0))
+        one = Round(self.now, 1, "leader", self.links, self.snapshot(), messages.PeerStatus([], [], 0))
         for told in self.queue_publisher.tell(one, True):
             if told.label in self.links and told.numbered:
                 self.in_flight[told.label].append(told.message)
@@ -97,9 +97,9 @@
 
     def take(self, label, message):
         self.messages += 1
-        if isinstance(message, m.QueueDelta):
+        if isinstance(message, messages.QueueDelta):
             self.known[label].take_rows(message, self.clocks[label].moment(message.at + 7.0, self.now))
-        elif isinstance(message, m.TeamUsageDelta):
+        elif isinstance(message, messages.TeamUsageDelta):
             self.known[label].take_sums(message)
 
     def check(self, label, offered_only):
@@ -198,13 +198,13 @@
 
 def test_a_late_whole_queue_hides_no_change():
     known, book = HomeQueue(), OfferBook(spec)
-    stale = m.QueueSnapshot([row("wk-1"), row("wk-2")], {"t": (4.0, 0.0)}, {"t": (4.0, 0.0)}, {}, 1)
+    stale = messages.QueueSnapshot([row("wk-1"), row("wk-2")], {"t": (4.0, 0.0)}, {"t": (4.0, 0.0)}, {}, 1)
     assert known.take_queue(stale, 1.0)
     book.take_queue("a", stale, 1.0)
-    changes = m.QueueDelta(0.0, [row("wk-2", offer=1)], [], True)
+    changes = messages.QueueDelta(0.0, [row("wk-2", offer=1)], [], True)
     known.take_rows(changes, 2.0)
     book.take_changes("a", changes, 2.0)
-    known.take_sums(m.TeamUsageDelta({"t": m.TeamUsage((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True))
+    known.take_sums(messages.TeamUsageDelta({"t": messages.TeamUsage((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True))
     assert not known.take_queue(stale, 2.1)
     book.take_queue("a", stale, 2.1)
     assert (
@@ -219,13 +219,13 @@
     """It is told once: passed over, its job would have waited until something of it changed."""
     records = {}
     book = OfferBook(records.get)
-    book.take_changes("a", m.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
+    book.take_changes("a", messages.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
     book.look()
     assert not book.offers.in_order()
     records["wk-1"] = spec("wk-1")
     book.look()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
-    book.take_changes("a", m.QueueDelta(0.0, [], ["wk-2"], False), 6.0)
+    book.take_changes("a", messages.QueueDelta(0.0, [], ["wk-2"], False), 6.0)
     records["wk-2"] = spec("wk-2")
     book.look()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
@@ -235,20 +235,20 @@
 def test_offers_that_change_stand_in_the_order_of_all_told_anew(seed):
     rng = random.Random(seed)
     changed, anew, rows = OfferBook(spec), OfferBook(spec), {}
-    changed.take_changes("a", m.QueueDelta(0.0, [], [], True), 0.0)
+    changed.take_changes("a", messages.QueueDelta(0.0, [], [], True), 0.0)
     for step in range(200):
         job = f"wk-{rng.randint(0, 20)}"
         if rng.random() < 0.3:
             rows.pop(job, None)
-            changed.take_changes("a", m.QueueDelta(0.0, [], [job], False), 0.0)
+            changed.take_changes("a", messages.QueueDelta(0.0, [], [job], False), 0.0)
         else:
             rows[job] = row(
                 job, offer=rng.randint(0, 3), due=rng.choice([5.0, 9.0, 30.0]), priority_boost=rng.choice([0, 0, 1])
             )
-            changed.take_changes("a", m.QueueDelta(0.0, [rows[job]], [], False), 0.0)
+            changed.take_changes("a", messages.QueueDelta(0.0, [rows[job]], [], False), 0.0)
         if step % 3 == 0:
             changed.offers.in_order()  # from here on it is kept in order
-        anew.take_queue("a", m.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
+        anew.take_queue("a", messages.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
         told = [entry[:5] for entry in changed.offers.in_order()]
         assert told == [entry[:5] for entry in anew.offers.in_order()]
         assert changed.offers.least_cpus == anew.offers.least_cpus
@@ -309,12 +309,12 @@
 def test_changes_are_told_once_the_last_older_controller_has_gone_and_not_again_when_one_is_back(seed):
     world = MixedWorld(seed, ["host-2"], jobs=20, trouble=False)
     world.run(60.0)
-    assert m.QueueSnapshot in world.sent and not world.sent & set(NEW_MESSAGES)
+    assert messages.QueueSnapshot in world.sent and not world.sent & set(NEW_MESSAGES)
     world.nodes["host-2"].crash()
     world.older.clear()
     world.restart(world.nodes["host-2"])
     world.run(100.0)
-    assert {m.QueueDelta, m.TeamUsageDelta, m.PeerStatus} <= world.sent
+    assert {messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus} <= world.sent
     assert all(sim.core.queue_publisher.form.name == "CHANGES" for sim in world.nodes.values())
     world.nodes["host-1"].crash()
     world.older.add("host-1")
@@ -326,7 +326,7 @@
 
 
 def test_an_older_controller_that_is_told_changes_is_seen(monkeypatch):
-    from alderbridge.view import Membership
+    from alderbridge.membership.view import Membership
 
     real = Membership.all_support
     monkeypatch.setattr(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -7,10 +7,19 @@
 from test_machines import SPEC, heartbeat, part_with_machine
 from world import Broken, World
 
-from alderbridge import constants, policy, recovery
-from alderbridge.jobs import Job, JobShard, JobState, Record, TaskRun, TaskState
-from alderbridge.mesh import AcknowledgeFinished, MachineTaskReport, QueueRow, StopTask, TaskGrant, TaskStatusReport
-from alderbridge.recovery import (
+from alderbridge import constants, reconciliation
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
+from alderbridge.membership.view import MemberRecord, Membership
+from alderbridge.protocol.messages import (
+    AcknowledgeFinished,
+    MachineTaskReport,
+    QueueRow,
+    StopTask,
+    TaskGrant,
+    TaskStatusReport,
+)
+from alderbridge.protocol.wire import Heartbeat, MachineRecord
+from alderbridge.reconciliation import (
     TRANSITIONS,
     Action,
     Barrier,
@@ -22,8 +31,7 @@
     RecordedState,
     ScaleInGuard,
 )
-from alderbridge.view import MemberRecord, Membership
-from alderbridge.wire import Heartbeat, MachineRecord
+from alderbridge.scheduling import policy
 
 # -- the table ---------------------------------------------------------------
 
@@ -414,7 +422,7 @@
     def patch(monkeypatch):
         rows = [list(row) for row in TRANSITIONS]
         rows[known][told] = what
-        monkeypatch.setattr(recovery.transitions, "TRANSITIONS", tuple(map(tuple, rows)))
+        monkeypatch.setattr(reconciliation.transitions, "TRANSITIONS", tuple(map(tuple, rows)))
 
     return patch
 
--- a/tests/test_service_cut.py
+++ b/tests/test_service_cut.py
@@ -25,7 +25,7 @@
 FAULTY = """
 import sys
 sys.path.insert(0, ".")
-from alderbridge.core import ControllerCore
+from alderbridge.controller.core import ControllerCore
 real = ControllerCore.cancel
 ControllerCore.cancel = lambda self, job, now: real(self, job, now) or (
     "aborted" if job in self.job_shard.jobs and self.may_act() else None)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,12 +5,14 @@
 import pytest
 
 from alderbridge import constants
-from alderbridge import mesh as m
-from alderbridge.config import NextState, State
-from alderbridge.dependencies import Graph
-from alderbridge.jobs import JobState, Record
-from alderbridge.replica import Replica
-from alderbridge.store import (
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.membership.view import MemberRecord, Membership, View
+from alderbridge.protocol import messages
+from alderbridge.protocol.wire import JobSpec, WatchEvent
+from alderbridge.settings import NextState, State
+from alderbridge.state.replica import Replica
+from alderbridge.state.store import (
     BUDGETS,
     CLAIMS,
     DECLARED,
@@ -21,8 +23,6 @@
     Store,
     TransactionTooLargeError,
 )
-from alderbridge.view import MemberRecord, Membership, View
-from alderbridge.wire import JobSpec, WatchEvent
 
 SPEC = JobSpec(
     id="wk-000002",
@@ -56,7 +56,7 @@
     assert msgspec.json.decode(production.PRESENCE, type=MemberRecord) == MemberRecord(7, 1)
     tags = set()
     for raw in production.FRAMES:
-        frame = msgspec.msgpack.decode(raw, type=m.Frame)
+        frame = msgspec.msgpack.decode(raw, type=messages.Frame)
         tags.add(frame.body.__struct_config__.tag)
         assert frame.version == "0.1.0" and frame.sender == "host-1"
     new = {
@@ -68,7 +68,7 @@
         "Status",
         "AllotChanges",
     }  # which no controller sends while an older one takes part
-    assert tags == {kind.__struct_config__.tag for kind in m.Body.__args__} - new
+    assert tags == {kind.__struct_config__.tag for kind in messages.Body.__args__} - new
 
 
 def test_what_this_version_writes_is_read_by_the_old_one():
@@ -90,8 +90,8 @@
         ).permit
         == 7
     )
-    row = m.QueueRow("wk-1", 3, 2, 1.5, 2.0, "a", 0.5, True, False, 2)
-    frame = m.Frame("0.2.0", "host-0", 5, 0, 0, m.QueueSnapshot([row, row], {}, {}, {}, 1))
+    row = messages.QueueRow("wk-1", 3, 2, 1.5, 2.0, "a", 0.5, True, False, 2)
+    frame = messages.Frame("0.2.0", "host-0", 5, 0, 0, messages.QueueSnapshot([row, row], {}, {}, {}, 1))
     seen = msgspec.msgpack.decode(msgspec.msgpack.encode(frame), type=production.Frame)
     assert len(seen.body.rows) == 2 and seen.body.rows[1].guaranteed is False and seen.body.allots == 1
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -4,14 +4,14 @@
 import pytest
 from world import Broken, World
 
-from alderbridge import placement
-from alderbridge.config import NextState
-from alderbridge.core import ControllerCore
-from alderbridge.dependencies import Graph
-from alderbridge.jobs import Job, JobShard, JobState, QuotaUsage, Record
-from alderbridge.machines import Machine, MachineShard
-from alderbridge.recovery import Barrier
-from alderbridge.store import JOBS, LISTS
+from alderbridge.controller.core import ControllerCore
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import Job, JobShard, JobState, QuotaUsage, Record
+from alderbridge.machines.shard import Machine, MachineShard
+from alderbridge.reconciliation import Barrier
+from alderbridge.scheduling import placement
+from alderbridge.settings import NextState
+from alderbridge.state.store import JOBS, LISTS
 
 
 def play(seed, until=200.0, **more):
@@ -259,7 +259,7 @@
     real = JobShard.on_task_report
 
     def on_task_report(self, label, seen, now):
-        self.there.pop(seen.machine, None)
+        self.jobs_by_machine.pop(seen.machine, None)
         real(self, label, seen, now)
 
     monkeypatch.setattr(JobShard, "on_task_report", on_task_report)
--- a/tests/world.py
+++ b/tests/world.py
@@ -27,10 +27,15 @@
 import msgspec
 import production
 
-from alderbridge import constants, wire
-from alderbridge import mesh as m
-from alderbridge.config import Cloud as CloudSettings
-from alderbridge.config import (
+from alderbridge import constants
+from alderbridge.controller.core import ControllerCore, Submission
+from alderbridge.controller.process import Controller
+from alderbridge.jobs.shard import JobState, Record
+from alderbridge.machines.shard import MachineState
+from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
+from alderbridge.protocol import messages, wire
+from alderbridge.settings import Cloud as CloudSettings
+from alderbridge.settings import (
     Endpoints,
     Limits,
     NextState,
@@ -43,12 +48,7 @@
     Tuning,
     Workers,
 )
-from alderbridge.controller import Controller
-from alderbridge.core import ControllerCore, Submission
-from alderbridge.jobs import JobState, Record
-from alderbridge.machines import MachineState
-from alderbridge.store import JOBS, MEMBERS, ROOT, VIEW
-from alderbridge.view import MemberRecord, View, rendezvous_owner
+from alderbridge.state.store import JOBS, MEMBERS, ROOT, VIEW
 
 LABELS = ["host-0", "host-1", "host-2", "host-3", "host-4"]
 LEASE_S, CANCEL_S, REPORT_S = 17.0, 42.0, 3.0
@@ -661,7 +661,7 @@
 
         world.asking[number] = (self.label, life, world.t + constants.QUERY_TIMEOUT_S, answered)
         world.after(constants.QUERY_TIMEOUT_S, given_up)
-        core.send_unreliable(home, m.JobQuery(number, "status", job))
+        core.send_unreliable(home, messages.JobQuery(number, "status", job))
         self.flush()
 
     def status_stored(self, job: str, told) -> None:
@@ -749,9 +749,9 @@
         while core.queries:
             label, ask = core.queries.popleft()
 
-            def told(state: str | None, label: str = label, ask: m.JobQuery = ask) -> None:
+            def told(state: str | None, label: str = label, ask: messages.JobQuery = ask) -> None:
                 core.send_unreliable(
-                    label, m.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode())
+                    label, messages.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode())
                 )
 
             if ask.kind == "withdraw":
@@ -794,7 +794,7 @@
     def frame(self, data: bytes) -> None:
         if self.core is not None:
             data = production.frame(data) if self.old else data
-            self.core.on_frame(msgspec.msgpack.decode(data, type=m.Frame), self.world.t)
+            self.core.on_frame(msgspec.msgpack.decode(data, type=messages.Frame), self.world.t)
             self.flush()
 
     def heartbeat(self, raw: bytes, reply) -> None:
@@ -1468,7 +1468,7 @@
                 self.t + constants.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
-            core.send_unreliable(home, m.JobQuery(number, "withdraw", job))
+            core.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
             sim.flush()
         else:
             sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -25,14 +25,14 @@
 # Another checkout's service, if asked for, with this checkout's world: before bench_node, which puts its own first.
 sys.path[:0] = [sys.argv[sys.argv.index("--sources") + 1] if "--sources" in sys.argv else str(HERE.parent), str(HERE)]
 
-from alderbridge import config, wire  # noqa: E402, I001
 import bench_node as base  # noqa: E402
 import msgspec  # noqa: E402
 
-from alderbridge import constants  # noqa: E402
-from alderbridge.core import ControllerCore  # noqa: E402
-from alderbridge.store import MEMBERS, VIEW  # noqa: E402
-from alderbridge.view import MemberRecord  # noqa: E402
+from alderbridge import constants, settings  # noqa: E402
+from alderbridge.controller.core import ControllerCore  # noqa: E402
+from alderbridge.membership.view import MemberRecord  # noqa: E402
+from alderbridge.protocol import wire  # noqa: E402, I001
+from alderbridge.state.store import MEMBERS, VIEW  # noqa: E402
 
 LEASE_S, FALL_AT, UNTIL = 17.0, 50.0, 110.0
 
@@ -174,7 +174,7 @@
 
     def come_back(self, label: str) -> None:
         self.lease_ids += 1
-        core = self.nodes[label] = ControllerCore(self.platform(label), config.Tuning(), self.now)
+        core = self.nodes[label] = ControllerCore(self.platform(label), settings.Tuning(), self.now)
         core.membership.store_lease.record_renewal(self.lease_ids, self.now)
         self.commit({}, {MEMBERS + label: MemberRecord(self.lease_ids, base.PROTOCOL_VERSION)}, [])
         rows = [wire.KeyValue(key, msgspec.Raw(raw), revision) for key, (raw, revision) in sorted(self.data.items())]
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -21,13 +21,13 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from alderbridge.claims import Budget, Held, Spent, Teams, Victim  # noqa: E402
-from alderbridge.config import Team  # noqa: E402
 from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, hold  # noqa: E402
 from alderbridge.lending.lender import Site  # noqa: E402
 from alderbridge.lending.reserve import Free  # noqa: E402
-from alderbridge.policy import Kind, Resource  # noqa: E402
-from alderbridge.wire import JobSpec, MachineType  # noqa: E402
+from alderbridge.preemption import Budget, Held, Spent, Teams, Victim  # noqa: E402
+from alderbridge.protocol.wire import JobSpec, MachineType  # noqa: E402
+from alderbridge.scheduling.policy import Kind, Resource  # noqa: E402
+from alderbridge.settings import Team  # noqa: E402
 
 ZONES, GPUS, REPORT_S, QUIET_S = ["a", "b", "c"], 8, 3.0, 120.0
 TYPE = MachineType(
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -33,16 +33,12 @@
 
 import msgspec  # noqa: E402
 
-from alderbridge import (  # noqa: E402
-    config,
-    constants,  # noqa: E402
-    mesh,
-    net,
-    wire,
-)
-from alderbridge.core import ControllerCore  # noqa: E402
-from alderbridge.store import MEMBERS, VIEW  # noqa: E402
-from alderbridge.view import MemberRecord  # noqa: E402
+from alderbridge import constants, settings
+from alderbridge.controller.core import ControllerCore  # noqa: E402
+from alderbridge.membership.view import MemberRecord  # noqa: E402
+from alderbridge.protocol import messages, wire
+from alderbridge.state.store import MEMBERS, VIEW  # noqa: E402
+from alderbridge.transport import http, mesh
 
 PROTOCOL_VERSION = getattr(
     constants, "PROTOCOL_VERSION", constants.VERSION_WITH_DEPENDENCIES
@@ -54,10 +50,10 @@
 WARM_UP_S = 20.0  # simulated seconds before anything is measured
 
 
-def teams_of(count: int, machines: int) -> list[config.Team]:
+def teams_of(count: int, machines: int) -> list[settings.Team]:
     """Teams that share what grows with the machines."""
     share = machines / LIMITS_AT / count
-    return [config.Team(f"team-{number}", GUARANTEED_CPUS * share, MOST_CPUS * share) for number in range(count)]
+    return [settings.Team(f"team-{number}", GUARANTEED_CPUS * share, MOST_CPUS * share) for number in range(count)]
 
 
 TEAMS = teams_of(4, LIMITS_AT)
@@ -65,11 +61,11 @@
     name="m32", cpus=32.0, memory_gb=128.0, price=1.4, spot_price=0.4, boot_s=50.0, cache_gb=30.0, zones=ZONES
 )
 OBJECTIVES = [
-    config.Objective("finished", "even", 250.0),
-    config.Objective("wait", "soon", 12.0),
-    config.Objective("finished", "soon", 120.0),
-    config.Objective("deadline", "wide", times=1.0),
-    config.Objective("guarantee", within_s=5.0),
+    settings.Objective("finished", "even", 250.0),
+    settings.Objective("wait", "soon", 12.0),
+    settings.Objective("finished", "soon", 120.0),
+    settings.Objective("deadline", "wide", times=1.0),
+    settings.Objective("guarantee", within_s=5.0),
 ]
 # class, jobs a minute at 635 machines, tasks, cpus, memory, images, priority: 7,000 starts a minute
 CLASSES = [
@@ -114,9 +110,9 @@
 class Wire:
     """A client's connection in memory: what the server reads and writes, without a socket."""
 
-    def __init__(self, server: net.Server) -> None:
+    def __init__(self, server: http.Server) -> None:
         self.incoming = self.body = b""
-        self.server = net.Connection(server, self)
+        self.server = http.Connection(server, self)
 
     def fileno(self) -> int:
         return -1
@@ -135,7 +131,7 @@
         self.server.ready(1)
         return HANDED.pop()
 
-    def answer(self, answer: net.Answer) -> None:
+    def answer(self, answer: http.Answer) -> None:
         self.server.respond(answer)
 
 
@@ -147,7 +143,7 @@
         pass
 
 
-SERVER = net.Server(lambda _method, _target, body, _reply: HANDED.append(body), 1, NoPoll())
+SERVER = http.Server(lambda _method, _target, body, _reply: HANDED.append(body), 1, NoPoll())
 
 
 class Worker:
@@ -234,7 +230,7 @@
         self.durations: dict[str, float] = {}
         self.names = itertools.count(1)
         self.encoders = {label: mesh.Encoder() for label in self.labels}
-        self.nodes = {label: ControllerCore(self.platform(label), config.Tuning(), 0.0) for label in self.labels}
+        self.nodes = {label: ControllerCore(self.platform(label), settings.Tuning(), 0.0) for label in self.labels}
         for label, core in self.nodes.items():
             core.membership.store_lease.record_renewal(self.labels.index(label) + 1, 0.0)
             core.loaded = True
@@ -262,19 +258,19 @@
             for _ in range(round(machines / 8 * load) if name != "wide" else 0):  # what waits when the day begins
                 self.at(self.rng.uniform(1.0, 2.0), self.submit, name, False)
 
-    def platform(self, label: str) -> config.Platform:
-        peers = [config.Peer(other, "a", "127.0.0.1:1") for other in self.labels if other != label]
-        shared = config.Shared(
+    def platform(self, label: str) -> settings.Platform:
+        peers = [settings.Peer(other, "a", "127.0.0.1:1") for other in self.labels if other != label]
+        shared = settings.Shared(
             ZONES,
             self.teams,
-            config.Workers(3.0, 17.0, 42.0),
-            config.State(250.0, 5000.0, 4.0, 12),
-            config.Cloud(9.0, 8.0),
-            config.Limits(1.0, 400.0, 2000),
+            settings.Workers(3.0, 17.0, 42.0),
+            settings.State(250.0, 5000.0, 4.0, 12),
+            settings.Cloud(9.0, 8.0),
+            settings.Limits(1.0, 400.0, 2000),
             OBJECTIVES,
         )
-        return config.Platform(
-            label, "a", "127.0.0.1:1", "127.0.0.1:2", peers, config.Endpoints("127.0.0.1:3", "127.0.0.1:4"), shared
+        return settings.Platform(
+            label, "a", "127.0.0.1:1", "127.0.0.1:2", peers, settings.Endpoints("127.0.0.1:3", "127.0.0.1:4"), shared
         )
 
     # -- the world ---------------------------------------------------------
@@ -395,15 +391,15 @@
                     self.clock(f"on {type(frame.body).__name__}", self.nodes[peer].on_frame, frame, self.now)
                 waiting.append(peer)
 
-    def count_frame(self, peer: str, body: mesh.Message, size: int) -> None:
+    def count_frame(self, peer: str, body: messages.Message, size: int) -> None:
         """Count a message between controllers."""
         counts, kind = self.counts, type(body).__name__
         counts.sent[kind].count(size)
         if peer == self.labels[0]:
             counts.leader_received[kind].count(size)
-        if isinstance(body, mesh.TaskRequest):
+        if isinstance(body, messages.TaskRequest):
             counts.asked += body.count
-        elif isinstance(body, mesh.TaskGrant):
+        elif isinstance(body, messages.TaskGrant):
             counts.granted += len(body.tasks)
 
     def sample(self, _label: str) -> None:
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -23,13 +23,14 @@
 import bench_fall  # noqa: E402, I001
 import bench_node as base  # noqa: E402
 
-from alderbridge import config, wire  # noqa: E402
+from alderbridge import settings  # noqa: E402
+from alderbridge.protocol import wire  # noqa: E402
 from alderbridge import constants  # noqa: E402
-from alderbridge.hours import Text  # noqa: E402
-from alderbridge.hours.declaration import Calendar, Class  # noqa: E402
+from alderbridge.calendars import Text  # noqa: E402
+from alderbridge.calendars.declaration import Calendar, Class  # noqa: E402
 
 OPENS, CALM, UNTIL = 90.0, 60.0, 240.0
-base.OBJECTIVES.append(config.Objective("finished", "opening", 200.0))
+base.OBJECTIVES.append(settings.Objective("finished", "opening", 200.0))
 
 
 class OpeningBench(bench_fall.FallBench):
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -25,13 +25,11 @@
 import bench_fall as fall  # noqa: E402
 import bench_node as base  # noqa: E402
 
-from alderbridge import (
-    constants,  # noqa: E402
-    wire,  # noqa: E402
-)
-from alderbridge.claims import Limit, Need  # noqa: E402
-from alderbridge.store import CLAIMS  # noqa: E402
-from alderbridge.urgency import Rules, parse  # noqa: E402
+from alderbridge import constants
+from alderbridge.preemption import Limit, Need  # noqa: E402
+from alderbridge.priorities import Rules, parse  # noqa: E402
+from alderbridge.protocol import wire
+from alderbridge.state.store import CLAIMS  # noqa: E402
 
 AIM_S, BURSTS, LAST_S = 12.0, (60.0, 90.0, 120.0, 150.0), 900.0
 INI = """
