--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from alderbridge.jobs.shard import Job
 
-log = logging.getLogger("hours")
+log = logging.getLogger("calendars")
 
 
 class Gate:
--- a/alderbridge/calendars/timetable.py
+++ b/alderbridge/calendars/timetable.py
@@ -18,7 +18,7 @@
 from alderbridge.calendars.declaration import Calendar, Class, Spans, Text
 from alderbridge.protocol.wire import JobSpec
 
-log = logging.getLogger("hours")
+log = logging.getLogger("calendars")
 
 DAY = 86400
 Periods = Sequence[tuple[float, float]]  # times of day, [from, until), in order, apart
--- a/alderbridge/configuration/declarations.py
+++ b/alderbridge/configuration/declarations.py
@@ -14,7 +14,7 @@
 from alderbridge.membership.view import Membership
 from alderbridge.state.store import DECLARED
 
-log = logging.getLogger("declared")
+log = logging.getLogger("configuration")
 _head = msgspec.json.Decoder(Head)
 _piece = msgspec.json.Decoder(bytes)  # base64, as msgspec keeps bytes in JSON
 NOTHING: list[msgspec.Struct] = []
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -245,7 +245,9 @@
             skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
             self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
             self.job_shard.calendars = self.machine_shard.calendars = self.calendars
-            log.info("hours state=hold texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts))
+            log.info(
+                "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
+            )
 
     def rank(self, spec: wire.JobSpec) -> int:
         """The priority of the jobs that need it, where higher than its own; else -1."""
@@ -456,7 +458,7 @@
         job = Job(record, revision, self.now, max(0.0, self.now + self.wall_offset_s - record.at), fresh=True)
         self.job_shard.add(job)
         self.apply_dependencies(job)
-        log.info("job=%s state=taken in cause=stored after its submission was given up", name)
+        log.info("job=%s state=adopted cause=stored after its submission was given up", name)
 
     def load(
         self, rows: list[wire.KeyValue], changes: list[wire.WatchEvent], revision: int, now: float, wall: float
@@ -488,13 +490,13 @@
         if not self.types:
             self.set_machine_types(self.replica.types)
         self.loaded = True
-        log.info("replica state=loaded epoch=%d jobs=%d", revision, len(self.replica.active))
+        log.info("replica state=loaded revision=%d jobs=%d", revision, len(self.replica.active))
 
     def enter_view(self, now: float, wall: float) -> None:
         """Rebuild home, part and channels for the view that has just arrived."""
         view, fencing_token = self.membership.view, self.membership.fencing_token
         members = sorted(view.members)
-        log.info("view mandate=%d leader=%s members=%s", fencing_token, view.leader, members)
+        log.info("view fencing_token=%d leader=%s members=%s", fencing_token, view.leader, members)
         self.entered_at = now
         inside = self.membership.status(now) is not MemberStatus.OUTSIDE
         for channel in self.channels.values():
@@ -772,7 +774,9 @@
     def reduce_value_limit(self, size: int) -> None:
         self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(constants.MIN_VALUE_BYTES, size * 3 // 4))
         log.error(
-            "store state=takes less cause=400 values=%d bytes changes=%d", self.job_shard.value_bytes, self.max_changes
+            "store state=limits_reduced cause=400 values=%d bytes changes=%d",
+            self.job_shard.value_bytes,
+            self.max_changes,
         )
 
     def on_batch_written(self, batch: WriteBatch, revision: int, now: float) -> None:
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -166,7 +166,7 @@
             try:
                 await loop()
             except _TROUBLE as error:
-                log.info("loop=%s state=trouble cause=%s", loop.__name__, error)
+                log.info("loop=%s state=interrupted cause=%s", loop.__name__, error)
             except curio.CancelledError:
                 raise
             except Exception:
@@ -182,7 +182,7 @@
         while store_lease.lease_id:
             await curio.sleep(store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
             if self.membership.is_removed():
-                log.info("hold=%d state=lost cause=removed from the view by a majority", store_lease.lease_id)
+                log.info("store_lease=%d state=expired cause=removed from the view by a quorum", store_lease.lease_id)
                 store_lease.mark_expired()
                 return
             sent = now()
@@ -190,11 +190,11 @@
                 await self.store.renew_lease(store_lease.lease_id)
                 store_lease.record_renewal(store_lease.lease_id, sent)
             except LeaseExpiredError:
-                log.info("hold=%d state=lost", store_lease.lease_id)
+                log.info("store_lease=%d state=expired", store_lease.lease_id)
                 store_lease.mark_expired()
             except _TROUBLE as error:
                 self.store_trouble()
-                log.info("hold=%d state=unsure cause=%s", store_lease.lease_id, error)
+                log.info("store_lease=%d state=unconfirmed cause=%s", store_lease.lease_id, error)
 
     async def acquire_store_lease(self) -> None:
         """Enter as a new incarnation; an earlier process of this label is dead."""
@@ -212,12 +212,12 @@
             await self.store.revoke_lease(lease_id)
             raise StoreRefusedError("the key of this label has changed meanwhile")
         self.core.lease_acquired(lease_id, sent, now())
-        log.info("hold=%d state=held", lease_id)
+        log.info("store_lease=%d state=acquired", lease_id)
         if row is not None:
             try:
                 await self.store.revoke_lease(msgspec.json.decode(row.data, type=MemberRecord).lease_id)
             except _TROUBLE as error:  # no key hangs on it any more: it ends by itself, and costs no second entry
-                log.debug("hold state=left behind cause=%s", error)
+                log.debug("store_lease state=not_revoked cause=%s", error)
 
     async def keep_replica(self) -> None:
         await self.load_replica()
@@ -294,7 +294,7 @@
             except wire.MalformedBodyError as error:
                 if fencing_token == self.membership.fencing_token:
                     self.core.machine_shard.prober.unanswered(name, now())
-                log.debug("machine=%s state=not asked cause=%s", name, error)
+                log.debug("machine=%s state=probe_failed cause=%s", name, error)
             self.ask_more()
 
         try:
@@ -303,7 +303,7 @@
             exchange = Exchange(self.poll, host, port, reading, done)
         except (OSError, ValueError, h11.ProtocolError) as error:
             self.core.machine_shard.prober.unanswered(name, now())
-            log.debug("machine=%s state=not asked cause=%s", name, error)
+            log.debug("machine=%s state=probe_failed cause=%s", name, error)
         else:
             self.probes.add(exchange)
 
@@ -316,7 +316,7 @@
             view, conditions, drops = change
             done = await self.store.commit(conditions, {VIEW: view}, drops)
             if done.failed:
-                log.info("view state=overtaken failed=%s", done.failed)
+                log.info("view state=conflict failed=%s", done.failed)
                 await curio.sleep(constants.ROUND_S)
 
     def store_trouble(self) -> None:
@@ -342,7 +342,7 @@
             except TransactionTooLargeError as error:
                 self.core.on_batch_too_large(batch, now())
                 await self.after()
-                log.error("records state=too large changes=%d cause=%s", batch.changes, error)
+                log.error("records state=too_large changes=%d cause=%s", batch.changes, error)
                 await curio.sleep(constants.ROUND_S)
             except (*_TROUBLE, LeaseExpiredError) as error:
                 self.core.on_batch_failed(batch, now())
@@ -355,7 +355,7 @@
                     if isinstance(error, StoreRefusedError):
                         self.core.refuse_submissions()
                         await self.after()
-                log.info("records state=unsure cause=%s", error)
+                log.info("records state=unconfirmed cause=%s", error)
                 await curio.sleep(constants.ROUND_S)
 
     async def wait_for_work(self) -> None:
@@ -407,7 +407,7 @@
                     UnansweredError,
                     msgspec.DecodeError,
                 ) as error:
-                    log.info("cloud state=trouble cause=%s", error)
+                    log.info("cloud state=failed cause=%s", error)
             await curio.sleep(constants.MACHINE_TYPES_REFRESH_S if asked else constants.LEADER_ROUND_S)
 
     async def store_types(self) -> None:
@@ -440,7 +440,7 @@
                 ):
                     pass
             except (CloudError, UnansweredError, msgspec.DecodeError) as error:
-                log.info("cloud state=trouble cause=%s", error)
+                log.info("cloud state=failed cause=%s", error)
 
     async def list_machines(self) -> None:
         hosts: list[wire.ListedMachine] = []
@@ -468,14 +468,19 @@
             try:
                 names = await self.cloud.rent(name, kind.type, kind.zone, kind.spot, count)
                 log.info(
-                    "rent type=%s zone=%s spot=%s asked=%d got=%d", kind.type, kind.zone, kind.spot, count, len(names)
+                    "scale_out type=%s zone=%s spot=%s requested=%d granted=%d",
+                    kind.type,
+                    kind.zone,
+                    kind.spot,
+                    count,
+                    len(names),
                 )
                 leader.on_scaled_out(kind, names, now())
                 if len(names) < count:
                     short = True
                     leader.on_refused(kind, now())
             except NoCapacityError:
-                log.info("rent type=%s zone=%s spot=%s state=refused", kind.type, kind.zone, kind.spot)
+                log.info("scale_out type=%s zone=%s spot=%s state=refused", kind.type, kind.zone, kind.spot)
                 short = True
                 leader.on_refused(kind, now())
         if decision.terminate and self.membership.is_leader(now()) and self.cloud_rate_limit.try_take(now()):
@@ -552,7 +557,7 @@
             try:
                 answer = self.heartbeat_response(machine, fencing_token)
             except Exception:
-                log.exception("report failed machine=%s", machine.name)
+                log.exception("heartbeat machine=%s state=failed", machine.name)
                 answer = 500, wire.error_body("internal"), []
             reply(answer)
 
@@ -667,7 +672,7 @@
         try:
             reply(await self.status_stored(job))
         except Exception:
-            log.exception("status failed job=%s", job)
+            log.exception("status job=%s state=failed", job)
             reply((500, wire.error_body("internal"), []))
 
     async def status(self, job: str) -> Answer:
--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -252,7 +252,7 @@
     def record_first_start(self, cause: str) -> None:
         """What is measured, of large jobs above all: how long users waited for anything of it."""
         self.has_started = True
-        log.info("job=%s state=begun cause=%s", self.spec.id, cause)
+        log.info("job=%s state=started cause=%s", self.spec.id, cause)
 
     def requeue(self, index: int) -> None:
         """Proof that the task is on no machine: it waits again."""
@@ -743,7 +743,7 @@
             del self.jobs_by_machine[machine]
         if self.barrier.remove(seen.machine):
             if not self.barrier:
-                log.info("barrier state=lifted mandate=%d", self.fencing_token)
+                log.info("barrier state=lifted fencing_token=%d", self.fencing_token)
             self._release_inherited()
 
     def _apply_task_report(self, label: str, seen: MachineTaskReport, task: TaskStatusReport, now: float) -> None:
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -42,8 +42,8 @@
 class RentedMachineState(str, Enum):
     BOOTING = "booting"
     UP = "up"
-    TERMINATING = "leaving"
-    TERMINATED = "returned"
+    TERMINATING = "terminating"
+    TERMINATED = "terminated"
 
 
 @dataclass
@@ -322,7 +322,7 @@
         ):
             self.fleet_logged_at = now
             log.info(
-                "fleet state=%s squared %d of %d, silent %d, inherited %d tasks, held back: %d returns",
+                "fleet state=%s reconciled=%d of=%d silent=%d inherited_tasks=%d postponed_scale_in=%d",
                 knowledge.value,
                 len(rows) - len(unheard),
                 len(rows),
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -56,7 +56,7 @@
     EXPECTED = "expected"
     UP = "up"
     DRAINING = "draining"
-    EXPIRED = "lapsed"
+    EXPIRED = "lapsed"  # the value goes to the leader, see ``MachineSummary``
     TERMINATED = "gone"
 
 
@@ -366,7 +366,7 @@
                 machine.recorded = self.keep_record(machine.name)
                 if not machine.recorded:
                     self.records_to_write.append(machine.name)
-            log.debug("machine=%s state=up cause=acknowledged mandate=%d", machine.name, self.fencing_token)
+            log.debug("machine=%s state=up cause=acknowledged fencing_token=%d", machine.name, self.fencing_token)
         if heartbeat.recall_s is not None or heartbeat.machine in self.pending_drains:
             machine.drain()
         self._apply_heartbeat(machine, heartbeat, first, now)
@@ -429,7 +429,7 @@
             deaf and now >= machine.quarantined_until
         ):  # what it is sent does not arrive: tasks wait elsewhere, not on it
             machine.quarantined_until = now + self.lease_s
-            log.info("machine=%s state=aside cause=orders do not arrive", machine.name)
+            log.info("machine=%s state=quarantined cause=orders do not arrive", machine.name)
         for key, pending in list(machine.pending.items()) if machine.pending else ():
             on = tasks.get(key)
             if on is not None and on.attempt == pending.attempt:
@@ -502,7 +502,7 @@
             if len(machine.errors) >= constants.QUARANTINE_ERRORS and len(set(machine.errors)) > 1:
                 machine.quarantined_until = now + constants.QUARANTINE_S
                 machine.errors.clear()
-                log.info("machine=%s state=aside cause=errors in a row", machine.name)
+                log.info("machine=%s state=quarantined cause=errors in a row", machine.name)
 
     def orders(self, machine: Machine) -> list[dict]:
         """The orders of a response; for a machine that has yet to acknowledge only the end of what is cancelled.
@@ -733,7 +733,7 @@
         return now - since > lease + constants.PROOF_MARGIN_S and self.no_newer_view_until - since > lease
 
     def _expire(self, machine: Machine, cause: str) -> None:
-        log.info("machine=%s state=lapsed cause=%s", machine.name, cause)
+        log.info("machine=%s state=expired cause=%s", machine.name, cause)
         machine.expire()
         self.reconciliation.mark_expired(machine.name)
         self.report_to_job_owners(machine)
@@ -782,7 +782,7 @@
             if not machine.acknowledged and now - machine.last_heartbeat_at > constants.SILENT_S:
                 self.reconciliation.mark_silent(machine.name)
         if waits:
-            log.info("part mandate=%d %s", self.fencing_token, self.reconciliation.line(now))
+            log.info("machine_shard fencing_token=%d %s", self.fencing_token, self.reconciliation.line(now))
 
     def drain(self, names: Iterable[str]) -> None:
         for name in names:
@@ -813,7 +813,7 @@
                 machine.terminate()
                 self.reconciliation.mark_terminated(name)
                 self.report_to_job_owners(machine)
-                log.info("machine=%s state=gone cause=returned", name)
+                log.info("machine=%s state=terminated cause=confirmed by the cloud", name)
                 result.append(name)
         return result
 
--- a/alderbridge/membership/failure_detector.py
+++ b/alderbridge/membership/failure_detector.py
@@ -22,7 +22,7 @@
 
 from alderbridge import constants
 
-log = logging.getLogger("contact")
+log = logging.getLogger("membership")
 
 
 class PeerState(Enum):
@@ -51,11 +51,11 @@
 
     def suspect(self) -> None:
         self.state = PeerState.SUSPECTED
-        log.info("peer=%s state=silent", self.label)
+        log.info("peer=%s state=suspected", self.label)
 
     def mark_failed(self) -> None:
         self.state = PeerState.FAILED
-        log.info("peer=%s state=given up cause=a majority has not heard it", self.label)
+        log.info("peer=%s state=failed cause=a quorum has not heard it", self.label)
 
 
 class FailureDetector:
@@ -147,7 +147,7 @@
         if lost and self.contact_lost_at is None:
             log.info("contact state=lost cause=no majority has acknowledged for %.1f s", self.contact_timeout_s)
         elif self.contact_lost_at is not None and not lost:
-            log.info("contact state=held after=%.1f s", now - self.contact_lost_at)
+            log.info("contact state=restored after=%.1f s", now - self.contact_lost_at)
         near = now >= self.contact_until - constants.CONTACT_WAIVER_AHEAD_S
         stuck = any(0 < len(by) < self.majority for by in self.failed_by.values())
         whole = all(now - peer.last_frame_at < constants.MESH_SILENCE_S for peer in self.peers.values())
--- a/alderbridge/preemption/desk.py
+++ b/alderbridge/preemption/desk.py
@@ -25,7 +25,7 @@
 from alderbridge.scheduling.placement import fits
 from alderbridge.scheduling.policy import Kind
 
-log = logging.getLogger("claims")
+log = logging.getLogger("preemption")
 
 
 class Source(Protocol):
--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -26,7 +26,7 @@
 from alderbridge.preemption.records import Claim, Spent, Stops, budget_of
 from alderbridge.state.store import BUDGETS, CLAIMS, STOPS
 
-log = logging.getLogger("claims")
+log = logging.getLogger("preemption")
 _claim = msgspec.json.Decoder(Claim)
 _spent = msgspec.json.Decoder(Spent)
 _stops = msgspec.json.Decoder(Stops)
--- a/alderbridge/reconciliation/progress.py
+++ b/alderbridge/reconciliation/progress.py
@@ -22,12 +22,12 @@
 
 class MachineProgress(str, Enum):
     RECORDED = "recorded"
-    REPORTED = "heard"
+    REPORTED = "reported"
     ACKNOWLEDGED = "acknowledged"
-    RECONCILED = "squared"
+    RECONCILED = "reconciled"
     SILENT = "silent"
-    EXPIRED = "lapsed"
-    TERMINATED = "returned"
+    EXPIRED = "expired"
+    TERMINATED = "terminated"
 
 
 _UNSETTLED = frozenset((MachineProgress.RECORDED, MachineProgress.REPORTED, MachineProgress.ACKNOWLEDGED))
--- a/alderbridge/reconciliation/scale_in_guard.py
+++ b/alderbridge/reconciliation/scale_in_guard.py
@@ -16,8 +16,8 @@
 class FleetKnowledge(str, Enum):
     """How much of the fleet the leader's rows account for."""
 
-    RECONCILED = "squared"  # every machine likely to be alive has been heard, no inherited task waits for a proof
-    RECONCILING = "squaring"  # some have not: nothing is returned as idle, inherited tasks rent nothing
+    RECONCILED = "reconciled"  # every machine likely to be alive has been heard, no inherited task waits for a proof
+    RECONCILING = "reconciling"  # some have not: nothing is returned as idle, inherited tasks rent nothing
     OVERDUE = "overdue"  # for longer than any lease lasts: inherited tasks count as waiting ones
 
 
--- a/alderbridge/transport/http.py
+++ b/alderbridge/transport/http.py
@@ -21,7 +21,7 @@
 from alderbridge import constants
 from alderbridge.transport.selector import IN, OUT, Listener, Poll, listening
 
-log = logging.getLogger("net")
+log = logging.getLogger("http")
 now = time.monotonic
 
 Answer = tuple[int, bytes, list[tuple[str, str]]]
@@ -365,7 +365,7 @@
         self.respond(done)
 
     def failed(self, method: str, target: str) -> Answer:
-        log.exception("request failed method=%s target=%s", method, target)
+        log.exception("request state=failed method=%s target=%s", method, target)
         return 500, b'{"error":"internal"}', []
 
     # -- answers
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -135,7 +135,7 @@
         """A peer of another version: said once, then its connection is dropped."""
         if str(error) not in self.complained and len(self.complained) < 100:
             self.complained.add(str(error))
-            log.error("message dropped with its connection: %s", error)
+            log.error("mesh state=message_dropped cause=%s", error)
 
     async def send_to(self, label: str) -> None:
         """Keep one connection to a peer and write what is queued."""
--- a/alderbridge/transport/selector.py
+++ b/alderbridge/transport/selector.py
@@ -19,7 +19,7 @@
 import curio
 from curio.traps import _read_wait
 
-log = logging.getLogger("poll")
+log = logging.getLogger("selector")
 now = time.monotonic
 
 IN, OUT = select.EPOLLIN, select.EPOLLOUT
@@ -145,7 +145,7 @@
                 try:
                     one.ready(event)
                 except Exception:
-                    log.exception("connection failed")
+                    log.exception("connection state=failed")
                     one.close()
             begun, self.begun = self.begun, []
             for call in begun:
@@ -153,7 +153,7 @@
             try:
                 await after()
             except Exception:
-                log.exception("what comes after failed")
+                log.exception("effects state=failed")
 
 
 def _mask(events: int) -> int:
@@ -196,7 +196,7 @@
                 continue
             except OSError as error:
                 # No room for more: told of again and again, it would leave time for nothing else.
-                log.error("accept failed, goes on in a moment: %s", error)
+                log.error("accept state=failed cause=%s", error)
                 self.watched = False
                 self.poll.unwatch(self.sock.fileno())
                 return
--- a/tests/test_service_tool.py
+++ b/tests/test_service_tool.py
@@ -20,7 +20,7 @@
         name = f"{10 + number}.0 host-{number % 2} INFO node job=wk-{number:06d}"
         lines.append(f"  {name} state=accepted class=soon team=t tasks={10 if large else 1} cpus=8")
         at = 10 + number + (begun if large else 1.0)
-        lines.append(f"  {at} host-0 INFO jobs job=wk-{number:06d} state=begun cause=x")
+        lines.append(f"  {at} host-0 INFO jobs job=wk-{number:06d} state=started cause=x")
         if large_done or not large:
             lines.append(f"  {300 + number}.0 host-0 INFO jobs job=wk-{number:06d} state=done cause=last task")
     path.write_text("\n".join([*lines, *more]) + "\n" + AIMS)
@@ -36,7 +36,7 @@
 
 
 def cancelled(at, begun, cause="its first task runs"):
-    job, begins = "job=wk-000099 state=", f"begun cause={cause}"
+    job, begins = "job=wk-000099 state=", f"started cause={cause}"
     return (
         f"  50.0 host-0 INFO node {job}accepted class=soon team=t tasks=1 cpus=1",
         f"  {at} host-0 INFO jobs {job}aborted cause=withdrawn",
--- a/tools/service.py
+++ b/tools/service.py
@@ -37,7 +37,7 @@
 MOST_TASKS = 100_000
 LINE = re.compile(
     r"\s*(?P<at>[\d.]+) (?P<who>\S+) INFO \S+ job=(?P<job>\S+) "
-    r"state=(?P<state>accepted|ready|begun|done|aborted|unanswered)(?P<more>.*)"
+    r"state=(?P<state>accepted|ready|started|done|aborted|unanswered)(?P<more>.*)"
 )
 AIM = re.compile(
     r"\s+(?:met|missed) +(?P<aim>(?:wait|finished|deadline) (?P<cls>\S+) [\d.]+ \S+)"
@@ -114,7 +114,7 @@
             return
         elif state == "ready":
             facts.ready = max(facts.ready, at) if facts.begun == math.inf else facts.ready
-        elif state == "begun":
+        elif state == "started":
             facts.begun = min(facts.begun, at)
             if "runs already" not in more:
                 facts.last_start = max(facts.last_start, at)
