--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -307,7 +307,7 @@
     assert not reconciliation.over
     reconciliation.mark_terminated("n-4")
     assert reconciliation.over
-    assert reconciliation.line(3.0) == "after 3.0 s: squared 1, silent 1, lapsed 1, returned 1 of 4"
+    assert reconciliation.line(3.0) == "after 3.0 s: reconciled 1, silent 1, expired 1, terminated 1 of 4"
 
 
 # -- views that change while machines fall -----------------------------------------
