--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -292,7 +292,7 @@
 
 def test_the_largest_jobs_begin_though_small_ones_fill_the_fleet(monkeypatch):
     assert begins_beside_small_ones(8805)
-    for wait in ("KEEP_S", "BEGIN_TURN_S", "LATE_TURN_S"):
+    for wait in ("RESERVE_AFTER_S", "STARVED_JOB_S", "LATE_BOOST_S"):
         monkeypatch.setattr(constants, wait, 1e9)
     assert not begins_beside_small_ones(8805)
 
