--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -32,7 +32,7 @@
 from alderbridge.queues import HomeQueues
 from alderbridge.reconciliation import FleetKnowledge, ScaleInGuard
 from alderbridge.scheduling import placement, policy
-from alderbridge.scheduling.policy import Demand, Kind, Market, Resource
+from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
 from alderbridge.settings import Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -48,7 +48,7 @@
 
 @dataclass
 class RentedMachine:
-    kind: Kind
+    kind: MachineKind
     rented_at: float
     state: RentedMachineState
     terminating_since: float = 0.0
@@ -59,7 +59,7 @@
 
 @dataclass
 class ScalingDecision:
-    scale_out: list[tuple[Kind, int]] = field(default_factory=list)
+    scale_out: list[tuple[MachineKind, int]] = field(default_factory=list)
     drain: list[str] = field(default_factory=list)
     terminate: list[str] = field(default_factory=list)
 
@@ -123,21 +123,21 @@
         for row in room.rows:
             rented = self.rented_machines.get(row.machine)
             if rented is None and row.type:
-                rented = self._found(row.machine, Kind(row.type, row.zone, row.spot), now, RentedMachineState.UP)
+                rented = self._found(row.machine, MachineKind(row.type, row.zone, row.spot), now, RentedMachineState.UP)
             if rented is not None and rented.state is RentedMachineState.BOOTING and row.state != "expected":
                 rented.state = RentedMachineState.UP
 
-    def _found(self, name: str, kind: Kind, rented_at: float, state: RentedMachineState) -> RentedMachine:
+    def _found(self, name: str, kind: MachineKind, rented_at: float, state: RentedMachineState) -> RentedMachine:
         rented = self.rented_machines[name] = RentedMachine(kind, rented_at, state)
         log.info("machine=%s state=%s type=%s spot=%s", name, state.value, kind.type, kind.spot)
         return rented
 
-    def on_scaled_out(self, kind: Kind, names: list[str], now: float) -> None:
+    def on_scaled_out(self, kind: MachineKind, names: list[str], now: float) -> None:
         for name in names:
             if name not in self.rented_machines:
                 self._found(name, kind, now, RentedMachineState.BOOTING)
 
-    def on_refused(self, kind: Kind, now: float) -> None:
+    def on_refused(self, kind: MachineKind, now: float) -> None:
         self.market.refused_until[kind] = now + constants.REFUSED_PAUSE_S
 
     def on_listing(self, hosts: list[ListedMachine], now: float) -> None:
@@ -150,7 +150,7 @@
             rented = self.rented_machines.get(host.id)
             if rented is None:
                 rented = self._found(
-                    host.id, Kind(host.type, host.zone, host.spot), now - host.held_s, RentedMachineState.BOOTING
+                    host.id, MachineKind(host.type, host.zone, host.spot), now - host.held_s, RentedMachineState.BOOTING
                 )
             rented.listed = True
             rented.rented_at = min(rented.rented_at, now - host.held_s)
@@ -194,7 +194,7 @@
         result.sort(key=lambda demand: demand.due_in_s)
         return result
 
-    def _kinds_in_reach(self, now: float) -> set[Kind] | None:
+    def _kinds_in_reach(self, now: float) -> set[MachineKind] | None:
         """Kinds of which a machine is there, on its way or may be rented; None where nothing was lately refused."""
         if not any(until > now for until in self.market.refused_until.values()):
             return None
@@ -206,7 +206,7 @@
         }
         return there | set(self.market.kinds(now))
 
-    def _order(self, row: QueueRow, spec: JobSpec, kinds: set[Kind] | None) -> tuple:
+    def _order(self, row: QueueRow, spec: JobSpec, kinds: set[MachineKind] | None) -> tuple:
         """In the order of placement, but last what no machine is there for, and none can be had for.
 
         Guarded: a team's limit is not kept, as an allowance or for a rental, for a job that can't use it as long as the
@@ -246,7 +246,7 @@
     def _rows(self) -> dict[str, tuple[MachineSummary, float]]:
         return {row.machine: (row, at) for room, at in self.machine_summaries.values() for row in room.rows}
 
-    def outlook(self, now: float, without: Container[str]) -> list[Resource]:
+    def outlook(self, now: float, without: Container[str]) -> list[MachineResource]:
         """Room now, room that comes free, and machines that boot, at the time they come up; but for ``without``."""
         rows, result = self._rows(), []
         for name, rented in self.rented_machines.items():
@@ -259,12 +259,12 @@
                 continue
             row, _ = rows.get(name, (None, now))
             if row is not None and row.state == "up":
-                result.append(Resource(rented.kind, row.free, row.ends))
+                result.append(MachineResource(rented.kind, row.free, row.ends))
             elif row is not None and row.state == "expected":
-                result.append(Resource(rented.kind, self.market.room(rented.kind)))
+                result.append(MachineResource(rented.kind, self.market.room(rented.kind)))
             elif row is None and not rented.failed and (age := now - rented.rented_at) < 1.5 * kind.boot_s:
                 up_in = max(kind.boot_s - age, (1.5 * kind.boot_s - age) / 2)
-                result.append(Resource(rented.kind, (0.0, 0.0, 0.0), [(up_in, *self.market.room(rented.kind))]))
+                result.append(MachineResource(rented.kind, (0.0, 0.0, 0.0), [(up_in, *self.market.room(rented.kind))]))
         return result
 
     def decide(self, now: float) -> ScalingDecision:
@@ -274,9 +274,9 @@
         rows = self._rows()
         self._refresh_scale_in_guard(rows, now)
         queue = self.demands(now)
-        resources: list[Resource] = []
-        booting: list[Resource] = []
-        idle: list[tuple[Resource, str]] = []
+        resources: list[MachineResource] = []
+        booting: list[MachineResource] = []
+        idle: list[tuple[MachineResource, str]] = []
         alive = 0
         for name, rented in self.rented_machines.items():
             if rented.state is RentedMachineState.TERMINATED:
@@ -301,7 +301,7 @@
             elif not policy.keep_idle(walk, resource):
                 self.begin_termination(name, now, decision, "idle at the end of its block")
         below_cap = max(0, self.tuning.max_machines - alive)
-        wanted = policy.machines_wanted(walk, self.market, now, below_cap, Counter(r.kind for r in resources))
+        wanted = policy.machines_to_rent(walk, self.market, now, below_cap, Counter(r.kind for r in resources))
         if now - self.hard_checked_at >= constants.HARD_CHECK_S:
             self.hard_checked_at = now
             hard = policy.hard_check(queue, self.market, now, booting, below_cap)
@@ -339,8 +339,8 @@
         at: float,
         now: float,
         decision: ScalingDecision,
-        resources: list[Resource],
-        idle: list[tuple[Resource, str]],
+        resources: list[MachineResource],
+        idle: list[tuple[MachineResource, str]],
     ) -> None:
         silent = row.silent_s + (now - at)
         fresh = now - at < 3 * constants.LEADER_ROUND_S
@@ -366,12 +366,12 @@
         elif rented.state is RentedMachineState.TERMINATING:
             decision.drain.append(name)  # its part has not said so yet
         elif row.state == "up":
-            resource = Resource(rented.kind, row.free, row.ends)
+            resource = MachineResource(rented.kind, row.free, row.ends)
             resources.append(resource)
             if row.idle_s > 0 and fresh and not row.ends:
                 idle.append((resource, name))
         elif row.state == "expected" and rented.kind.type in self.market.types:
-            resources.append(Resource(rented.kind, self.market.room(rented.kind)))
+            resources.append(MachineResource(rented.kind, self.market.room(rented.kind)))
 
     def _booting(
         self,
@@ -379,8 +379,8 @@
         rented: RentedMachine,
         now: float,
         decision: ScalingDecision,
-        resources: list[Resource],
-        booting: list[Resource],
+        resources: list[MachineResource],
+        booting: list[MachineResource],
     ) -> None:
         kind = self.market.types.get(rented.kind.type)
         if kind is None:
@@ -394,7 +394,7 @@
         ):
             self.begin_termination(name, now, decision, "failed" if rented.failed else "did not come up")
         else:
-            resource = Resource(rented.kind, self.market.room(rented.kind))
+            resource = MachineResource(rented.kind, self.market.room(rented.kind))
             resources.append(resource)
             if age < 1.5 * kind.boot_s:
                 booting.append(resource)
--- a/alderbridge/leader/quota.py
+++ b/alderbridge/leader/quota.py
@@ -14,7 +14,7 @@
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import HomeQueue
 from alderbridge.scheduling import policy
-from alderbridge.scheduling.policy import Need
+from alderbridge.scheduling.policy import QuotaDemand
 from alderbridge.settings import Team
 
 Amounts = tuple[float, float]  # cpus, gpus
@@ -74,19 +74,19 @@
         return result
 
     def _divide(
-        self, team: Team, queues: Mapping[str, HomeQueue], cpus: list[Need], gpus: list[Need]
+        self, team: Team, queues: Mapping[str, HomeQueue], cpus: list[QuotaDemand], gpus: list[QuotaDemand]
     ) -> dict[str, Amounts]:
         shares = []
         for part, (limit, needs) in enumerate(((team.cpus_max, cpus), (team.gpus_max, gpus))):
             used = {label: queues[label].used.get(team.name, _NONE)[part] for label in self.members}
             reserved = {label: queues[label].reserved.get(team.name, _NONE)[part] for label in self.members}
             given = {label: self.given[label].get(team.name, _NONE)[part] for label in self.members}
-            shares.append(policy.divide(limit, used, reserved, given, needs) if limit > 0 else given)
+            shares.append(policy.divide_quota(limit, used, reserved, given, needs) if limit > 0 else given)
         return {label: (shares[0].get(label, 0.0), shares[1].get(label, 0.0)) for label in self.members}
 
     def _needs(
         self, now: float, queues: Mapping[str, HomeQueue], order: Order
-    ) -> dict[str, tuple[list[Need], list[Need]]]:
+    ) -> dict[str, tuple[list[QuotaDemand], list[QuotaDemand]]]:
         """Per changed team, what waits where (cpus, gpus), in the order of placement.
 
         For a job of which nothing ran for long, room is kept until it holds a task: smaller ones would take it all.
@@ -98,10 +98,10 @@
                 if spec is not None and row.waited_s >= 0:  # before its turn after an opening it takes no allowance
                     kept = row.waited_s >= constants.STARVED_JOB_S and row.waiting == spec.tasks
                     waiting.append((order(row, spec), label, row.waiting, spec, kept))
-        needs: dict[str, tuple[list[Need], list[Need]]] = {team: ([], []) for team in self.changed}
+        needs: dict[str, tuple[list[QuotaDemand], list[QuotaDemand]]] = {team: ([], []) for team in self.changed}
         for _, label, count, spec, kept in sorted(waiting, key=lambda entry: entry[:2]):
-            needs[spec.team][0].append(Need(label, count * spec.cpus, spec.cpus, kept))
-            needs[spec.team][1].append(Need(label, count * spec.gpus, spec.gpus, kept))
+            needs[spec.team][0].append(QuotaDemand(label, count * spec.cpus, spec.cpus, kept))
+            needs[spec.team][1].append(QuotaDemand(label, count * spec.gpus, spec.gpus, kept))
         return needs
 
     def _rows_of_changed(self, queue: HomeQueue, now: float) -> list[QueueRow]:
--- a/alderbridge/preemption/choosing.py
+++ b/alderbridge/preemption/choosing.py
@@ -12,7 +12,7 @@
 from alderbridge.preemption.records import Claim
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.placement import Room, allowed, fits, minus
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 
 Group = dict[str, Claim]  # machine -> claim; stored in one transaction
 
@@ -46,7 +46,7 @@
     """A machine as its part tells of it: no claim is on it, and tasks may be placed there."""
 
     machine: str
-    kind: Kind
+    kind: MachineKind
     free: Room
     tasks: list[Victim]
 
--- a/alderbridge/preemption/desk.py
+++ b/alderbridge/preemption/desk.py
@@ -23,7 +23,7 @@
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
 from alderbridge.scheduling.placement import fits
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 
 log = logging.getLogger("preemption")
 
@@ -39,7 +39,7 @@
     def shown(self, spec: JobSpec) -> bool: ...
 
     def told(
-        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None: ...
 
     def choose(
@@ -134,7 +134,7 @@
 
     def _choose(self, now: float, wall: float, teams: Teams, most: int) -> None:
         kinds = {
-            row.machine: Kind(row.type, row.zone, row.spot)
+            row.machine: MachineKind(row.type, row.zone, row.spot)
             for room, _ in self.leader.machine_summaries.values()
             for row in room.rows
             if row.state == "up"
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -30,7 +30,7 @@
 from alderbridge.settings import Objective, Tuning
 
 
-class Kind(NamedTuple):
+class MachineKind(NamedTuple):
     """What can be rented: a type in a zone, spot or ordinary."""
 
     type: str
@@ -39,10 +39,10 @@
 
 
 @dataclass
-class Resource:
+class MachineResource:
     """A machine as the heuristic sees it: what is free now, what comes free when."""
 
-    kind: Kind
+    kind: MachineKind
     free: Room
     ends: Sequence[tuple[float, float, float, float]] = ()  # in s, cpus, memory, gpus
 
@@ -125,14 +125,14 @@
     return max(0.0, times[-1][0]), True
 
 
-def _may_use(demand: Demand, kind: Kind) -> bool:
+def may_use(demand: Demand, kind: MachineKind) -> bool:
     return allowed(demand.spec, kind.type, kind.zone, kind.spot) and demand.zone in (None, kind.zone)
 
 
 class _Slots:
     """Slots of one size on machines of one kind: a heap of (time they come free, how many)."""
 
-    def __init__(self, kind: Kind, size: JobSpec) -> None:
+    def __init__(self, kind: MachineKind, size: JobSpec) -> None:
         self.kind, self.size = kind, size
         # Room for one more task as a share of each amount; what it does not take has no share.
         self.per_cpu = 1.0 / size.cpus
@@ -142,7 +142,7 @@
         self.heap: list[tuple[float, int]] = []
         self.total = 0
 
-    def add(self, resource: Resource, sign: int = 1) -> None:
+    def add(self, resource: MachineResource, sign: int = 1) -> None:
         """Some thousand slots a round: ``placement.fits`` for this one size, without calls."""
         cpus, memory, gpus = resource.free
         per_cpu, per_gb, per_gpu, counts = self.per_cpu, self.per_gb, self.per_gpu, self.counts
@@ -202,15 +202,15 @@
     are counted, not listed: the answer is that of a walk over single slots.
     """
 
-    def __init__(self, resources: Iterable[Resource], queue: Sequence[Demand]) -> None:
+    def __init__(self, resources: Iterable[MachineResource], queue: Sequence[Demand]) -> None:
         self.queue = queue
         self.usable: list[list[tuple[_Slots, int, int]] | None] = [None] * len(queue)  # see ``_usable``
-        self.pools: dict[tuple[Kind, str], _Slots] = {}
-        self.heads: dict[tuple[Kind, Room], Demand | None] = {}
+        self.pools: dict[tuple[MachineKind, str], _Slots] = {}
+        self.heads: dict[tuple[MachineKind, Room], Demand | None] = {}
         for resource in resources:
             self.add(resource)
 
-    def add(self, resource: Resource, sign: int = 1) -> None:
+    def add(self, resource: MachineResource, sign: int = 1) -> None:
         cpus = memory = gpus = 0.0
         for _, more_cpus, more_memory, more_gpus in resource.ends:
             cpus, memory, gpus = cpus + more_cpus, memory + more_memory, gpus + more_gpus
@@ -219,7 +219,7 @@
         known = (resource.kind, total)
         if known not in self.heads:
             self.heads[known] = next(
-                (demand for demand in self.queue if _may_use(demand, resource.kind) and fits(demand.spec, total)), None
+                (demand for demand in self.queue if may_use(demand, resource.kind) and fits(demand.spec, total)), None
             )
         head = self.heads[known]
         if head is not None:
@@ -229,7 +229,7 @@
                 self.usable = [None] * len(self.queue)
             self.pools[key].add(resource, sign)
 
-    def remove(self, resource: Resource) -> None:
+    def remove(self, resource: MachineResource) -> None:
         self.add(resource, -1)
 
     def breach(self, hopeless: Callable[[Demand], bool] = lambda demand: False) -> Demand | None:
@@ -262,7 +262,7 @@
         if known is None:
             known = self.usable[number] = []
             for pool in self.pools.values():
-                if _may_use(demand, pool.kind):
+                if may_use(demand, pool.kind):
                     slots, tasks = pool.per_task(demand.spec)
                     if slots:
                         known.append((pool, slots, tasks))
@@ -296,13 +296,13 @@
     types: dict[str, MachineType]
     zones: Sequence[str]
     bid_share: float
-    refused_until: dict[Kind, float] = field(default_factory=dict)
+    refused_until: dict[MachineKind, float] = field(default_factory=dict)
 
-    def price(self, kind: Kind) -> float:
+    def price(self, kind: MachineKind) -> float:
         machine = self.types[kind.type]
         return machine.spot_price if kind.spot and machine.spot_price is not None else machine.price
 
-    def kinds(self, now: float) -> list[Kind]:
+    def kinds(self, now: float) -> list[MachineKind]:
         """All kinds not lately refused; spot only below the bid."""
         result = []
         for machine in self.types.values():
@@ -310,44 +310,46 @@
                 for spot in (True, False):
                     if spot and (machine.spot_price is None or machine.spot_price > machine.price * self.bid_share):
                         continue
-                    kind = Kind(machine.name, zone, spot)
+                    kind = MachineKind(machine.name, zone, spot)
                     if self.refused_until.get(kind, 0.0) <= now:
                         result.append(kind)
         return result
 
-    def room(self, kind: Kind) -> Room:
+    def room(self, kind: MachineKind) -> Room:
         machine = self.types[kind.type]
         return (machine.cpus, machine.memory_gb, machine.gpus)
 
-    def options(self, demand: Demand, now: float) -> list[tuple[float, Kind]]:
+    def options(self, demand: Demand, now: float) -> list[tuple[float, MachineKind]]:
         """What a demand may be rented, and its price per slot that is of use; the cheapest first."""
         result = []
         for kind in self.kinds(now):
             slots = fits(demand.spec, self.room(kind))
-            if slots and _may_use(demand, kind):
+            if slots and may_use(demand, kind):
                 result.append((self.price(kind) / min(slots, demand.count), kind))
         return sorted(result)
 
-    def best(self, demand: Demand, now: float, count: dict[Kind, int] | None = None) -> Kind | None:
+    def best(self, demand: Demand, now: float, count: dict[MachineKind, int] | None = None) -> MachineKind | None:
         return cheapest(self.options(demand, now), count or {})
 
 
-def cheapest(options: Sequence[tuple[float, Kind]], count: dict[Kind, int]) -> Kind | None:
+def cheapest(options: Sequence[tuple[float, MachineKind]], count: dict[MachineKind, int]) -> MachineKind | None:
     """The cheapest per slot; among equals, where fewest machines are."""
     equals = [kind for price, kind in options if price == options[0][0]]
     return min(equals, key=lambda kind: (count.get(kind, 0), kind)) if equals else None
 
 
-def machines_wanted(walk: Walk, market: Market, now: float, below_cap: int, count: dict[Kind, int]) -> list[Kind]:
+def machines_to_rent(
+    walk: Walk, market: Market, now: float, below_cap: int, count: dict[MachineKind, int]
+) -> list[MachineKind]:
     """Base (3.2): while a breach is predicted, one more machine, counted as free.
 
     Machines that one demand lacks are found by doubling and halving, not one walk each.
     """
-    wanted: list[Kind] = []
+    wanted: list[MachineKind] = []
     count = dict(count)
-    known: dict[str, list[tuple[float, Kind]]] = {}
+    known: dict[str, list[tuple[float, MachineKind]]] = {}
 
-    def options(demand: Demand) -> list[tuple[float, Kind]]:
+    def options(demand: Demand) -> list[tuple[float, MachineKind]]:
         job = demand.spec.id
         if job not in known:
             known[job] = market.options(demand, now)
@@ -361,12 +363,12 @@
             kind = cheapest(options(demand), count)
             wanted.append(kind)
             count[kind] = count.get(kind, 0) + 1
-            walk.add(Resource(kind, market.room(kind)))
+            walk.add(MachineResource(kind, market.room(kind)))
 
     def drop(number: int) -> None:
         for kind in wanted[len(wanted) - number :]:
             count[kind] -= 1
-            walk.remove(Resource(kind, market.room(kind)))
+            walk.remove(MachineResource(kind, market.room(kind)))
         del wanted[len(wanted) - number :]
 
     if not market.kinds(now):
@@ -403,14 +405,14 @@
 
 
 def hard_check(
-    queue: Iterable[Demand], market: Market, now: float, booting: Sequence[Resource], below_cap: int
-) -> list[Kind]:
+    queue: Iterable[Demand], market: Market, now: float, booting: Sequence[MachineResource], below_cap: int
+) -> list[MachineKind]:
     """Hard (3.3): tasks within boot time and margin of a breach ask for machines.
 
     The paper's machine holds one task, ours several: tasks ask for the machines
     that hold them, less those that are booting and not overdue.
     """
-    wanted: list[Kind] = []
+    wanted: list[MachineKind] = []
     coming = list(booting)
     for demand in queue:
         kind = market.best(demand, now)
@@ -419,7 +421,7 @@
         left = demand.count
         kept = []
         for resource in coming:
-            slots = fits(demand.spec, resource.free) if _may_use(demand, resource.kind) else 0
+            slots = fits(demand.spec, resource.free) if may_use(demand, resource.kind) else 0
             if left > 0 and slots:
                 left -= slots
             else:
@@ -432,7 +434,7 @@
     return wanted
 
 
-def keep_idle(walk: Walk, resource: Resource) -> bool:
+def keep_idle(walk: Walk, resource: MachineResource) -> bool:
     """3.2: an idle rented machine stays if removing it predicts a breach; else it has left the walk.
 
     A breach of a demand that has no use for the machine is there with and without it. Counted, it kept every idle
@@ -441,7 +443,7 @@
     """
 
     def no_use(demand: Demand) -> bool:
-        return not (_may_use(demand, resource.kind) and fits(demand.spec, resource.free))
+        return not (may_use(demand, resource.kind) and fits(demand.spec, resource.free))
 
     walk.remove(resource)
     if walk.breach(no_use) is None:
@@ -455,7 +457,7 @@
     return constants.PAID_BLOCK_S - age_s % constants.PAID_BLOCK_S <= within_s
 
 
-class Need(NamedTuple):
+class QuotaDemand(NamedTuple):
     """What a job's waiting tasks at a home would take of their team's limit."""
 
     owner: str
@@ -464,8 +466,8 @@
     kept: bool = False  # less than that is kept for it all the same, until it holds a task
 
 
-def divide(
-    limit: float, used: dict[str, float], held: dict[str, float], given: dict[str, float], needs: Sequence[Need]
+def divide_quota(
+    limit: float, used: dict[str, float], held: dict[str, float], given: dict[str, float], needs: Sequence[QuotaDemand]
 ) -> dict[str, float]:
     """Shares of a team's limit; their sum with what is still held never exceeds it.
 
