--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -132,7 +132,7 @@
         self.machine_shard.processed_seq_of = self.processed_seq_of
         self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
         self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
-        self.busy: placement.Busy | None = None  # made when first asked for in a round
+        self.busy: placement.BusyMachines | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
             float("-inf"),
@@ -996,7 +996,7 @@
                 return 0
             if self.busy is None:
                 self.busy = self.machine_shard.busy(now)
-            return self.busy.room(offer.spec)
+            return self.busy.capacity_for(offer.spec)
 
         held = (
             self.reserved_gpus.get(machine.name, 0.0)
@@ -1072,7 +1072,7 @@
         if spec is None or used >= claim.count:
             return candidate
         room = candidate.free
-        for want in placement.keep(candidate, self.offers, claim.job, claim.count - used):
+        for want in placement.fill_claimed(candidate, self.offers, claim.job, claim.count - used):
             take = self.machine_shard.reserve(machine, want.job, want.count)
             self.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
             used, room = used + want.count, placement.minus(room, spec, want.count)
--- a/alderbridge/preemption/choosing.py
+++ b/alderbridge/preemption/choosing.py
@@ -11,7 +11,7 @@
 from alderbridge.preemption.budget import Budget
 from alderbridge.preemption.records import Claim
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import Room, allowed, fits, minus
+from alderbridge.scheduling.placement import Resources, allowed, fits, minus
 from alderbridge.scheduling.policy import MachineKind
 
 Group = dict[str, Claim]  # machine -> claim; stored in one transaction
@@ -47,7 +47,7 @@
 
     machine: str
     kind: MachineKind
-    free: Room
+    free: Resources
     tasks: list[Victim]
 
 
@@ -188,7 +188,7 @@
         return _Step(sum(price for price, _ in chosen) + self.place(need, machine.held), victims)
 
     @staticmethod
-    def _add(room: Room, name: str, unit: list[tuple[str, Victim]], sign: int) -> Room:
+    def _add(room: Resources, name: str, unit: list[tuple[str, Victim]], sign: int) -> Resources:
         for other, victim in unit:
             if other == name:
                 room = minus(room, victim.spec, -sign)
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -32,7 +32,7 @@
     def take_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """All that a home offers, told in each round."""
         if label not in self.by_changes:
-            self.offers.tell(label, self._offers_of(label, queue.rows, now))
+            self.offers.replace(label, self._offers_of(label, queue.rows, now))
 
     def take_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """What a home offers otherwise than before."""
@@ -40,7 +40,7 @@
         unknown = self.unknown.setdefault(label, {})
         if changes.whole:
             unknown.clear()
-            self.offers.tell(label, ())
+            self.offers.replace(label, ())
         gone = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
         for job in gone:
             unknown.pop(job, None)
@@ -50,14 +50,14 @@
             unknown.pop(row.job, None)
             if row.offer > 0 and row.job not in known:
                 unknown[row.job] = (row, now)
-        self.offers.change(label, offers, gone)
+        self.offers.update(label, offers, gone)
 
     def look(self) -> None:
         """Records may have arrived for which rows wait."""
         for label, rows in self.unknown.items():
             known = [(row, at, spec) for row, at in rows.values() if (spec := self.spec_of(row.job)) is not None]
             if known:
-                self.offers.change(
+                self.offers.update(
                     label, [Offer(label, row, spec, at, constants.PACKING_WAIT_S) for row, at, spec in known], ()
                 )
                 for row, _, _ in known:
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -23,7 +23,7 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import PRIORITIES, JobSpec, MachineType
 
-Room = tuple[float, float, float]  # cpus, memory, gpus
+Resources = tuple[float, float, float]  # cpus, memory, gpus
 _GUARANTEED = len(PRIORITIES)  # ranks above the highest priority
 TURN_AHEAD_S = 1e9  # s; so far before all dates stands what has a turn, in the order of its arrival
 
@@ -35,11 +35,11 @@
     type: str
     zone: str
     spot: bool
-    free: Room
+    free: Resources
     images: Mapping[str, float] | frozenset[str]
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class PlacementRequest(msgspec.Struct, frozen=True):
     """Tasks of one job to ask its home for, for one machine."""
 
     owner: str = msgspec.field(name="home")
@@ -57,7 +57,7 @@
     )
 
 
-def fits(spec: JobSpec, room: Room) -> int:
+def fits(spec: JobSpec, room: Resources) -> int:
     """How many tasks of ``spec`` the room holds."""
     count = room[0] / spec.cpus
     if spec.memory_gb > 0:
@@ -67,18 +67,18 @@
     return math.floor(count + 1e-9) if count > 0 else 0
 
 
-def minus(room: Room, spec: JobSpec, count: int) -> Room:
+def minus(room: Resources, spec: JobSpec, count: int) -> Resources:
     return (room[0] - spec.cpus * count, room[1] - spec.memory_gb * count, room[2] - spec.gpus * count)
 
 
-class Busy:
+class BusyMachines:
     """The machines of a part that run something and have room; made anew each round."""
 
     def __init__(self, machines: Iterable[Candidate]) -> None:
         self.machines = list(machines)
         self.rooms: dict[tuple, int] = {}
 
-    def room(self, spec: JobSpec) -> int:
+    def capacity_for(self, spec: JobSpec) -> int:
         """How many tasks of ``spec`` fit them; alike jobs share the answer."""
         shape = (spec.cpus, spec.memory_gb, spec.gpus, spec.spot, spec.zone, tuple(spec.types or ()))
         if shape not in self.rooms:
@@ -134,30 +134,30 @@
 
     def __init__(self) -> None:
         """Nothing is offered."""
-        self.by_home: dict[str, dict[str, Entry]] = {}
+        self.by_shard: dict[str, dict[str, Entry]] = {}
         self.merged: list[Entry] | None = []  # of all homes, in order; None: to be put together anew
         self.sizes: Counter[float] = Counter()  # cpus of a task -> offers
         self.least_cpus = math.inf  # of the smallest task
 
     def clear(self) -> None:
         """A new view: nothing that was offered counts."""
-        self.by_home.clear()
+        self.by_shard.clear()
         self.sizes.clear()
         self.least_cpus = math.inf
         self.merged = None
 
-    def tell(self, label: str, offers: Iterable[Offer]) -> None:
+    def replace(self, label: str, offers: Iterable[Offer]) -> None:
         """All that a home offers now, in place of what it told before."""
-        for entry in self.by_home.get(label, {}).values():
+        for entry in self.by_shard.get(label, {}).values():
             self.sizes[entry[-1].spec.cpus] -= 1
-        self.by_home[label] = {offer.row.job: (*offer.key, label, offer.row.job, offer) for offer in offers}
-        self.sizes.update(entry[-1].spec.cpus for entry in self.by_home[label].values())
+        self.by_shard[label] = {offer.row.job: (*offer.key, label, offer.row.job, offer) for offer in offers}
+        self.sizes.update(entry[-1].spec.cpus for entry in self.by_shard[label].values())
         self.merged = None
         self._find_least()
 
-    def change(self, label: str, offers: Iterable[Offer], gone: Iterable[str]) -> None:
+    def update(self, label: str, offers: Iterable[Offer], gone: Iterable[str]) -> None:
         """What a home offers anew or otherwise, and what it offers no more."""
-        known = self.by_home.setdefault(label, {})
+        known = self.by_shard.setdefault(label, {})
         for job in gone:
             self._remove(known, job)
         for offer in offers:
@@ -184,11 +184,11 @@
     def in_order(self) -> list[Entry]:
         """All offers, whose turn it is first."""
         if self.merged is None:
-            self.merged = sorted(itertools.chain.from_iterable(owner.values() for owner in self.by_home.values()))
+            self.merged = sorted(itertools.chain.from_iterable(owner.values() for owner in self.by_shard.values()))
         return self.merged
 
 
-def keep(machine: Candidate, offers: Offers, job: str, count: int) -> list[Wanted]:
+def fill_claimed(machine: Candidate, offers: Offers, job: str, count: int) -> list[PlacementRequest]:
     """What to ask for of the one job that the machine's room is kept for, at most ``count``; off ``left``."""
     result, room = [], machine.free
     for *_, offer in offers.in_order():
@@ -198,7 +198,7 @@
         if number > 0 and allowed(offer.spec, machine.type, machine.zone, machine.spot):
             offer.left -= number
             room, count = minus(room, offer.spec, number), count - number
-            result.append(Wanted(offer.label, job, machine.name, machine.zone, number))
+            result.append(PlacementRequest(offer.label, job, machine.name, machine.zone, number))
     return result
 
 
@@ -209,7 +209,7 @@
     room_elsewhere: Callable[[Offer], int],
     keep: Callable[[Offer], bool] = lambda offer: False,
     now: float = math.inf,
-) -> list[Wanted]:
+) -> list[PlacementRequest]:
     """What to ask for, for one machine; takes it off ``left``.
 
     ``keep``: whether the room that is left stays free for an offer whose tasks it does not hold yet. Smaller
@@ -218,7 +218,7 @@
     image must be fetched waits in a heap until its later deadline has its turn, so that the
     front of the list is enough.
     """
-    result: list[Wanted] = []
+    result: list[PlacementRequest] = []
     room, least = machine.free, offers.least_cpus - 1e-9
     if room[0] < least:
         return result
@@ -230,7 +230,7 @@
         if count > 0:
             offer.left -= count
             room = minus(room, offer.spec, count)
-            result.append(Wanted(offer.label, offer.row.job, machine.name, machine.zone, count))
+            result.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
 
     for entry in offers.in_order():
         if room[0] < least:
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -26,7 +26,7 @@
 
 from alderbridge import constants
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling.placement import Room, allowed, fits
+from alderbridge.scheduling.placement import Resources, allowed, fits
 from alderbridge.settings import Objective, Tuning
 
 
@@ -43,7 +43,7 @@
     """A machine as the heuristic sees it: what is free now, what comes free when."""
 
     kind: MachineKind
-    free: Room
+    free: Resources
     ends: Sequence[tuple[float, float, float, float]] = ()  # in s, cpus, memory, gpus
 
 
@@ -206,7 +206,7 @@
         self.queue = queue
         self.usable: list[list[tuple[_Slots, int, int]] | None] = [None] * len(queue)  # see ``_usable``
         self.pools: dict[tuple[MachineKind, str], _Slots] = {}
-        self.heads: dict[tuple[MachineKind, Room], Demand | None] = {}
+        self.heads: dict[tuple[MachineKind, Resources], Demand | None] = {}
         for resource in resources:
             self.add(resource)
 
@@ -315,7 +315,7 @@
                         result.append(kind)
         return result
 
-    def room(self, kind: MachineKind) -> Room:
+    def room(self, kind: MachineKind) -> Resources:
         machine = self.types[kind.type]
         return (machine.cpus, machine.memory_gb, machine.gpus)
 
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -225,7 +225,7 @@
 
 def test_room_is_kept_for_a_task_that_fits_no_rest_of_a_machine():
     offers = Offers()
-    offers.tell(
+    offers.replace(
         "host-0",
         [
             Offer("host-0", row(LARGE, constants.RESERVE_AFTER_S, 5.0), LARGE, 100.0, constants.PACKING_WAIT_S),
@@ -265,7 +265,7 @@
     home.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
     assert told(185.0) == (349, 0)
     first, other = Offers(), msgspec.structs.replace(LARGE, priority="high")
-    first.tell(
+    first.replace(
         "host-0",
         [
             Offer("host-0", row(other, 5.0, 1.0), other, 100.0, 4.0),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import PRIORITIES, JobSpec
-from alderbridge.scheduling.placement import Busy, Candidate, Offer, Offers, allowed, fill, fits, minus
+from alderbridge.scheduling.placement import BusyMachines, Candidate, Offer, Offers, allowed, fill, fits, minus
 
 
 def spec(spot=True, **more):
@@ -29,13 +29,13 @@
 
 
 def test_room_on_busy_machines_is_what_the_job_may_use():
-    busy = Busy(
+    busy = BusyMachines(
         [Candidate("a", "c8", "a", True, (5.0, 9.0, 0.0), {}), Candidate("b", "c8", "b", False, (8.0, 3.0, 0.0), {})]
     )
-    assert busy.room(spec()) == 2 + 3
-    assert busy.room(spec(spot=False)) == 3
-    assert busy.room(spec(zone="a")) == 2
-    assert busy.room(spec(types=["c16"])) == 0
+    assert busy.capacity_for(spec()) == 2 + 3
+    assert busy.capacity_for(spec(spot=False)) == 3
+    assert busy.capacity_for(spec(zone="a")) == 2
+    assert busy.capacity_for(spec(types=["c16"])) == 0
 
 
 def brute(machine, rows, fetch_s, elsewhere):
@@ -89,7 +89,7 @@
                 rng.random() < 0.2,
             )
             rows[label].append(Offer(label, row, job, 100.0, 4.0))
-        offers.tell(label, rows[label])
+        offers.replace(label, rows[label])
     for _ in range(4):
         machine = Candidate(
             "a",
