--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -34,7 +34,7 @@
 from alderbridge.preemption.desk import Desk, Source
 from alderbridge.priorities import Rules, Text
 from alderbridge.protocol import messages, wire
-from alderbridge.queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
+from alderbridge.queues import OfferBook, PublishRound, QueueFormat, QueuePublisher, QueueState, SenderClock
 from alderbridge.scheduling import placement, policy
 from alderbridge.settings import Platform, Tuning
 from alderbridge.state.replica import Replica, list_keys
@@ -342,7 +342,7 @@
                 self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
             case messages.TaskRequest():
                 self.job_shard.on_task_request(label, body, self.now, self.may_act())
-                self.queue_publisher.delta_tracker.tell_again(label, body.job)
+                self.queue_publisher.delta_tracker.resend_row(label, body.job)
             case messages.TaskGrant():
                 machine = self.machine_shard.on_task_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
@@ -391,15 +391,15 @@
 
     def on_queue(self, label: str, queue: messages.QueueSnapshot) -> None:
         """The whole queue of a home that tells no changes."""
-        self.offer_book.take_queue(label, queue, self.now)
+        self.offer_book.apply_snapshot(label, queue, self.now)
         self.leader.on_queue(label, queue, self.now)
         if label != self.me:
             self.write_rate_limit.record_peer_rate(label, queue.changes, self.now)
 
     def on_queue_changes(self, label: str, changes: messages.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
-        at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.now)
-        self.offer_book.take_changes(label, changes, at)
+        at = self.sender_clocks.setdefault(label, SenderClock()).local_time(changes.at, self.now)
+        self.offer_book.apply_delta(label, changes, at)
         if self.membership.view.leader == self.me:
             self.leader.on_queue_changes(label, changes, at)
 
@@ -1144,9 +1144,9 @@
         if self.may_act():
             self.machine_shard.check_leases(now)
         self.busy = None
-        self.offer_book.look()
+        self.offer_book.resolve_unknown_jobs()
 
-    def queue_snapshot(self, now: float) -> Snapshot:
+    def queue_snapshot(self, now: float) -> QueueState:
         """This home's queue and sums as they stand."""
         used = self.job_shard.used(now)
         if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
@@ -1154,19 +1154,19 @@
         rows = self.job_shard.queue_rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
         if self.calendars is not None and self.may_act():
             self.job_shard.stop_closed()
-        return Snapshot(
+        return QueueState(
             rows, used, self.job_shard.reserved(used), self.job_shard.demand(used), self.job_shard.allocations_received
         )
 
-    def publish_queue(self, now: float, snapshot: Snapshot) -> None:
+    def publish_queue(self, now: float, snapshot: QueueState) -> None:
         """The members are told of the queue, and whoever is none that this process is there."""
         membership, failure_detector = self.membership, self.membership.failure_detector
         links = {label: self.channels[label] for label in self.queue_subscribers()}
         status = messages.PeerStatus(
             failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
         )
-        one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
-        for told in self.queue_publisher.tell(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
+        one = PublishRound(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
+        for told in self.queue_publisher.publish(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
             if told.numbered:
                 self.send(told.label, told.message)
             else:
@@ -1178,7 +1178,7 @@
     def queue_subscribers(self) -> list[str]:
         """The other members of the view; but for older processes in a member's place, once changes are told."""
         others = [label for label in self.channels if label in self.membership.view.members]
-        if self.queue_publisher.form is Form.WHOLE_QUEUES:
+        if self.queue_publisher.form is QueueFormat.WHOLE_QUEUES:
             return others
         return [
             label
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -29,7 +29,7 @@
     TeamUsageDelta,
 )
 from alderbridge.protocol.wire import JobSpec, ListedMachine, MachineType
-from alderbridge.queues import HomeQueues
+from alderbridge.queues import ShardQueues
 from alderbridge.reconciliation import FleetKnowledge, ScaleInGuard
 from alderbridge.scheduling import placement, policy
 from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
@@ -85,7 +85,7 @@
     def enter(self, members: list[str], now: float) -> None:
         self.members = members
         self.entered_at = now
-        self.queues = HomeQueues()
+        self.queues = ShardQueues()
         self.machine_summaries: dict[str, tuple[MachineSummaries, float]] = {}
         self.quota_allocator.enter(members)
         self.hard_checked_at = now
@@ -98,21 +98,21 @@
 
     def on_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """The whole queue of a home that tells no changes."""
-        if label in self.members and self.queues.of(label).take_queue(queue, now):
+        if label in self.members and self.queues.of(label).apply_snapshot(queue, now):
             self.queues.arrived(label)
             self.quota_allocator.changed.update(self.quota_allocator.teams)
 
     def on_queue_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """Rows of a home's queue that are news."""
         if label in self.members:
-            self.queues.of(label).take_rows(changes, now)
+            self.queues.of(label).apply_row_delta(changes, now)
             self.queues.arrived(label)
             self.quota_allocator.rows_changed([*(row.job for row in changes.rows), *changes.gone])
 
     def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
         """Sums of a home's teams that are news."""
         if label in self.members:
-            self.queues.of(label).take_sums(changes)
+            self.queues.of(label).apply_usage_delta(changes)
             self.queues.arrived(label)
             self.quota_allocator.sums_changed(changes.teams)
 
--- a/alderbridge/leader/quota.py
+++ b/alderbridge/leader/quota.py
@@ -12,7 +12,7 @@
 from alderbridge import constants
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.queues import HomeQueue
+from alderbridge.queues import ShardQueue
 from alderbridge.scheduling import policy
 from alderbridge.scheduling.policy import QuotaDemand
 from alderbridge.settings import Team
@@ -51,7 +51,7 @@
         self.changed.update(team for team in teams if team in self.teams)
 
     def next(
-        self, now: float, queues: Mapping[str, HomeQueue], order: Callable[[], Order]
+        self, now: float, queues: Mapping[str, ShardQueue], order: Callable[[], Order]
     ) -> dict[str, dict[str, Amounts]]:
         """New allowances by home, of the teams for which they differ; ``order`` gives the order of placement now."""
         if not self.teams or any(label not in queues for label in self.members):
@@ -74,7 +74,7 @@
         return result
 
     def _divide(
-        self, team: Team, queues: Mapping[str, HomeQueue], cpus: list[QuotaDemand], gpus: list[QuotaDemand]
+        self, team: Team, queues: Mapping[str, ShardQueue], cpus: list[QuotaDemand], gpus: list[QuotaDemand]
     ) -> dict[str, Amounts]:
         shares = []
         for part, (limit, needs) in enumerate(((team.cpus_max, cpus), (team.gpus_max, gpus))):
@@ -85,7 +85,7 @@
         return {label: (shares[0].get(label, 0.0), shares[1].get(label, 0.0)) for label in self.members}
 
     def _needs(
-        self, now: float, queues: Mapping[str, HomeQueue], order: Order
+        self, now: float, queues: Mapping[str, ShardQueue], order: Order
     ) -> dict[str, tuple[list[QuotaDemand], list[QuotaDemand]]]:
         """Per changed team, what waits where (cpus, gpus), in the order of placement.
 
@@ -104,9 +104,9 @@
             needs[spec.team][1].append(QuotaDemand(label, count * spec.gpus, spec.gpus, kept))
         return needs
 
-    def _rows_of_changed(self, queue: HomeQueue, now: float) -> list[QueueRow]:
+    def _rows_of_changed(self, queue: ShardQueue, now: float) -> list[QueueRow]:
         found = []
-        for job in queue.told:
+        for job in queue.received_rows:
             spec = self.spec_of(job)
             if spec is not None and spec.team in self.changed:
                 found.append(queue.row(job, now))
--- a/alderbridge/queues/__init__.py
+++ b/alderbridge/queues/__init__.py
@@ -1,23 +1,23 @@
-"""How a home's waiting jobs and its teams' sums reach the members that use them.
+"""How a job shard's waiting jobs and its teams' usage reach the members that use them.
 
-A home publishes what has changed since it last told a member; the member keeps the whole. Members that run an older
-version are told the whole queue in every round, as ever. Why nothing unsafe rests on it: ``docs/design.md``, "Queues".
+A job shard publishes what has changed since it last told a member; the member keeps the whole. Members of an older
+version are sent the whole queue in every round. Why nothing unsafe rests on it: ``docs/design.md``, "Queues".
 """
 
-from alderbridge.queues.delta_tracker import DeltaTracker, Snapshot
-from alderbridge.queues.home_queue import HomeQueue, HomeQueues
+from alderbridge.queues.delta_tracker import DeltaTracker, QueueState
 from alderbridge.queues.offer_book import OfferBook
-from alderbridge.queues.queue_publisher import Form, QueuePublisher, Round
+from alderbridge.queues.queue_publisher import PublishRound, QueueFormat, QueuePublisher
 from alderbridge.queues.sender_clock import SenderClock
+from alderbridge.queues.shard_queue import ShardQueue, ShardQueues
 
 __all__ = [
-    "Form",
-    "HomeQueue",
-    "HomeQueues",
-    "OfferBook",
     "DeltaTracker",
-    "Round",
-    "SenderClock",
-    "Snapshot",
+    "OfferBook",
+    "PublishRound",
+    "QueueFormat",
     "QueuePublisher",
+    "QueueState",
+    "SenderClock",
+    "ShardQueue",
+    "ShardQueues",
 ]
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -13,12 +13,12 @@
 
 from alderbridge import constants
 from alderbridge.protocol.messages import QueueDelta, QueueRow, TeamUsage, TeamUsageDelta
-from alderbridge.queues.home_queue import Amounts
+from alderbridge.queues.shard_queue import Amounts
 
 _NOTHING: Amounts = (0.0, 0.0)
 
 
-class Snapshot(NamedTuple):
+class QueueState(NamedTuple):
     """This home's queue and sums in one round."""
 
     rows: list[QueueRow]
@@ -110,11 +110,11 @@
         oldest = min(self.told.values(), default=self.version)
         self.gone = {job: version for job, version in self.gone.items() if version > oldest}
 
-    def tell_again(self, label: str, job: str) -> None:
+    def resend_row(self, label: str, job: str) -> None:
         """A member has asked for tasks of the job: it has taken them off what it was told, granted or not."""
         self.again[label].add(job)
 
-    def changes_for(self, label: str, all_rows: bool) -> QueueDelta | None:
+    def delta_for(self, label: str, all_rows: bool) -> QueueDelta | None:
         """What the member does not know yet; None: nothing. Without ``all_rows`` only what is on offer."""
         since, again = self.told.get(label), self.again.pop(label, None)
         self.told[label] = self.version
@@ -147,7 +147,7 @@
             return QueueDelta(self.now, more, [], False) if more else None
         return QueueDelta(self.now, [*changes.rows, *more], changes.gone, False) if more else changes
 
-    def sums_for_leader(self, snapshot: Snapshot) -> TeamUsageDelta | None:
+    def usage_for_leader(self, snapshot: QueueState) -> TeamUsageDelta | None:
         """The sums that the leader does not know yet, with the count of allowances that they rest on."""
         sums = _sums(snapshot)
         known, whole = self.sums or {}, self.sums is None
@@ -161,7 +161,7 @@
         return TeamUsageDelta(changed, snapshot.allocations_received, whole)
 
 
-def _sums(snapshot: Snapshot) -> Mapping[str, TeamUsage]:
+def _sums(snapshot: QueueState) -> Mapping[str, TeamUsage]:
     """One entry for each team of which anything is used, held or wanted."""
     used, reserved, demand = snapshot.used, snapshot.reserved, snapshot.demand
     teams = dict.fromkeys((*used, *reserved, *demand))
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -29,12 +29,12 @@
         self.by_changes.clear()
         self.unknown.clear()
 
-    def take_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
+    def apply_snapshot(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """All that a home offers, told in each round."""
         if label not in self.by_changes:
             self.offers.replace(label, self._offers_of(label, queue.rows, now))
 
-    def take_changes(self, label: str, changes: QueueDelta, now: float) -> None:
+    def apply_delta(self, label: str, changes: QueueDelta, now: float) -> None:
         """What a home offers otherwise than before."""
         self.by_changes.add(label)
         unknown = self.unknown.setdefault(label, {})
@@ -52,7 +52,7 @@
                 unknown[row.job] = (row, now)
         self.offers.update(label, offers, gone)
 
-    def look(self) -> None:
+    def resolve_unknown_jobs(self) -> None:
         """Records may have arrived for which rows wait."""
         for label, rows in self.unknown.items():
             known = [(row, at, spec) for row, at in rows.values() if (spec := self.spec_of(row.job)) is not None]
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -15,10 +15,10 @@
 
 from alderbridge import constants
 from alderbridge.protocol.messages import KeepAlive, Message, PeerStatus, QueueSnapshot
-from alderbridge.queues.delta_tracker import DeltaTracker, Snapshot
+from alderbridge.queues.delta_tracker import DeltaTracker, QueueState
 
 
-class Form(Enum):
+class QueueFormat(Enum):
     """In which form members are told."""
 
     WHOLE_QUEUES = "whole queues"
@@ -43,14 +43,14 @@
     numbered: bool  # it must arrive, in order
 
 
-class Round(NamedTuple):
+class PublishRound(NamedTuple):
     """What one round is about."""
 
     now: float
     fencing_token: int
     leader: str
     links: Mapping[str, Link]  # the channels to the other members of the view
-    snapshot: Snapshot
+    snapshot: QueueState
     status: PeerStatus
 
 
@@ -65,15 +65,15 @@
 
     def enter(self) -> None:
         """A new view."""
-        self.form = Form.WHOLE_QUEUES
+        self.form = QueueFormat.WHOLE_QUEUES
         self.delta_tracker.clear()
         self.last: dict[str, tuple[Message, float, int]] = {}  # member -> queue or status, when, what it acknowledged
 
-    def tell(self, one: Round, all_read_changes: bool) -> Iterator[OutgoingMessage]:
+    def publish(self, one: PublishRound, all_read_changes: bool) -> Iterator[OutgoingMessage]:
         """All messages of a round; ``all_read_changes``: whoever takes part, or is about to, has written so."""
         if all_read_changes:
-            self.form = Form.CHANGES
-        if self.form is Form.CHANGES:
+            self.form = QueueFormat.CHANGES
+        if self.form is QueueFormat.CHANGES:
             yield from self._changes(one)
             yield from self._to_each(one, one.status)
         else:
@@ -82,7 +82,7 @@
             yield OutgoingMessage(self.me, queue, False)
             yield from self._to_each(one, queue)
 
-    def _changes(self, one: Round) -> Iterator[OutgoingMessage]:
+    def _changes(self, one: PublishRound) -> Iterator[OutgoingMessage]:
         """Members one after the other, as equal messages in a row are encoded once."""
         delta_tracker = self.delta_tracker
         delta_tracker.update(one.snapshot.rows, one.now)
@@ -93,19 +93,19 @@
         ]
         for label in (self.me, *ready):
             numbered = label != self.me
-            if label == one.leader and (sums := delta_tracker.sums_for_leader(one.snapshot)) is not None:
+            if label == one.leader and (sums := delta_tracker.usage_for_leader(one.snapshot)) is not None:
                 yield OutgoingMessage(label, sums, numbered)
-            if (changes := delta_tracker.changes_for(label, label == one.leader)) is not None:
+            if (changes := delta_tracker.delta_for(label, label == one.leader)) is not None:
                 yield OutgoingMessage(label, changes, numbered)
                 self._acknowledged(label, one)
 
-    def _acknowledged(self, label: str, one: Round) -> None:
+    def _acknowledged(self, label: str, one: PublishRound) -> None:
         """The message that has just gone there carries the acknowledgement that the status would."""
         if label in self.last:
             message, at, _ = self.last[label]
             self.last[label] = (message, at, one.links[label].received)
 
-    def _to_each(self, one: Round, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
+    def _to_each(self, one: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
         """To whom it is news; the same is told again only now and then, or with an acknowledgement to pass on."""
         for label, link in one.links.items():
             last, at, received = self.last.get(label, (KeepAlive(), float("-inf"), 0))
--- a/alderbridge/queues/sender_clock.py
+++ b/alderbridge/queues/sender_clock.py
@@ -20,7 +20,7 @@
         self.offset = math.inf  # of this process's clock to the sender's, and the shortest way of a message
         self.seen_at = 0.0
 
-    def moment(self, made_at: float, now: float) -> float:
+    def local_time(self, made_at: float, now: float) -> float:
         """The time here at which a message that arrives now was made; never later than now."""
         trusted = self.offset + 2 * constants.CLOCK_DRIFT * (now - self.seen_at)
         self.offset, self.seen_at = min(now - made_at, trusted), now
--- a/alderbridge/queues/home_queue.py
+++ b/alderbridge/queues/shard_queue.py
@@ -1,6 +1,6 @@
 """The receiving side: what one home has told of its queue and of its teams' sums. Pure.
 
-States of a ``HomeQueue``:
+States of a ``ShardQueue``:
 
 * EMPTY: nothing has arrived under this view.
 * PARTIAL: rows or sums have, and not yet both.
@@ -24,12 +24,12 @@
     return msgspec.structs.replace(row, due_in_s=row.due_in_s - by_s, waited_s=row.waited_s + by_s)
 
 
-class HomeQueue:
+class ShardQueue:
     """A home's waiting jobs, and what its teams use, hold and want."""
 
     def __init__(self) -> None:
         """Nothing is known."""
-        self.told: dict[str, tuple[QueueRow, float]] = {}  # job -> its row, and when it arrived
+        self.received_rows: dict[str, tuple[QueueRow, float]] = {}  # job -> its row, and when it arrived
         self.used: dict[str, Amounts] = {}
         self.reserved: dict[str, Amounts] = {}
         self.demand: dict[str, Amounts] = {}
@@ -45,23 +45,23 @@
     @property
     def rows(self) -> list[QueueRow]:
         """All rows, with their times as they were told."""
-        return [row for row, _ in self.told.values()]
+        return [row for row, _ in self.received_rows.values()]
 
     def row(self, job: str, now: float) -> QueueRow:
         """The row of one job, with its times as they stand."""
-        row, at = self.told[job]
+        row, at = self.received_rows[job]
         return aged(row, now - at) if now != at else row
 
     def aged_rows(self, now: float) -> Iterator[QueueRow]:
         """All rows, with their times as they stand."""
-        for job in self.told:
+        for job in self.received_rows:
             yield self.row(job, now)
 
-    def take_queue(self, queue: QueueSnapshot, now: float) -> bool:
+    def apply_snapshot(self, queue: QueueSnapshot, now: float) -> bool:
         """The whole of it, from a member that tells no changes; False: it is older than what is known."""
         if self.by_changes:
             return False
-        self.told = {row.job: (row, now) for row in queue.rows}
+        self.received_rows = {row.job: (row, now) for row in queue.rows}
         self.used, self.reserved, self.demand, self.allocations_received = (
             queue.used,
             queue.reserved,
@@ -71,17 +71,17 @@
         self.has_rows = self.has_sums = True
         return True
 
-    def take_rows(self, changes: QueueDelta, now: float) -> None:
+    def apply_row_delta(self, changes: QueueDelta, now: float) -> None:
         """Rows that are new or differ, and jobs that have none any more."""
         self.by_changes = self.has_rows = True
         if changes.whole:
-            self.told = {}
+            self.received_rows = {}
         for job in changes.gone:
-            self.told.pop(job, None)
+            self.received_rows.pop(job, None)
         for row in changes.rows:
-            self.told[row.job] = (row, now)
+            self.received_rows[row.job] = (row, now)
 
-    def take_sums(self, changes: TeamUsageDelta) -> None:
+    def apply_usage_delta(self, changes: TeamUsageDelta) -> None:
         """The sums of teams that differ."""
         self.by_changes = self.has_sums = True
         if changes.whole:
@@ -95,18 +95,18 @@
                     known[team] = amounts
 
 
-class HomeQueues(dict[str, HomeQueue]):
+class ShardQueues(dict[str, ShardQueue]):
     """The homes' queues that are whole, by label; those that are not yet are kept beside them."""
 
     def __init__(self) -> None:
         """No home has told anything."""
         super().__init__()
-        self.partial: dict[str, HomeQueue] = {}
+        self.partial: dict[str, ShardQueue] = {}
 
-    def of(self, label: str) -> HomeQueue:
+    def of(self, label: str) -> ShardQueue:
         """What that home has told so far, whole or not."""
         known = self.get(label)
-        return known if known is not None else self.partial.setdefault(label, HomeQueue())
+        return known if known is not None else self.partial.setdefault(label, ShardQueue())
 
     def arrived(self, label: str) -> None:
         """Something of that home's was taken: it may be whole now."""
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -10,7 +10,15 @@
 from alderbridge.membership.view import MemberRecord
 from alderbridge.protocol import messages
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.queues import DeltaTracker, HomeQueue, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
+from alderbridge.queues import (
+    DeltaTracker,
+    OfferBook,
+    PublishRound,
+    QueuePublisher,
+    QueueState,
+    SenderClock,
+    ShardQueue,
+)
 from alderbridge.state.write_rate_limit import WriteRateLimit
 
 TEAMS = ("a", "b", "c")
@@ -46,7 +54,7 @@
         self.sums: dict[str, tuple[float, float]] = {}
         self.allocations_received = 0
         self.links = {"leader": Link(), "part": Link()}
-        self.known = {label: HomeQueue() for label in ("home", *self.links)}
+        self.known = {label: ShardQueue() for label in ("home", *self.links)}
         self.clocks = {label: SenderClock() for label in self.known}
         self.in_flight: dict[str, list[messages.Message]] = {label: [] for label in self.links}
         self.messages = 0
@@ -74,13 +82,13 @@
             for job, one in self.jobs.items()
         ]
         reserved = {team: amounts for team, amounts in self.sums.items() if amounts != (0.0, 0.0)}
-        return Snapshot(rows, reserved, reserved, {}, self.allocations_received)
+        return QueueState(rows, reserved, reserved, {}, self.allocations_received)
 
     def step(self):
         self.now += constants.ROUND_S
         self.change()
-        one = Round(self.now, 1, "leader", self.links, self.snapshot(), messages.PeerStatus([], [], 0))
-        for told in self.queue_publisher.tell(one, True):
+        one = PublishRound(self.now, 1, "leader", self.links, self.snapshot(), messages.PeerStatus([], [], 0))
+        for told in self.queue_publisher.publish(one, True):
             if told.label in self.links and told.numbered:
                 self.in_flight[told.label].append(told.message)
                 self.links[told.label].unacknowledged += 1
@@ -98,9 +106,9 @@
     def take(self, label, message):
         self.messages += 1
         if isinstance(message, messages.QueueDelta):
-            self.known[label].take_rows(message, self.clocks[label].moment(message.at + 7.0, self.now))
+            self.known[label].apply_row_delta(message, self.clocks[label].local_time(message.at + 7.0, self.now))
         elif isinstance(message, messages.TeamUsageDelta):
-            self.known[label].take_sums(message)
+            self.known[label].apply_usage_delta(message)
 
     def check(self, label, offered_only):
         """Rows within what may wait, and no other job; sums to the letter."""
@@ -134,10 +142,10 @@
 
 def test_what_was_held_up_counts_from_when_it_was_made():
     clock = SenderClock()
-    assert clock.moment(10.0, 500.0) == 500.0, "nothing better is known"
-    assert clock.moment(20.0, 509.0) == 509.0, "it was quicker"
-    assert clock.moment(30.0, 527.0) == pytest.approx(519.0, abs=0.02), "held up for 8 s"
-    assert clock.moment(630.0, 1119.5) == pytest.approx(1119.5, abs=0.7), "clocks drift apart"
+    assert clock.local_time(10.0, 500.0) == 500.0, "nothing better is known"
+    assert clock.local_time(20.0, 509.0) == 509.0, "it was quicker"
+    assert clock.local_time(30.0, 527.0) == pytest.approx(519.0, abs=0.02), "held up for 8 s"
+    assert clock.local_time(630.0, 1119.5) == pytest.approx(1119.5, abs=0.7), "clocks drift apart"
 
 
 def test_a_lost_change_is_seen_by_that(monkeypatch):
@@ -160,53 +168,55 @@
 def test_who_is_far_behind_is_told_the_whole_queue():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row(f"wk-{number}") for number in range(3)], 0.0)
-    assert delta_tracker.changes_for("slow", True).whole and delta_tracker.changes_for("quick", True).whole
+    assert delta_tracker.delta_for("slow", True).whole and delta_tracker.delta_for("quick", True).whole
     for at in range(1, constants.QUEUE_ENDED_JOBS + 10):
         delta_tracker.update([row(f"wk-{3 + at}")], float(at))
-        delta_tracker.changes_for("quick", True)
+        delta_tracker.delta_for("quick", True)
     assert len(delta_tracker.gone) <= constants.QUEUE_ENDED_JOBS
-    changes = delta_tracker.changes_for("slow", True)
+    changes = delta_tracker.delta_for("slow", True)
     assert changes.whole and len(changes.rows) == 1
 
 
 def test_small_differences_wait_for_a_second_and_large_ones_do_not():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row("wk-1", 400, 400), row("wk-2", 9, 9)], 0.0)
-    delta_tracker.changes_for("a", True)
+    delta_tracker.delta_for("a", True)
     delta_tracker.update([row("wk-1", 399, 399, due=29.8), row("wk-2", 8, 8, due=29.8)], 0.2)
-    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-2"]
+    assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-2"]
     delta_tracker.update([row("wk-1", 340, 340, due=29.6), row("wk-2", 8, 8, due=29.6)], 0.4)
-    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-1"]
+    assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-1"]
     delta_tracker.update([row("wk-1", 339, 339, due=28.5), row("wk-2", 8, 8, due=28.5)], 1.5)
-    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-1"]
+    assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-1"]
     delta_tracker.update([row("wk-1", 339, 339, due=28.3), row("wk-2", 8, 8, due=28.3)], 1.7)
-    assert delta_tracker.changes_for("a", True) is None, "nothing but the time has passed"
-    delta_tracker.tell_again("a", "wk-2")
-    assert [one.job for one in delta_tracker.changes_for("a", True).rows] == ["wk-2"], "its copy was counted down"
-    assert delta_tracker.changes_for("a", True) is None
+    assert delta_tracker.delta_for("a", True) is None, "nothing but the time has passed"
+    delta_tracker.resend_row("a", "wk-2")
+    assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-2"], "its copy was counted down"
+    assert delta_tracker.delta_for("a", True) is None
 
 
 def test_parts_are_told_what_is_on_offer_and_the_leader_all():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row("wk-1"), row("wk-2", offer=0)], 0.0)
-    assert [one.job for one in delta_tracker.changes_for("part", False).rows] == ["wk-1"]
-    assert [one.job for one in delta_tracker.changes_for("leader", True).rows] == ["wk-1", "wk-2"]
+    assert [one.job for one in delta_tracker.delta_for("part", False).rows] == ["wk-1"]
+    assert [one.job for one in delta_tracker.delta_for("leader", True).rows] == ["wk-1", "wk-2"]
     delta_tracker.update([row("wk-1", offer=0), row("wk-2")], 0.2)
-    changes = delta_tracker.changes_for("part", False)
+    changes = delta_tracker.delta_for("part", False)
     assert [one.job for one in changes.rows] == ["wk-2"] and changes.gone == ["wk-1"]
 
 
 def test_a_late_whole_queue_hides_no_change():
-    known, book = HomeQueue(), OfferBook(spec)
+    known, book = ShardQueue(), OfferBook(spec)
     stale = messages.QueueSnapshot([row("wk-1"), row("wk-2")], {"t": (4.0, 0.0)}, {"t": (4.0, 0.0)}, {}, 1)
-    assert known.take_queue(stale, 1.0)
-    book.take_queue("a", stale, 1.0)
+    assert known.apply_snapshot(stale, 1.0)
+    book.apply_snapshot("a", stale, 1.0)
     changes = messages.QueueDelta(0.0, [row("wk-2", offer=1)], [], True)
-    known.take_rows(changes, 2.0)
-    book.take_changes("a", changes, 2.0)
-    known.take_sums(messages.TeamUsageDelta({"t": messages.TeamUsage((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True))
-    assert not known.take_queue(stale, 2.1)
-    book.take_queue("a", stale, 2.1)
+    known.apply_row_delta(changes, 2.0)
+    book.apply_delta("a", changes, 2.0)
+    known.apply_usage_delta(
+        messages.TeamUsageDelta({"t": messages.TeamUsage((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True)
+    )
+    assert not known.apply_snapshot(stale, 2.1)
+    book.apply_snapshot("a", stale, 2.1)
     assert (
         [one.job for one in known.rows] == ["wk-2"]
         and known.reserved == {"t": (9.0, 0.0)}
@@ -219,15 +229,15 @@
     """It is told once: passed over, its job would have waited until something of it changed."""
     records = {}
     book = OfferBook(records.get)
-    book.take_changes("a", messages.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
-    book.look()
+    book.apply_delta("a", messages.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
+    book.resolve_unknown_jobs()
     assert not book.offers.in_order()
     records["wk-1"] = spec("wk-1")
-    book.look()
+    book.resolve_unknown_jobs()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
-    book.take_changes("a", messages.QueueDelta(0.0, [], ["wk-2"], False), 6.0)
+    book.apply_delta("a", messages.QueueDelta(0.0, [], ["wk-2"], False), 6.0)
     records["wk-2"] = spec("wk-2")
-    book.look()
+    book.resolve_unknown_jobs()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
 
 
@@ -235,20 +245,20 @@
 def test_offers_that_change_stand_in_the_order_of_all_told_anew(seed):
     rng = random.Random(seed)
     changed, anew, rows = OfferBook(spec), OfferBook(spec), {}
-    changed.take_changes("a", messages.QueueDelta(0.0, [], [], True), 0.0)
+    changed.apply_delta("a", messages.QueueDelta(0.0, [], [], True), 0.0)
     for step in range(200):
         job = f"wk-{rng.randint(0, 20)}"
         if rng.random() < 0.3:
             rows.pop(job, None)
-            changed.take_changes("a", messages.QueueDelta(0.0, [], [job], False), 0.0)
+            changed.apply_delta("a", messages.QueueDelta(0.0, [], [job], False), 0.0)
         else:
             rows[job] = row(
                 job, offer=rng.randint(0, 3), due=rng.choice([5.0, 9.0, 30.0]), priority_boost=rng.choice([0, 0, 1])
             )
-            changed.take_changes("a", messages.QueueDelta(0.0, [rows[job]], [], False), 0.0)
+            changed.apply_delta("a", messages.QueueDelta(0.0, [rows[job]], [], False), 0.0)
         if step % 3 == 0:
             changed.offers.in_order()  # from here on it is kept in order
-        anew.take_queue("a", messages.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
+        anew.apply_snapshot("a", messages.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
         told = [entry[:5] for entry in changed.offers.in_order()]
         assert told == [entry[:5] for entry in anew.offers.in_order()]
         assert changed.offers.least_cpus == anew.offers.least_cpus
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -465,10 +465,10 @@
     spec = world.make_job(99)
     leader.replica.saw_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
-    queue.told[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
+    queue.received_rows[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     began = leader.scale_in_guard.since
     assert not leader.decide(world.t).drain and leader.scale_in_guard.returns > 0
-    del queue.told[spec.id]
+    del queue.received_rows[spec.id]
     assert leader.decide(world.t).drain, "squared, it goes"
     assert leader.scale_in_guard.since >= began
 
