--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -30,8 +30,8 @@
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import Machine, MachineShard
 from alderbridge.membership.view import Membership, MemberStatus, View
-from alderbridge.preemption import Teams, Transaction
-from alderbridge.preemption.desk import Desk, Source
+from alderbridge.preemption import ClaimTransaction, Teams
+from alderbridge.preemption.planner import PreemptionPlanner, PreemptionPolicy
 from alderbridge.priorities import Rules, Text
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
@@ -94,7 +94,7 @@
     lists: list[tuple[Submission, str]] = field(default_factory=list)
     dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
     proposal: Proposal | None = None  # then nothing else
-    claims: Transaction | None = None  # then nothing else is in it
+    claims: ClaimTransaction | None = None  # then nothing else is in it
 
     @property
     def changes(self) -> int:
@@ -140,7 +140,7 @@
         self.leader = Leader(
             shared.teams, shared.zones, tuning, self.replica, shared.cloud.list_lag_s, shared.workers.lease_s
         )
-        self.ledger, self.preemption_planner = self.replica.ledger, Desk(self.leader, self.replica.ledger)
+        self.ledger, self.preemption_planner = self.replica.ledger, PreemptionPlanner(self.leader, self.replica.ledger)
         self.priorities: Callable[[float], list[Text]] = lambda now: self.declared.in_force("priorities", now)
         self.rules = Rules([])
         self.lendings: Callable[[float], list] = lambda now: self.declared.in_force("lending", now)
@@ -373,7 +373,9 @@
                     label,
                     messages.MachineTaskList(
                         self.machine_shard.machine_tasks(
-                            self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
+                            self.now,
+                            self.ledger.entries,
+                            lambda spec: any(source.is_reported(spec) for source in sources),
                         ),
                         True,
                     ),
@@ -1030,12 +1032,12 @@
 
     # -- claims ------------------------------------------------------------------------
 
-    def preemption_policies(self) -> list[Source]:
+    def preemption_policies(self) -> list[PreemptionPolicy]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
         texts = self.priorities(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         if texts != self.rules.texts:
             self.rules = Rules(texts)
-        result: list[Source] = [self.rules] if texts else []
+        result: list[PreemptionPolicy] = [self.rules] if texts else []
         lendings = self.lendings(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         if not lendings:
             self.lender = None
@@ -1091,7 +1093,7 @@
             return Teams(self.shared.teams, used)
 
         sources = self.preemption_policies()
-        if self.preemption_planner.round(now, now + self.wall_offset_s, sources, teams, self.max_changes):
+        if self.preemption_planner.plan(now, now + self.wall_offset_s, sources, teams, self.max_changes):
             for label in self.membership.view.members:
                 self.send_unreliable(label, messages.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -15,7 +15,17 @@
 from alderbridge.jobs.shard import JobState
 from alderbridge.lending.declaration import Lend, Text
 from alderbridge.lending.reserve import Free, Reserve, hold
-from alderbridge.preemption import Budget, Claim, Group, Held, Limit, Need, Teams, Victim, loss_s
+from alderbridge.preemption import (
+    CandidateMachine,
+    ClaimGroup,
+    PreemptionBudget,
+    PreemptionClaim,
+    PreemptionDemand,
+    PreemptionLimit,
+    Teams,
+    Victim,
+    lost_seconds,
+)
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.placement import Offer, allowed, fits, order
@@ -23,7 +33,7 @@
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
-    from alderbridge.preemption.desk import Desk
+    from alderbridge.preemption.planner import PreemptionPlanner
 
 REASON = "serving"
 
@@ -74,7 +84,7 @@
         self.used: Counter[str] = Counter()  # GPUs of each team's replicas, at the last look
         self.since: dict[str, float] = {}  # job -> since when it has a need
         self.tasks_served_by_lending: Counter[str] = Counter()  # job -> waiting replicas that no machine is rented for
-        self.held: dict[str, Claim] = {}  # of this reason, at the last look
+        self.held: dict[str, PreemptionClaim] = {}  # of this reason, at the last look
         self.specs: dict[str, JobSpec | None] = {}  # of their victims' jobs
         if before is not None:
             self.paid, self.seen, self.peaks, self.sites = before.paid, before.seen, before.peaks, before.sites
@@ -154,7 +164,7 @@
         resources: Iterable[Resource],
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
-    ) -> list[Need]:
+    ) -> list[PreemptionDemand]:
         """Replicas that nothing else serves in time, in the order of placement.
 
         ``resources``: machines without a claim, booting ones as room that comes. ``used``: what each team's tasks
@@ -185,7 +195,7 @@
                     free = self._holds(one, rooms, min(count, headroom))
                 count = min(count - free, headroom - free, one.offer - coming - free)
             if count > 0:
-                result.append(Need(spec, int(count), one.due_in_s, REASON, one.zone, one.guaranteed))
+                result.append(PreemptionDemand(spec, int(count), one.due_in_s, REASON, one.zone, one.guaranteed))
         return result
 
     def _holds(self, one: Service, rooms: list[list], most: int) -> int:
@@ -225,11 +235,11 @@
 
     # -- the desk's side ---------------------------------------------------------
 
-    def shown(self, spec: JobSpec) -> bool:
+    def is_reported(self, spec: JobSpec) -> bool:
         """Whether parts tell the leader of such a task: it may stop, or it is a replica."""
         return self.preemptible(spec) or self.serves(spec)
 
-    def told(
+    def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         sites = {}
@@ -239,7 +249,7 @@
                 sites[row.machine] = Site(frozenset(row.images), replicas)
         self.see(sites, {name: kinds[name].zone for name in sites})
 
-    def services(self, desk: Desk, now: float) -> list[Service]:
+    def services(self, desk: PreemptionPlanner, now: float) -> list[Service]:
         """The services that lending serves, as their rows and records stand."""
         rows, result = desk.queue_rows(now), []
         for job, (record, _) in desk.leader.replica.active.items():
@@ -260,7 +270,7 @@
                 )
         return result
 
-    def look(self, desk: Desk, now: float) -> list[Need]:
+    def find_demands(self, desk: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
         """Who needs what; and what the leader is not to rent for: claims, and needs that are a moment old."""
         leader, promised = desk.leader, desk.promised()
         self.held = {machine: claim for machine, claim in desk.ledger.all().items() if claim.reason == REASON}
@@ -304,7 +314,7 @@
         known = self.types.get(kind.type)
         return known is not None and known.gpus > 0
 
-    def keep(self, desk: Desk, now: float) -> dict[str, float]:
+    def keep(self, desk: PreemptionPlanner, now: float) -> dict[str, float]:
         """Free GPUs that lending work leaves alone now, by machine."""
         gpus = sum(
             self.peaks.gpus(team, self.reserve(team), self._guarantee(team), self.used[team], self.keep_s, now)
@@ -340,11 +350,11 @@
 
     # -- pace --------------------------------------------------------------------
 
-    def limit(self, need: Need) -> Limit:
+    def limit(self, need: PreemptionDemand) -> PreemptionLimit:
         """In stops, as the store counts them; each takes a GPU or more, and ``allowed`` counts those."""
-        return Limit(self._pace("gpus_a_minute"), self._pace("gpus_at_once"))
+        return PreemptionLimit(self._pace("gpus_a_minute"), self._pace("gpus_at_once"))
 
-    def pay(self, held: Mapping[str, Claim], specs: Mapping[str, JobSpec | None], wall: float) -> None:
+    def pay(self, held: Mapping[str, PreemptionClaim], specs: Mapping[str, JobSpec | None], wall: float) -> None:
         """Count the GPUs of claims of this reason that are in the store; ``specs``: of their victims' jobs."""
         for machine, claim in held.items():
             if (machine, claim.at) in self.seen:
@@ -362,7 +372,7 @@
         """What parts told of all their machines."""
         self.sites, self.zone_of = dict(sites), dict(zone_of)
 
-    def _begin(self, machines: Sequence[Held]) -> None:
+    def _begin(self, machines: Sequence[CandidateMachine]) -> None:
         self.zone_of |= {one.machine: one.kind.zone for one in machines}
         self.where = {(victim.job, victim.index): one.machine for one in machines for victim in one.tasks}
         self.opened: Counter[str] = Counter()  # machine -> victims chosen there
@@ -374,17 +384,22 @@
             if all_gpus and one.free[2] + lent >= all_gpus - 1e-9:
                 self.whole.add(one.machine)
 
-    def _gpus(self, held: Held) -> float:
+    def _gpus(self, held: CandidateMachine) -> float:
         kind = self.types.get(held.kind.type)
         return kind.gpus if kind is not None else 0.0
 
-    def choose(
-        self, needs: Iterable[Need], machines: Sequence[Held], budget: Budget, wall: float, most: int
-    ) -> list[Group]:
-        """Claims for the needs; see ``claims.choose``."""
+    def select_victims(
+        self,
+        needs: Iterable[PreemptionDemand],
+        machines: Sequence[CandidateMachine],
+        budget: PreemptionBudget,
+        wall: float,
+        most: int,
+    ) -> list[ClaimGroup]:
+        """Claims for the needs; see ``claims.select_victims``."""
         self.pay(self.held, self.specs, wall)
         self._begin(machines)
-        result: list[Group] = []
+        result: list[ClaimGroup] = []
         taken: set[str] = set()
         rooms = [[one.kind, one.free, ()] for one in machines]
         for need in needs:
@@ -397,8 +412,16 @@
                     break
                 self.need = need._replace(zone=zone, count=min(need.count - served, most_there))
                 here = [one for one in machines if one.machine not in taken and zone in (None, one.kind.zone)]
-                found = preemption.choose(
-                    [self.need], here, self.allowed, self.cost, budget, wall, self.take, self.place, most
+                found = preemption.select_victims(
+                    [self.need],
+                    here,
+                    self.allowed,
+                    self.victim_cost,
+                    budget,
+                    wall,
+                    self.count_victim,
+                    self.placement_cost,
+                    most,
                 )
                 for group in found:
                     taken.update(group)
@@ -406,7 +429,7 @@
                 result += found
         return result
 
-    def _zones(self, need: Need) -> list[tuple[str | None, int]]:
+    def _zones(self, need: PreemptionDemand) -> list[tuple[str | None, int]]:
         """Where to look, one after the other, and for how many there: no more than ``apart`` allows."""
         spec = need.spec
         if not spec.spread:
@@ -421,7 +444,7 @@
             if need.zone in (None, zone) and (quota := self._quota(spec, here, zone)) > 0
         ]
 
-    def allowed(self, need: Need, victim: Victim) -> bool:
+    def allowed(self, need: PreemptionDemand, victim: Victim) -> bool:
         spec, team = victim.spec, need.spec.team
         lends = self.lends(spec)
         if lends is None or not self.serves(need.spec) or spec.gpus > self._left(team) + 1e-9:
@@ -444,22 +467,24 @@
             self.left[team] = min(self._pace("gpus_a_minute") - spent, self._pace("gpus_at_once") - self.stopping[team])
         return self.left[team]
 
-    def take(self, victim: Victim, sign: int) -> None:
+    def count_victim(self, victim: Victim, sign: int) -> None:
         team = self.need.spec.team
         self.left[team] = self._left(team) - sign * victim.spec.gpus
         self.opened[self.where[victim.job, victim.index]] += sign
-        self.teams.take(victim.spec, sign)
+        self.teams.count_victim(victim.spec, sign)
 
-    def cost(self, victim: Victim) -> float:
+    def victim_cost(self, victim: Victim) -> float:
         """GPU seconds lost: just saved first, as what is not saved is at risk until its last save is through.
 
         What was stopped before costs as much more for each time: the same task is not stopped again and again.
         """
         return (
-            victim.spec.gpus * (1 + victim.stops) * (loss_s(victim) + constants.LEND_RISK * (victim.saved_s_ago or 0.0))
+            victim.spec.gpus
+            * (1 + victim.stops)
+            * (lost_seconds(victim) + constants.LEND_RISK * (victim.saved_s_ago or 0.0))
         )
 
-    def place(self, need: Need, held: Held) -> float:
+    def placement_cost(self, need: PreemptionDemand, held: CandidateMachine) -> float:
         """GPU seconds that replicas' GPUs idle there, and what is to be avoided: see ``constants``."""
         spec, name = need.spec, held.machine
         if self.opened[name] > 0:
@@ -479,7 +504,7 @@
     def _site(self, name: str) -> Site:
         return self.sites.get(name, _NOTHING)
 
-    def _elsewhere(self, spec: JobSpec, held: Held) -> bool:
+    def _elsewhere(self, spec: JobSpec, held: CandidateMachine) -> bool:
         """Whether another machine that is looked at has the image, fetches it, or is to."""
         for name in set(self.where.values()):
             if (
--- a/alderbridge/preemption/__init__.py
+++ b/alderbridge/preemption/__init__.py
@@ -4,29 +4,37 @@
 ``ledger``), the part of the machine carries out, proof clears.
 """
 
-from alderbridge.preemption.budget import Budget, Limit
-from alderbridge.preemption.choosing import Group, Held, Need, Victim, choose, loss, loss_s
-from alderbridge.preemption.ledger import ClaimState, Ledger, Transaction
-from alderbridge.preemption.preemption import Teams, allowed
-from alderbridge.preemption.records import Claim, Spent, Stops, budget_of
+from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
+from alderbridge.preemption.eligibility import Teams, allowed
+from alderbridge.preemption.ledger import ClaimState, ClaimTransaction, Ledger
+from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
+from alderbridge.preemption.victim_selection import (
+    CandidateMachine,
+    ClaimGroup,
+    PreemptionDemand,
+    Victim,
+    lost_cpu_seconds,
+    lost_seconds,
+    select_victims,
+)
 
 __all__ = [
-    "Budget",
-    "Claim",
+    "CandidateMachine",
+    "ClaimGroup",
     "ClaimState",
-    "Group",
-    "Held",
+    "ClaimTransaction",
+    "JobPreemptions",
     "Ledger",
-    "Limit",
-    "Need",
-    "Spent",
-    "Stops",
+    "PreemptionBudget",
+    "PreemptionClaim",
+    "PreemptionDemand",
+    "PreemptionLimit",
+    "PreemptionsSpent",
     "Teams",
-    "Transaction",
     "Victim",
     "allowed",
-    "budget_of",
-    "choose",
-    "loss",
-    "loss_s",
+    "budget_key",
+    "lost_cpu_seconds",
+    "lost_seconds",
+    "select_victims",
 ]
--- a/alderbridge/preemption/preemption.py
+++ b/alderbridge/preemption/eligibility.py
@@ -32,7 +32,7 @@
         least = self.guarantee.get(spec.team, (0.0, 0.0))
         return (cpus - spec.cpus >= least[0] - 1e-9) and (spec.gpus <= 0 or gpus - spec.gpus >= least[1] - 1e-9)
 
-    def take(self, spec: JobSpec, sign: int) -> None:
+    def count_victim(self, spec: JobSpec, sign: int) -> None:
         """One task of ``spec`` is chosen (1), or not after all (-1)."""
         cpus, gpus = self.used.get(spec.team, (0.0, 0.0))
         self.used[spec.team] = (cpus - sign * spec.cpus, gpus - sign * spec.gpus)
--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -22,14 +22,14 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.preemption.choosing import Group
-from alderbridge.preemption.records import Claim, Spent, Stops, budget_of
+from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
+from alderbridge.preemption.victim_selection import ClaimGroup
 from alderbridge.state.store import BUDGETS, CLAIMS, STOPS
 
 log = logging.getLogger("preemption")
-_claim = msgspec.json.Decoder(Claim)
-_spent = msgspec.json.Decoder(Spent)
-_stops = msgspec.json.Decoder(Stops)
+_claim = msgspec.json.Decoder(PreemptionClaim)
+_spent = msgspec.json.Decoder(PreemptionsSpent)
+_stops = msgspec.json.Decoder(JobPreemptions)
 
 
 class ClaimState(str, Enum):
@@ -40,40 +40,40 @@
 
 
 @dataclass
-class Entry:
-    claim: Claim
+class ClaimEntry:
+    claim: PreemptionClaim
     revision: int
     state: ClaimState = ClaimState.HELD
 
 
 @dataclass
-class Transaction:
+class ClaimTransaction:
     """One change; ``groups`` are the claims that it makes, ``gone`` the machines whose claims it drops."""
 
     conditions: dict[str, int] = field(default_factory=dict)
     puts: dict[str, object] = field(default_factory=dict)
     drops: list[str] = field(default_factory=list)
-    groups: list[Group] = field(default_factory=list)
+    groups: list[ClaimGroup] = field(default_factory=list)
 
 
 class Ledger:
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}  # machine -> its claim in the store
-        self.stops: dict[str, tuple[Stops, int]] = {}  # job -> its stops, and their stamp
-        self.spent, self.spent_revision = Spent(), 0
-        self.planned: list[Group] = []
+        self.entries: dict[str, ClaimEntry] = {}  # machine -> its claim in the store
+        self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its stops, and their stamp
+        self.spent, self.spent_revision = PreemptionsSpent(), 0
+        self.planned: list[ClaimGroup] = []
         self.dropping: dict[str, int] = {}  # machine -> stamp of the claim that is to go
         self.forgetting: dict[str, int] = {}  # job that is over -> stamp of its stops
-        self.sent: Transaction | None = None
-        self.doubt: Transaction | None = None  # without an answer: it may yet be carried out
+        self.sent: ClaimTransaction | None = None
+        self.doubt: ClaimTransaction | None = None  # without an answer: it may yet be carried out
 
     # -- questions ---------------------------------------------------------
 
-    def claim_of(self, machine: str) -> Claim | None:
+    def claim_of(self, machine: str) -> PreemptionClaim | None:
         entry = self.entries.get(machine)
         return entry.claim if entry is not None else None
 
-    def all(self) -> Mapping[str, Claim]:
+    def all(self) -> Mapping[str, PreemptionClaim]:
         return {machine: entry.claim for machine, entry in self.entries.items()}
 
     def stops_of(self, job: str, index: int) -> int:
@@ -106,7 +106,7 @@
         self.entries = {machine: entry for machine, entry in self.entries.items() if entry.revision > revision}
         self.stops = {job: known for job, known in self.stops.items() if known[1] > revision}
         if self.spent_revision <= revision:
-            self.spent, self.spent_revision = Spent(), 0
+            self.spent, self.spent_revision = PreemptionsSpent(), 0
         self.planned, self.dropping, self.forgetting = [], {}, {}
 
     def enter(self) -> None:
@@ -119,7 +119,10 @@
         """One change of a key of claims, from the replica; ``data`` None: it went."""
         if key == BUDGETS:
             if revision > self.spent_revision:
-                self.spent, self.spent_revision = (Spent() if data is None else _spent.decode(data)), revision
+                self.spent, self.spent_revision = (
+                    (PreemptionsSpent() if data is None else _spent.decode(data)),
+                    revision,
+                )
         elif key.startswith(STOPS):
             job = key[len(STOPS) :]
             known = self.stops.get(job)
@@ -142,13 +145,13 @@
 
     # -- changes of state, one function each --------------------------------
 
-    def plan(self, groups: list[Group]) -> None:
+    def plan(self, groups: list[ClaimGroup]) -> None:
         """The leader has chosen; claims of a group are stored together or not at all."""
         assert not self.busy
         self.planned = list(groups)
 
-    def _hold(self, machine: str, claim: Claim, revision: int) -> None:
-        self.entries[machine] = Entry(claim, revision)
+    def _hold(self, machine: str, claim: PreemptionClaim, revision: int) -> None:
+        self.entries[machine] = ClaimEntry(claim, revision)
         self.dropping.pop(machine, None)
 
     def cleared(self, machine: str) -> None:
@@ -176,13 +179,13 @@
 
     # -- writing -------------------------------------------------------------
 
-    def due(self, wall: float, most: int, value_bytes: int) -> Transaction | None:
+    def due(self, wall: float, most: int, value_bytes: int) -> ClaimTransaction | None:
         """The next change, of at most ``most`` puts and drops; None: nothing is due, or one is under way."""
         if self.sent is not None:
             return None
         if self.doubt is not None and self.doubt.conditions[BUDGETS] != self.spent_revision:
             self.doubt = None  # carried out, or never to be
-        tx = Transaction()
+        tx = ClaimTransaction()
         if self.doubt is not None:
             tx.conditions[BUDGETS], tx.puts[BUDGETS] = self.spent_revision, self.spent
         elif self.dropping or self.forgetting:
@@ -197,18 +200,18 @@
         self.sent = tx
         return tx
 
-    def _claim(self, tx: Transaction, wall: float, most: int, value_bytes: int) -> None:
+    def _claim(self, tx: ClaimTransaction, wall: float, most: int, value_bytes: int) -> None:
         """As many planned groups as one transaction takes; one that no transaction takes is given up."""
         spent, stops = self.spent, {}
         while self.planned:
             group = self.planned[0]
             more_spent, more = spent, dict(stops)
             for claim in group.values():
-                more_spent = more_spent.spend(budget_of(claim.team, claim.reason), len(claim.victims), claim.at)
+                more_spent = more_spent.spend(budget_key(claim.team, claim.reason), len(claim.victims), claim.at)
                 for job, index, _ in claim.victims:
-                    known = more.get(job) or (self.stops[job][0] if job in self.stops else Stops({}, wall))
+                    known = more.get(job) or (self.stops[job][0] if job in self.stops else JobPreemptions({}, wall))
                     tasks = known.tasks | {index: known.tasks.get(index, 0) + 1}
-                    more[job] = Stops(tasks, known.first)
+                    more[job] = JobPreemptions(tasks, known.first)
             values = [*group.values(), *more.values(), more_spent]
             fits = all(len(msgspec.json.encode(value)) <= value_bytes for value in values)
             count = sum(map(len, tx.groups)) + len(group) + len(more) + 1
@@ -231,7 +234,7 @@
                 tx.puts[STOPS + job] = stopped
                 tx.conditions[STOPS + job] = self.stops[job][1] if job in self.stops else 0
 
-    def done(self, tx: Transaction, revision: int, now: float = 0.0) -> None:
+    def done(self, tx: ClaimTransaction, revision: int, now: float = 0.0) -> None:
         """The store holds it; the replica may have said so before.
 
         One that a newer view has overtaken is left to the replica: what it made may be gone again.
@@ -255,7 +258,7 @@
                     ",".join(f"{job}/{index}" for job, index, _ in claim.victims),
                 )
 
-    def failed(self, tx: Transaction, now: float = 0.0) -> None:
+    def failed(self, tx: ClaimTransaction, now: float = 0.0) -> None:
         """In conflict, refused or without an answer: it may yet be carried out, and is not sent again."""
         if self.sent is not tx:
             return
--- a/alderbridge/preemption/desk.py
+++ b/alderbridge/preemption/planner.py
@@ -14,11 +14,11 @@
 
 from alderbridge import constants
 from alderbridge.leader.leader import Leader
-from alderbridge.preemption.budget import Budget, Limit
-from alderbridge.preemption.choosing import Group, Held, Need, Victim
+from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
+from alderbridge.preemption.eligibility import Teams
 from alderbridge.preemption.ledger import Ledger
-from alderbridge.preemption.preemption import Teams
-from alderbridge.preemption.records import Claim, budget_of
+from alderbridge.preemption.records import PreemptionClaim, budget_key
+from alderbridge.preemption.victim_selection import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
 from alderbridge.protocol.messages import MachineTaskList, MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
@@ -28,38 +28,43 @@
 log = logging.getLogger("preemption")
 
 
-class Source(Protocol):
+class PreemptionPolicy(Protocol):
     """Who has needs: its reason, its rules. ``teams`` is set before victims are chosen."""
 
     reason: str
     teams: Teams
 
-    def look(self, desk: Desk, now: float) -> list[Need]: ...
+    def find_demands(self, desk: PreemptionPlanner, now: float) -> list[PreemptionDemand]: ...
 
-    def shown(self, spec: JobSpec) -> bool: ...
+    def is_reported(self, spec: JobSpec) -> bool: ...
 
-    def told(
+    def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
     ) -> None: ...
 
-    def choose(
-        self, needs: list[Need], machines: list[Held], budget: Budget, wall: float, most: int
-    ) -> list[Group]: ...
+    def select_victims(
+        self,
+        needs: list[PreemptionDemand],
+        machines: list[CandidateMachine],
+        budget: PreemptionBudget,
+        wall: float,
+        most: int,
+    ) -> list[ClaimGroup]: ...
 
     def preemptible(self, spec: JobSpec) -> bool: ...
 
-    def limit(self, need: Need) -> Limit: ...
+    def limit(self, need: PreemptionDemand) -> PreemptionLimit: ...
 
-    def allowed(self, need: Need, victim: Victim) -> bool: ...
+    def allowed(self, need: PreemptionDemand, victim: Victim) -> bool: ...
 
-    def take(self, victim: Victim, sign: int) -> None: ...
+    def count_victim(self, victim: Victim, sign: int) -> None: ...
 
-    def cost(self, victim: Victim) -> float: ...
+    def victim_cost(self, victim: Victim) -> float: ...
 
-    def place(self, need: Need, held: Held) -> float: ...
+    def placement_cost(self, need: PreemptionDemand, held: CandidateMachine) -> float: ...
 
 
-class Desk:
+class PreemptionPlanner:
     def __init__(self, leader: Leader, ledger: Ledger) -> None:
         self.leader, self.ledger = leader, ledger
         self.enter([])
@@ -67,10 +72,10 @@
     def enter(self, members: list[str]) -> None:
         """A new view: nothing that was told or asked under the one before counts."""
         self.members = members
-        self.told: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer to ``Show``
+        self.task_lists: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer to ``Show``
         self.rows: dict[str, MachineTasks] = {}  # machines with a claim, as last told
         self.looked_at = self.asked_at = float("-inf")
-        self.wanted: list[tuple[Source, list[Need]]] = []
+        self.wanted: list[tuple[PreemptionPolicy, list[PreemptionDemand]]] = []
         self.since: dict[str, float] = {}  # machine -> since when its claim serves nothing more
 
     # -- what is known -------------------------------------------------------
@@ -79,7 +84,7 @@
         if label not in self.members:
             return
         if tasks.whole:
-            self.told[label] = (tasks, now)
+            self.task_lists[label] = (tasks, now)
         for row in tasks.rows:
             if self.ledger.claim_of(row.machine) is not None:
                 self.rows[row.machine] = row
@@ -95,7 +100,7 @@
             result[claim.job] += claim.count
         return result
 
-    def victims_left(self, machine: str, claim: Claim) -> int:
+    def victims_left(self, machine: str, claim: PreemptionClaim) -> int:
         """Victims not known to be gone."""
         row = self.rows.get(machine)
         if row is None:
@@ -107,12 +112,14 @@
         """Victims not known to be gone, by budget."""
         result: Counter[str] = Counter()
         for machine, claim in self.ledger.all().items():
-            result[budget_of(claim.team, claim.reason)] += self.victims_left(machine, claim)
+            result[budget_key(claim.team, claim.reason)] += self.victims_left(machine, claim)
         return result
 
     # -- the look ------------------------------------------------------------
 
-    def round(self, now: float, wall: float, sources: Sequence[Source], teams: Callable[[], Teams], most: int) -> bool:
+    def plan(
+        self, now: float, wall: float, sources: Sequence[PreemptionPolicy], teams: Callable[[], Teams], most: int
+    ) -> bool:
         """True: the parts are to be asked for their tasks. ``most``: changes that one transaction takes."""
         if not self.leader.ready(now):
             return False
@@ -122,11 +129,13 @@
                 self._tidy(now, wall, sources)
             self.wanted = []
             if sources and not self.ledger.busy and self.leader.scale_in_guard.knowledge is FleetKnowledge.RECONCILED:
-                self.wanted = [(source, needs) for source in sources if (needs := source.look(self, now))]
+                self.wanted = [(source, needs) for source in sources if (needs := source.find_demands(self, now))]
             if self.wanted:
                 self.asked_at = now
                 return True
-        if self.wanted and all(label in self.told and self.told[label][1] >= self.asked_at for label in self.members):
+        if self.wanted and all(
+            label in self.task_lists and self.task_lists[label][1] >= self.asked_at for label in self.members
+        ):
             if not self.ledger.busy:
                 self._choose(now, wall, teams(), most)
             self.wanted = []
@@ -139,13 +148,13 @@
             for row in room.rows
             if row.state == "up"
         }
-        rows = [row for tasks, _ in self.told.values() for row in tasks.rows]
+        rows = [row for tasks, _ in self.task_lists.values() for row in tasks.rows]
         running = sum(len(row.tasks) for row in rows)
         for machine, claim in self.ledger.all().items():
             for job, _, _ in claim.victims[: self.victims_left(machine, claim)]:
                 spec = self.leader.replica.spec(job)
                 if spec is not None:
-                    teams.take(spec, 1)
+                    teams.count_victim(spec, 1)
         taken: set[str] = set()
         groups = []
         for source, needs in self.wanted:
@@ -155,19 +164,20 @@
                 if row.machine in kinds and row.machine not in taken and self.ledger.claim_of(row.machine) is None
             ]
             machines = [
-                Held(row.machine, kinds[row.machine], row.free, self._victims(row, source, wall)) for row in free
+                CandidateMachine(row.machine, kinds[row.machine], row.free, self._victims(row, source, wall))
+                for row in free
             ]
             source.teams = teams
-            source.told(rows, kinds, self.leader.replica.spec)
-            budget = Budget(self.ledger.spent, wall, self.stopping(), running, source.limit)
-            chosen = source.choose(needs, machines, budget, wall, most)
+            source.observe_machines(rows, kinds, self.leader.replica.spec)
+            budget = PreemptionBudget(self.ledger.spent, wall, self.stopping(), running, source.limit)
+            chosen = source.select_victims(needs, machines, budget, wall, most)
             for group in chosen:
                 taken.update(group)
             groups += chosen
         if groups:
             self.ledger.plan(groups)
 
-    def _victims(self, row: MachineTasks, source: Source, wall: float) -> list[Victim]:
+    def _victims(self, row: MachineTasks, source: PreemptionPolicy, wall: float) -> list[Victim]:
         result, ledger = [], self.ledger
         for job, index, attempt, ran_s, sure in row.tasks:
             spec = self.leader.replica.spec(job)
@@ -190,7 +200,7 @@
 
     # -- what is over ----------------------------------------------------------
 
-    def _tidy(self, now: float, wall: float, sources: Sequence[Source]) -> None:
+    def _tidy(self, now: float, wall: float, sources: Sequence[PreemptionPolicy]) -> None:
         ledger, replica = self.ledger, self.leader.replica
         rooms = {row.machine: row for room, _ in self.leader.machine_summaries.values() for row in room.rows}
         waiting = Counter({job: row.waiting + row.inherited for job, row in self.queue_rows(now).items()})
@@ -226,6 +236,6 @@
         for job in [job for job in ledger.stops if job in replica.ended]:
             ledger.forget(job)
 
-    def _outstanding(self, machine: str, claim: Claim, spec: JobSpec) -> int:
+    def _outstanding(self, machine: str, claim: PreemptionClaim, spec: JobSpec) -> int:
         row = self.rows.get(machine)
         return claim.count if row is None else min(claim.count, fits(spec, row.free))
--- a/alderbridge/preemption/records.py
+++ b/alderbridge/preemption/records.py
@@ -9,7 +9,7 @@
 Task = tuple[str, int, int]  # job, index, attempt
 
 
-class Claim(msgspec.Struct, frozen=True):
+class PreemptionClaim(msgspec.Struct, frozen=True):
     """Whose the room of one machine is, and which tasks stop for it; key ``ab/c/MACHINE``.
 
     Proof of nothing: what runs is known from reports alone.
@@ -25,14 +25,14 @@
     at: float  # time of day when it was planned
 
 
-class Stops(msgspec.Struct, frozen=True):
+class JobPreemptions(msgspec.Struct, frozen=True):
     """How often claims have stopped tasks of a job; key ``ab/s/JOB``. Goes when the job is over."""
 
     tasks: dict[int, int]  # index -> times
     first: float  # time of day of the first stop
 
 
-class Spent(msgspec.Struct, frozen=True):
+class PreemptionsSpent(msgspec.Struct, frozen=True):
     """Stops of the last minute by budget, as (start of its step in s of the day's time, stops); key ``ab/b``."""
 
     stops: dict[str, list[tuple[int, int]]] = {}
@@ -42,7 +42,7 @@
         least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
         return sum(count for at, count in self.stops.get(budget, ()) if at > least)
 
-    def spend(self, budget: str, count: int, wall: float) -> Spent:
+    def spend(self, budget: str, count: int, wall: float) -> PreemptionsSpent:
         """With ``count`` more stops, and without what is over."""
         least, step = (
             wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S,
@@ -52,9 +52,9 @@
         entries = dict(stops.get(budget, ()))
         entries[step] = entries.get(step, 0) + count
         stops[budget] = sorted(entries.items())
-        return Spent(stops)
+        return PreemptionsSpent(stops)
 
 
-def budget_of(team: str, reason: str) -> str:
+def budget_key(team: str, reason: str) -> str:
     """The budget that a stop for a team and a reason is taken from."""
     return f"{team}/{reason}"
--- a/alderbridge/preemption/choosing.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -8,16 +8,16 @@
 from typing import NamedTuple
 
 from alderbridge import constants
-from alderbridge.preemption.budget import Budget
-from alderbridge.preemption.records import Claim
+from alderbridge.preemption.budget import PreemptionBudget
+from alderbridge.preemption.records import PreemptionClaim
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.placement import Room, allowed, fits, minus
 from alderbridge.scheduling.policy import Kind
 
-Group = dict[str, Claim]  # machine -> claim; stored in one transaction
+ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction
 
 
-class Need(NamedTuple):
+class PreemptionDemand(NamedTuple):
     """Tasks of one job that nothing else serves in time."""
 
     spec: JobSpec
@@ -42,7 +42,7 @@
     since_stop_s: float = 0.0  # since the first stop of its job; 0: none
 
 
-class Held(NamedTuple):
+class CandidateMachine(NamedTuple):
     """A machine as its part tells of it: no claim is on it, and tasks may be placed there."""
 
     machine: str
@@ -51,16 +51,16 @@
     tasks: list[Victim]
 
 
-def loss_s(victim: Victim) -> float:
+def lost_seconds(victim: Victim) -> float:
     """Seconds of its work that a stop costs, with the save and a new start."""
     if victim.spec.checkpoint_s > 0:
         return victim.spec.save_s + constants.DEPENDENCY_STEP_S
     return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.DEPENDENCY_STEP_S
 
 
-def loss(victim: Victim) -> float:
+def lost_cpu_seconds(victim: Victim) -> float:
     """CPU seconds lost; what ends soon by itself is worth more than its room."""
-    return loss_s(victim) * victim.spec.cpus
+    return lost_seconds(victim) * victim.spec.cpus
 
 
 def spared(victim: Victim) -> bool:
@@ -78,7 +78,7 @@
 
     __slots__ = ("held", "job", "room", "made", "victims", "chosen")
 
-    def __init__(self, held: Held) -> None:
+    def __init__(self, held: CandidateMachine) -> None:
         self.held, self.job, self.room, self.made = held, "", held.free, 0
         self.victims: list[Victim] = []
         self.chosen: set[tuple[str, int]] = set()
@@ -92,23 +92,30 @@
 class _Step(NamedTuple):
     """The cheapest way to room for one more task on one machine."""
 
-    loss: float
+    lost_cpu_seconds: float
     victims: list[tuple[str, Victim]]  # machine, victim: of a gang some are elsewhere
 
 
 class _Choice:
     def __init__(
         self,
-        machines: Iterable[Held],
-        may: Callable[[Need, Victim], bool],
-        cost: Callable[[Victim], float],
-        budget: Budget,
-        take: Callable[[Victim, int], None],
-        place: Callable[[Need, Held], float],
+        machines: Iterable[CandidateMachine],
+        may: Callable[[PreemptionDemand, Victim], bool],
+        victim_cost: Callable[[Victim], float],
+        budget: PreemptionBudget,
+        count_victim: Callable[[Victim, int], None],
+        placement_cost: Callable[[PreemptionDemand, CandidateMachine], float],
         most: int,
     ) -> None:
         self.machines = {held.machine: _Machine(held) for held in machines}
-        self.may, self.cost, self.budget, self.take, self.place, self.most = may, cost, budget, take, place, most
+        self.may, self.victim_cost, self.budget, self.count_victim, self.placement_cost, self.most = (
+            may,
+            victim_cost,
+            budget,
+            count_victim,
+            placement_cost,
+            most,
+        )
         self.of_job: Counter[str] = Counter()
         self.gangs: dict[str, list[tuple[str, Victim]]] = {}
         for name, machine in self.machines.items():
@@ -118,7 +125,7 @@
         self.links: dict[str, set[str]] = {}
         self.served: set[str] = set()  # jobs that were given a turn: none of them is stopped for another in this plan
 
-    def unit(self, name: str, victim: Victim, need: Need) -> list[tuple[str, Victim]] | None:
+    def unit(self, name: str, victim: Victim, need: PreemptionDemand) -> list[tuple[str, Victim]] | None:
         """What stops with the victim: itself, or its gang as a whole; None where that can't be."""
         if not victim.spec.gang:
             return [(name, victim)]
@@ -131,9 +138,11 @@
         return whole
 
     def price(self, unit: list[tuple[str, Victim]]) -> float:
-        return sum(self.cost(victim) * (1 + constants.VICTIM_SPREAD * self.of_job[victim.job]) for _, victim in unit)
+        return sum(
+            self.victim_cost(victim) * (1 + constants.VICTIM_SPREAD * self.of_job[victim.job]) for _, victim in unit
+        )
 
-    def step(self, name: str, need: Need) -> _Step | None:
+    def step(self, name: str, need: PreemptionDemand) -> _Step | None:
         machine, spec = self.machines[name], need.spec
         if machine.job not in ("", spec.id):
             return None
@@ -162,18 +171,18 @@
                 for _, victim in unit:
                     if not self.may(need, victim):
                         break
-                    self.take(victim, 1)
+                    self.count_victim(victim, 1)
                     fair += 1
                     taken.append(victim)
                 if fair < len(unit):
                     for _ in range(fair):
-                        self.take(taken.pop(), -1)
+                        self.count_victim(taken.pop(), -1)
                     continue
                 chosen.append((price, unit))
                 room = self._add(room, name, unit, 1)
         finally:
             for victim in taken:
-                self.take(victim, -1)
+                self.count_victim(victim, -1)
         if not fits(spec, room):
             return None
         for entry in sorted(chosen, key=lambda entry: -entry[0]):  # the costliest that need not go stays
@@ -185,7 +194,7 @@
         jobs = {victim.job for _, victim in victims} | {victim.job for victim in machine.victims}
         if not victims or len(jobs) > self.most - 2 or len(victims) > self.budget.left(need):
             return None
-        return _Step(sum(price for price, _ in chosen) + self.place(need, machine.held), victims)
+        return _Step(sum(price for price, _ in chosen) + self.placement_cost(need, machine.held), victims)
 
     @staticmethod
     def _add(room: Room, name: str, unit: list[tuple[str, Victim]], sign: int) -> Room:
@@ -194,7 +203,7 @@
                 room = minus(room, victim.spec, -sign)
         return room
 
-    def serve(self, need: Need) -> None:
+    def serve(self, need: PreemptionDemand) -> None:
         """Make room for the need's tasks, one after the other where it costs least.
 
         Not for a job that this plan stops already: what was preempted does not preempt.
@@ -209,7 +218,7 @@
                 continue
             step = self.step(name, need)
             if step is not None:
-                heapq.heappush(heap, (step.loss, len(step.victims), name))
+                heapq.heappush(heap, (step.lost_cpu_seconds, len(step.victims), name))
         left, zone = need.count, need.zone
         while heap and left > 0:
             price, count, name = heapq.heappop(heap)
@@ -218,8 +227,14 @@
             step = self.step(name, need)
             if step is None:
                 continue
-            if heap and (step.loss, len(step.victims)) > (price, count) and step.loss > heap[0][0]:
-                heapq.heappush(heap, (step.loss, len(step.victims), name))  # what was chosen since made it dearer
+            if (
+                heap
+                and (step.lost_cpu_seconds, len(step.victims)) > (price, count)
+                and step.lost_cpu_seconds > heap[0][0]
+            ):
+                heapq.heappush(
+                    heap, (step.lost_cpu_seconds, len(step.victims), name)
+                )  # what was chosen since made it dearer
                 continue
             zone = self.machines[name].held.kind.zone
             self._commit(name, need, step)
@@ -227,9 +242,9 @@
             for other in {name} | {other for other, _ in step.victims}:
                 more = self.step(other, need)
                 if more is not None:
-                    heapq.heappush(heap, (more.loss, len(more.victims), other))
+                    heapq.heappush(heap, (more.lost_cpu_seconds, len(more.victims), other))
 
-    def _commit(self, name: str, need: Need, step: _Step) -> None:
+    def _commit(self, name: str, need: PreemptionDemand, step: _Step) -> None:
         spec, machine = need.spec, self.machines[name]
         names = {name} | {other for other, _ in step.victims}
         for other in names:
@@ -238,7 +253,7 @@
                 one.job, one.room = spec.id, minus(one.room, spec, fits(spec, one.room))
         for other, victim in step.victims:
             self.machines[other].stop(victim)
-            self.take(victim, 1)
+            self.count_victim(victim, 1)
             self.of_job[victim.job] += 1
         self.budget.spend(need, len(step.victims))
         machine.made += 1
@@ -248,7 +263,7 @@
             for other in linked:
                 self.links[other] = linked
 
-    def groups(self, needs: Mapping[str, Need], wall: float) -> list[Group]:
+    def groups(self, needs: Mapping[str, PreemptionDemand], wall: float) -> list[ClaimGroup]:
         result, done = [], set()
         for name, machine in self.machines.items():
             if not machine.victims or name in done:
@@ -259,11 +274,11 @@
         return result
 
     @staticmethod
-    def _claim(machine: _Machine, needs: Mapping[str, Need], wall: float) -> Claim:
+    def _claim(machine: _Machine, needs: Mapping[str, PreemptionDemand], wall: float) -> PreemptionClaim:
         need = needs[machine.job]
         save = max((v.spec.save_s for v in machine.victims if v.spec.checkpoint_s > 0), default=0.0)
         victims = [(victim.job, victim.index, victim.attempt) for victim in machine.victims]
-        return Claim(
+        return PreemptionClaim(
             need.reason,
             need.spec.id,
             machine.made,
@@ -275,26 +290,26 @@
         )
 
 
-def choose(
-    needs: Iterable[Need],
-    machines: Iterable[Held],
-    allowed: Callable[[Need, Victim], bool],
-    cost: Callable[[Victim], float],
-    budget: Budget,
+def select_victims(
+    needs: Iterable[PreemptionDemand],
+    machines: Iterable[CandidateMachine],
+    allowed: Callable[[PreemptionDemand, Victim], bool],
+    victim_cost: Callable[[Victim], float],
+    budget: PreemptionBudget,
     wall: float,
-    take: Callable[[Victim, int], None] = lambda victim, sign: None,
-    place: Callable[[Need, Held], float] = lambda need, held: 0.0,
+    count_victim: Callable[[Victim, int], None] = lambda victim, sign: None,
+    placement_cost: Callable[[PreemptionDemand, CandidateMachine], float] = lambda need, held: 0.0,
     most: int = 12,
-) -> list[Group]:
+) -> list[ClaimGroup]:
     """Claims for the needs, most urgent first, each machine for one job.
 
-    ``machines``: those without a claim. ``allowed`` is asked for each victim; ``take`` tells it of one more (1) or
-    one less (-1) chosen, so that it may keep count of what a team keeps. ``cost``: loss of a stop, above 0, in any
-    unit; ``place``: what is added to it for making room on that machine (0: all alike). ``most``: changes that one
-    transaction takes; groups that need more are not chosen. ``wall``: time of day, in s.
+    ``machines``: those without a claim. ``allowed`` is asked for each victim; ``count_victim`` tells it of one more
+    (1) or one less (-1) chosen, so that it may keep count of what a team keeps. ``victim_cost``: loss of a stop, above
+    0, in any unit; ``placement_cost``: what is added to it for making room on that machine (0: all alike). ``most``:
+    changes that one transaction takes; groups that need more are not chosen. ``wall``: time of day, in s.
     """
-    choice = _Choice(machines, allowed, cost, budget, take, place, most)
-    served: dict[str, Need] = {}
+    choice = _Choice(machines, allowed, victim_cost, budget, count_victim, placement_cost, most)
+    served: dict[str, PreemptionDemand] = {}
     for need in needs:
         if need.count > 0 and need.spec.id not in served:
             served[need.spec.id] = need
--- a/alderbridge/priorities/needs.py
+++ b/alderbridge/priorities/needs.py
@@ -6,7 +6,7 @@
 from collections.abc import Container, Iterable, Mapping
 from typing import TYPE_CHECKING
 
-from alderbridge.preemption.choosing import Need
+from alderbridge.preemption.victim_selection import PreemptionDemand
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.scheduling.placement import order
 from alderbridge.scheduling.policy import Demand, Resource, Walk
@@ -22,7 +22,7 @@
     resources: Iterable[Resource],
     promised: Counter[str],
     stopped: Container[str],
-) -> list[Need]:
+) -> list[PreemptionDemand]:
     """Tasks of classes that may preempt, left by free room, by room that comes free and by machines that boot.
 
     ``demands``: all that waits, within the teams' limits. ``resources``: without machines that have a claim, whose
@@ -44,5 +44,7 @@
         demand, row = queue[number], rows[queue[number].spec.id]
         count = min(lacking[number], row.offer - promised[row.job])
         if count > 0:
-            result.append(Need(demand.spec, count, demand.due_in_s, rules.reason, demand.zone, row.guaranteed))
+            result.append(
+                PreemptionDemand(demand.spec, count, demand.due_in_s, rules.reason, demand.zone, row.guaranteed)
+            )
     return result
--- a/alderbridge/priorities/rules.py
+++ b/alderbridge/priorities/rules.py
@@ -5,9 +5,16 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from alderbridge.preemption.budget import Budget, Limit
-from alderbridge.preemption.choosing import Group, Held, Need, Victim, choose, loss
-from alderbridge.preemption.preemption import Teams, allowed
+from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
+from alderbridge.preemption.eligibility import Teams, allowed
+from alderbridge.preemption.victim_selection import (
+    CandidateMachine,
+    ClaimGroup,
+    PreemptionDemand,
+    Victim,
+    lost_cpu_seconds,
+    select_victims,
+)
 from alderbridge.priorities.declaration import PriorityClass, Text
 from alderbridge.priorities.needs import needs
 from alderbridge.protocol.messages import MachineTasks
@@ -15,7 +22,7 @@
 from alderbridge.scheduling.policy import Kind
 
 if TYPE_CHECKING:
-    from alderbridge.preemption.desk import Desk
+    from alderbridge.preemption.planner import PreemptionPlanner
 
 REASON = "urgent"
 
@@ -45,15 +52,15 @@
         classes = self.classes(spec)
         return classes is not None and all(one.preemptible and one.most_stops for one in classes)
 
-    def limit(self, need: Need) -> Limit:
+    def limit(self, need: PreemptionDemand) -> PreemptionLimit:
         classes = self.classes(need.spec) or []
-        return Limit(
+        return PreemptionLimit(
             min((one.stops_a_minute for one in classes), default=0),
             min((one.stops_at_once for one in classes), default=0),
             min((one.share for one in classes), default=0.0),
         )
 
-    def allowed(self, need: Need, victim: Victim) -> bool:
+    def allowed(self, need: PreemptionDemand, victim: Victim) -> bool:
         """The protocol first, then each text; replicas stop only for replicas."""
         ours, theirs = self.classes(need.spec), self.classes(victim.spec)
         if ours is None or theirs is None or (victim.spec.service and not need.spec.service):
@@ -69,7 +76,7 @@
             for mine, other in zip(ours, theirs, strict=True)
         )
 
-    def look(self, desk: Desk, now: float) -> list[Need]:
+    def find_demands(self, desk: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
         ledger, leader = desk.ledger, desk.leader
         rows = desk.queue_rows(now)
         if not any(self.needs(spec) for job in rows if (spec := leader.replica.spec(job)) is not None):
@@ -78,21 +85,30 @@
             self, leader.demands(now), rows, leader.outlook(now, ledger.entries), desk.promised(), ledger.stops
         )
 
-    shown = preemptible  # parts tell the leader of these
+    is_reported = preemptible  # parts tell the leader of these
 
-    def told(
+    def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         """Nothing beside the victims is of use here."""
 
-    def choose(self, needs: list[Need], machines: list[Held], budget: Budget, wall: float, most: int) -> list[Group]:
-        return choose(needs, machines, self.allowed, self.cost, budget, wall, self.take, self.place, most)
+    def select_victims(
+        self,
+        needs: list[PreemptionDemand],
+        machines: list[CandidateMachine],
+        budget: PreemptionBudget,
+        wall: float,
+        most: int,
+    ) -> list[ClaimGroup]:
+        return select_victims(
+            needs, machines, self.allowed, self.victim_cost, budget, wall, self.count_victim, self.placement_cost, most
+        )
 
-    def cost(self, victim: Victim) -> float:
-        return loss(victim)
+    def victim_cost(self, victim: Victim) -> float:
+        return lost_cpu_seconds(victim)
 
-    def place(self, need: Need, held: Held) -> float:
+    def placement_cost(self, need: PreemptionDemand, held: CandidateMachine) -> float:
         return 0.0
 
-    def take(self, victim: Victim, sign: int) -> None:
-        self.teams.take(victim.spec, sign)
+    def count_victim(self, victim: Victim, sign: int) -> None:
+        self.teams.count_victim(victim.spec, sign)
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -14,7 +14,7 @@
 from alderbridge.lending import lender
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.view import MemberRecord, View
-from alderbridge.preemption.records import Claim, Spent, Stops
+from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent
 from alderbridge.priorities import declaration as priorities
 from alderbridge.priorities import rules
 from alderbridge.protocol import messages, wire
@@ -210,7 +210,7 @@
     "record-presence": MemberRecord(lease_id=7, protocol_version=6),
     "record-machine": wire.MachineRecord(address="10.0.0.7:7001", type="g4", zone="north-1", spot=True),
     "record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE]),
-    "record-claim": Claim(
+    "record-claim": PreemptionClaim(
         reason="serving",
         job="wk-000017",
         count=3,
@@ -220,8 +220,8 @@
         team="forecasts",
         at=1700000000.25,
     ),
-    "record-stops": Stops(tasks={4: 2, 6: 1}, first=1700000000.25),
-    "record-spent": Spent(stops={"forecasts/serving": [(1700000000, 3)]}),
+    "record-stops": JobPreemptions(tasks={4: 2, 6: 1}, first=1700000000.25),
+    "record-spent": PreemptionsSpent(stops={"forecasts/serving": [(1700000000, 3)]}),
     "record-declaration": Head(
         revision=4,
         digest="d4",
@@ -295,7 +295,7 @@
     "older-record-presence": MemberRecord(lease_id=7, protocol_version=1),
     "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
     "older-record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE_REQUIRED]),
-    "older-record-spent": Spent(stops={}),
+    "older-record-spent": PreemptionsSpent(stops={}),
     "older-record-declaration": Head(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
     "older-record-declaration-first": Head(
         revision=4, digest="d4", parts=2, at=1700000000.25, before=Revision(revision=0, digest="", parts=0)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -11,8 +11,17 @@
 
 from alderbridge import preemption
 from alderbridge.jobs.shard import JobState, Record
-from alderbridge.preemption import Budget, Held, Ledger, Limit, Need, Spent, Victim, choose
-from alderbridge.preemption.desk import Desk
+from alderbridge.preemption import (
+    CandidateMachine,
+    Ledger,
+    PreemptionBudget,
+    PreemptionDemand,
+    PreemptionLimit,
+    PreemptionsSpent,
+    Victim,
+    select_victims,
+)
+from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.priorities import Text, check_lines, needs, parse, rules
 from alderbridge.protocol import wire
 from alderbridge.scheduling.placement import allowed, fits, minus
@@ -52,7 +61,7 @@
 
     def __init__(self, seed: int, falls_in_claims: bool = True, **more) -> None:
         self.text = declared()
-        self.open: dict[str, preemption.Claim] = {}  # machine -> the claim in the store
+        self.open: dict[str, preemption.PreemptionClaim] = {}  # machine -> the claim in the store
         self.victims: Counter[tuple[str, int]] = Counter()
         self.claimed: set[tuple[str, int]] = set()  # task, attempt
         self.spent: list[tuple[float, str, int]] = []
@@ -169,7 +178,7 @@
         )
         return guarantee > 0 and taken <= guarantee + 1e-9
 
-    def there(self, machine: str, claim: preemption.Claim) -> int:
+    def there(self, machine: str, claim: preemption.PreemptionClaim) -> int:
         """Victims still on the machine, as the same attempt."""
         worker = self.machines.get(machine)
         tasks = worker.tasks if worker is not None else {}
@@ -192,7 +201,7 @@
         if new and self.falls_in_claims and self.t < self.quiet_from:
             self.shake(list(new.values()))
 
-    def may_claim(self, machine: str, claim: preemption.Claim) -> None:
+    def may_claim(self, machine: str, claim: preemption.PreemptionClaim) -> None:
         need, team = self.specs[claim.job], self.specs[claim.job].team
         made_for = sum(
             other.count
@@ -304,7 +313,7 @@
 
     def claim(self, tx, *more):
         real(self, tx, *more)
-        tx.puts[BUDGETS] = Spent()
+        tx.puts[BUDGETS] = PreemptionsSpent()
 
     monkeypatch.setattr(Ledger, "_claim", claim)
 
@@ -324,7 +333,7 @@
 
 
 def promises_not_counted(monkeypatch):
-    monkeypatch.setattr(Desk, "promised", lambda self: Counter())
+    monkeypatch.setattr(PreemptionPlanner, "promised", lambda self: Counter())
 
 
 def victims_preempt(monkeypatch):
@@ -356,7 +365,7 @@
 
 # -- the choice of victims ------------------------------------------------------
 
-ANY = Limit(99, 99)
+ANY = PreemptionLimit(99, 99)
 
 
 def job(name, rank="standard", cpus=2.0, **more):
@@ -380,13 +389,13 @@
     free = (cpus, 64.0, 0.0)
     for victim in victims:
         free = minus(free, victim.spec, 1)
-    return Held(name, Kind("m", "a", False), free, list(victims))
+    return CandidateMachine(name, Kind("m", "a", False), free, list(victims))
 
 
 def pick(need_spec, count, *machines, most=12, limit=ANY, may=lambda need, victim: True):
-    need = Need(need_spec, count, 5.0, "urgent")
-    budget = Budget(Spent(), 100.0, {}, 100, lambda need: limit)
-    return choose([need], machines, may, preemption.loss, budget, 100.0, most=most)
+    need = PreemptionDemand(need_spec, count, 5.0, "urgent")
+    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: limit)
+    return select_victims([need], machines, may, preemption.lost_cpu_seconds, budget, 100.0, most=most)
 
 
 def stopped(groups):
@@ -425,11 +434,13 @@
     """The record of stops tells only the next plan: one plan made room for a job that it stopped itself."""
     middle, routine = job("5", "standard"), job("1", "best_effort", estimate_s=50.0)
     young, old = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
-    budget = Budget(Spent(), 100.0, {}, 100, lambda need: ANY)
+    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: ANY)
     machines = [held("a", young, cpus=2.0), held("b", old, cpus=2.0)]
-    urgent_first = [Need(job("9", "high"), 1, 5.0, "urgent"), Need(middle, 1, 5.0, "urgent")]
+    urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
     for needs_in_turn, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
-        groups = choose(needs_in_turn, machines, lambda need, victim: True, preemption.loss, budget, 100.0)
+        groups = select_victims(
+            needs_in_turn, machines, lambda need, victim: True, preemption.lost_cpu_seconds, budget, 100.0
+        )
         assert stopped(groups) == expected
 
 
@@ -441,7 +452,7 @@
     assert len(groups) == 1 and len(stopped(groups)) == 4
     assert sum(claim.count for claim in groups[0].values()) == 2
     assert not pick(job("9", "high", cpus=8.0), 1, two[0])  # the others are not known
-    assert not pick(job("9", "high", cpus=8.0), 1, *two, limit=Limit(3, 99))
+    assert not pick(job("9", "high", cpus=8.0), 1, *two, limit=PreemptionLimit(3, 99))
 
 
 def test_choices_fit_their_room_their_budget_and_one_transaction():
@@ -456,7 +467,7 @@
                 room = minus(room, spec, 1)
             machines.append(held(str(name), *victims, cpus=16.0))
         urgent, count, most = job("9", "high", cpus=rng.choice([2.0, 8.0])), rng.randint(1, 9), rng.randint(3, 12)
-        limit = Limit(rng.randint(1, 12), 99)
+        limit = PreemptionLimit(rng.randint(1, 12), 99)
         groups = pick(urgent, count, *machines, most=most, limit=limit)
         known = {one.machine: one for one in machines}
         assert len(stopped(groups)) <= limit.a_minute
@@ -480,7 +491,7 @@
     assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)  # within one team priority alone
     teams = preemption.Teams(TEAMS, {"bound": (10.0, 0.0)})
     assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
-    teams.take(job("5", team="bound"), 1)
+    teams.count_victim(job("5", team="bound"), 1)
     assert not teams.beyond(job("5", team="bound"))
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -19,8 +19,8 @@
 from alderbridge.lending.lender import Site
 from alderbridge.lending.reserve import Free
 from alderbridge.membership.view import Membership
-from alderbridge.preemption import Budget, Held, Spent, Teams, Victim
-from alderbridge.preemption.desk import Desk
+from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
+from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import (
     MachineSummaries,
@@ -176,11 +176,11 @@
         resources = [Resource(kind, free) for _, kind, free, _ in self.machines]
         needs = lender.needs(self.services, resources, self.used, {})
         held = [
-            Held(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
+            CandidateMachine(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
             for name, kind, free, tasks in self.machines
         ]
-        budget = Budget(Spent(), 1000.0, {}, 100, lender.limit)
-        return needs, lender.choose(needs, held, budget, 1000.0, 12)
+        budget = PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, lender.limit)
+        return needs, lender.select_victims(needs, held, budget, 1000.0, 12)
 
 
 def faults(state, needs, groups, spent=0.0):
@@ -292,7 +292,7 @@
 def full(name, zone, one, tasks=8, ran=100.0, saved=None):
     """A machine that is full of one job's tasks."""
     victims = [Victim(one.id, int(name[2:]) * 8 + index, 7, one, ran, saved) for index in range(tasks)]
-    return Held(
+    return CandidateMachine(
         name,
         Kind("g8", zone, False),
         (96.0 - one.cpus * tasks, 768.0 - one.memory_gb * tasks, 8.0 - one.gpus * tasks),
@@ -306,7 +306,9 @@
     one.see(sites or {}, {held.machine: held.kind.zone for held in machines})
     one.teams = Teams(TEAMS, used)
     needs = one.needs([service], [Resource(held.kind, held.free) for held in machines], used, {})
-    groups = one.choose(needs, machines, Budget(Spent(), 1000.0, {}, 100, one.limit), 1000.0, 12)
+    groups = one.select_victims(
+        needs, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, one.limit), 1000.0, 12
+    )
     return needs, {name: claim for group in groups for name, claim in group.items()}
 
 
@@ -441,7 +443,7 @@
         self.leader.on_types(TYPES)
         self.leader.enter(["host-0"], 0.0)
         self.leader.listed = True
-        self.desk = Desk(self.leader, known.ledger)
+        self.desk = PreemptionPlanner(self.leader, known.ledger)
         self.desk.enter(["host-0"])
         self.lender = lender()
         self.tune, self.serve = spec("wk-1", "data", "tune", tasks=16), replica("wk-9", tasks=4)
@@ -466,7 +468,7 @@
             rented.rented_at = 0.0
 
     def look(self, now):
-        asked = self.desk.round(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
+        asked = self.desk.plan(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
         if asked:
             rows = [
                 MachineTasks(
@@ -478,7 +480,7 @@
                 for i in range(2)
             ]
             self.desk.on_tasks("host-0", MachineTaskList(rows, True), now)
-            self.desk.round(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
+            self.desk.plan(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
         return asked
 
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -19,7 +19,7 @@
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.failure_detector import FailureDetector
 from alderbridge.membership.view import View, rendezvous_owner
-from alderbridge.preemption import Claim
+from alderbridge.preemption import PreemptionClaim
 from alderbridge.protocol import messages, wire
 from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
 
@@ -352,7 +352,7 @@
 
 
 def claim(job="wk-000002"):
-    return Claim("urgent", job, 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)
+    return PreemptionClaim("urgent", job, 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)
 
 
 @pytest.mark.parametrize("shown", (True, False))
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -20,7 +20,7 @@
 from alderbridge.jobs.shard import JobState, Record, TaskRun, TaskState
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
-from alderbridge.preemption import Claim, Ledger
+from alderbridge.preemption import Ledger, PreemptionClaim
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Tuning
 from alderbridge.state import store
@@ -556,7 +556,9 @@
 def test_claims_on_their_way_are_not_forgotten_when_the_store_is_read_anew(failed):
     """Under the same view they may yet be stored: planned without them, a job that they stop asked for others' room."""
     ledger = Ledger()
-    ledger.plan([{"n-000001": Claim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}])
+    ledger.plan(
+        [{"n-000001": PreemptionClaim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}]
+    )
     first = ledger.due(1.0, 12, 4096)
     if failed:
         ledger.failed(first)
@@ -578,7 +580,9 @@
     alone = Alone()
     store, ledger = alone.store, alone.core.ledger
     rows, revision = store.rows(), store.revision
-    ledger.plan([{"n-000001": Claim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}])
+    ledger.plan(
+        [{"n-000001": PreemptionClaim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}]
+    )
     alone.write()
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
     alone.core.load(rows, [], revision, alone.t, alone.t)
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -24,7 +24,7 @@
 from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, hold  # noqa: E402
 from alderbridge.lending.lender import Site  # noqa: E402
 from alderbridge.lending.reserve import Free  # noqa: E402
-from alderbridge.preemption import Budget, Held, Spent, Teams, Victim  # noqa: E402
+from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim  # noqa: E402
 from alderbridge.protocol.wire import JobSpec, MachineType  # noqa: E402
 from alderbridge.scheduling.policy import Kind, Resource  # noqa: E402
 from alderbridge.settings import Team  # noqa: E402
@@ -261,7 +261,7 @@
         if not needs:
             return
         machines = [
-            Held(
+            CandidateMachine(
                 name,
                 self.kinds[name],
                 self.room(name),
@@ -280,7 +280,9 @@
             )
             for name in open_names
         ]
-        groups = lender.choose(needs, machines, Budget(Spent(), self.now, {}, 1000, lender.limit), self.now, 12)
+        groups = lender.select_victims(
+            needs, machines, PreemptionBudget(PreemptionsSpent(), self.now, {}, 1000, lender.limit), self.now, 12
+        )
         for group in groups:
             for name, claim in group.items():
                 self.claimed[name][claim.job] += claim.count
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -26,7 +26,7 @@
 import bench_node as base  # noqa: E402
 
 from alderbridge import constants
-from alderbridge.preemption import Limit, Need  # noqa: E402
+from alderbridge.preemption import PreemptionDemand, PreemptionLimit  # noqa: E402
 from alderbridge.priorities import Rules, parse  # noqa: E402
 from alderbridge.protocol import wire
 from alderbridge.state.store import CLAIMS  # noqa: E402
@@ -47,18 +47,18 @@
 class Naive(Rules):
     """As it was tried once: no wait for room that comes by itself, no memory, the youngest first."""
 
-    def look(self, desk, now):
+    def find_demands(self, desk, now):
         promised, result = desk.promised(), []
         for row in desk.queue_rows(now).values():
             spec = desk.leader.replica.spec(row.job)
             if spec is not None and self.needs(spec) and row.offer > promised[row.job]:
-                result.append(Need(spec, row.offer - promised[row.job], 0.0, self.reason, row.zone))
+                result.append(PreemptionDemand(spec, row.offer - promised[row.job], 0.0, self.reason, row.zone))
         return result
 
     def limit(self, need):
-        return Limit(10**6, 10**6, 1.0)
+        return PreemptionLimit(10**6, 10**6, 1.0)
 
-    def cost(self, victim):
+    def victim_cost(self, victim):
         return victim.ran_s + 0.01
 
     def allowed(self, need, victim):
