--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -22,6 +22,7 @@
     PreemptionClaim,
     PreemptionDemand,
     PreemptionLimit,
+    SelectionRules,
     Teams,
     Victim,
     lost_seconds,
@@ -393,11 +394,11 @@
         needs: Iterable[PreemptionDemand],
         machines: Sequence[CandidateMachine],
         budget: PreemptionBudget,
-        wall: float,
-        most: int,
+        max_changes: int,
     ) -> list[ClaimGroup]:
-        """Claims for the needs; see ``claims.select_victims``."""
-        self.pay(self.held, self.specs, wall)
+        """Claims for the needs; see ``preemption.select_victims``."""
+        rules = SelectionRules(self.allowed, self.victim_cost, self.count_victim, self.placement_cost)
+        self.pay(self.held, self.specs, budget.wall)
         self._begin(machines)
         result: list[ClaimGroup] = []
         taken: set[str] = set()
@@ -412,17 +413,7 @@
                     break
                 self.need = need._replace(zone=zone, count=min(need.count - served, most_there))
                 here = [one for one in machines if one.machine not in taken and zone in (None, one.kind.zone)]
-                found = preemption.select_victims(
-                    [self.need],
-                    here,
-                    self.allowed,
-                    self.victim_cost,
-                    budget,
-                    wall,
-                    self.count_victim,
-                    self.placement_cost,
-                    most,
-                )
+                found = preemption.select_victims([self.need], here, rules, budget, max_changes)
                 for group in found:
                     taken.update(group)
                     served += sum(claim.count for claim in group.values())
--- a/alderbridge/preemption/__init__.py
+++ b/alderbridge/preemption/__init__.py
@@ -1,22 +1,15 @@
-"""Who makes room for whom, once: the durable claim on a machine, its budget, and the choice of victims.
+"""Room that is made for one job by preempting others: the durable claim on a machine, its budget, its victims.
 
-Shared by urgency and lending. The leader plans (``choosing``, ``desk``), the store remembers (``records``,
-``ledger``), the part of the machine carries out, proof clears.
+Shared by priorities and lending. The leader plans (``planner``, ``victim_selection``), the store remembers
+(``records``, ``ledger``), the machine's shard stops the victims, and its reports prove that they are gone.
 """
 
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
 from alderbridge.preemption.eligibility import Teams, allowed
 from alderbridge.preemption.ledger import ClaimState, ClaimTransaction, Ledger
+from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
 from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
-from alderbridge.preemption.victim_selection import (
-    CandidateMachine,
-    ClaimGroup,
-    PreemptionDemand,
-    Victim,
-    lost_cpu_seconds,
-    lost_seconds,
-    select_victims,
-)
+from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, lost_seconds, select_victims
 
 __all__ = [
     "CandidateMachine",
@@ -30,6 +23,7 @@
     "PreemptionDemand",
     "PreemptionLimit",
     "PreemptionsSpent",
+    "SelectionRules",
     "Teams",
     "Victim",
     "allowed",
--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -22,8 +22,8 @@
 import msgspec
 
 from alderbridge import constants
+from alderbridge.preemption.model import ClaimGroup
 from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
-from alderbridge.preemption.victim_selection import ClaimGroup
 from alderbridge.state.store import BUDGETS, CLAIMS, STOPS
 
 log = logging.getLogger("preemption")
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -1,8 +1,8 @@
-"""The leader's side of claims: when to look, whom to ask, what to plan, which claims are over. Pure.
+"""The leader's side of claims: which policy needs room, what is planned for it, which claims are over. Pure.
 
-A look, once a second: what is over goes; each source (urgency, lending) names its needs; if there are any, the parts
-are asked for their tasks. When all have answered, victims are chosen and the ledger gets the claims. Nothing is
-planned while claims are on their way, nor before the fleet is squared after a fall.
+A round, once a second: claims that are over are dropped; each policy (priorities, lending) names its demands; if there
+are any, the machine shards are asked for their tasks. When all have answered, victims are chosen and the ledger gets
+the claims. Nothing is planned while claims are on their way, nor before the fleet is reconciled after a failover.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
 from alderbridge.preemption.eligibility import Teams
 from alderbridge.preemption.ledger import Ledger
+from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
 from alderbridge.preemption.records import PreemptionClaim, budget_key
-from alderbridge.preemption.victim_selection import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
-from alderbridge.protocol.messages import MachineTaskList, MachineTasks, QueueRow
+from alderbridge.protocol.messages import MachineSummary, MachineTaskList, MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
 from alderbridge.scheduling.placement import fits
@@ -29,213 +29,248 @@
 
 
 class PreemptionPolicy(Protocol):
-    """Who has needs: its reason, its rules. ``teams`` is set before victims are chosen."""
+    """Who may ask for others' room: its reason, its rules. ``teams`` is set before victims are chosen."""
 
     reason: str
     teams: Teams
 
-    def find_demands(self, desk: PreemptionPlanner, now: float) -> list[PreemptionDemand]: ...
+    def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
+        """Return what nothing else serves in time, the most urgent first."""
 
-    def is_reported(self, spec: JobSpec) -> bool: ...
+    def is_reported(self, spec: JobSpec) -> bool:
+        """Whether machine shards report such tasks to the leader."""
 
     def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
-    ) -> None: ...
+    ) -> None:
+        """Take in what the shards reported of all machines; ``kinds``: of those that are up."""
+
+    def preemptible(self, spec: JobSpec) -> bool:
+        """Whether such tasks may be victims at all."""
+
+    def limit(self, demand: PreemptionDemand) -> PreemptionLimit:
+        """Return how many preemptions the demand may cause."""
 
     def select_victims(
         self,
-        needs: list[PreemptionDemand],
+        demands: list[PreemptionDemand],
         machines: list[CandidateMachine],
         budget: PreemptionBudget,
-        wall: float,
-        most: int,
-    ) -> list[ClaimGroup]: ...
-
-    def preemptible(self, spec: JobSpec) -> bool: ...
-
-    def limit(self, need: PreemptionDemand) -> PreemptionLimit: ...
-
-    def allowed(self, need: PreemptionDemand, victim: Victim) -> bool: ...
-
-    def count_victim(self, victim: Victim, sign: int) -> None: ...
-
-    def victim_cost(self, victim: Victim) -> float: ...
-
-    def placement_cost(self, need: PreemptionDemand, held: CandidateMachine) -> float: ...
+        max_changes: int,
+    ) -> list[ClaimGroup]:
+        """Return claims for the demands; see ``victim_selection.select_victims``."""
 
 
 class PreemptionPlanner:
+    """Plans preemptions for all policies, while this controller is the leader."""
+
     def __init__(self, leader: Leader, ledger: Ledger) -> None:
+        """Read what ``leader`` knows of queues and machines; claims go to ``ledger``."""
         self.leader, self.ledger = leader, ledger
         self.enter([])
 
     def enter(self, members: list[str]) -> None:
-        """A new view: nothing that was told or asked under the one before counts."""
+        """Begin a new view: nothing that was reported or asked under the one before counts."""
         self.members = members
-        self.task_lists: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer to ``Show``
-        self.rows: dict[str, MachineTasks] = {}  # machines with a claim, as last told
-        self.looked_at = self.asked_at = float("-inf")
-        self.wanted: list[tuple[PreemptionPolicy, list[PreemptionDemand]]] = []
-        self.since: dict[str, float] = {}  # machine -> since when its claim serves nothing more
+        self.task_lists: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer to ``ListMachineTasks``
+        self.claimed_machines: dict[str, MachineTasks] = {}  # machines with a claim, as last reported
+        self.round_at = self.asked_at = float("-inf")
+        self.pending: list[tuple[PreemptionPolicy, list[PreemptionDemand]]] = []  # until the shards have answered
+        self.unused_since: dict[str, float] = {}  # machine -> since when its claim serves nothing more
 
     # -- what is known -------------------------------------------------------
 
     def on_tasks(self, label: str, tasks: MachineTaskList, now: float) -> None:
+        """Take in a shard's report of its machines' tasks."""
         if label not in self.members:
             return
         if tasks.whole:
             self.task_lists[label] = (tasks, now)
         for row in tasks.rows:
             if self.ledger.claim_of(row.machine) is not None:
-                self.rows[row.machine] = row
+                self.claimed_machines[row.machine] = row
 
     def queue_rows(self, now: float) -> dict[str, QueueRow]:
-        """The rows of all homes' queues, by job, with their times as they stand."""
+        """Return the rows of all job shards' queues, by job, with their times as they stand."""
         return {row.job: row for queue in self.leader.queues.values() for row in queue.aged_rows(now)}
 
     def promised(self) -> Counter[str]:
-        """Tasks of each job that claims make room for; a moment too many when some already run there."""
+        """Return the tasks of each job that claims make room for; for a moment too many when some already run there."""
         result: Counter[str] = Counter()
         for claim in self.ledger.all().values():
             result[claim.job] += claim.count
         return result
 
     def victims_left(self, machine: str, claim: PreemptionClaim) -> int:
-        """Victims not known to be gone."""
-        row = self.rows.get(machine)
+        """Return how many victims are not known to be gone."""
+        row = self.claimed_machines.get(machine)
         if row is None:
             return len(claim.victims)
-        there = {(job, index, attempt) for job, index, attempt, _, _ in row.tasks}
-        return sum(tuple(victim) in there for victim in claim.victims)
+        present = {(job, index, attempt) for job, index, attempt, _, _ in row.tasks}
+        return sum(tuple(victim) in present for victim in claim.victims)
 
     def stopping(self) -> Counter[str]:
-        """Victims not known to be gone, by budget."""
+        """Return how many victims are not known to be gone, by budget."""
         result: Counter[str] = Counter()
         for machine, claim in self.ledger.all().items():
             result[budget_key(claim.team, claim.reason)] += self.victims_left(machine, claim)
         return result
 
-    # -- the look ------------------------------------------------------------
+    # -- planning ------------------------------------------------------------
 
     def plan(
-        self, now: float, wall: float, sources: Sequence[PreemptionPolicy], teams: Callable[[], Teams], most: int
+        self,
+        now: float,
+        wall: float,
+        policies: Sequence[PreemptionPolicy],
+        teams: Callable[[], Teams],
+        max_changes: int,
     ) -> bool:
-        """True: the parts are to be asked for their tasks. ``most``: changes that one transaction takes."""
+        """Go one step on; True: the machine shards are to be asked for their tasks.
+
+        ``wall``: time of day, in s. ``teams``: called when victims are chosen. ``max_changes``: that one transaction
+        takes.
+        """
         if not self.leader.ready(now):
             return False
-        if now - self.looked_at >= constants.LEADER_ROUND_S:
-            self.looked_at = now
-            if self.ledger.entries or self.ledger.stops:
-                self._tidy(now, wall, sources)
-            self.wanted = []
-            if sources and not self.ledger.busy and self.leader.scale_in_guard.knowledge is FleetKnowledge.RECONCILED:
-                self.wanted = [(source, needs) for source in sources if (needs := source.find_demands(self, now))]
-            if self.wanted:
+        if now - self.round_at >= constants.LEADER_ROUND_S:
+            self._begin_round(now, wall, policies)
+            if self.pending:
                 self.asked_at = now
                 return True
-        if self.wanted and all(
-            label in self.task_lists and self.task_lists[label][1] >= self.asked_at for label in self.members
-        ):
+        if self.pending and self._all_answered():
             if not self.ledger.busy:
-                self._choose(now, wall, teams(), most)
-            self.wanted = []
+                self._select(wall, teams(), max_changes)
+            self.pending = []
         return False
 
-    def _choose(self, now: float, wall: float, teams: Teams, most: int) -> None:
-        kinds = {
-            row.machine: Kind(row.type, row.zone, row.spot)
-            for room, _ in self.leader.machine_summaries.values()
-            for row in room.rows
-            if row.state == "up"
-        }
+    def _begin_round(self, now: float, wall: float, policies: Sequence[PreemptionPolicy]) -> None:
+        self.round_at = now
+        if self.ledger.entries or self.ledger.stops:
+            self._drop_finished(now, wall, policies)
+        self.pending = []
+        reconciled = self.leader.scale_in_guard.knowledge is FleetKnowledge.RECONCILED
+        if policies and not self.ledger.busy and reconciled:
+            self.pending = [(policy, demands) for policy in policies if (demands := policy.find_demands(self, now))]
+
+    def _all_answered(self) -> bool:
+        return all(label in self.task_lists and self.task_lists[label][1] >= self.asked_at for label in self.members)
+
+    def _select(self, wall: float, teams: Teams, max_changes: int) -> None:
+        """Choose victims for the pending demands, each machine for one policy."""
+        kinds = self._kinds()
         rows = [row for tasks, _ in self.task_lists.values() for row in tasks.rows]
         running = sum(len(row.tasks) for row in rows)
-        for machine, claim in self.ledger.all().items():
-            for job, _, _ in claim.victims[: self.victims_left(machine, claim)]:
-                spec = self.leader.replica.spec(job)
-                if spec is not None:
-                    teams.count_victim(spec, 1)
+        self._count_stopping(teams)
         taken: set[str] = set()
-        groups = []
-        for source, needs in self.wanted:
-            free = [
-                row
+        groups: list[ClaimGroup] = []
+        for policy, demands in self.pending:
+            machines = [
+                CandidateMachine(row.machine, kinds[row.machine], row.free, self._victims(row, policy, wall))
                 for row in rows
                 if row.machine in kinds and row.machine not in taken and self.ledger.claim_of(row.machine) is None
             ]
-            machines = [
-                CandidateMachine(row.machine, kinds[row.machine], row.free, self._victims(row, source, wall))
-                for row in free
-            ]
-            source.teams = teams
-            source.observe_machines(rows, kinds, self.leader.replica.spec)
-            budget = PreemptionBudget(self.ledger.spent, wall, self.stopping(), running, source.limit)
-            chosen = source.select_victims(needs, machines, budget, wall, most)
+            policy.teams = teams
+            policy.observe_machines(rows, kinds, self.leader.replica.spec)
+            budget = PreemptionBudget(self.ledger.spent, wall, self.stopping(), running, policy.limit)
+            chosen = policy.select_victims(demands, machines, budget, max_changes)
             for group in chosen:
                 taken.update(group)
             groups += chosen
         if groups:
             self.ledger.plan(groups)
 
-    def _victims(self, row: MachineTasks, source: PreemptionPolicy, wall: float) -> list[Victim]:
+    def _kinds(self) -> dict[str, Kind]:
+        """What each machine that is up was rented as."""
+        return {
+            row.machine: Kind(row.type, row.zone, row.spot)
+            for room, _ in self.leader.machine_summaries.values()
+            for row in room.rows
+            if row.state == "up"
+        }
+
+    def _count_stopping(self, teams: Teams) -> None:
+        """Take the victims of standing claims from what their teams use."""
+        for machine, claim in self.ledger.all().items():
+            for job, _, _ in claim.victims[: self.victims_left(machine, claim)]:
+                spec = self.leader.replica.spec(job)
+                if spec is not None:
+                    teams.count_victim(spec, 1)
+
+    def _victims(self, row: MachineTasks, policy: PreemptionPolicy, wall: float) -> list[Victim]:
         result, ledger = [], self.ledger
         for job, index, attempt, ran_s, sure in row.tasks:
             spec = self.leader.replica.spec(job)
-            if spec is not None and source.preemptible(spec):
-                saved = ran_s % spec.checkpoint_s if spec.checkpoint_s > 0 else None
-                result.append(
-                    Victim(
-                        job,
-                        index,
-                        attempt,
-                        spec,
-                        ran_s,
-                        saved,
-                        ledger.stops_of(job, index),
-                        sure,
-                        ledger.stopped_since(job, wall),
-                    )
+            if spec is not None and policy.preemptible(spec):
+                victim = Victim(
+                    job=job,
+                    index=index,
+                    attempt=attempt,
+                    spec=spec,
+                    ran_s=ran_s,
+                    saved_s_ago=ran_s % spec.checkpoint_s if spec.checkpoint_s > 0 else None,
+                    stops=ledger.stops_of(job, index),
+                    sure=sure,
+                    since_stop_s=ledger.stopped_since(job, wall),
                 )
+                result.append(victim)
         return result
 
-    # -- what is over ----------------------------------------------------------
+    # -- claims that are over --------------------------------------------------
 
-    def _tidy(self, now: float, wall: float, sources: Sequence[PreemptionPolicy]) -> None:
+    def _drop_finished(self, now: float, wall: float, policies: Sequence[PreemptionPolicy]) -> None:
         ledger, replica = self.ledger, self.leader.replica
         rooms = {row.machine: row for room, _ in self.leader.machine_summaries.values() for row in room.rows}
         waiting = Counter({job: row.waiting + row.inherited for job, row in self.queue_rows(now).items()})
-        reasons = {source.reason for source in sources}
+        reasons = {policy.reason for policy in policies}
         for machine, claim in ledger.all().items():
             left = self.victims_left(machine, claim)
-            if left == 0 and machine in self.rows:
+            if left == 0 and machine in self.claimed_machines:
                 ledger.cleared(machine)
             room = rooms.get(machine)
-            spec = replica.spec(claim.job)
-            if spec is None or claim.job in replica.ended:
-                ledger.drop(machine, "its job is over")
-            elif wall > claim.until:
-                ledger.drop(machine, "its time is over")
-            elif room is not None and room.state not in ("up", "expected"):
-                ledger.drop(machine, f"the machine is {room.state}")
-            elif claim.reason not in reasons and left == len(claim.victims):
-                ledger.drop(machine, "nothing is declared any more")
-            else:
-                cause = ""
-                if room is None:
-                    cause = "the machine is gone"
-                elif not waiting[claim.job]:
-                    cause = "its job wants nothing more"
-                elif not left and not self._outstanding(machine, claim, spec):
-                    cause = "its room is used"
-                if not cause:
-                    self.since.pop(machine, None)
-                elif now - self.since.setdefault(machine, now) >= constants.CLAIM_UNUSED_S:
-                    ledger.drop(machine, cause)
-        self.rows = {machine: row for machine, row in self.rows.items() if ledger.claim_of(machine) is not None}
-        self.since = {machine: at for machine, at in self.since.items() if ledger.claim_of(machine) is not None}
+            cause = self._cause_to_drop(claim, room, wall, claim.reason in reasons or left < len(claim.victims))
+            if cause:
+                ledger.drop(machine, cause)
+                continue
+            cause = self._cause_of_disuse(machine, claim, room, waiting[claim.job], left)
+            if not cause:
+                self.unused_since.pop(machine, None)
+            elif now - self.unused_since.setdefault(machine, now) >= constants.CLAIM_UNUSED_S:
+                ledger.drop(machine, cause)
+        self.claimed_machines = {
+            machine: row for machine, row in self.claimed_machines.items() if ledger.claim_of(machine) is not None
+        }
+        self.unused_since = {
+            machine: at for machine, at in self.unused_since.items() if ledger.claim_of(machine) is not None
+        }
         for job in [job for job in ledger.stops if job in replica.ended]:
             ledger.forget(job)
 
+    def _cause_to_drop(self, claim: PreemptionClaim, room: MachineSummary | None, wall: float, wanted: bool) -> str:
+        """Why the claim is to go at once; "": it stays. ``wanted``: its policy stands, or victims have gone."""
+        if self.leader.replica.spec(claim.job) is None or claim.job in self.leader.replica.ended:
+            return "its job is over"
+        if wall > claim.until:
+            return "its time is over"
+        if room is not None and room.state not in ("up", "expected"):
+            return f"the machine is {room.state}"
+        return "" if wanted else "nothing is declared any more"
+
+    def _cause_of_disuse(
+        self, machine: str, claim: PreemptionClaim, room: MachineSummary | None, waiting: int, left: int
+    ) -> str:
+        """Why the claim serves nothing now, for which it goes after a while; "": it does serve."""
+        if room is None:
+            return "the machine is gone"
+        if not waiting:
+            return "its job wants nothing more"
+        spec = self.leader.replica.spec(claim.job)
+        assert spec is not None
+        if not left and not self._outstanding(machine, claim, spec):
+            return "its room is used"
+        return ""
+
     def _outstanding(self, machine: str, claim: PreemptionClaim, spec: JobSpec) -> int:
-        row = self.rows.get(machine)
+        """How many of its tasks the claim's room has yet to take."""
+        row = self.claimed_machines.get(machine)
         return claim.count if row is None else min(claim.count, fits(spec, row.free))
--- a/alderbridge/priorities/needs.py
+++ b/alderbridge/priorities/needs.py
@@ -6,7 +6,7 @@
 from collections.abc import Container, Iterable, Mapping
 from typing import TYPE_CHECKING
 
-from alderbridge.preemption.victim_selection import PreemptionDemand
+from alderbridge.preemption.model import PreemptionDemand
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.scheduling.placement import order
 from alderbridge.scheduling.policy import Demand, Resource, Walk
--- a/alderbridge/priorities/rules.py
+++ b/alderbridge/priorities/rules.py
@@ -7,14 +7,8 @@
 
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
 from alderbridge.preemption.eligibility import Teams, allowed
-from alderbridge.preemption.victim_selection import (
-    CandidateMachine,
-    ClaimGroup,
-    PreemptionDemand,
-    Victim,
-    lost_cpu_seconds,
-    select_victims,
-)
+from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
+from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, select_victims
 from alderbridge.priorities.declaration import PriorityClass, Text
 from alderbridge.priorities.needs import needs
 from alderbridge.protocol.messages import MachineTasks
@@ -97,18 +91,13 @@
         needs: list[PreemptionDemand],
         machines: list[CandidateMachine],
         budget: PreemptionBudget,
-        wall: float,
-        most: int,
+        max_changes: int,
     ) -> list[ClaimGroup]:
-        return select_victims(
-            needs, machines, self.allowed, self.victim_cost, budget, wall, self.count_victim, self.placement_cost, most
-        )
+        rules = SelectionRules(self.allowed, self.victim_cost, self.count_victim)
+        return select_victims(needs, machines, rules, budget, max_changes)
 
     def victim_cost(self, victim: Victim) -> float:
         return lost_cpu_seconds(victim)
 
-    def placement_cost(self, need: PreemptionDemand, held: CandidateMachine) -> float:
-        return 0.0
-
     def count_victim(self, victim: Victim, sign: int) -> None:
         self.teams.count_victim(victim.spec, sign)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -18,6 +18,7 @@
     PreemptionDemand,
     PreemptionLimit,
     PreemptionsSpent,
+    SelectionRules,
     Victim,
     select_victims,
 )
@@ -395,7 +396,7 @@
 def pick(need_spec, count, *machines, most=12, limit=ANY, may=lambda need, victim: True):
     need = PreemptionDemand(need_spec, count, 5.0, "urgent")
     budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: limit)
-    return select_victims([need], machines, may, preemption.lost_cpu_seconds, budget, 100.0, most=most)
+    return select_victims([need], machines, SelectionRules(may, preemption.lost_cpu_seconds), budget, most)
 
 
 def stopped(groups):
@@ -436,11 +437,10 @@
     young, old = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
     budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: ANY)
     machines = [held("a", young, cpus=2.0), held("b", old, cpus=2.0)]
+    rules = SelectionRules(lambda need, victim: True, preemption.lost_cpu_seconds)
     urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
     for needs_in_turn, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
-        groups = select_victims(
-            needs_in_turn, machines, lambda need, victim: True, preemption.lost_cpu_seconds, budget, 100.0
-        )
+        groups = select_victims(needs_in_turn, machines, rules, budget, 12)
         assert stopped(groups) == expected
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -180,7 +180,7 @@
             for name, kind, free, tasks in self.machines
         ]
         budget = PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, lender.limit)
-        return needs, lender.select_victims(needs, held, budget, 1000.0, 12)
+        return needs, lender.select_victims(needs, held, budget, 12)
 
 
 def faults(state, needs, groups, spent=0.0):
@@ -306,9 +306,7 @@
     one.see(sites or {}, {held.machine: held.kind.zone for held in machines})
     one.teams = Teams(TEAMS, used)
     needs = one.needs([service], [Resource(held.kind, held.free) for held in machines], used, {})
-    groups = one.select_victims(
-        needs, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, one.limit), 1000.0, 12
-    )
+    groups = one.select_victims(needs, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, one.limit), 12)
     return needs, {name: claim for group in groups for name, claim in group.items()}
 
 
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -281,7 +281,7 @@
             for name in open_names
         ]
         groups = lender.select_victims(
-            needs, machines, PreemptionBudget(PreemptionsSpent(), self.now, {}, 1000, lender.limit), self.now, 12
+            needs, machines, PreemptionBudget(PreemptionsSpent(), self.now, {}, 1000, lender.limit), 12
         )
         for group in groups:
             for name, claim in group.items():
