--- a/alderbridge/preemption/eligibility.py
+++ b/alderbridge/preemption/eligibility.py
@@ -1,4 +1,4 @@
-"""The protocol's "Preemption", to the letter, and what it counts: who is beyond a guarantee."""
+"""The protocol's rule of who may be preempted for whom, and what it counts: who is beyond a guarantee."""
 
 from __future__ import annotations
 
--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -3,12 +3,12 @@
 States of a claim:
 
 * PLANNED: chosen by the leader, its transaction is to be sent or on its way.
-* HELD: in the store; the machine's part halts the victims and keeps the room for the job.
-* CLEARED: held, and a report at this mandate lacks all victims.
+* HELD: in the store; the machine's shard preempts the victims and keeps the room for the job.
+* CLEARED: held, and a report under this fencing token lacks all victims.
 * DROPPED: the leader wants the record gone, or the store has lost it.
 
 One transaction is under way at a time. One without an answer may be carried out late: before anything new is
-planned the budgets' record is written again, whose stamp it asserts. All assert the view (the node adds it).
+planned the budgets' record is written again, whose revision it asserts. All assert the view (the controller adds it).
 """
 
 from __future__ import annotations
@@ -33,6 +33,8 @@
 
 
 class ClaimState(str, Enum):
+    """See the module."""
+
     PLANNED = "planned"
     HELD = "held"
     CLEARED = "cleared"
@@ -41,42 +43,74 @@
 
 @dataclass
 class ClaimEntry:
+    """A claim in the store, with the revision of its key."""
+
     claim: PreemptionClaim
     revision: int
     state: ClaimState = ClaimState.HELD
 
+    def mark_cleared(self) -> None:
+        """A report under this fencing token lacks all victims."""
+        if self.state is ClaimState.HELD:
+            self.state = ClaimState.CLEARED
+
 
 @dataclass
 class ClaimTransaction:
-    """One change; ``groups`` are the claims that it makes, ``gone`` the machines whose claims it drops."""
+    """One change; ``groups`` are the claims that it makes."""
 
     conditions: dict[str, int] = field(default_factory=dict)
     puts: dict[str, object] = field(default_factory=dict)
     drops: list[str] = field(default_factory=list)
     groups: list[ClaimGroup] = field(default_factory=list)
 
+    def takes(
+        self,
+        group: ClaimGroup,
+        spent: PreemptionsSpent,
+        stops: Mapping[str, JobPreemptions],
+        most: int,
+        value_bytes: int,
+    ) -> bool:
+        """Whether one more group fits, with the budgets and the jobs' records that go with it.
+
+        ``most``: changes of a transaction. ``value_bytes``: size of one value.
+        """
+        values = [*group.values(), *stops.values(), spent]
+        values_fit = all(len(msgspec.json.encode(value)) <= value_bytes for value in values)
+        count = sum(map(len, self.groups)) + len(group) + len(stops) + 1
+        # half of what the protocol allows for a transaction, as for other records
+        size = sum(len(msgspec.json.encode(value)) for value in self.puts.values())
+        return values_fit and count <= most and size <= constants.MAX_BODY // 2
+
 
 class Ledger:
+    """All claims, what was spent of budgets, and how often jobs were preempted; what of it is to be written."""
+
     def __init__(self) -> None:
+        """Begin empty, until ``apply`` has told what the store has."""
         self.entries: dict[str, ClaimEntry] = {}  # machine -> its claim in the store
-        self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its stops, and their stamp
+        self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its stops, and their revision
         self.spent, self.spent_revision = PreemptionsSpent(), 0
         self.planned: list[ClaimGroup] = []
-        self.dropping: dict[str, int] = {}  # machine -> stamp of the claim that is to go
-        self.forgetting: dict[str, int] = {}  # job that is over -> stamp of its stops
+        self.dropping: dict[str, int] = {}  # machine -> revision of the claim that is to go
+        self.forgetting: dict[str, int] = {}  # job that is over -> revision of its record
         self.sent: ClaimTransaction | None = None
         self.doubt: ClaimTransaction | None = None  # without an answer: it may yet be carried out
 
     # -- questions ---------------------------------------------------------
 
     def claim_of(self, machine: str) -> PreemptionClaim | None:
+        """Return the machine's claim in the store."""
         entry = self.entries.get(machine)
         return entry.claim if entry is not None else None
 
     def all(self) -> Mapping[str, PreemptionClaim]:
+        """Return the claims in the store by machine."""
         return {machine: entry.claim for machine, entry in self.entries.items()}
 
     def stops_of(self, job: str, index: int) -> int:
+        """Return how often claims have preempted the task."""
         known = self.stops.get(job)
         return known[0].tasks.get(index, 0) if known is not None else 0
 
@@ -119,29 +153,32 @@
         """One change of a key of claims, from the replica; ``data`` None: it went."""
         if key == BUDGETS:
             if revision > self.spent_revision:
-                self.spent, self.spent_revision = (
-                    (PreemptionsSpent() if data is None else _spent.decode(data)),
-                    revision,
-                )
+                self.spent = PreemptionsSpent() if data is None else _spent.decode(data)
+                self.spent_revision = revision
         elif key.startswith(STOPS):
-            job = key[len(STOPS) :]
-            known = self.stops.get(job)
-            if known is not None and revision <= known[1]:
-                return
-            self.forgetting.pop(job, None)
-            if data is None:
-                self.stops.pop(job, None)
-            else:
-                self.stops[job] = (_stops.decode(data), revision)
+            self._apply_stops(key[len(STOPS) :], data, revision)
         elif key.startswith(CLAIMS):
-            machine = key[len(CLAIMS) :]
-            known = self.entries.get(machine)
-            if known is not None and revision <= known.revision:
-                return
-            if data is None:
-                self._dropped(machine)
-            else:
-                self._hold(machine, _claim.decode(data), revision)
+            self._apply_claim(key[len(CLAIMS) :], data, revision)
+
+    def _apply_stops(self, job: str, data: bytes | msgspec.Raw | None, revision: int) -> None:
+        known = self.stops.get(job)
+        if known is not None and revision <= known[1]:
+            return
+        self.forgetting.pop(job, None)
+        if data is None:
+            self.stops.pop(job, None)
+        else:
+            self.stops[job] = (_stops.decode(data), revision)
+
+    def _apply_claim(self, machine: str, data: bytes | msgspec.Raw | None, revision: int) -> None:
+        known = self.entries.get(machine)
+        if known is not None and revision <= known.revision:
+            return
+        if data is None:
+            self.entries.pop(machine, None)
+            self.dropping.pop(machine, None)
+        else:
+            self._hold(machine, _claim.decode(data), revision)
 
     # -- changes of state, one function each --------------------------------
 
@@ -154,12 +191,6 @@
         self.entries[machine] = ClaimEntry(claim, revision)
         self.dropping.pop(machine, None)
 
-    def cleared(self, machine: str) -> None:
-        """A report at this mandate lacks all victims."""
-        entry = self.entries.get(machine)
-        if entry is not None and entry.state is ClaimState.HELD:
-            entry.state = ClaimState.CLEARED
-
     def drop(self, machine: str, cause: str) -> None:
         """The leader wants the record gone."""
         entry = self.entries.get(machine)
@@ -168,10 +199,6 @@
             self.dropping[machine] = entry.revision
             log.info("claim=%s state=dropped cause=%s for=%s", machine, cause, entry.claim.job)
 
-    def _dropped(self, machine: str) -> None:
-        self.entries.pop(machine, None)
-        self.dropping.pop(machine, None)
-
     def forget(self, job: str) -> None:
         """The job is over: nobody asks any more how often it was stopped."""
         if job in self.stops:
@@ -194,30 +221,20 @@
             tx.conditions = dict(keys[:most])
             tx.drops = list(tx.conditions)
         else:
-            self._claim(tx, wall, most, value_bytes)
+            self._add_claims(tx, wall, most, value_bytes)
         if not tx.puts and not tx.drops:
             return None
         self.sent = tx
         return tx
 
-    def _claim(self, tx: ClaimTransaction, wall: float, most: int, value_bytes: int) -> None:
-        """As many planned groups as one transaction takes; one that no transaction takes is given up."""
-        spent, stops = self.spent, {}
+    def _add_claims(self, tx: ClaimTransaction, wall: float, most: int, value_bytes: int) -> None:
+        """Add as many planned groups as one transaction takes; one that no transaction takes is given up."""
+        spent = self.spent
+        stops: dict[str, JobPreemptions] = {}
         while self.planned:
             group = self.planned[0]
-            more_spent, more = spent, dict(stops)
-            for claim in group.values():
-                more_spent = more_spent.spend(budget_key(claim.team, claim.reason), len(claim.victims), claim.at)
-                for job, index, _ in claim.victims:
-                    known = more.get(job) or (self.stops[job][0] if job in self.stops else JobPreemptions({}, wall))
-                    tasks = known.tasks | {index: known.tasks.get(index, 0) + 1}
-                    more[job] = JobPreemptions(tasks, known.first)
-            values = [*group.values(), *more.values(), more_spent]
-            fits = all(len(msgspec.json.encode(value)) <= value_bytes for value in values)
-            count = sum(map(len, tx.groups)) + len(group) + len(more) + 1
-            # half of what the protocol allows for a transaction, as for other records
-            size = sum(len(msgspec.json.encode(value)) for value in tx.puts.values())
-            if not fits or count > most or size > constants.MAX_BODY // 2:
+            more_spent, more_stops = _with_group(group, spent, stops, self.stops, wall)
+            if not tx.takes(group, more_spent, more_stops, most, value_bytes):
                 if tx.groups:
                     break
                 log.info("claim=%s state=dropped cause=takes more than one transaction", min(group))
@@ -225,7 +242,7 @@
                 continue
             self.planned.pop(0)
             tx.groups.append(group)
-            spent, stops = more_spent, more
+            spent, stops = more_spent, more_stops
             tx.puts |= {CLAIMS + machine: claim for machine, claim in group.items()}
             tx.conditions |= dict.fromkeys((CLAIMS + machine for machine in group), 0)
         if tx.groups:
@@ -265,3 +282,24 @@
         self.sent, self.planned = None, []
         if BUDGETS in tx.conditions:
             self.doubt = tx
+
+
+def _with_group(
+    group: ClaimGroup,
+    spent: PreemptionsSpent,
+    stops: Mapping[str, JobPreemptions],
+    stored: Mapping[str, tuple[JobPreemptions, int]],
+    wall: float,
+) -> tuple[PreemptionsSpent, dict[str, JobPreemptions]]:
+    """Return the budgets and the jobs' records with the preemptions of one more group.
+
+    ``stops``: records that the transaction has already; ``stored``: those of the store. ``wall``: time of day, in s.
+    """
+    result = dict(stops)
+    for claim in group.values():
+        spent = spent.spend(budget_key(claim.team, claim.reason), len(claim.victims), claim.at)
+        for job, index, _ in claim.victims:
+            known = result.get(job) or (stored[job][0] if job in stored else JobPreemptions({}, wall))
+            tasks = known.tasks | {index: known.tasks.get(index, 0) + 1}
+            result[job] = JobPreemptions(tasks, known.first)
+    return spent, result
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -226,7 +226,7 @@
         for machine, claim in ledger.all().items():
             left = self.victims_left(machine, claim)
             if left == 0 and machine in self.claimed_machines:
-                ledger.cleared(machine)
+                ledger.entries[machine].mark_cleared()
             room = rooms.get(machine)
             cause = self._cause_to_drop(claim, room, wall, claim.reason in reasons or left < len(claim.victims))
             if cause:
@@ -246,15 +246,15 @@
         for job in [job for job in ledger.stops if job in replica.ended]:
             ledger.forget(job)
 
-    def _cause_to_drop(self, claim: PreemptionClaim, room: MachineSummary | None, wall: float, wanted: bool) -> str:
-        """Why the claim is to go at once; "": it stays. ``wanted``: its policy stands, or victims have gone."""
+    def _cause_to_drop(self, claim: PreemptionClaim, room: MachineSummary | None, wall: float, needed: bool) -> str:
+        """Why the claim is to go at once; "": it stays. ``needed``: its policy stands, or victims have gone."""
         if self.leader.replica.spec(claim.job) is None or claim.job in self.leader.replica.ended:
             return "its job is over"
         if wall > claim.until:
             return "its time is over"
         if room is not None and room.state not in ("up", "expected"):
             return f"the machine is {room.state}"
-        return "" if wanted else "nothing is declared any more"
+        return "" if needed else "nothing is declared any more"
 
     def _cause_of_disuse(
         self, machine: str, claim: PreemptionClaim, room: MachineSummary | None, waiting: int, left: int
--- a/alderbridge/preemption/records.py
+++ b/alderbridge/preemption/records.py
@@ -38,17 +38,17 @@
     stops: dict[str, list[tuple[int, int]]] = {}
 
     def within(self, budget: str, wall: float) -> int:
-        """Stops that count in the minute before ``wall``: never fewer than there were, up to a step's more."""
+        """Return the stops in the minute before ``wall``: never fewer than there were, up to a step's more."""
         least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
         return sum(count for at, count in self.stops.get(budget, ()) if at > least)
 
     def spend(self, budget: str, count: int, wall: float) -> PreemptionsSpent:
-        """With ``count`` more stops, and without what is over."""
-        least, step = (
-            wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S,
-            int(wall // constants.PREEMPTION_STEP_S * constants.PREEMPTION_STEP_S),
-        )
-        stops = {name: kept for name, entries in self.stops.items() if (kept := [e for e in entries if e[0] > least])}
+        """Return the record with ``count`` more stops, and without what is over."""
+        least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
+        step = int(wall // constants.PREEMPTION_STEP_S * constants.PREEMPTION_STEP_S)
+        stops = {
+            name: recent for name, entries in self.stops.items() if (recent := [e for e in entries if e[0] > least])
+        }
         entries = dict(stops.get(budget, ()))
         entries[step] = entries.get(step, 0) + count
         stops[budget] = sorted(entries.items())
@@ -56,5 +56,5 @@
 
 
 def budget_key(team: str, reason: str) -> str:
-    """The budget that a stop for a team and a reason is taken from."""
+    """Return the budget that a stop for a team and a reason is taken from."""
     return f"{team}/{reason}"
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -90,6 +90,7 @@
         self.chosen: set[tuple[str, int]] = set()
 
     def preempt(self, victim: Victim) -> None:
+        """Choose a victim; its room is free."""
         self.victims.append(victim)
         self.chosen.add((victim.job, victim.index))
         self.room = minus(self.room, victim.spec, -1)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -310,13 +310,13 @@
 
 
 def budget_not_stored(monkeypatch):
-    real = Ledger._claim
+    real = Ledger._add_claims
 
     def claim(self, tx, *more):
         real(self, tx, *more)
         tx.puts[BUDGETS] = PreemptionsSpent()
 
-    monkeypatch.setattr(Ledger, "_claim", claim)
+    monkeypatch.setattr(Ledger, "_add_claims", claim)
 
 
 def claims_forgotten(monkeypatch):
