--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -30,7 +30,7 @@
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.placement import Offer, allowed, fits, order
-from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.scheduling.policy import MachineKind, MachineResource
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
@@ -162,7 +162,7 @@
     def needs(
         self,
         services: Iterable[Service],
-        resources: Iterable[Resource],
+        resources: Iterable[MachineResource],
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
     ) -> list[PreemptionDemand]:
@@ -241,7 +241,7 @@
         return self.preemptible(spec) or self.serves(spec)
 
     def observe_machines(
-        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         sites = {}
         for row in rows:
@@ -311,7 +311,7 @@
             return 0
         return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < constants.LEND_FIRST_S else 0)
 
-    def _gpu_type(self, kind: Kind) -> bool:
+    def _gpu_type(self, kind: MachineKind) -> bool:
         known = self.types.get(kind.type)
         return known is not None and known.gpus > 0
 
--- a/alderbridge/preemption/model.py
+++ b/alderbridge/preemption/model.py
@@ -6,8 +6,8 @@
 
 from alderbridge.preemption.records import PreemptionClaim
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import Room
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.placement import Resources
+from alderbridge.scheduling.policy import MachineKind
 
 ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction
 
@@ -41,6 +41,6 @@
     """A machine as its shard reports it: no claim is on it, and tasks may be placed there."""
 
     machine: str
-    kind: Kind
-    free: Room
+    kind: MachineKind
+    free: Resources
     tasks: list[Victim]  # those that the policy may preempt
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -23,7 +23,7 @@
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
 from alderbridge.scheduling.placement import fits
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 
 log = logging.getLogger("preemption")
 
@@ -41,7 +41,7 @@
         """Whether machine shards report such tasks to the leader."""
 
     def observe_machines(
-        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         """Take in what the shards reported of all machines; ``kinds``: of those that are up."""
 
@@ -180,10 +180,10 @@
         if groups:
             self.ledger.plan(groups)
 
-    def _kinds(self) -> dict[str, Kind]:
+    def _kinds(self) -> dict[str, MachineKind]:
         """What each machine that is up was rented as."""
         return {
-            row.machine: Kind(row.type, row.zone, row.spot)
+            row.machine: MachineKind(row.type, row.zone, row.spot)
             for room, _ in self.leader.machine_summaries.values()
             for row in room.rows
             if row.state == "up"
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -11,7 +11,7 @@
 from alderbridge.preemption.budget import PreemptionBudget
 from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
 from alderbridge.preemption.records import PreemptionClaim
-from alderbridge.scheduling.placement import Room, allowed, fits, minus
+from alderbridge.scheduling.placement import Resources, allowed, fits, minus
 
 _OTHER_RECORDS = 2  # of one transaction: the budgets, and one claim beside jobs, or one job beside claims
 
@@ -171,8 +171,8 @@
         )
 
     def _add_units(
-        self, name: str, demand: PreemptionDemand, units: list[_PricedUnit], room: Room
-    ) -> tuple[list[_PricedUnit], Room]:
+        self, name: str, demand: PreemptionDemand, units: list[_PricedUnit], room: Resources
+    ) -> tuple[list[_PricedUnit], Resources]:
         """Choose units until one task fits; what the policy counted meanwhile is taken back."""
         chosen: list[_PricedUnit] = []
         counted: list[Victim] = []
@@ -204,7 +204,7 @@
         return False
 
     @staticmethod
-    def _drop_superfluous(name: str, demand: PreemptionDemand, chosen: list[_PricedUnit], room: Room) -> None:
+    def _drop_superfluous(name: str, demand: PreemptionDemand, chosen: list[_PricedUnit], room: Resources) -> None:
         """Spare the costliest units that the room is large enough without."""
         for unit in sorted(chosen, key=lambda unit: -unit.cost):
             without = _room_changed(room, name, unit, 1)
@@ -297,7 +297,7 @@
         )
 
 
-def _room_changed(room: Room, name: str, unit: _PricedUnit, sign: int) -> Room:
+def _room_changed(room: Resources, name: str, unit: _PricedUnit, sign: int) -> Resources:
     """The machine's room with the unit's victims on it running once more (1), or not (-1)."""
     for other, victim in unit.victims:
         if other == name:
--- a/alderbridge/priorities/needs.py
+++ b/alderbridge/priorities/needs.py
@@ -9,7 +9,7 @@
 from alderbridge.preemption.model import PreemptionDemand
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.scheduling.placement import order
-from alderbridge.scheduling.policy import Demand, Resource, Walk
+from alderbridge.scheduling.policy import Demand, MachineResource, Walk
 
 if TYPE_CHECKING:
     from alderbridge.priorities.rules import Rules
@@ -19,7 +19,7 @@
     rules: Rules,
     demands: Iterable[Demand],
     rows: Mapping[str, QueueRow],
-    resources: Iterable[Resource],
+    resources: Iterable[MachineResource],
     promised: Counter[str],
     stopped: Container[str],
 ) -> list[PreemptionDemand]:
--- a/alderbridge/priorities/rules.py
+++ b/alderbridge/priorities/rules.py
@@ -13,7 +13,7 @@
 from alderbridge.priorities.needs import needs
 from alderbridge.protocol.messages import MachineTasks
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 
 if TYPE_CHECKING:
     from alderbridge.preemption.planner import PreemptionPlanner
@@ -82,7 +82,7 @@
     is_reported = preemptible  # parts tell the leader of these
 
     def observe_machines(
-        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         """Nothing beside the victims is of use here."""
 
