--- a/alderbridge/membership/election.py
+++ b/alderbridge/membership/election.py
@@ -91,7 +91,7 @@
         if not self._joiners_complete(alive, now):
             return None
         leader = self._next_leader(alive, has_failed, now)
-        return None if leader is None else View(leader, alive, self.membership._contact_timeout_for(alive))
+        return None if leader is None else View(leader, alive, self.membership.contact_timeout_for(alive))
 
     def _joiners_complete(self, alive: dict[str, int], now: float) -> bool:
         """Whether no other newcomer is to be expected: those that fail together return within a second or two.
@@ -147,7 +147,7 @@
         if now - ending_since < constants.CONTACT_WAIVER_PATIENCE_S + position * constants.LEADER_PRECEDENCE_S:
             return None
         leader = view.leader if view.leader in alive else membership.me
-        contact_timeout_s = NO_CONTACT_TIMEOUT_S if alive == view.members else membership._contact_timeout_for(alive)
+        contact_timeout_s = NO_CONTACT_TIMEOUT_S if alive == view.members else membership.contact_timeout_for(alive)
         return View(leader, alive, contact_timeout_s)
 
     def _view_with_contact_again(self, alive: dict[str, int], now: float) -> View | None:
@@ -155,7 +155,7 @@
         membership, view, failure_detector = self.membership, self.membership.view, self.membership.failure_detector
         if view.leader != membership.me or alive != view.members:
             return None
-        contact_timeout_s = membership._contact_timeout_for(alive)
+        contact_timeout_s = membership.contact_timeout_for(alive)
         disputed_since, all_alive_since = failure_detector.disputed_since, failure_detector.all_alive_since
         is_disputed = disputed_since is not None and now - disputed_since >= constants.DISPUTED_FAILURE_S
         resumes = (
--- a/alderbridge/membership/membership.py
+++ b/alderbridge/membership/membership.py
@@ -168,7 +168,7 @@
             self.protocol_versions[label] >= protocol_version for label in lease_ids
         )
 
-    def _contact_timeout_for(self, members: dict[str, int]) -> float:
+    def contact_timeout_for(self, members: dict[str, int]) -> float:
         """The contact timeout of a view of these: none, unless they are enough and all support failure detection."""
         has_failure_detection = len(members) >= constants.CONTACT_MIN_MEMBERS and all(
             self.protocol_versions[label] >= constants.VERSION_WITH_FAILURE_DETECTOR for label in members
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("from_peers", (True, False))
 def test_a_leader_that_only_users_and_workers_reach_tells_nothing_older(monkeypatch, nodes, waived, from_peers):
     if waived:
-        monkeypatch.setattr(Membership, "_contact_timeout_for", lambda self, members: 0.0)
+        monkeypatch.setattr(Membership, "contact_timeout_for", lambda self, members: 0.0)
     world = severed(15100 + nodes + 2 * waived, nodes, from_peers=from_peers)
     assert "aborted" in world.said.values()
 
@@ -270,7 +270,7 @@
 
 def stale_for_ever(monkeypatch):
     """Waived, its copy of the store and its hold alone stop it."""
-    monkeypatch.setattr(Membership, "_contact_timeout_for", lambda self, members: 0.0)
+    monkeypatch.setattr(Membership, "contact_timeout_for", lambda self, members: 0.0)
     ever = property(lambda self: float("inf"), lambda self, at: None)
     monkeypatch.setattr(Membership, "fresh_until", ever, raising=False)
     monkeypatch.setattr(StoreLease, "valid_until", ever, raising=False)
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_meetings_upgrade.py
@@ -145,6 +145,6 @@
 
 def test_no_view_asks_for_contact_of_a_version_that_does_not_know_it(monkeypatch):
     """That is seen, too: its frames bear no incarnation, so it would never be heard."""
-    monkeypatch.setattr(Membership, "_contact_timeout_for", lambda self, members: 8.0 if len(members) > 2 else 0.0)
+    monkeypatch.setattr(Membership, "contact_timeout_for", lambda self, members: 8.0 if len(members) > 2 else 0.0)
     with pytest.raises(Broken, match="asked_of_all"):
         upgrade(41000, 3)
