--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -1,30 +1,22 @@
-"""Jobs at their home: the record, the states of tasks, done ranges, grants.
+"""The shard of jobs that one controller owns.
 
-A task of an active job is in exactly one state:
-
-* WAITING: on no machine; it may be granted.
-* GRANTED, FETCHING, RUNNING, SAVING: on the machine of its ``TaskRun``.
-* UNKNOWN: inherited, at or below the recorded mark; it may be on any recorded
-  machine until each has acknowledged the mandate or has provably lapsed.
-* DONE: completed.
-
-Each change of state is one method of ``Job``. Nothing here does I/O: messages
-leave through ``send``, records are collected by ``due_writes``.
+Nothing here does I/O: messages leave through ``send``, records are collected by ``due_writes``.
 """
 
 from __future__ import annotations
 
-import heapq
 import logging
 import math
-from bisect import bisect_right
 from collections.abc import Callable, Container, Iterable, Iterator, Mapping
-from enum import Enum
-
-import msgspec
 
 from alderbridge import constants
 from alderbridge.calendars.gate import Gate
+from alderbridge.jobs.index_ranges import IndexRanges
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.quota_usage import QuotaUsage
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.task_states import LIVE_TASK_STATES, TaskRun, TaskState
+from alderbridge.jobs.usage_tally import UsageTally
 from alderbridge.protocol.messages import (
     AcknowledgeFinished,
     MachineTaskReport,
@@ -39,406 +31,16 @@
 from alderbridge.reconciliation import Action, Barrier, ObservedState, RecordedState, reconcile
 from alderbridge.settings import Team
 
-log = logging.getLogger("jobs")
-
-
-class JobState(str, Enum):
-    ACTIVE = "active"
-    DONE = "done"
-    ABORTED = "aborted"
-
-
-class TaskState(str, Enum):
-    WAITING = "waiting"
-    GRANTED = "granted"
-    FETCHING = "fetching"
-    RUNNING = "running"
-    SAVING = "saving"
-    UNKNOWN = "unknown"
-    DONE = "done"
+__all__ = ["IndexRanges", "Job", "JobShard", "JobState", "QuotaUsage", "Record", "TaskRun", "TaskState", "UsageTally"]
 
+log = logging.getLogger("jobs")
 
-_LIVE = {
-    "fetching": TaskState.FETCHING,
-    "waiting": TaskState.FETCHING,
-    "running": TaskState.RUNNING,
-    "saving": TaskState.SAVING,
-}
 # by verdict: whether it clears, or halts
 _ACKNOWLEDGES = tuple(
     one in (Action.ACKNOWLEDGE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE) for one in Action
 )
 _STOPS = tuple(one in (Action.STOP, Action.ADOPT_AND_STOP, Action.PROGRESS_AND_STOP) for one in Action)
 
-
-class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the store keeps of a job. Ended ones lose all but their state."""
-
-    state: JobState
-    accepted_by: str = msgspec.field(name="home", default="")
-    at: float = 0.0  # time of day of the submission
-    start_limit: int = msgspec.field(name="mark", default=0)  # tasks below this may have been started
-    done: list[tuple[int, int]] = []
-    spec: JobSpec | None = None
-    dependency_digest: str = msgspec.field(
-        name="more", default=""
-    )  # lists of what it waits for beside this record, see ``replica.list_keys``
-    ready_at: float = 0.0  # time of day when the last job it needed was done; then its needs are left out
-    done_at: float = 0.0  # time of day of its last task's end
-
-
-class IndexRanges:
-    """A set of whole numbers as sorted half-open ranges."""
-
-    def __init__(self, ranges: Iterable[tuple[int, int]] = ()) -> None:
-        self.ranges = [(a, b) for a, b in ranges]
-        self.count = sum(b - a for a, b in self.ranges)
-
-    def __contains__(self, number: int) -> bool:
-        at = bisect_right(self.ranges, (number, math.inf)) - 1
-        return at >= 0 and self.ranges[at][0] <= number < self.ranges[at][1]
-
-    def add(self, number: int) -> bool:
-        if number in self:
-            return False
-        at = bisect_right(self.ranges, (number, math.inf))
-        low, high = number, number + 1
-        if at < len(self.ranges) and self.ranges[at][0] == high:
-            high = self.ranges.pop(at)[1]
-        if at > 0 and self.ranges[at - 1][1] == number:
-            at -= 1
-            low = self.ranges.pop(at)[0]
-        self.ranges.insert(at, (low, high))
-        self.count += 1
-        return True
-
-    def fitted(self, room: int) -> list[tuple[int, int]]:
-        """The ranges that fit ``room`` bytes, the smallest dropped, never rounded up."""
-        size, kept = 2, []
-        for low, high in sorted(self.ranges, key=lambda r: r[0] - r[1]):
-            size += len(str(low)) + len(str(high)) + 4
-            if size > room:
-                break
-            kept.append((low, high))
-        return sorted(kept)
-
-
-class TaskRun(msgspec.Struct):
-    """A task on a machine, or on its way there."""
-
-    machine: str
-    zone: str
-    attempt: int
-    seq: int  # of the grant, in the channel to the machine's part
-    state: TaskState
-    since: float
-
-
-class Job:
-    def __init__(self, record: Record, revision: int, now: float, age_s: float, fresh: bool = False) -> None:
-        """``fresh``: accepted here just now, so nothing below the mark was started yet."""
-        assert record.spec is not None
-        self.spec = record.spec
-        self.accepted_by = record.accepted_by
-        self.at = record.at
-        self.submitted = now - age_s
-        self.waiting_since = self.submitted  # from here its times count: what it needs was done, or it was submitted
-        self.ready_since = self.submitted  # as ``arrived``, but for the hours that it waited for
-        self.opens_at = 0.0  # time of day until which its hours are closed; 0: open
-        self.opened_at = 0.0  # time of day of the opening from which its times count; 0: none
-        self.is_blocked = bool(
-            record.spec.needs or record.dependency_digest
-        )  # until ``release``: what it needs is not all done
-        self.dependency_digest = record.dependency_digest
-        self.ready_at = record.ready_at
-        self.state = record.state
-        self.stored_state = record.state
-        self.revision = revision
-        self.start_limit = record.start_limit  # as the store has it
-        self.wanted_start_limit = record.start_limit
-        self.done = IndexRanges(record.done)
-        self.unknown = set() if fresh else {i for i in range(record.start_limit) if i not in self.done}
-        self.next_index = 0 if fresh else record.start_limit  # from here on, nothing was ever granted
-        self.requeued: list[int] = []  # heap of tasks below ``next`` that wait
-        self.runs: dict[int, TaskRun] = {}
-        self.tasks_by_machine: dict[str, set[int]] = {}  # machine -> tasks whose run is there
-        self.tally: UsageTally | None = None  # of its home; None: no home serves it yet
-        self.queue_times: tuple[tuple, list[tuple[float, float]]] | None = None  # what they follow from, and they
-        self.arrival_number = 0  # in the order in which they came to their home
-        self.errors = 0
-        self.paused_until = 0.0
-        self.last_grant_at = now  # when a task of it was granted last, or this home took it over
-        self.boosted_grants_left = 0  # tasks that it may still be granted out of turn
-        self.dirty_since: float | None = None  # since when the record lags behind
-        self.ended_at = now
-        self.end_awaited = False  # a user waits to hear of its end
-        self.unacknowledged_results: dict[tuple[str, int, int], None] = {}  # told once the record is written
-        self.has_full_record = True  # the stored record still holds the spec
-        self.last_write = now
-        self.inherited = False  # another member may have been its home, and no view has settled since
-        self.has_started = bool(record.done)  # a task of it was seen to run; said once in the log
-        if record.state is JobState.ACTIVE and self.done.count >= self.spec.tasks:
-            # Its home was gone between the last result and the end, which an inherited job's home holds back until
-            # the view has settled. Nothing is left to run, so no report would ever end it (incidents/former-life.md).
-            self.complete(now, "its record has all tasks")
-
-    # -- questions ---------------------------------------------------------
-
-    @property
-    def waiting(self) -> int:
-        if self.state is not JobState.ACTIVE:
-            return 0
-        return self.spec.tasks - self.next_index + len(self.requeued)
-
-    @property
-    def on_machines(self) -> int:
-        return len(self.runs) + len(self.unknown)
-
-    @property
-    def running(self) -> int:
-        return sum(run.state is TaskState.RUNNING for run in self.runs.values())
-
-    @property
-    def is_complete(self) -> bool:
-        return self.stored_state is not JobState.ACTIVE and not self.has_full_record and not self.unacknowledged_results
-
-    def state_of(self, index: int) -> TaskState:
-        if index in self.done:
-            return TaskState.DONE
-        if index in self.runs:
-            return self.runs[index].state
-        return TaskState.UNKNOWN if index in self.unknown else TaskState.WAITING
-
-    def allowed_zone(self) -> tuple[bool, str | None]:
-        """Whether anything may be granted, and the only zone where."""
-        if not self.spec.one_zone or self.spec.zone is not None:
-            return True, self.spec.zone
-        if self.unknown:
-            return False, None
-        zones = {run.zone for run in self.runs.values()}
-        return True, next(iter(zones), None)
-
-    def room_in(self, zone: str) -> int:
-        """How many more tasks may be in that zone now."""
-        fits, only = self.allowed_zone()
-        if not fits or (only is not None and only != zone):
-            return 0
-        if not self.spec.spread:
-            return self.spec.tasks
-        here = sum(run.zone == zone for run in self.runs.values()) + len(self.unknown)
-        return max(0, math.ceil(self.spec.tasks / 2) - here)
-
-    # -- changes of state, one method each ---------------------------------
-
-    def grant(self, index: int, run: TaskRun) -> None:
-        self.runs[index] = run
-        self.tasks_by_machine.setdefault(run.machine, set()).add(index)
-        self._count(1)
-
-    def adopt(self, index: int, run: TaskRun) -> None:
-        """A report shows a task that was not known to be on a machine."""
-        self._known(index)
-        self.next_index = max(self.next_index, index + 1)
-        self._no_longer_waiting(index)
-        self.grant(index, run)
-        if not self.has_started and run.state is TaskState.RUNNING:
-            self.record_first_start("a task of it runs already")
-
-    def progress(self, index: int, state: TaskState) -> None:
-        self.runs[index].state = state
-        if not self.has_started and state is TaskState.RUNNING:
-            self.record_first_start("its first task runs")
-
-    def record_first_start(self, cause: str) -> None:
-        """What is measured, of large jobs above all: how long users waited for anything of it."""
-        self.has_started = True
-        log.info("job=%s state=started cause=%s", self.spec.id, cause)
-
-    def requeue(self, index: int) -> None:
-        """Proof that the task is on no machine: it waits again."""
-        self._remove_from_machine(index)
-        if self.state is JobState.ACTIVE and index not in self.done:
-            heapq.heappush(self.requeued, index)
-
-    def finish_task(self, index: int, now: float) -> None:
-        self._remove_from_machine(index)
-        if self.state is not JobState.ACTIVE:
-            return
-        self._no_longer_waiting(index)
-        if not self.has_started:
-            self.record_first_start("its first task ended before it was seen to run")
-        self.done.add(index)
-        self.errors = 0
-        self.mark_dirty(now)
-        if self.done.count >= self.spec.tasks:
-            self.complete(now, "last task")
-
-    def complete(self, now: float, cause: str) -> None:
-        """All tasks are done."""
-        self.state = JobState.DONE
-        self.ended_at = now
-        self.mark_dirty(now)
-        log.info("job=%s state=done cause=%s", self.spec.id, cause)
-
-    def _count(self, change: int) -> None:
-        if self.tally is not None:
-            self.tally.add(self.spec, change)
-
-    def _known(self, index: int) -> None:
-        if index in self.unknown:
-            self.unknown.remove(index)
-            self._count(-1)
-
-    def _remove_from_machine(self, index: int) -> None:
-        self._known(index)
-        run = self.runs.pop(index, None)
-        if run is not None:
-            self._count(-1)
-            there = self.tasks_by_machine[run.machine]
-            there.discard(index)
-            if not there:
-                del self.tasks_by_machine[run.machine]
-
-    def _no_longer_waiting(self, index: int) -> None:
-        if index in self.requeued:
-            self.requeued.remove(index)
-            heapq.heapify(self.requeued)
-
-    def fail_task(self, index: int, now: float) -> None:
-        """The task ended with an error: it waits, and the job pauses a little longer each time."""
-        self.requeue(index)
-        pause = min(
-            constants.ERROR_PAUSE_MAX_S, constants.ERROR_PAUSE_S * 2 ** min(10, self.errors // max(1, self.spec.tasks))
-        )
-        self.errors += 1
-        self.paused_until = max(self.paused_until, now + pause) if self.errors > constants.QUARANTINE_ERRORS else 0.0
-
-    def abort(self, now: float, cause: str = "withdrawn") -> None:
-        if self.state is JobState.ACTIVE:
-            self.state = JobState.ABORTED
-            self.requeued.clear()
-            self.mark_dirty(now)
-            log.info("job=%s state=aborted cause=%s", self.spec.id, cause)
-
-    def block(self) -> None:
-        """A job that it needs is not done: nothing of it was ever started, and nothing may be."""
-        self.is_blocked = True
-
-    def unblock(self, since: float, ready_at: float) -> None:
-        """All that it needs is done in the store, ``since`` then its times count."""
-        if self.is_blocked:
-            log.info(
-                "job=%s state=ready cause=all it needs is done, %.1f s after its submission",
-                self.spec.id,
-                since - self.submitted,
-            )
-        self.is_blocked = False
-        self.waiting_since = self.ready_since = max(self.submitted, since)
-        self.ready_at, self.opened_at = ready_at, 0.0
-
-    def close(self, opens_at: float) -> None:
-        """Its hours are closed until that time of day: nothing of it is started."""
-        self.opens_at = opens_at
-
-    def reopen(self) -> None:
-        self.opens_at = 0.0
-
-    def start_turn(self, opened_at: float, since: float) -> None:
-        """Its times count from its turn ``since``, at or after the opening at that time of day."""
-        self.opened_at, self.waiting_since = opened_at, since
-
-    def apply_stored_end(self, state: JobState) -> None:
-        """The store holds this end already."""
-        self.state = state
-        self.requeued.clear()
-
-    def mark_dirty(self, now: float) -> None:
-        if self.dirty_since is None:
-            self.dirty_since = now
-        if self.tally is not None:
-            self.tally.changed = True
-            self.tally.lagging[self.spec.id] = self
-
-    def next_task(self, now: float) -> int | None:
-        """The next task to grant: lowest first, never beyond the stored mark."""
-        if self.state is not JobState.ACTIVE or now < self.paused_until:
-            return None
-        while self.requeued:
-            index = heapq.heappop(self.requeued)
-            if index not in self.done and index not in self.runs:
-                return index
-        while self.next_index < min(self.start_limit, self.spec.tasks):
-            self.next_index += 1
-            if self.state_of(self.next_index - 1) is TaskState.WAITING:
-                return self.next_index - 1
-        return None
-
-    # -- the record --------------------------------------------------------
-
-    def to_record(self, value_bytes: int, may_end: bool = True) -> Record:
-        state = self.state if may_end else self.stored_state
-        done_at = round(self.at + self.ended_at - self.submitted, 3) if state is JobState.DONE else 0.0
-        if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.unknown:
-            return Record(self.state, done_at=done_at)
-        spec, dependency_digest = self.spec, self.dependency_digest
-        if not self.is_blocked and (spec.needs or dependency_digest):
-            spec, dependency_digest = msgspec.structs.replace(spec, needs=None), ""  # all done, for ever
-        bare = Record(
-            state,
-            self.accepted_by,
-            self.at,
-            self.wanted_start_limit,
-            [],
-            spec,
-            dependency_digest,
-            self.ready_at,
-            done_at,
-        )
-        room = value_bytes - len(msgspec.json.encode(bare)) - 16
-        return msgspec.structs.replace(bare, done=self.done.fitted(room))
-
-
-class UsageTally:
-    """What each team's tasks on machines take here, kept with each change of a task's state.
-
-    ``JobShard.used`` counts anew each second, so that sums of floats stay exact to far below a task.
-    """
-
-    def __init__(self) -> None:
-        self.teams: dict[str, tuple[float, float]] = {}
-        self.changed = False  # a job has changed since its record was last looked at
-        self.lagging: dict[str, Job] = {}  # whose records may have to be written
-
-    def add(self, spec: JobSpec, tasks: int) -> None:
-        self.changed = True
-        cpus, gpus = self.teams.get(spec.team, (0.0, 0.0))
-        self.teams[spec.team] = (cpus + tasks * spec.cpus, gpus + tasks * spec.gpus)
-
-
-class QuotaUsage:
-    """What each team's tasks take, here, against the leader's allowance."""
-
-    def __init__(self, teams: Iterable[Team]) -> None:
-        self.teams = {team.name: team for team in teams}
-        self.bound = {team.name for team in self.teams.values() if team.cpus_max > 0 or team.gpus_max > 0}
-        self.allowed: dict[str, tuple[float, float]] = {}
-
-    def limited(self, team: str) -> bool:
-        return team in self.bound
-
-    def room(self, team: str, used: tuple[float, float], spec: JobSpec) -> int:
-        """How many more tasks of ``spec`` the team may start here."""
-        if team not in self.bound:
-            return spec.tasks
-        limit, allowed = self.teams[team], self.allowed.get(team, (0.0, 0.0))
-        room = math.inf
-        if limit.cpus_max > 0 and spec.cpus > 0:
-            room = (allowed[0] - used[0]) / spec.cpus
-        if limit.gpus_max > 0 and spec.gpus > 0:
-            room = min(room, (allowed[1] - used[1]) / spec.gpus)
-        return max(0, math.floor(room + 1e-9)) if room < math.inf else spec.tasks
-
-
 Send = Callable[[str, Message], int]
 
 
@@ -704,7 +306,7 @@
         for task in seen.tasks:
             name, index = task.job, task.index
             present.add((name, index))
-            state = _LIVE.get(task.status)
+            state = LIVE_TASK_STATES.get(task.status)
             if state is not None:
                 job = jobs.get(name)
                 run = job.runs.get(index) if job is not None else None
@@ -792,7 +394,7 @@
         index, attempt = task.index, task.attempt
         if job is not None:
             if what is Action.PROGRESS or what is Action.PROGRESS_AND_STOP:
-                job.progress(index, _LIVE.get(task.status, TaskState.RUNNING))
+                job.progress(index, LIVE_TASK_STATES.get(task.status, TaskState.RUNNING))
             elif what is Action.ADOPT or what is Action.ADOPT_AND_STOP:
                 job.adopt(index, self._run(seen, task, now))
                 self.jobs_by_machine.setdefault(seen.machine, set()).add(task.job)
@@ -811,7 +413,7 @@
 
     @staticmethod
     def _run(seen: MachineTaskReport, task: TaskStatusReport, now: float) -> TaskRun:
-        state = TaskState.GRANTED if task.status == "granted" else _LIVE.get(task.status, TaskState.RUNNING)
+        state = TaskState.GRANTED if task.status == "granted" else LIVE_TASK_STATES.get(task.status, TaskState.RUNNING)
         return TaskRun(seen.machine, seen.zone, task.attempt, 0, state, now)
 
     # -- users -------------------------------------------------------------
