--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -63,14 +63,16 @@
             platform.mesh_addr, {peer.label: peer.addr for peer in platform.peers}, self.on_frames, poll
         )
         self.waiters: dict[object, list[curio.Event]] = {}  # submission or job -> who waits for it
-        self.taking: dict[Machine, list[tuple[int, Callable[[Answer], None]]]] = {}  # reports not answered yet
-        self.takes: deque[tuple[float, Machine]] = deque()  # until when their answers wait for grants
-        self.asks: dict[int, tuple[curio.Event, list[messages.JobQueryReply]]] = {}
-        self.polls: dict[int, tuple[str, Callable[[Answer], None]]] = {}  # users' questions that others answer
-        self.poll_ends: deque[tuple[float, int]] = deque()
+        self.pending_heartbeats: dict[
+            Machine, list[tuple[int, Callable[[Answer], None]]]
+        ] = {}  # reports not answered yet
+        self.grant_deadlines: deque[tuple[float, Machine]] = deque()  # until when their answers wait for grants
+        self.pending_queries: dict[int, tuple[curio.Event, list[messages.JobQueryReply]]] = {}
+        self.pending_polls: dict[int, tuple[str, Callable[[Answer], None]]] = {}  # users' questions that others answer
+        self.poll_deadlines: deque[tuple[float, int]] = deque()
         # Numbers of questions go on from the time of day: an answer to an earlier life of this label, on its way
         # when that ended, told the user of a question with the same number about another job.
-        self.ask_count = time.time_ns()
+        self.query_count = time.time_ns()
         self.unanswered: dict[str, tuple[float, float]] = {}  # job -> since when nothing was answered here, when said
         self.cloud_rate_limit = TokenBucket(
             shared.cloud.rps * constants.RATE_SHARE, shared.cloud.rps * constants.RATE_SHARE, now()
@@ -86,7 +88,7 @@
         for frame in frames:
             self.core.on_frame(frame, now())
 
-    async def after(self) -> None:
+    async def dispatch_effects(self) -> None:
         """Move what the node has left for others."""
         core = self.core
         if self.writer_waits and not core.nothing_to_write():
@@ -96,7 +98,7 @@
             if ask.kind == "status":
                 self.answer_status(label, ask)
             else:
-                await curio.spawn(self.answer_ask, label, ask, daemon=True)
+                await curio.spawn(self.answer_cancellation, label, ask, daemon=True)
         renewals, core.channel_renewals = core.channel_renewals, []
         for label in renewals:
             self.mesh.renew(label)
@@ -105,9 +107,9 @@
             self.mesh.put(label, frame)
         while core.query_replies:
             reply = core.query_replies.popleft()
-            waiting = self.asks.get(reply.query_id)
-            if reply.query_id in self.polls:
-                await self.told(reply.query_id, reply)
+            waiting = self.pending_queries.get(reply.query_id)
+            if reply.query_id in self.pending_polls:
+                await self.on_poll_reply(reply.query_id, reply)
             elif waiting is not None:
                 waiting[1].append(reply)
                 await waiting[0].set()
@@ -115,12 +117,18 @@
             what = core.notifications.popleft()
             for event in self.waiters.pop(what, ()):
                 await event.set()
-            self.settle(what)
-        while self.takes and (self.takes[0][1] not in self.taking or self.takes[0][0] <= now()):
-            self.settle(self.takes.popleft()[1])
-        while self.poll_ends and (self.poll_ends[0][1] not in self.polls or self.poll_ends[0][0] <= now()):
-            await self.told(self.poll_ends.popleft()[1], None)
-        self.poll.alarm = min((ends[0][0] for ends in (self.takes, self.poll_ends) if ends), default=float("inf"))
+            self.answer_pending_heartbeats(what)
+        while self.grant_deadlines and (
+            self.grant_deadlines[0][1] not in self.pending_heartbeats or self.grant_deadlines[0][0] <= now()
+        ):
+            self.answer_pending_heartbeats(self.grant_deadlines.popleft()[1])
+        while self.poll_deadlines and (
+            self.poll_deadlines[0][1] not in self.pending_polls or self.poll_deadlines[0][0] <= now()
+        ):
+            await self.on_poll_reply(self.poll_deadlines.popleft()[1], None)
+        self.poll.alarm = min(
+            (ends[0][0] for ends in (self.grant_deadlines, self.poll_deadlines) if ends), default=float("inf")
+        )
         await self.mesh.flush()
 
     async def wait_for(self, what: object, timeout_s: float) -> bool:
@@ -144,7 +152,7 @@
         host, port = address(self.platform.listen)
         log.info("controller=%s state=started", self.platform.label)
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(self.poll.serve, self.after)
+            await group.spawn(self.poll.serve, self.dispatch_effects)
             await group.spawn(self.server.serve, host, port)
             await group.spawn(self.mesh.serve)
             for label in self.mesh.peers:
@@ -230,10 +238,10 @@
             except WatchCompactedError:
                 await self.load_replica()
                 continue
-            self.followed(sent)
+            self.record_watch_answer(sent)
             self.core.apply_events(changes.events, now(), time.time())
             self.core.replica.revision = max(self.core.replica.revision, changes.revision)
-            await self.ask_workers()
+            await self.probe_workers()
             await curio.sleep(constants.WATCH_PAUSE_S)
 
     async def load_replica(self) -> None:
@@ -245,10 +253,10 @@
             rows += page.rows
         sent = now()
         changes = await self.store.watch_now(revision)
-        self.followed(sent)
+        self.record_watch_answer(sent)
         self.core.load(rows, changes.events, changes.revision, now(), time.time())
 
-    def followed(self, sent: float) -> None:
+    def record_watch_answer(self, sent: float) -> None:
         """The store has answered what it was asked at ``sent``.
 
         If that was the first time for a while, what was asked here meanwhile could not be answered, and can be now: the
@@ -264,22 +272,22 @@
 
     # -- acknowledgements
 
-    async def ask_workers(self) -> None:
+    async def probe_workers(self) -> None:
         """After a new view: ask for what the machines' next reports would say only seconds later."""
-        await self.after()
+        await self.dispatch_effects()
         for exchange in [one for one in self.probes if one.overdue(now(), constants.PROBE_TIMEOUT_S)]:
             exchange.close()
-        self.ask_more()
+        self.start_probes()
 
-    def ask_more(self) -> None:
+    def start_probes(self) -> None:
         while (
             len(self.probes) < constants.PROBES_AT_ONCE
             and self.membership.may_act(now())
             and (machine := self.core.machine_shard.next_to_probe(now())) is not None
         ):
-            self.ask_worker(self.membership.fencing_token, *machine)
+            self.probe_worker(self.membership.fencing_token, *machine)
 
-    def ask_worker(self, fencing_token: int, name: str, worker: str, incarnation: int, again: bool = True) -> None:
+    def probe_worker(self, fencing_token: int, name: str, worker: str, incarnation: int, again: bool = True) -> None:
         def done(answer: tuple[int, bytes] | None) -> None:
             self.probes.discard(exchange)
             try:
@@ -288,14 +296,14 @@
                 status, body = answer
                 heartbeat = wire.parse_heartbeat(body)
                 if status == 409 and heartbeat.incarnation != incarnation and again:
-                    return self.ask_worker(fencing_token, name, worker, heartbeat.incarnation, False)
+                    return self.probe_worker(fencing_token, name, worker, heartbeat.incarnation, False)
                 if status == 200 and heartbeat.machine == name and fencing_token == self.membership.fencing_token:
                     self.core.on_probe_answered(heartbeat, now())
             except wire.MalformedBodyError as error:
                 if fencing_token == self.membership.fencing_token:
                     self.core.machine_shard.prober.unanswered(name, now())
                 log.debug("machine=%s state=probe_failed cause=%s", name, error)
-            self.ask_more()
+            self.start_probes()
 
         try:
             host, port = address(worker)
@@ -338,10 +346,10 @@
                 else:
                     self.core.on_batch_written(batch, done.revision, now())
                     self.store_bad_until = 0.0
-                await self.after()
+                await self.dispatch_effects()
             except TransactionTooLargeError as error:
                 self.core.on_batch_too_large(batch, now())
-                await self.after()
+                await self.dispatch_effects()
                 log.error("records state=too_large changes=%d cause=%s", batch.changes, error)
                 await curio.sleep(constants.ROUND_S)
             except (*_TROUBLE, LeaseExpiredError) as error:
@@ -354,7 +362,7 @@
                     self.store_trouble()
                     if isinstance(error, StoreRefusedError):
                         self.core.refuse_submissions()
-                        await self.after()
+                        await self.dispatch_effects()
                 log.info("records state=unconfirmed cause=%s", error)
                 await curio.sleep(constants.ROUND_S)
 
@@ -384,7 +392,7 @@
         while True:
             await curio.sleep(constants.ROUND_S)
             self.core.round(now())
-            await self.ask_workers()
+            await self.probe_workers()
 
     # -- the cloud -------------------------------------------------------------------
 
@@ -436,7 +444,8 @@
                     await self.list_machines()
                 # What one call did not fill, another kind may: at once, while the budget lasts.
                 while (
-                    await self.carry_out(self.core.leader.decide(now())) and self.cloud_rate_limit.available(now()) >= 1
+                    await self.apply_decision(self.core.leader.decide(now()))
+                    and self.cloud_rate_limit.available(now()) >= 1
                 ):
                     pass
             except (CloudError, UnansweredError, msgspec.DecodeError) as error:
@@ -454,11 +463,11 @@
         known = self.core.machine_shard.terminated
         self.core.leader.on_listing([host for host in hosts if host.id not in known], now())
 
-    async def carry_out(self, decision: ScalingDecision) -> bool:
+    async def apply_decision(self, decision: ScalingDecision) -> bool:
         """True if a rental was refused in part or whole."""
         short = False
         self.core.drain_machines(decision.drain, now())
-        await self.after()
+        await self.dispatch_effects()
         leader = self.core.leader
         for kind, count in decision.scale_out:
             if not self.membership.is_leader(now()) or not self.cloud_rate_limit.try_take(now()):
@@ -487,7 +496,7 @@
             names = decision.terminate[:100]
             await self.cloud.give_back(names)
             self.core.on_terminated(names, now())
-            await self.after()
+            await self.dispatch_effects()
         return short
 
     # -- HTTP ------------------------------------------------------------------------
@@ -505,9 +514,9 @@
         if path.startswith("/v1/jobs/"):
             job, _, action = path[len("/v1/jobs/") :].partition("/")
             if action == "":
-                return self.status_now(job, reply) if method == "GET" else _wrong_method("GET")
+                return self.poll_status(job, reply) if method == "GET" else _wrong_method("GET")
             if action == "withdraw":
-                return self.withdraw(job) if method == "POST" else _wrong_method("POST")
+                return self.cancel(job) if method == "POST" else _wrong_method("POST")
         return 404, wire.error_body("no such path"), []
 
     def health(self) -> Answer:
@@ -541,8 +550,8 @@
         if machine is None:
             return later("not the newest report")
         if machine.reserved:  # other homes answer within a few ms
-            self.taking.setdefault(machine, []).append((fencing_token, reply))
-            self.takes.append((now() + constants.GRANT_WAIT_S, machine))
+            self.pending_heartbeats.setdefault(machine, []).append((fencing_token, reply))
+            self.grant_deadlines.append((now() + constants.GRANT_WAIT_S, machine))
             return None
         return self.heartbeat_response(machine, fencing_token)
 
@@ -551,9 +560,9 @@
             return later("not entitled")
         return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.orders(machine)), []
 
-    def settle(self, machine: object) -> None:
+    def answer_pending_heartbeats(self, machine: object) -> None:
         """Answer the reports that wait for its grants."""
-        for fencing_token, reply in self.taking.pop(machine, ()):
+        for fencing_token, reply in self.pending_heartbeats.pop(machine, ()):
             try:
                 answer = self.heartbeat_response(machine, fencing_token)
             except Exception:
@@ -569,43 +578,47 @@
         except wire.MalformedBodyError as error:
             # Whatever has become of the body of a retry: an accepted job is never refused, here or elsewhere.
             job = wire.job_id_in(body)
-            return await self.never(job, str(error), 400) if job else (400, wire.error_body(str(error)), [])
+            return (
+                await self.refuse_unless_accepted(job, str(error), 400)
+                if job
+                else (400, wire.error_body(str(error)), [])
+            )
         core = self.core
         if core.knows_job(spec.id):
-            return await self.known(spec.id)
+            return await self.answer_resubmission(spec.id)
         if not core.loaded or not core.types:
             return later("not ready")
-        why = self.never_runs(spec)
+        why = self.rejection_reason(spec)
         if why:
-            return await self.never(spec.id, why)
+            return await self.refuse_unless_accepted(spec.id, why)
         if not self.membership.may_act(now()) or now() < self.store_bad_until:
             return later("the state service is out of reach")
-        answer = await self.check_needs(spec) if spec.needs else None
+        answer = await self.check_dependencies(spec) if spec.needs else None
         if answer is not None:
             return answer
         submission = core.submit(spec, now(), time.time())
         if submission is None:
-            return await self.never(spec.id, "the job's description is too long", 400)
-        await self.after()
+            return await self.refuse_unless_accepted(spec.id, "the job's description is too long", 400)
+        await self.dispatch_effects()
         if not submission.outcome and not await self.wait_for(submission, constants.SUBMIT_WAIT_S):
             return later("the state service is slow")
         if submission.outcome == "refused":
             return later("the state service is out of reach")
         if submission.outcome == "too long":
-            return await self.never(spec.id, "the job's description is too long", 400)
+            return await self.refuse_unless_accepted(spec.id, "the job's description is too long", 400)
         if submission.outcome == "accepted":
             ended = core.replica.ended.get(spec.id)
             return 201, wire.accepted_body(spec.id, "pending" if ended is None else ended.value), []
-        return await self.known(spec.id)
+        return await self.answer_resubmission(spec.id)
 
-    async def check_needs(self, spec: wire.JobSpec) -> Answer | None:
+    async def check_dependencies(self, spec: wire.JobSpec) -> Answer | None:
         """The answer to a submission that waits for others, where it can't be taken."""
         core = self.core
         if not self.membership.all_support(constants.VERSION_WITH_DEPENDENCIES):
             return later("a controller still runs a version that knows of no dependencies")
         for need in spec.needs or ():
             if need == spec.id:
-                return await self.never(spec.id, f"waits_on: {need} is this job")
+                return await self.refuse_unless_accepted(spec.id, f"waits_on: {need} is this job")
             if core.knows_job(need):
                 continue
             # Another node may have accepted it a moment ago: only the store can tell.
@@ -615,16 +628,16 @@
                 self.store_trouble()
                 return later("the state service is out of reach")
             if row is None:
-                return await self.never(spec.id, f"waits_on: {need} was never accepted")
+                return await self.refuse_unless_accepted(spec.id, f"waits_on: {need} was never accepted")
             core.observe_end(need, _record.decode(row.data), row.revision)
         return None
 
-    async def never(self, job: str, why: str, refusal: int = 422) -> Answer:
+    async def refuse_unless_accepted(self, job: str, why: str, refusal: int = 422) -> Answer:
         """A job that is known is never told this, so the store is asked before."""
         status = await self.status(job)
         return (refusal, wire.error_body(why), []) if status[0] == 404 else status
 
-    def never_runs(self, spec: wire.JobSpec) -> str:
+    def rejection_reason(self, spec: wire.JobSpec) -> str:
         team = next((team for team in self.platform.settings.teams if team.name == spec.team), None)
         if team is None:
             return "unknown team"
@@ -637,40 +650,40 @@
             return "more than the team's limit"
         return ""
 
-    async def known(self, job: str) -> Answer:
+    async def answer_resubmission(self, job: str) -> Answer:
         """The answer to a repeated submission."""
         status, body, headers = await self.status(job)
         return status if status != 404 else 503, body, headers if status != 404 else LATER
 
-    def status_now(self, job: str, reply: Callable[[Answer], None]) -> Answer | Awaitable[Answer] | None:
+    def poll_status(self, job: str, reply: Callable[[Answer], None]) -> Answer | Awaitable[Answer] | None:
         """``status`` without a task where memory has the answer, here or at the job's home."""
         if not wire.JOB_ID.match(job):
             return 404, wire.error_body("no such job"), []
         state = self.core.local_job_state(job, now())
         if state is not None:
-            return self.noted(job, (200, wire.job_status_body(job, *state), []))
+            return self.finalize_status(job, (200, wire.job_status_body(job, *state), []))
         owner = self.core.job_owner(job)
         if not owner or owner == self.core.me:
-            return self.status_stored(job)
-        self.ask_count += 1
-        self.polls[self.ask_count] = (job, reply)
-        self.poll_ends.append((now() + constants.QUERY_TIMEOUT_S, self.ask_count))
-        self.core.send_unreliable(owner, messages.JobQuery(self.ask_count, "status", job))
+            return self.status_from_store(job)
+        self.query_count += 1
+        self.pending_polls[self.query_count] = (job, reply)
+        self.poll_deadlines.append((now() + constants.QUERY_TIMEOUT_S, self.query_count))
+        self.core.send_unreliable(owner, messages.JobQuery(self.query_count, "status", job))
         return None
 
-    async def told(self, number: int, answer: messages.JobQueryReply | None) -> None:
+    async def on_poll_reply(self, number: int, answer: messages.JobQueryReply | None) -> None:
         """The job's home has answered a user's question, or not in time."""
-        if number not in self.polls:
+        if number not in self.pending_polls:
             return
-        job, reply = self.polls.pop(number)
+        job, reply = self.pending_polls.pop(number)
         if answer is not None and answer.status == 200 and job.encode() in answer.body:
-            reply(self.noted(job, (200, answer.body, [])))
+            reply(self.finalize_status(job, (200, answer.body, [])))
         else:
-            await curio.spawn(self.tell_stored, job, reply, daemon=True)
+            await curio.spawn(self.reply_from_store, job, reply, daemon=True)
 
-    async def tell_stored(self, job: str, reply: Callable[[Answer], None]) -> None:
+    async def reply_from_store(self, job: str, reply: Callable[[Answer], None]) -> None:
         try:
-            reply(await self.status_stored(job))
+            reply(await self.status_from_store(job))
         except Exception:
             log.exception("status job=%s state=failed", job)
             reply((500, wire.error_body("internal"), []))
@@ -680,12 +693,12 @@
             return 404, wire.error_body("no such job"), []
         state = self.core.local_job_state(job, now())
         if state is not None:
-            return self.noted(job, (200, wire.job_status_body(job, *state), []))
+            return self.finalize_status(job, (200, wire.job_status_body(job, *state), []))
         owner = self.core.job_owner(job)
-        reply = await self.ask(owner, "status", job) if owner and owner != self.core.me else None
-        return self.noted(job, reply) if reply is not None else await self.status_stored(job)
+        reply = await self.query(owner, "status", job) if owner and owner != self.core.me else None
+        return self.finalize_status(job, reply) if reply is not None else await self.status_from_store(job)
 
-    def noted(self, job: str, answer: Answer) -> Answer:
+    def finalize_status(self, job: str, answer: Answer) -> Answer:
         """What a user is told of a job, after what its home or the store has answered.
 
         That may have taken seconds, and the end have arrived here, and been told to the same user, in the meantime:
@@ -708,8 +721,8 @@
             log.info("job=%s state=unanswered cause=no answer here for %.1f s", job, now() - since)
         return answer
 
-    async def status_stored(self, job: str) -> Answer:
-        return self.noted(job, await self._status_stored(job))
+    async def status_from_store(self, job: str) -> Answer:
+        return self.finalize_status(job, await self._status_stored(job))
 
     async def _status_stored(self, job: str) -> Answer:
         try:
@@ -732,23 +745,23 @@
             return later("not known here yet")  # a job before it may be aborted, and others may have told so
         return 200, wire.job_status_body(job, "pending", sum(b - a for a, b in record.done), 0), []
 
-    async def withdraw(self, job: str) -> Answer:
+    async def cancel(self, job: str) -> Answer:
         if not wire.JOB_ID.match(job):
             return 404, wire.error_body("no such job"), []
         owner = self.core.job_owner(job)
         if owner == self.core.me or job in self.core.replica.ended:
-            return await self.withdraw_here(job)
+            return await self.cancel_here(job)
         if owner:
-            return await self.ask(owner, "withdraw", job) or later("the job's controller is out of reach")
-        stored = await self.status_stored(job)
+            return await self.query(owner, "withdraw", job) or later("the job's controller is out of reach")
+        stored = await self.status_from_store(job)
         return stored if stored[0] != 200 else later("not known here yet")
 
-    async def withdraw_here(self, job: str) -> Answer:
+    async def cancel_here(self, job: str) -> Answer:
         state = self.core.cancel(job, now())
         if state is None:
             return later("not entitled")
         if not state:
-            await self.after()
+            await self.dispatch_effects()
             if not await self.wait_for(job, constants.SUBMIT_WAIT_S):
                 return later("the state service is slow")
             state = self.core.replica.ended[job].value
@@ -756,12 +769,12 @@
 
     # -- questions between controllers
 
-    async def ask(self, label: str, what: str, job: str) -> Answer | None:
-        self.ask_count += 1
-        number, event, replies = self.ask_count, curio.Event(), []
-        self.asks[number] = (event, replies)
+    async def query(self, label: str, what: str, job: str) -> Answer | None:
+        self.query_count += 1
+        number, event, replies = self.query_count, curio.Event(), []
+        self.pending_queries[number] = (event, replies)
         self.core.send_unreliable(label, messages.JobQuery(number, what, job))
-        await self.after()
+        await self.dispatch_effects()
         try:
             await curio.timeout_after(
                 constants.QUERY_TIMEOUT_S if what == "status" else constants.SUBMIT_WAIT_S, event.wait
@@ -769,7 +782,7 @@
         except curio.TaskTimeout:
             return None
         finally:
-            del self.asks[number]
+            del self.pending_queries[number]
         reply = replies[0]
         if reply.status != 200 or job.encode() not in reply.body:
             return None
@@ -781,10 +794,10 @@
         status, body = (503, b"") if state is None else (200, wire.job_status_body(ask.job, *state))
         self.core.send_unreliable(label, messages.JobQueryReply(ask.query_id, status, body))
 
-    async def answer_ask(self, label: str, ask: messages.JobQuery) -> None:
-        status, body, _ = await self.withdraw_here(ask.job)
+    async def answer_cancellation(self, label: str, ask: messages.JobQuery) -> None:
+        status, body, _ = await self.cancel_here(ask.job)
         self.core.send_unreliable(label, messages.JobQueryReply(ask.query_id, status, body))
-        await self.after()
+        await self.dispatch_effects()
 
 
 def _wrong_method(allowed: str) -> Answer:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -157,15 +157,15 @@
 @pytest.mark.parametrize("name", GOOD)
 def test_what_is_good_is_taken_up(control, name):
     spec = wire.parse_job(GOOD[name])
-    assert not control.never_runs(spec) and control.core.submit(spec, 0.0, 0.0) is not None
+    assert not control.rejection_reason(spec) and control.core.submit(spec, 0.0, 0.0) is not None
 
 
 @pytest.mark.parametrize("what", ("poll", "withdraw"))
 def test_an_unknown_job_is_called_so_only_by_the_store(control, what):
     async def ask():
         if what == "withdraw":
-            return await control.withdraw("wk-000777")
-        return await control.status_now("wk-000777", None)
+            return await control.cancel("wk-000777")
+        return await control.poll_status("wk-000777", None)
 
     for raised, status in ((None, 404), (UnansweredError("cut"), 503)):
         asked = []
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -168,17 +168,17 @@
 
 def test_an_answer_to_an_earlier_life_is_not_told_to_another_question():
     first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()) for _ in range(2))
-    assert second.ask_count > first.ask_count + 100, "no number is asked twice in the lives of a label"
+    assert second.query_count > first.query_count + 100, "no number is asked twice in the lives of a label"
 
     async def asked(body):
         async def deliver():
-            while not second.asks:
+            while not second.pending_queries:
                 await curio.sleep(0)
-            second.core.query_replies.append(messages.JobQueryReply(next(iter(second.asks)), 200, body))
-            await second.after()
+            second.core.query_replies.append(messages.JobQueryReply(next(iter(second.pending_queries)), 200, body))
+            await second.dispatch_effects()
 
         task = await curio.spawn(deliver)
-        answer = await second.ask("host-1", "status", "wk-000001")
+        answer = await second.query("host-1", "status", "wk-000001")
         await task.join()
         return answer
 
@@ -191,7 +191,7 @@
     monkeypatch.setattr(process, "now", lambda: clock[0])
     caplog.set_level("INFO")
     for status in [503] * 20 + [200] + [503] * 5:
-        control.noted("wk-000001", (status, b"", []))
+        control.finalize_status("wk-000001", (status, b"", []))
         clock[0] += 5.0
     assert [record.args[1] for record in caplog.records] == [25.0, 50.0, 75.0]
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -362,7 +362,7 @@
 
 
 def takes_what_can_not_run(monkeypatch):
-    monkeypatch.setattr(Controller, "never_runs", lambda self, spec: "")
+    monkeypatch.setattr(Controller, "rejection_reason", lambda self, spec: "")
 
 
 def takes_what_lacks_a_field(monkeypatch):
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -349,15 +349,15 @@
 
     async def play():
         control.store.get = store_says
-        assert control.status_now(job, told.append) is None
-        number = next(iter(control.polls))
+        assert control.poll_status(job, told.append) is None
+        number = next(iter(control.pending_polls))
         control.clock[0] += constants.QUERY_TIMEOUT_S + 0.1
-        await control.after()
+        await control.dispatch_effects()
         await curio.sleep(0.05)
         control.core.query_replies.append(
             messages.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1))
         )
-        await control.after()
+        await control.dispatch_effects()
         await curio.sleep(0.05)
 
     curio.run(play)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -214,7 +214,7 @@
     async def deliver(self, way: tuple[str, str]) -> None:
         frame, control = self.frames[way].pop(0), self.controls[way[1]]
         control.on_frames([frame])
-        await control.after()
+        await control.dispatch_effects()
 
     async def rounds(self) -> None:
         """All is followed, delivered and written, but where the test has it otherwise."""
@@ -225,7 +225,7 @@
                 self.look(label)
                 self.look(label)
             control.core.round(self.t)
-            await control.after()
+            await control.dispatch_effects()
             await control.store.turn.set()
         while ways := [way for way, frames in self.frames.items() if frames]:
             for way in ways:
@@ -483,7 +483,7 @@
                 service.look(label)
                 service.look(label)
                 service.controls[label].core.round(service.t)
-                await service.controls[label].after()
+                await service.controls[label].dispatch_effects()
                 await service.controls[label].store.turn.set()
             await curio.sleep(0)
             assert await service.answer_now(old, "poll", job) == (200, "pending")
@@ -687,7 +687,7 @@
             control = service.controls[rng.choice(LABELS)]
             if rng.random() < 0.1:
                 control.core.round(service.t)
-            await control.after()
+            await control.dispatch_effects()
             await control.store.turn.set()
         elif kind < 0.995:
             if len(self.asked) < 20:
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -637,11 +637,11 @@
     async def slow(key):
         row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
         control.core.replica.saw_job(SPEC.id, Record(ended), 6)
-        assert (await control.withdraw(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
+        assert (await control.cancel(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
     monkeypatch.setattr(control.store, "get", slow)
-    status, body, _ = curio.run(control.status_stored, SPEC.id)
+    status, body, _ = curio.run(control.status_from_store, SPEC.id)
     assert (status, msgspec.json.decode(body)["status"]) == (200, ended.value)
 
 
@@ -654,9 +654,9 @@
         control.core.replica.saw_job(SPEC.id, record, 6)
 
     monkeypatch.setattr(control.store, "get", slow)
-    assert curio.run(control.status_stored, SPEC.id)[0] == 503
+    assert curio.run(control.status_from_store, SPEC.id)[0] == 503
     control.core.replica.active.clear()
-    assert curio.run(control.never, SPEC.id, "unknown team")[0] == 503
+    assert curio.run(control.refuse_unless_accepted, SPEC.id, "unknown team")[0] == 503
 
 
 @pytest.mark.parametrize("asked", ("poll", "known"))
@@ -666,17 +666,17 @@
     body = wire.job_status_body(SPEC.id, "running", 0, 1)
 
     async def poll():
-        assert control.status_now(SPEC.id, answers.append) is None
+        assert control.poll_status(SPEC.id, answers.append) is None
         control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
-        await control.told(control.ask_count, messages.JobQueryReply(control.ask_count, 200, body))
+        await control.on_poll_reply(control.query_count, messages.JobQueryReply(control.query_count, 200, body))
 
     async def known():
         async def ask(label, what, job):
             control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
             return 200, body, []
 
-        control.ask = ask
-        answers.append(await control.known(SPEC.id))
+        control.query = ask
+        answers.append(await control.answer_resubmission(SPEC.id))
 
     curio.run(poll if asked == "poll" else known)
     assert msgspec.json.decode(answers[0][1])["status"] == "aborted"
--- a/tests/test_meetings_unanswered.py
+++ b/tests/test_meetings_unanswered.py
@@ -29,9 +29,9 @@
         for step in range(2400):
             clock[0] = step / 10
             if not away(clock[0]):  # the watch is answered at once where the store can be reached
-                control.followed(clock[0] - constants.STATE_TIMEOUT_S if slow else clock[0])
+                control.record_watch_answer(clock[0] - constants.STATE_TIMEOUT_S if slow else clock[0])
             if clock[0] in asked:
-                control.noted(
+                control.finalize_status(
                     JOB,
                     (503, b"", [])
                     if refuses(clock[0]) or away(clock[0])
--- a/tests/world.py
+++ b/tests/world.py
@@ -637,7 +637,7 @@
     # -- users, as ``Controller`` serves them; ``told`` a state, ``NOT_FOUND``, or None for 503
 
     def status(self, job: str, told) -> None:
-        """As ``Controller.status_now``: from memory, else by the job's home, by messages, else from the store."""
+        """As ``Controller.poll_status``: from memory, else by the job's home, by messages, else from the store."""
         core, world, life = self.core, self.world, self.life
         state = core.local_job_state(job, world.t)
         if state is not None:
@@ -721,7 +721,9 @@
             known()
         elif not core.loaded or not core.types:
             told(None)
-        elif Controller.never_runs(SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec):
+        elif Controller.rejection_reason(
+            SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec
+        ):
             self.status(spec.id, told)
         elif not core.membership.may_act(world.t) or spec.needs:
             told(None)
@@ -1449,7 +1451,7 @@
         self.after(1.0, self.withdraw, job)
 
     def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
-        """As ``Controller.withdraw``: decided here, or asked of the job's home by a message; and again if need be."""
+        """As ``Controller.cancel``: decided here, or asked of the job's home by a message; and again if need be."""
         core, asked = sim.core, self.t
         if job not in self.said:
             self.cancelled_at.setdefault(job, math.inf)
