--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -15,11 +15,11 @@
 
 
 class CloudError(Exception):
-    """An outage or too many requests: not carried out."""
+    """The cloud did not carry a request out: an outage, too many requests, or no capacity."""
 
 
-class NoCapacityError(Exception):
-    """None available for this type, zone and kind."""
+class NoCapacityError(CloudError):
+    """No machine of this type is available in this zone."""
 
 
 class Cloud:
--- /dev/null
+++ b/alderbridge/controller/loops/machine_types.py
@@ -0,0 +1,67 @@
+"""Keeps the cloud's machine types and their prices up to date."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+import curio
+import msgspec
+
+from alderbridge import constants
+from alderbridge.cloud import Cloud, CloudError
+from alderbridge.controller.core import ControllerCore
+from alderbridge.protocol import wire
+from alderbridge.state.store import (
+    TYPES,
+    VIEW,
+    LeaseExpiredError,
+    Store,
+    StoreRefusedError,
+    TransactionTooLargeError,
+)
+from alderbridge.transport.http import TokenBucket, UnansweredError
+
+log = logging.getLogger("controller")
+now = time.monotonic
+
+
+class MachineTypesLoop:
+    """Reads the machine types: the leader again and again, for the prices, others until they know them."""
+
+    def __init__(self, core: ControllerCore, store: Store, cloud: Cloud, rate_limit: TokenBucket) -> None:
+        self.core = core
+        self.membership = core.membership
+        self.store = store
+        self.cloud = cloud
+        self.rate_limit = rate_limit
+
+    async def keep_types(self) -> None:
+        """Read them for ever; a failure is logged, and they are read again at the next turn."""
+        known = False
+        while True:
+            if not known or self.membership.is_leader(now()):
+                try:
+                    if self.rate_limit.try_take(now()):
+                        self.core.set_machine_types(await self.cloud.machine_types())
+                        known = True
+                        await self.store_types()
+                except (
+                    CloudError,
+                    StoreRefusedError,
+                    LeaseExpiredError,
+                    UnansweredError,
+                    msgspec.DecodeError,
+                ) as error:
+                    log.info("cloud state=failed cause=%s", error)
+            await curio.sleep(constants.MACHINE_TYPES_REFRESH_S if known else constants.LEADER_ROUND_S)
+
+    async def store_types(self) -> None:
+        """Store them for a controller that starts while the cloud is out of reach."""
+        machine_types = self.core.types_to_store()
+        if machine_types is not None:
+            conditions = {VIEW: self.membership.fencing_token, TYPES: self.core.replica.types_revision}
+            try:
+                await self.store.commit(conditions, {TYPES: machine_types})
+            except TransactionTooLargeError:
+                self.core.reduce_value_limit(len(wire.encode(machine_types)))
--- /dev/null
+++ b/alderbridge/controller/loops/records.py
@@ -0,0 +1,107 @@
+"""Keeps the records in the store up to date."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Awaitable, Callable
+
+import curio
+import msgspec
+
+from alderbridge import constants
+from alderbridge.controller.core import ControllerCore, WriteBatch
+from alderbridge.controller.store_backoff import StoreBackoff
+from alderbridge.state.store import (
+    VIEW,
+    LeaseExpiredError,
+    RateLimitedError,
+    Store,
+    StoreRefusedError,
+    TransactionTooLargeError,
+)
+from alderbridge.transport.http import UnansweredError
+
+log = logging.getLogger("controller")
+now = time.monotonic
+
+
+class RecordWriter:
+    """Writes the core's batches, one transaction after the other."""
+
+    def __init__(
+        self,
+        core: ControllerCore,
+        store: Store,
+        store_backoff: StoreBackoff,
+        dispatch_effects: Callable[[], Awaitable[None]],
+    ) -> None:
+        self.core = core
+        self.store = store
+        self.store_backoff = store_backoff
+        self.dispatch_effects = dispatch_effects
+        self.work = curio.Event()  # set when there may be something to write, while ``is_waiting``
+        self.is_waiting = False
+
+    async def keep_records(self) -> None:
+        """Write what is due, for ever."""
+        while True:
+            await curio.sleep(constants.WRITER_PAUSE_S)
+            batch = self.core.next_batch(now())
+            if batch is None:
+                await self.wait_for_work()
+            else:
+                await self._write(batch)
+
+    async def wait_for_work(self) -> None:
+        """Until there may be something to write: looking again and again costs more than all the writing."""
+        pause = self.core.next_write_in(now())
+        if pause > constants.WRITER_PAUSE_S and self.core.nothing_to_write():
+            self.is_waiting = True
+            try:
+                await curio.timeout_after(pause - constants.WRITER_PAUSE_S, self.work.wait)
+            except curio.TaskTimeout:
+                pass
+            self.is_waiting = False
+            self.work.clear()
+
+    async def _write(self, batch: WriteBatch) -> None:
+        try:
+            done = await self.store.commit(batch.conditions, batch.puts, batch.drops)
+            if done.failed:
+                await self._resolve_conflicts(batch, done.failed)
+            else:
+                self.core.on_batch_written(batch, done.revision, now())
+                self.store_backoff.record_success()
+            await self.dispatch_effects()
+        except TransactionTooLargeError as error:
+            self.core.on_batch_too_large(batch, now())
+            await self.dispatch_effects()
+            log.error("records state=too_large changes=%d cause=%s", batch.changes, error)
+            await curio.sleep(constants.ROUND_S)
+        except (StoreRefusedError, LeaseExpiredError, UnansweredError, msgspec.DecodeError) as error:
+            await self._on_failure(batch, error)
+            log.info("records state=unconfirmed cause=%s", error)
+            await curio.sleep(constants.ROUND_S)
+
+    async def _resolve_conflicts(self, batch: WriteBatch, failed: list[str]) -> None:
+        """Something else is in the store: read it and decide anew."""
+        log.info("records state=conflict failed=%s", failed)
+        self.core.on_batch_failed(batch, now())
+        if VIEW in failed:
+            await curio.sleep(constants.WATCH_PAUSE_S)
+            return
+        for key in failed:
+            self.core.resolve_conflict(batch, key, await self.store.get(key), now())
+
+    async def _on_failure(self, batch: WriteBatch, error: Exception) -> None:
+        """The batch may have been written, or not: its records stay due."""
+        self.core.on_batch_failed(batch, now())
+        if isinstance(error, RateLimitedError):
+            budget = self.core.write_rate_limit.budget
+            budget.spend(now(), max(0.0, budget.available(now())))
+            return
+        self.store_backoff.record_failure()
+        if isinstance(error, StoreRefusedError):
+            self.core.refuse_submissions()
+            await self.dispatch_effects()
--- /dev/null
+++ b/alderbridge/controller/loops/rounds.py
@@ -0,0 +1,28 @@
+"""Keeps up what the core does at regular intervals."""
+
+from __future__ import annotations
+
+import time
+
+import curio
+
+from alderbridge import constants
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.worker_prober import WorkerProber
+
+now = time.monotonic
+
+
+class RoundLoop:
+    """Runs the core's rounds, each followed by the probes that are due."""
+
+    def __init__(self, core: ControllerCore, prober: WorkerProber) -> None:
+        self.core = core
+        self.prober = prober
+
+    async def keep_rounds(self) -> None:
+        """One round each ``ROUND_S``."""
+        while True:
+            await curio.sleep(constants.ROUND_S)
+            self.core.round(now())
+            await self.prober.probe_workers()
--- /dev/null
+++ b/alderbridge/controller/loops/store_lease.py
@@ -0,0 +1,85 @@
+"""Keeps this controller registered in the state service."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+import curio
+import msgspec
+
+from alderbridge import constants
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.store_backoff import StoreBackoff
+from alderbridge.membership.view import MemberRecord
+from alderbridge.protocol import wire
+from alderbridge.state.store import MEMBERS, LeaseExpiredError, Store, StoreRefusedError
+from alderbridge.transport.http import UnansweredError
+
+log = logging.getLogger("controller")
+now = time.monotonic
+
+
+class StoreLeaseLoop:
+    """Acquires the store lease, and renews it until it has expired."""
+
+    def __init__(self, core: ControllerCore, store: Store, store_backoff: StoreBackoff) -> None:
+        self.core = core
+        self.membership = core.membership
+        self.store = store
+        self.store_backoff = store_backoff
+
+    async def keep_store_lease(self) -> None:
+        """Return when the lease has expired, to acquire another."""
+        store_lease = self.membership.store_lease
+        if not store_lease.lease_id:
+            await self.acquire_store_lease()
+        while store_lease.lease_id:
+            await curio.sleep(store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
+            if self.membership.is_removed():
+                log.info("store_lease=%d state=expired cause=removed from the view by a quorum", store_lease.lease_id)
+                store_lease.mark_expired()
+                return
+            await self._renew()
+
+    async def _renew(self) -> None:
+        store_lease = self.membership.store_lease
+        sent = now()  # the lease counts from here: the answer may be late
+        try:
+            await self.store.renew_lease(store_lease.lease_id)
+            store_lease.record_renewal(store_lease.lease_id, sent)
+        except LeaseExpiredError:
+            log.info("store_lease=%d state=expired", store_lease.lease_id)
+            store_lease.mark_expired()
+        except (StoreRefusedError, UnansweredError) as error:
+            self.store_backoff.record_failure()
+            log.info("store_lease=%d state=unconfirmed cause=%s", store_lease.lease_id, error)
+
+    async def acquire_store_lease(self) -> None:
+        """Enter as a new incarnation; an earlier process of this label is dead."""
+        key = MEMBERS + self.core.me
+        row = await self.store.get(key)
+        sent = now()
+        lease_id = await self.store.grant_lease(self.membership.store_lease.ttl_s)
+        # The key passes from one lease to the other in one step: were it gone for a moment, the
+        # others would change the view twice, and workers are slow to see a second new fencing token.
+        condition = {key: row.revision if row is not None else 0}
+        member = MemberRecord(lease_id, constants.PROTOCOL_VERSION)
+        done = await self.store.commit(condition, {key: member}, lease_id=lease_id)
+        if done.failed:
+            await self.store.revoke_lease(lease_id)
+            raise StoreRefusedError("the key of this label has changed meanwhile")
+        self.core.lease_acquired(lease_id, sent, now())
+        log.info("store_lease=%d state=acquired", lease_id)
+        if row is not None:
+            await self._revoke_earlier(row)
+
+    async def _revoke_earlier(self, row: wire.KeyValue) -> None:
+        """End the lease of the earlier incarnation.
+
+        No key is attached to it any more: if this fails it expires by itself, and nothing has to be acquired again.
+        """
+        try:
+            await self.store.revoke_lease(msgspec.json.decode(row.data, type=MemberRecord).lease_id)
+        except (StoreRefusedError, UnansweredError, msgspec.DecodeError) as error:
+            log.debug("store_lease state=not_revoked cause=%s", error)
--- /dev/null
+++ b/alderbridge/controller/loops/supervisor.py
@@ -0,0 +1,30 @@
+"""Starts a loop again after whatever fault ended it."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Awaitable, Callable
+
+import curio
+import msgspec
+
+from alderbridge import constants
+from alderbridge.state.store import StoreRefusedError, TransactionTooLargeError
+from alderbridge.transport.http import UnansweredError
+
+log = logging.getLogger("controller")
+
+
+async def run_forever(loop: Callable[[], Awaitable[None]]) -> None:
+    """Run ``loop`` again and again, a round apart: a fault is logged, and does not end the process."""
+    name = loop.__name__
+    while True:
+        try:
+            await loop()
+        except (StoreRefusedError, TransactionTooLargeError, UnansweredError, msgspec.DecodeError) as error:
+            log.info("loop=%s state=interrupted cause=%s", name, error)
+        except curio.CancelledError:
+            raise
+        except Exception:
+            log.exception("loop=%s state=failed", name)
+        await curio.sleep(constants.ROUND_S)
--- /dev/null
+++ b/alderbridge/controller/router.py
@@ -0,0 +1,52 @@
+"""Which handler serves a request: a table of methods and paths."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from typing import NamedTuple
+
+from alderbridge.controller import responses
+from alderbridge.controller.responses import Handled, Responder
+
+JOB_PATH_PREFIX = "/v1/jobs/"
+
+
+class Route(NamedTuple):
+    """The handler of a path, which takes the request's body."""
+
+    method: str
+    handler: Callable[[bytes, Responder], Handled]
+
+
+class JobRoute(NamedTuple):
+    """The handler of a path below a job, which takes the job's id."""
+
+    method: str
+    handler: Callable[[str, Responder], Handled]
+
+
+class Router:
+    """Passes requests on to their handlers; 404 and 405 for those that have none.
+
+    ``routes``: by path. ``job_routes``: by what follows the job's id in ``/v1/jobs/ID/...``, empty for the job itself.
+    """
+
+    def __init__(self, routes: Mapping[str, Route], job_routes: Mapping[str, JobRoute]) -> None:
+        self.routes = routes
+        self.job_routes = job_routes
+
+    def handle(self, method: str, target: str, body: bytes, reply: Responder) -> Handled:
+        """Serve one request; the query of ``target`` is ignored."""
+        path = target.split("?", 1)[0]
+        route = self.routes.get(path)
+        if route is not None:
+            allowed, handler = route
+            return handler(body, reply) if method == allowed else responses.method_not_allowed(allowed)
+        if path.startswith(JOB_PATH_PREFIX):
+            job, _, action = path[len(JOB_PATH_PREFIX) :].partition("/")
+            job_route = self.job_routes.get(action)
+            if job_route is not None:
+                if method != job_route.method:
+                    return responses.method_not_allowed(job_route.method)
+                return job_route.handler(job, reply)
+        return responses.error(404, "no such path")
--- /dev/null
+++ b/alderbridge/controller/worker_prober.py
@@ -0,0 +1,92 @@
+"""Probes: requests to workers to acknowledge a new fencing token.
+
+Their machines' next heartbeats would say the same only seconds later.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
+
+import h11
+
+from alderbridge import constants
+from alderbridge.controller.core import ControllerCore
+from alderbridge.protocol import wire
+from alderbridge.settings import address
+from alderbridge.transport.http import Exchange, Reading
+from alderbridge.transport.selector import Poll
+
+log = logging.getLogger("controller")
+now = time.monotonic
+
+
+class Probe(NamedTuple):
+    """One request; ``retried``: the worker has already told that its incarnation is another."""
+
+    fencing_token: int
+    machine: str
+    worker: str  # address
+    incarnation: int
+    retried: bool = False
+
+
+class WorkerProber:
+    """Sends the probes that the machine shard asks for, ``PROBES_AT_ONCE`` at most at a time."""
+
+    def __init__(self, core: ControllerCore, poll: Poll, dispatch_effects: Callable[[], Awaitable[None]]) -> None:
+        self.core = core
+        self.membership = core.membership
+        self.poll = poll
+        self.dispatch_effects = dispatch_effects
+        self.exchanges: set[Exchange] = set()
+
+    async def probe_workers(self) -> None:
+        """After a new view, and in each round: give up what is overdue, and start what is due."""
+        await self.dispatch_effects()
+        for exchange in [one for one in self.exchanges if one.overdue(now(), constants.PROBE_TIMEOUT_S)]:
+            exchange.close()
+        self._start_probes()
+
+    def _start_probes(self) -> None:
+        while (
+            len(self.exchanges) < constants.PROBES_AT_ONCE
+            and self.membership.may_act(now())
+            and (target := self.core.machine_shard.next_to_probe(now())) is not None
+        ):
+            self._send(Probe(self.membership.fencing_token, *target))
+
+    def _send(self, probe: Probe) -> None:
+        def on_answer(answer: tuple[int, bytes] | None) -> None:
+            self.exchanges.discard(exchange)
+            self._on_answer(probe, answer)
+
+        try:
+            host, port = address(probe.worker)
+            request = wire.acknowledge_request(probe.fencing_token, probe.incarnation)
+            exchange = Exchange(self.poll, host, port, Reading(host, "POST", "/commands", request), on_answer)
+        except (OSError, ValueError, h11.ProtocolError) as error:
+            self.core.machine_shard.prober.unanswered(probe.machine, now())
+            log.debug("machine=%s state=probe_failed cause=%s", probe.machine, error)
+        else:
+            self.exchanges.add(exchange)
+
+    def _on_answer(self, probe: Probe, answer: tuple[int, bytes] | None) -> None:
+        in_force = probe.fencing_token == self.membership.fencing_token
+        try:
+            if answer is None:
+                raise wire.MalformedBodyError("no answer")
+            status, body = answer
+            heartbeat = wire.parse_heartbeat(body)
+            if status == 409 and heartbeat.incarnation != probe.incarnation and not probe.retried:
+                self._send(probe._replace(incarnation=heartbeat.incarnation, retried=True))
+                return
+            if status == 200 and heartbeat.machine == probe.machine and in_force:
+                self.core.on_probe_answered(heartbeat, now())
+        except wire.MalformedBodyError as error:
+            if in_force:
+                self.core.machine_shard.prober.unanswered(probe.machine, now())
+            log.debug("machine=%s state=probe_failed cause=%s", probe.machine, error)
+        self._start_probes()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -5,6 +5,7 @@
 import pytest
 from world import LABELS, TYPES, platform
 
+from alderbridge.controller import admission
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.protocol import wire
@@ -130,8 +131,8 @@
         )
 
     control.store.get = get
-    control.store_bad_until = 0.0
-    status, text, _ = curio.run(control.submit, raw)
+    control.store_backoff.until = 0.0
+    status, text, _ = curio.run(control.users_api.submissions.submit, raw)
     assert not control.core.submissions, "nothing of it goes to the store"
     if status in (400, 422):
         line = msgspec.json.decode(text)["error"]
@@ -157,15 +158,17 @@
 @pytest.mark.parametrize("name", GOOD)
 def test_what_is_good_is_taken_up(control, name):
     spec = wire.parse_job(GOOD[name])
-    assert not control.rejection_reason(spec) and control.core.submit(spec, 0.0, 0.0) is not None
+    core = control.core
+    assert not admission.rejection_reason(spec, core.shared.teams, core.types.values())
+    assert core.submit(spec, 0.0, 0.0) is not None
 
 
 @pytest.mark.parametrize("what", ("poll", "withdraw"))
 def test_an_unknown_job_is_called_so_only_by_the_store(control, what):
     async def ask():
         if what == "withdraw":
-            return await control.cancel("wk-000777")
-        return await control.poll_status("wk-000777", None)
+            return await control.users_api.cancellations.cancel("wk-000777")
+        return await control.users_api.status.poll_status("wk-000777", None)
 
     for raised, status in ((None, 404), (UnansweredError("cut"), 503)):
         asked = []
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -3,12 +3,13 @@
 import curio
 import msgspec
 import pytest
+from controller_clock import patch_now
 from world import Broken, World, platform
 
 from alderbridge import constants
-from alderbridge.controller import process
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
+from alderbridge.controller.responses import Response
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.membership.view import Membership, MemberStatus
 from alderbridge.protocol import messages, wire
@@ -168,17 +169,21 @@
 
 def test_an_answer_to_an_earlier_life_is_not_told_to_another_question():
     first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()) for _ in range(2))
-    assert second.query_count > first.query_count + 100, "no number is asked twice in the lives of a label"
+    assert second.queries.query_count > first.queries.query_count + 100, (
+        "no number is asked twice in the lives of a label"
+    )
 
     async def asked(body):
         async def deliver():
-            while not second.pending_queries:
+            while not second.queries.pending_queries:
                 await curio.sleep(0)
-            second.core.query_replies.append(messages.JobQueryReply(next(iter(second.pending_queries)), 200, body))
+            second.core.query_replies.append(
+                messages.JobQueryReply(next(iter(second.queries.pending_queries)), 200, body)
+            )
             await second.dispatch_effects()
 
         task = await curio.spawn(deliver)
-        answer = await second.query("host-1", "status", "wk-000001")
+        answer = await second.queries.query("host-1", "status", "wk-000001")
         await task.join()
         return answer
 
@@ -188,10 +193,10 @@
 
 def test_a_job_about_which_nothing_is_answered_is_named_now_and_then(monkeypatch, caplog):
     control, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()), [100.0]
-    monkeypatch.setattr(process, "now", lambda: clock[0])
+    patch_now(monkeypatch, lambda: clock[0])
     caplog.set_level("INFO")
     for status in [503] * 20 + [200] + [503] * 5:
-        control.finalize_status("wk-000001", (status, b"", []))
+        control.users_api.status.finalize_status("wk-000001", Response(status, b"", []))
         clock[0] += 5.0
     assert [record.args[1] for record in caplog.records] == [25.0, 50.0, 75.0]
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,8 +6,8 @@
 import pytest
 from world import KNOWN_S, ROOM_S, ZONES, Broken, World
 
+from alderbridge.controller import admission
 from alderbridge.controller.core import ControllerCore
-from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobShard, JobState
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import MachineShard
@@ -362,7 +362,7 @@
 
 
 def takes_what_can_not_run(monkeypatch):
-    monkeypatch.setattr(Controller, "rejection_reason", lambda self, spec: "")
+    monkeypatch.setattr(admission, "rejection_reason", lambda spec, teams, machine_types: "")
 
 
 def takes_what_lacks_a_field(monkeypatch):
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -3,12 +3,12 @@
 import curio
 import msgspec
 import pytest
+from controller_clock import patch_now
 from test_contact import Ties
 from test_flapping import takes_itself_for_the_one_before
 from world import Broken, World, platform
 
 from alderbridge import constants
-from alderbridge.controller import process
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobState, Record
@@ -312,7 +312,7 @@
 def control(monkeypatch):
     """One of three, with a clock that the test moves: ``clock[0]``."""
     clock = [100.0]
-    monkeypatch.setattr(process, "now", lambda: clock[0])
+    patch_now(monkeypatch, lambda: clock[0])
     one = Controller(platform("host-0", LABELS), Tuning(), Poll())
     core = one.core
     core.membership.store_lease.record_renewal(1, 100.0, 100.0)
@@ -330,13 +330,13 @@
     failure_detector = control.membership.failure_detector
     for label in LABELS[1:]:
         failure_detector.record_frame(label, 100.0, 100.0)
-    assert control.health()[0] == 200
+    assert control.health.check()[0] == 200
     control.clock[0] = 130.0  # the store is down for all, the others are heard
     for label in LABELS[1:]:
         failure_detector.record_frame(label, 129.0, 129.0)
-    assert control.membership.status(130.0) is MemberStatus.EXPIRED and control.health()[0] == 200
+    assert control.membership.status(130.0) is MemberStatus.EXPIRED and control.health.check()[0] == 200
     control.clock[0] = 140.0
-    assert control.health()[0] == 503
+    assert control.health.check()[0] == 503
 
 
 def test_a_reply_that_comes_after_the_store_was_asked_is_told_to_nobody(control):
@@ -349,8 +349,8 @@
 
     async def play():
         control.store.get = store_says
-        assert control.poll_status(job, told.append) is None
-        number = next(iter(control.pending_polls))
+        assert control.users_api.status.poll_status(job, told.append) is None
+        number = next(iter(control.queries.pending_polls))
         control.clock[0] += constants.QUERY_TIMEOUT_S + 0.1
         await control.dispatch_effects()
         await curio.sleep(0.05)
@@ -367,7 +367,7 @@
 def test_a_report_is_answered_under_the_view_it_was_taken_in_or_not_at_all(control):
     """Its answer waited for grants; a newer view arrives, or the hold ends, before they do."""
     machine = Machine("n-1", 100.0)
-    assert control.heartbeat_response(machine, 7)[0] == 200
-    assert control.heartbeat_response(machine, 6)[0] == 503
+    assert control.workers_api.heartbeat_response(machine, 7)[0] == 200
+    assert control.workers_api.heartbeat_response(machine, 6)[0] == 503
     control.clock[0] = 130.0
-    assert control.heartbeat_response(machine, 7)[0] == 503
+    assert control.workers_api.heartbeat_response(machine, 7)[0] == 503
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -293,7 +293,7 @@
 
     def command(self, fencing_token, incarnation, reply):
         self.tick()
-        if incarnation != self.incarnation and self.alive:  # 409, and asked again as ``Controller.probe_worker`` does
+        if incarnation != self.incarnation and self.alive:  # 409, and asked again as ``WorkerProber`` does
             self.world.after(self.way(), super().command, fencing_token, self.incarnation, reply)
         else:
             super().command(fencing_token, incarnation, reply)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -6,16 +6,17 @@
 
 import inspect
 import random
+import time
 from types import SimpleNamespace
 
 import curio
 import msgspec
 import pytest
+from controller_clock import patch_now
 from world import LABELS, TYPES, SimStore, platform
 from world import StoreRefusedError as StoreRefused
 
 from alderbridge import constants
-from alderbridge.controller import process
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import Job, JobState, TaskRun, TaskState
 from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
@@ -145,8 +146,8 @@
         self.cancelled: set[str] = set()  # what they have asked for
         self.needs: dict[str, list[str]] = {}
         self.answers: list[int] = []
-        monkeypatch.setattr(process, "now", lambda: self.t)
-        monkeypatch.setattr(process.time, "time", lambda: self.t)
+        patch_now(monkeypatch, lambda: self.t)
+        monkeypatch.setattr(time, "time", lambda: self.t)
         monkeypatch.setattr(constants, "WRITER_PAUSE_S", 0.0)
         monkeypatch.setattr(constants, "ROUND_S", 0.0)
         monkeypatch.setattr(constants, "WATCH_PAUSE_S", 0.0)
@@ -174,14 +175,15 @@
         """A new life of that controller, which has read nothing yet."""
         if label in self.writers:
             await self.writers[label].cancel()
-        control = self.controls[label] = Controller(platform(label, LABELS), Tuning(), Poll())
-        control.store, control.mesh = Gate(self, label), Mesh(self, label)
-        control.store.slow = slow
-        control.wait_for_work = control.store.rest
+        gate = Gate(self, label)
+        gate.slow = slow
+        control = self.controls[label] = Controller(platform(label, LABELS), Tuning(), Poll(), store=gate)
+        control.mesh = Mesh(self, label)
+        control.record_writer.wait_for_work = gate.rest
         control.core.set_machine_types(TYPES)
         control.core.lease_acquired(self.lease_ids[label], self.t, self.t)
         self.looks.pop(label, None)
-        self.writers[label] = await curio.spawn(control.keep_records, daemon=True)
+        self.writers[label] = await curio.spawn(control.record_writer.keep_records, daemon=True)
 
     # -- steps
 
@@ -247,7 +249,7 @@
         if what == "withdraw":
             self.cancelled.add(job)
         event = curio.Event()
-        answer = self.controls[label].handle("GET" if what == "poll" else "POST", path, body, replies.append)
+        answer = self.controls[label].router.handle("GET" if what == "poll" else "POST", path, body, replies.append)
 
         async def answered() -> tuple[int, str]:
             if inspect.isawaitable(answer):
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -112,9 +112,7 @@
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
         def answered(answer) -> None:
-            if (
-                isinstance(answer, wire.TransactionResult) and answer.revision < 0
-            ):  # 429, as ``Controller.keep_records`` takes it
+            if isinstance(answer, wire.TransactionResult) and answer.revision < 0:  # 429, as ``RecordWriter`` takes it
                 budget = self.core.write_rate_limit.budget
                 budget.spend(self.world.t, max(0.0, budget.available(self.world.t)))
                 answer = wire.TransactionResult(0, [VIEW])
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -14,9 +14,9 @@
 
 from alderbridge import configuration, constants
 from alderbridge.configuration import Declarations, Head, Revision, records, texts
-from alderbridge.controller import process
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
+from alderbridge.controller.responses import Response
 from alderbridge.jobs.shard import JobState, Record, TaskRun, TaskState
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
@@ -109,7 +109,7 @@
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
 
     def settle(self, batch) -> wire.TransactionResult:
-        """Carried out, and answered at once; a conflict is read as ``Controller.settle_conflict`` does."""
+        """Carried out, and answered at once; a conflict is read as ``RecordWriter`` does."""
         core, answer = self.core, self.carry_out(batch)
         if not answer.failed:
             core.on_batch_written(batch, answer.revision, self.t)
@@ -637,11 +637,11 @@
     async def slow(key):
         row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
         control.core.replica.saw_job(SPEC.id, Record(ended), 6)
-        assert (await control.cancel(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
+        assert (await control.users_api.cancellations.cancel(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
     monkeypatch.setattr(control.store, "get", slow)
-    status, body, _ = curio.run(control.status_from_store, SPEC.id)
+    status, body, _ = curio.run(control.users_api.status.status_from_store, SPEC.id)
     assert (status, msgspec.json.decode(body)["status"]) == (200, ended.value)
 
 
@@ -654,9 +654,9 @@
         control.core.replica.saw_job(SPEC.id, record, 6)
 
     monkeypatch.setattr(control.store, "get", slow)
-    assert curio.run(control.status_from_store, SPEC.id)[0] == 503
+    assert curio.run(control.users_api.status.status_from_store, SPEC.id)[0] == 503
     control.core.replica.active.clear()
-    assert curio.run(control.refuse_unless_accepted, SPEC.id, "unknown team")[0] == 503
+    assert curio.run(control.users_api.submissions.refuse_unless_accepted, SPEC.id, "unknown team")[0] == 503
 
 
 @pytest.mark.parametrize("asked", ("poll", "known"))
@@ -666,17 +666,18 @@
     body = wire.job_status_body(SPEC.id, "running", 0, 1)
 
     async def poll():
-        assert control.poll_status(SPEC.id, answers.append) is None
+        assert control.users_api.status.poll_status(SPEC.id, answers.append) is None
         control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
-        await control.on_poll_reply(control.query_count, messages.JobQueryReply(control.query_count, 200, body))
+        number = control.queries.query_count
+        await control.queries.on_poll_reply(number, messages.JobQueryReply(number, 200, body))
 
     async def known():
         async def ask(label, what, job):
             control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
-            return 200, body, []
+            return Response(200, body, [])
 
-        control.query = ask
-        answers.append(await control.answer_resubmission(SPEC.id))
+        control.queries.query = ask
+        answers.append(await control.users_api.submissions.answer_resubmission(SPEC.id))
 
     curio.run(poll if asked == "poll" else known)
     assert msgspec.json.decode(answers[0][1])["status"] == "aborted"
@@ -723,7 +724,7 @@
         "snapshot_s": 0.0,
         "due_s": None,
     }
-    assert curio.run(control.submit, msgspec.json.encode(body))[0] == status
+    assert curio.run(control.users_api.submissions.submit, msgspec.json.encode(body))[0] == status
 
 
 # -- entering
@@ -769,8 +770,8 @@
 @pytest.mark.parametrize("late", (False, True))
 @pytest.mark.parametrize("lose", ("get", "hold", "commit", "end"))
 def test_whichever_step_of_entering_has_no_answer_the_label_has_one_key_of_its_hold(lose, late):
-    control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
-    control.store = steps = Steps(lose, late)
+    steps = Steps(lose, late)
+    control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll(), store=steps)
     steps.sim.holds[1000] = 1e9
     steps.sim.commit(
         {}, {MEMBERS + "host-0": MemberRecord(1000, constants.PROTOCOL_VERSION)}, (), 1000
@@ -780,8 +781,8 @@
         for _ in range(3):
             if not control.membership.store_lease.lease_id:
                 try:
-                    await control.acquire_store_lease()
-                except (UnansweredError, process.StoreRefusedError):
+                    await control.store_lease_loop.acquire_store_lease()
+                except (UnansweredError, store.StoreRefusedError):
                     pass
 
     curio.run(enter)
--- a/tests/test_meetings_unanswered.py
+++ b/tests/test_meetings_unanswered.py
@@ -1,11 +1,12 @@
 """The time without an answer that a controller names is one in which none could be had there."""
 
 import pytest
+from controller_clock import patch_now
 from world import LABELS, platform
 
 from alderbridge import constants
-from alderbridge.controller import process
 from alderbridge.controller.process import Controller
+from alderbridge.controller.responses import Response
 from alderbridge.protocol import wire
 from alderbridge.settings import Tuning
 from alderbridge.transport.selector import Poll
@@ -19,7 +20,7 @@
 def day(monkeypatch, caplog):
     """``day(asked, refuses)``: for how long a controller calls a job unanswered; the store is away in ``OUTAGES``."""
     control, clock = Controller(platform("host-0", LABELS), Tuning(), Poll()), [0.0]
-    monkeypatch.setattr(process, "now", lambda: clock[0])
+    patch_now(monkeypatch, lambda: clock[0])
     caplog.set_level("INFO")
 
     def away(at):
@@ -29,13 +30,13 @@
         for step in range(2400):
             clock[0] = step / 10
             if not away(clock[0]):  # the watch is answered at once where the store can be reached
-                control.record_watch_answer(clock[0] - constants.STATE_TIMEOUT_S if slow else clock[0])
+                control.replica_loop.record_watch_answer(clock[0] - constants.STATE_TIMEOUT_S if slow else clock[0])
             if clock[0] in asked:
-                control.finalize_status(
+                control.users_api.status.finalize_status(
                     JOB,
-                    (503, b"", [])
+                    Response(503, b"", [])
                     if refuses(clock[0]) or away(clock[0])
-                    else (200, wire.job_status_body(JOB, "pending", 0, 0), []),
+                    else Response(200, wire.job_status_body(JOB, "pending", 0, 0), []),
                 )
         return [record.args[1] for record in caplog.records]
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -22,14 +22,13 @@
 import sys
 import time
 from collections import deque
-from types import SimpleNamespace
 
 import msgspec
 import production
 
 from alderbridge import constants
+from alderbridge.controller import admission
 from alderbridge.controller.core import ControllerCore, Submission
-from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
@@ -634,10 +633,10 @@
             if len(names) < count:
                 self.core.leader.on_refused(kind, self.world.t)
 
-    # -- users, as ``Controller`` serves them; ``told`` a state, ``NOT_FOUND``, or None for 503
+    # -- users, as ``UsersApi`` serves them; ``told`` a state, ``NOT_FOUND``, or None for 503
 
     def status(self, job: str, told) -> None:
-        """As ``Controller.poll_status``: from memory, else by the job's home, by messages, else from the store."""
+        """As ``StatusHandler.poll_status``: from memory, else by the job's home, by messages, else from the store."""
         core, world, life = self.core, self.world, self.life
         state = core.local_job_state(job, world.t)
         if state is not None:
@@ -687,7 +686,7 @@
         return state if ended is None else ended.value
 
     def send_job(self, body: bytes, told) -> None:
-        """As ``Controller.submit``; ``NOT_FOUND`` stands for 400 and 422, too."""
+        """As ``SubmissionHandler.submit``; ``NOT_FOUND`` stands for 400 and 422, too."""
         core, world, life = self.core, self.world, self.life
         try:
             spec = wire.parse_job(body)
@@ -721,9 +720,7 @@
             known()
         elif not core.loaded or not core.types:
             told(None)
-        elif Controller.rejection_reason(
-            SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec
-        ):
+        elif admission.rejection_reason(spec, core.shared.teams, core.types.values()):
             self.status(spec.id, told)
         elif not core.membership.may_act(world.t) or spec.needs:
             told(None)
@@ -1403,7 +1400,7 @@
             raise Broken(f"took_flawed: {body} is {state}")
 
     def question(self, sim: SimController, job: str) -> str | None:
-        """As ``Controller.status`` answers: from memory, by the job's home, or from the store; None: 503, or nobody."""
+        """As ``StatusHandler.status``: from memory, by the job's home, or from the store; None: 503, or nobody."""
         if sim.core is None:
             return None
         state = sim.core.local_job_state(job, self.t)
@@ -1451,7 +1448,7 @@
         self.after(1.0, self.withdraw, job)
 
     def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
-        """As ``Controller.cancel``: decided here, or asked of the job's home by a message; and again if need be."""
+        """As ``CancellationHandler.cancel``: decided here, or asked of the job's home by message; again if need be."""
         core, asked = sim.core, self.t
         if job not in self.said:
             self.cancelled_at.setdefault(job, math.inf)
