--- a/alderbridge/controller/router.py
+++ b/alderbridge/controller/router.py
@@ -37,16 +37,20 @@
 
     def handle(self, method: str, target: str, body: bytes, reply: Responder) -> Handled:
         """Serve one request; the query of ``target`` is ignored."""
-        path = target.split("?", 1)[0]
-        route = self.routes.get(path)
+        route = self.routes.get(target)  # a heartbeat has no query
+        if route is None:
+            path = target.split("?", 1)[0]
+            route = self.routes.get(path)
         if route is not None:
             allowed, handler = route
             return handler(body, reply) if method == allowed else responses.method_not_allowed(allowed)
         if path.startswith(JOB_PATH_PREFIX):
-            job, _, action = path[len(JOB_PATH_PREFIX) :].partition("/")
-            job_route = self.job_routes.get(action)
-            if job_route is not None:
-                if method != job_route.method:
-                    return responses.method_not_allowed(job_route.method)
-                return job_route.handler(job, reply)
+            return self._handle_job(method, path, reply)
         return responses.error(404, "no such path")
+
+    def _handle_job(self, method: str, path: str, reply: Responder) -> Handled:
+        job, _, action = path[len(JOB_PATH_PREFIX) :].partition("/")
+        route = self.job_routes.get(action)
+        if route is None:
+            return responses.error(404, "no such path")
+        return route.handler(job, reply) if method == route.method else responses.method_not_allowed(route.method)
