--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -23,6 +23,12 @@
 
 
 class Cloud:
+    """The cloud's requests.
+
+    Each raises ``CloudError`` where it was not carried out, ``UnansweredError`` where that is not known, and
+    ``msgspec.DecodeError`` for a response that can't be read.
+    """
+
     def __init__(self, endpoint: str) -> None:
         self.client = Client(*address(endpoint), keep=2)
 
@@ -35,16 +41,23 @@
         return answer
 
     async def machine_types(self) -> dict[str, wire.MachineType]:
+        """What it rents, with the prices, by name."""
         answer = await self._call("GET", "/flavors")
         return {kind.name: kind for kind in _machine_types.decode(answer).types}
 
     async def rent(self, name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
+        """Rent up to ``count`` machines; the names of those granted.
+
+        ``name`` tells this request from others. Raises ``NoCapacityError`` where none is granted.
+        """
         body = wire.rental_request(name, machine_type, zone, spot, count)
         return _rented.decode(await self._call("POST", "/rentals", body)).hosts
 
-    async def give_back(self, machines: list[str]) -> None:
+    async def return_machines(self, machines: list[str]) -> None:
+        """Return machines, which are terminated then."""
         await self._call("POST", "/rentals/return", wire.encode({"hosts": machines}))
 
-    async def page(self, after: str) -> wire.MachineListing:
+    async def list_page(self, after: str) -> wire.MachineListing:
+        """A page of the rented machines: those after the machine ``after``, or the first."""
         more = f"&from={after}" if after else ""
         return _listing.decode(await self._call("GET", f"/rentals?limit=500{more}"))
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -71,7 +71,7 @@
         hosts: list[wire.ListedMachine] = []
         after = ""
         while True:
-            page = await self.cloud.page(after)
+            page = await self.cloud.list_page(after)
             hosts += page.hosts
             if not page.has_next or not page.hosts:
                 break
@@ -91,7 +91,7 @@
                 refused = True
         if decision.terminate and self.membership.is_leader(now()) and self.rate_limit.try_take(now()):
             names = decision.terminate[:MAX_RETURNED]
-            await self.cloud.give_back(names)
+            await self.cloud.return_machines(names)
             self.core.on_terminated(names, now())
             await self.dispatch_effects()
         return refused
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -145,8 +145,8 @@
     return [
         await cloud.machine_types(),
         await cloud.rent("hire-1", "g4", "north-1", True, 6),
-        await cloud.give_back(["vm-1", "vm-2"]),
-        await cloud.page("vm-1"),
+        await cloud.return_machines(["vm-1", "vm-2"]),
+        await cloud.list_page("vm-1"),
     ]
 
 
