--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -14,6 +14,7 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.health import HealthCheck
 from alderbridge.controller.job_queries import JobQueries, JobQueryResponder
+from alderbridge.controller.job_records import JobRecordReader
 from alderbridge.controller.loops.machine_types import MachineTypesLoop
 from alderbridge.controller.loops.records import RecordWriter
 from alderbridge.controller.loops.replica import ReplicaLoop
@@ -79,10 +80,10 @@
         self.loops = self._make_loops(prober)
 
     def _make_users_api(self) -> UsersApi:
-        core, store, backoff, dispatch = self.core, self.store, self.store_backoff, self.dispatch_effects
-        status = StatusHandler(core, store, backoff, self.queries, self.unanswered_jobs)
-        submissions = SubmissionHandler(core, store, backoff, status, self.waiters, dispatch)
-        cancellations = CancellationHandler(core, self.queries, status, self.waiters, dispatch)
+        records = JobRecordReader(self.store, self.store_backoff)
+        status = StatusHandler(self.core, records, self.queries, self.unanswered_jobs)
+        submissions = SubmissionHandler(self.core, records, status, self.waiters, self.dispatch_effects)
+        cancellations = CancellationHandler(self.core, self.queries, status, self.waiters, self.dispatch_effects)
         return UsersApi(status, submissions, cancellations)
 
     def _make_router(self) -> Router:
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -13,25 +13,21 @@
 from dataclasses import dataclass
 
 import curio
-import msgspec
 
 from alderbridge import constants
 from alderbridge.controller import admission, job_queries, responses
 from alderbridge.controller.admission import Admission
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.job_records import JobRecordReader, StoreUnreachableError
 from alderbridge.controller.responses import Handled, Responder, Response
-from alderbridge.controller.store_backoff import StoreBackoff
 from alderbridge.controller.unanswered_jobs import UnansweredJobs
 from alderbridge.controller.waiters import Waiters
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.shard import JobState
 from alderbridge.protocol import wire
-from alderbridge.state.store import JOBS, Store, StoreRefusedError
-from alderbridge.transport.http import UnansweredError
 
 log = logging.getLogger("controller")
 now = time.monotonic
-_record = msgspec.json.Decoder(Record)
 
 TOO_LONG = "the job's description is too long"
 
@@ -51,14 +47,12 @@
     def __init__(
         self,
         core: ControllerCore,
-        store: Store,
-        store_backoff: StoreBackoff,
+        records: JobRecordReader,
         queries: JobQueries,
         unanswered: UnansweredJobs,
     ) -> None:
         self.core = core
-        self.store = store
-        self.store_backoff = store_backoff
+        self.records = records
         self.queries = queries
         self.unanswered = unanswered
 
@@ -129,15 +123,14 @@
 
     async def _read_status(self, job: str) -> Response:
         try:
-            row = await self.store.get(JOBS + job)
-        except (StoreRefusedError, UnansweredError, msgspec.DecodeError):
-            self.store_backoff.record_failure()
+            stored = await self.records.read(job)
+        except StoreUnreachableError:
             return responses.unavailable(responses.STORE_UNREACHABLE)
-        if row is None:
+        if stored is None:
             if self.core.knows_job(job):  # read before it was stored, and its user may have been told since
                 return responses.unavailable("stored a moment ago")
             return responses.error(404, responses.NO_SUCH_JOB)
-        record = _record.decode(row.data)
+        record = stored.record
         if record.state is not JobState.ACTIVE:
             return responses.ok(wire.job_status_body(job, record.state.value, 0, 0))
         has_dependencies = record.spec is not None and (record.spec.needs or record.dependency_digest)
@@ -153,15 +146,13 @@
     def __init__(
         self,
         core: ControllerCore,
-        store: Store,
-        store_backoff: StoreBackoff,
+        records: JobRecordReader,
         status: StatusHandler,
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
         self.core = core
-        self.store = store
-        self.store_backoff = store_backoff
+        self.records = records
         self.status = status
         self.waiters = waiters
         self.dispatch_effects = dispatch_effects
@@ -172,7 +163,7 @@
             spec = wire.parse_job(body)
         except wire.MalformedBodyError as error:
             return await self._refuse_malformed(body, str(error))
-        decision = admission.decide(self.core, spec, now(), self.store_backoff.is_active())
+        decision = admission.decide(self.core, spec, now(), self.records.store_backoff.is_active())
         if decision.admission is Admission.ALREADY_KNOWN:
             return await self.answer_resubmission(spec.id)
         if decision.admission is Admission.UNAVAILABLE:
@@ -212,13 +203,12 @@
                 continue
             # Another controller may have accepted it a moment ago: only the store can tell.
             try:
-                row = await self.store.get(JOBS + dependency)
-            except (StoreRefusedError, UnansweredError, msgspec.DecodeError):
-                self.store_backoff.record_failure()
+                stored = await self.records.read(dependency)
+            except StoreUnreachableError:
                 return responses.unavailable(responses.STORE_UNREACHABLE)
-            if row is None:
+            if stored is None:
                 return await self.refuse_unless_accepted(spec.id, f"waits_on: {dependency} was never accepted")
-            self.core.observe_end(dependency, _record.decode(row.data), row.revision)
+            self.core.observe_end(dependency, stored.record, stored.revision)
         return None
 
     async def _store(self, spec: wire.JobSpec) -> Response:
--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -60,6 +60,7 @@
 
     def _send(self, probe: Probe) -> None:
         def on_answer(answer: tuple[int, bytes] | None) -> None:
+            """The exchange has ended; None: without an answer."""
             self.exchanges.discard(exchange)
             self._on_answer(probe, answer)
 
