--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -14,7 +14,7 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.leader.leader import ScalingDecision
 from alderbridge.protocol import wire
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 from alderbridge.transport.http import TokenBucket, UnansweredError
 
 log = logging.getLogger("controller")
@@ -96,7 +96,7 @@
             await self.dispatch_effects()
         return refused
 
-    async def _rent(self, kind: Kind, count: int) -> bool:
+    async def _rent(self, kind: MachineKind, count: int) -> bool:
         """Rent ``count`` machines; True if all of them were granted."""
         leader = self.core.leader
         self.rentals += 1
