--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -1,7 +1,8 @@
-"""Client of the state service: reads, transactions, holds, follow."""
+"""Client of the state service: reads, compare-and-swap transactions, leases and the watch."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from typing import Any
 
 import msgspec
@@ -9,61 +10,67 @@
 from alderbridge import constants
 from alderbridge.protocol import wire
 from alderbridge.settings import address
+from alderbridge.state.errors import (
+    LeaseExpiredError,
+    RateLimitedError,
+    StoreError,
+    StoreRefusedError,
+    TransactionTooLargeError,
+    WatchCompactedError,
+)
+from alderbridge.state.keys import (
+    BUDGETS,
+    CLAIMS,
+    DECLARED,
+    JOBS,
+    LISTS,
+    MACHINES,
+    MEMBERS,
+    ROOT,
+    STOPS,
+    TYPES,
+    VIEW,
+)
 from alderbridge.transport.http import Client
 
-_rows = msgspec.json.Decoder(wire.KeyValuePage)
-_row = msgspec.json.Decoder(wire.KeyValue)
-_changes = msgspec.json.Decoder(wire.WatchResponse)
-_committed = msgspec.json.Decoder(wire.TransactionResult)
-_hold = msgspec.json.Decoder(wire.LeaseGranted)
+__all__ = [  # beside Store, the names of keys.py and errors.py under the path they had
+    "BUDGETS",
+    "CLAIMS",
+    "DECLARED",
+    "JOBS",
+    "LISTS",
+    "MACHINES",
+    "MEMBERS",
+    "ROOT",
+    "STOPS",
+    "TYPES",
+    "VIEW",
+    "LeaseExpiredError",
+    "RateLimitedError",
+    "Store",
+    "StoreError",
+    "StoreRefusedError",
+    "TransactionTooLargeError",
+    "WatchCompactedError",
+]
+
+_page = msgspec.json.Decoder(wire.KeyValuePage)
+_key_value = msgspec.json.Decoder(wire.KeyValue)
+_watch_response = msgspec.json.Decoder(wire.WatchResponse)
+_transaction_result = msgspec.json.Decoder(wire.TransactionResult)
+_lease_granted = msgspec.json.Decoder(wire.LeaseGranted)
+
+_UNAVAILABLE = (500, 502, 503, 504)  # statuses of a store that did not carry the request out
+_PAGE_KEYS = 500  # keys of one page of a listing
+_ERROR_TEXT_CHARACTERS = 200  # of the store's own words in an error
 
-ROOT = "ab/"
-VIEW = "ab/view"
-MEMBERS = "ab/m/"
-TYPES = "ab/types"
-JOBS = "ab/j/"
-MACHINES = "ab/n/"
-LISTS = "ab/w/"  # what a job waits for, where its record has no room for it
-DECLARED = "ab/d/"  # what operators declare
-CLAIMS = "ab/c/"  # a machine's claim: whose room it is, and which tasks stop for it
-BUDGETS = "ab/b"  # stops spent in the running minute
-STOPS = "ab/s/"  # a job's tasks that claims have stopped, and how often
 
+class Store:
+    """Calls of the state service.
 
-class StoreError(Exception):
-    """A call to the store did not succeed.
-
-    * ``StoreRefusedError``: not carried out.
-
-      * ``RateLimitedError``: too many requests for a moment.
-
-    * ``LeaseExpiredError``: the lease of this process is gone.
-    * ``TransactionTooLargeError``: more than the store takes.
-    * ``WatchCompactedError``: the changes asked for are no longer kept.
+    Beside what each method names, all raise ``StoreRefusedError``, and ``UnansweredError`` where no answer came.
     """
 
-
-class StoreRefusedError(StoreError):
-    """503 or 429: the store did not carry the request out."""
-
-
-class RateLimitedError(StoreRefusedError):
-    """429: for a moment the store is asked too much. No outage: the same goes a little later."""
-
-
-class LeaseExpiredError(StoreError):
-    """The lease has ended; what was attached to it is gone."""
-
-
-class TransactionTooLargeError(StoreError):
-    """400: a value, or the transaction, is larger than the store takes now. Repeated unchanged it never will be."""
-
-
-class WatchCompactedError(StoreError):
-    """The store no longer has the changes since that revision."""
-
-
-class Store:
     def __init__(self, endpoint: str) -> None:
         self.client = Client(*address(endpoint))
         self.watch_client = Client(*address(endpoint), keep=1)
@@ -80,25 +87,27 @@
         status, answer = await (client or self.client).request(method, target, raw, timeout_s)
         if status == 429:
             raise RateLimitedError(f"{method} {target}: {status}")
-        if status in (500, 502, 503, 504):
+        if status in _UNAVAILABLE:
             raise StoreRefusedError(f"{method} {target}: {status}")
         return status, answer
 
     async def get(self, key: str) -> wire.KeyValue | None:
+        """What is under a key; None: nothing."""
         status, answer = await self._call("GET", f"/kv/{key}")
-        if status not in (200, 404):  # no word of the key: told as 404, an accepted job was forgotten
+        if status not in (200, 404):  # says nothing of the key: taken for 404, an accepted job was lost
             raise StoreRefusedError(f"get {key}: {status}")
-        return _row.decode(answer) if status == 200 else None
+        return _key_value.decode(answer) if status == 200 else None
 
     async def list_page(self, prefix: str, after: str | None) -> wire.KeyValuePage:
-        more = f"&from={after}" if after else ""
-        status, answer = await self._call("GET", f"/kv?starts={prefix}{more}&limit=500")
+        """Keys under a prefix, in order, from the first one behind ``after`` on; as many as fit in one page."""
+        start = f"&from={after}" if after else ""
+        status, answer = await self._call("GET", f"/kv?starts={prefix}{start}&limit={_PAGE_KEYS}")
         if status != 200:
             raise StoreRefusedError(f"page {prefix}: {status}")
-        return _rows.decode(answer)
+        return _page.decode(answer)
 
     async def commit(
-        self, conditions: dict[str, int], puts: dict[str, Any], drops: list[str] = (), lease_id: int | None = None
+        self, conditions: dict[str, int], puts: dict[str, Any], drops: Sequence[str] = (), lease_id: int | None = None
     ) -> wire.TransactionResult:
         """A compare-and-swap transaction; empty ``failed``: it was applied at ``revision``.
 
@@ -114,18 +123,20 @@
         body = {"if": [{"k": key, "stamp": revision} for key, revision in conditions.items()], "writes": writes}
         status, answer = await self._call("POST", "/commit", body)
         if status == 400:
-            text = answer.decode("utf-8", "replace")[:200]
-            # Only this text speaks of the hold: a limit that has come down must not cost the controller its place.
+            text = answer.decode("utf-8", "replace")[:_ERROR_TEXT_CHARACTERS]
+            # Only this text is about the lease: a limit that was lowered must not cost the controller its membership.
             raise LeaseExpiredError(text) if "no such lease" in text else TransactionTooLargeError(text)
-        return _committed.decode(answer)
+        return _transaction_result.decode(answer)
 
     async def grant_lease(self, ttl_s: float) -> int:
+        """The id of a new lease."""
         status, answer = await self._call("POST", "/holds", {"ttl_ms": int(ttl_s * 1000)})
         if status != 200:
             raise StoreRefusedError(f"hold: {status}")
-        return _hold.decode(answer).lease_id
+        return _lease_granted.decode(answer).lease_id
 
     async def renew_lease(self, lease_id: int) -> None:
+        """Extend a lease by its ttl. Raises ``LeaseExpiredError``."""
         status, _ = await self._call("POST", f"/holds/{lease_id}/extend")
         if status == 404:
             raise LeaseExpiredError(str(lease_id))
@@ -133,13 +144,15 @@
             raise StoreRefusedError(f"extend: {status}")
 
     async def revoke_lease(self, lease_id: int) -> None:
+        """End a lease; what is attached to it goes with it."""
         await self._call("DELETE", f"/holds/{lease_id}")
 
     async def watch_now(self, revision: int) -> wire.WatchResponse:
-        """What has changed since, without waiting."""
+        """The changes since that revision, without waiting. Raises ``WatchCompactedError``."""
         return await self.watch(revision, 0.0)
 
     async def watch(self, revision: int, wait_s: float) -> wire.WatchResponse:
+        """The changes since that revision; if there are none, wait for some. Raises ``WatchCompactedError``."""
         wait_ms = int(wait_s * 1000)
         status, answer = await self._call(
             "GET",
@@ -151,4 +164,4 @@
             raise WatchCompactedError(str(revision))
         if status != 200:
             raise StoreRefusedError(f"follow: {status}")
-        return _changes.decode(answer)
+        return _watch_response.decode(answer)
