--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -110,7 +110,7 @@
         job = key[len(JOBS) :]
         known = self.active.get(job)
         if known is None or revision > known[1]:  # else it is this controller's own write
-            self.saw_job(job, _record.decode(data), revision)
+            self.observe_job(job, _record.decode(data), revision)
 
     def _apply_list(self, key: str, data: msgspec.Raw | None, _revision: int) -> None:
         if data is None:
@@ -135,7 +135,7 @@
 
     # -- jobs --------------------------------------------------------------------
 
-    def saw_job(self, job: str, record: Record, revision: int) -> None:
+    def observe_job(self, job: str, record: Record, revision: int) -> None:
         """A job's record, as of that revision of it; an older one than is known changes nothing."""
         known = self.active.get(job)
         if known is not None and revision <= known[1]:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -463,7 +463,7 @@
     monkeypatch.setattr(policy, "block_ends", lambda age_s, within_s: True)
     monkeypatch.setattr(policy, "keep_idle", lambda walk, resource: False)
     spec = world.make_job(99)
-    leader.replica.saw_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
+    leader.replica.observe_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
     queue.told[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     began = leader.scale_in_guard.since
