--- a/alderbridge/protocol/messages.py
+++ b/alderbridge/protocol/messages.py
@@ -1,6 +1,7 @@
-"""What controllers say to each other: tagged tuples in frames.
+"""The messages between controllers: tagged arrays in frames.
 
 Positions and tags go over the wire, names do not. A field may only be added at the end of a structure, with a default.
+Amounts of teams are (cpus, gpus); a number of protocol version says which members a message may be sent to.
 """
 
 from __future__ import annotations
@@ -9,15 +10,15 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True):
-    """Base of all messages; each names its tag, which goes over the wire."""
+    """Base of all messages; each states its tag, which goes over the wire."""
 
 
-class KeepAlive(Message, tag="Pulse"):
-    """Nothing to say: carries the acknowledgement."""
+class KeepAlive(Message, frozen=True, tag="Pulse"):
+    """No content: its frame carries an acknowledgement."""
 
 
 class QueueRow(msgspec.Struct, array_like=True, frozen=True):
-    """One waiting job at its home."""
+    """One waiting job of a job shard."""
 
     job: str
     waiting: int  # tasks that wait
@@ -29,64 +30,64 @@
     late: bool  # has missed every Maximum Queue Time
     guaranteed: bool  # lies within its team's guarantee
     rank: int = -1  # priority of the jobs that need it, where higher than its own
-    inherited: int = 0  # tasks behind the barrier: they may be on a machine that has not been heard
+    inherited: int = 0  # tasks behind the recovery barrier: they may be on a machine that has not reported yet
     priority_boost: int = 0  # 1: it goes first among its priority, 2: before all that is not guaranteed
 
 
-class QueueSnapshot(Message, tag="Queue"):
-    """A home's waiting jobs and what its teams hold; sent every round."""
+class QueueSnapshot(Message, frozen=True, tag="Queue"):
+    """A job shard's waiting jobs and the usage of its teams; sent every round."""
 
     rows: list[QueueRow]
     used: dict[str, tuple[float, float]]
-    reserved: dict[str, tuple[float, float]]  # the larger of what is used and what is allowed
+    reserved: dict[str, tuple[float, float]]  # the larger of what is used and what is allocated
     demand: dict[str, tuple[float, float]]
-    allocations_received: int  # allotments received under this mandate
-    suspected: list[str] = []  # members that the sender does not hear
-    failed: list[str] = []  # of these, those that it hears no more under this mandate, whatever comes
+    allocations_received: int  # quota allocations received under this fencing token
+    suspected: list[str] = []  # members of which the sender has no frame lately
+    failed: list[str] = []  # of these, those whose frames it accepts no more under this fencing token
     changes: int = -1  # of the store, that it made in a second lately; -1: it may make all of its share
 
 
-class QueueDelta(Message, tag="QueueChanges"):
-    """Rows of a home's queue that are news, in order after the ones before. Only among members of generation 6."""
+class QueueDelta(Message, frozen=True, tag="QueueChanges"):
+    """Rows of a job shard's queue that have changed since the delta before. Since protocol version 6."""
 
     at: float  # when this was made, s of the sender's steady clock; the times of the rows are as they stood then
     rows: list[QueueRow]
-    gone: list[str]  # jobs that have no row any more
-    whole: bool  # all rows: what was told before is void
+    gone: list[str]  # jobs whose rows are to be removed
+    whole: bool  # all rows: they replace the ones before
 
 
 class TeamUsage(msgspec.Struct, array_like=True, frozen=True):
-    """One team's sums at one home; each is cpus, gpus."""
+    """One team's sums at one job shard."""
 
     used: tuple[float, float]
-    reserved: tuple[float, float]  # the larger of what is used and what is allowed
+    reserved: tuple[float, float]  # the larger of what is used and what is allocated
     demand: tuple[float, float]
 
 
-class TeamUsageDelta(Message, tag="TeamChanges"):
-    """A home's sums that differ from what the leader was told. Only among members of generation 6."""
+class TeamUsageDelta(Message, frozen=True, tag="TeamChanges"):
+    """A job shard's sums that have changed since the delta before. Since protocol version 6."""
 
-    teams: dict[str, TeamUsage]  # nothing but zeros: the team has none any more
-    allocations_received: int  # allowances received under this mandate, on which these sums rest
-    whole: bool  # all teams: what was told before is void
+    teams: dict[str, TeamUsage]  # nothing but zeros: the team has no jobs any more
+    allocations_received: int  # quota allocations received under this fencing token, which these sums include
+    whole: bool  # all teams: they replace the ones before
 
 
-class PeerStatus(Message, tag="Status"):
-    """What each member needs to know of another in each round. Only among members of generation 6."""
+class PeerStatus(Message, frozen=True, tag="Status"):
+    """What each member needs to know of another in each round. Since protocol version 6."""
 
-    suspected: list[str]  # members that the sender does not hear
-    failed: list[str]  # of these, those that it hears no more under this mandate, whatever comes
+    suspected: list[str]  # members of which the sender has no frame lately
+    failed: list[str]  # of these, those whose frames it accepts no more under this fencing token
     changes: int  # of the store, that it made in a second lately
 
 
-class QuotaDelta(Message, tag="AllotChanges"):
-    """Allowances of one home that differ from the ones before. Only among members of generation 6."""
+class QuotaDelta(Message, frozen=True, tag="AllotChanges"):
+    """Quota allocations of one job shard that have changed since the ones before. Since protocol version 6."""
 
     teams: dict[str, tuple[float, float]]
 
 
 class MachineSummary(msgspec.Struct, array_like=True, frozen=True):
-    """One machine as its part sees it."""
+    """One machine as its machine shard sees it."""
 
     machine: str
     type: str
@@ -95,18 +96,18 @@
     state: str
     idle_s: float
     free: tuple[float, float, float]  # cpus, memory, gpus
-    ends: list[tuple[float, float, float, float]]  # remaining s, cpus, memory, gpus
+    ends: list[tuple[float, float, float, float]]  # of its tasks: expected remaining s, cpus, memory, gpus
     silent_s: float
 
 
-class MachineSummaries(Message, tag="Room"):
-    """A part's machines, for the leader."""
+class MachineSummaries(Message, frozen=True, tag="Room"):
+    """The machines of a machine shard, for the leader."""
 
     rows: list[MachineSummary]
 
 
-class TaskRequest(Message, tag="Take"):
-    """A part with room asks a job's home for tasks."""
+class TaskRequest(Message, frozen=True, tag="Take"):
+    """A machine shard with room asks a job shard for tasks."""
 
     request_id: int
     job: str
@@ -115,8 +116,8 @@
     count: int
 
 
-class TaskGrant(Message, tag="Grant"):
-    """The home's answer: tasks (index, attempt) for that machine; may be none."""
+class TaskGrant(Message, frozen=True, tag="Grant"):
+    """The job shard's answer: tasks (index, attempt) for that machine; may be none."""
 
     request_id: int
     job: str
@@ -125,6 +126,8 @@
 
 
 class TaskStatusReport(msgspec.Struct, array_like=True, frozen=True):
+    """A task as the worker last reported it; ``cause``: why it ended, if it failed."""
+
     job: str
     index: int
     attempt: int
@@ -132,27 +135,31 @@
     cause: str | None
 
 
-class MachineTaskReport(Message, tag="Seen"):
-    """All that is known of one home's tasks on one machine; a proof of absence.
+class MachineTaskReport(Message, frozen=True, tag="Seen"):
+    """All that is known of one job shard's tasks on one machine: also proof of which are not there.
 
-    ``upto`` is the last message of the home that the part had handled.
+    ``processed_seq`` is the sequence of the job shard's last message that the machine shard had processed.
     """
 
     machine: str
     zone: str
     processed_seq: int
     tasks: list[TaskStatusReport]
-    pending: list[tuple[str, int, int]]  # granted, and not yet seen in a report
+    pending: list[tuple[str, int, int]]  # job, index, attempt: granted, and not in a heartbeat yet
+
 
+class AcknowledgeFinished(Message, frozen=True, tag="Clear"):
+    """A job shard has stored the result of that attempt: the worker may forget it."""
 
-class AcknowledgeFinished(Message, tag="Clear"):
     machine: str
     job: str
     index: int
     attempt: int
 
 
-class StopTask(Message, tag="Halt"):
+class StopTask(Message, frozen=True, tag="Halt"):
+    """A job shard wants that attempt stopped; it has ``wind_down_s`` to save a checkpoint."""
+
     machine: str
     job: str
     index: int
@@ -160,30 +167,30 @@
     wind_down_s: float
 
 
-class QuotaAllocation(Message, tag="Allot"):
-    """The leader's allowance for one home: team -> cpus, gpus."""
+class QuotaAllocation(Message, frozen=True, tag="Allot"):
+    """All quota that the leader allocates to one job shard, by team."""
 
     teams: dict[str, tuple[float, float]]
 
 
-class DrainMachines(Message, tag="Drain"):
-    """The leader wants these machines back; nothing may be placed on them again."""
+class DrainMachines(Message, frozen=True, tag="Drain"):
+    """The leader is about to return these machines: nothing may be placed on them again."""
 
     machines: list[str]
 
 
-class MachinesTerminated(Message, tag="Gone"):
-    """The cloud has confirmed that these machines and all on them are gone."""
+class MachinesTerminated(Message, frozen=True, tag="Gone"):
+    """The cloud has confirmed that these machines, and all tasks on them, are terminated."""
 
     machines: list[str]
 
 
-class ListMachineTasks(Message, tag="Show"):
-    """The leader may have to stop tasks: parts tell it of theirs, once. Only among members of generation 4."""
+class ListMachineTasks(Message, frozen=True, tag="Show"):
+    """The leader may have to preempt: machine shards answer with their tasks, once. Since protocol version 4."""
 
 
 class MachineTasks(msgspec.Struct, array_like=True, frozen=True):
-    """Tasks on one machine that might be stopped, or are victims of its claim."""
+    """Tasks on one machine that might be preempted, or are victims of its claim."""
 
     machine: str
     free: tuple[float, float, float]  # cpus, memory, gpus
@@ -191,28 +198,30 @@
     images: list[str] = []  # of a machine with GPUs: cached, or being fetched
 
 
-class MachineTaskList(Message, tag="Tasks"):
+class MachineTaskList(Message, frozen=True, tag="Tasks"):
     """A machine shard's tasks, for the leader: on machines with a claim, or on all that are up if it asked so."""
 
     rows: list[MachineTasks]
     whole: bool
 
 
-class GpuReservation(Message, tag="Keep"):
-    """GPUs that lending work leaves free, by machine, for a few seconds. Only among members of generation 4."""
+class GpuReservation(Message, frozen=True, tag="Keep"):
+    """GPUs by machine that lending keeps free for ``GPU_RESERVATION_TTL_S``. Since protocol version 4."""
 
     gpus: dict[str, float]
 
 
-class JobQuery(Message, tag="Ask"):
-    """A user's question, passed to the job's home."""
+class JobQuery(Message, frozen=True, tag="Ask"):
+    """A user's question, passed on to the job shard."""
 
     query_id: int
     kind: str  # "status" or "withdraw"
     job: str
 
 
-class JobQueryReply(Message, tag="Reply"):
+class JobQueryReply(Message, frozen=True, tag="Reply"):
+    """The answer: status and body as the user gets them."""
+
     query_id: int
     status: int
     body: bytes
@@ -243,10 +252,14 @@
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
+    """A message on its way, and the acknowledgement of the other direction."""
+
     version: str
     sender: str
     fencing_token: int
-    seq: int  # 0: not resent when lost
-    ack: int
+    seq: int  # counts the messages that must arrive, under one fencing token; 0: not resent when lost
+    ack: int  # the last ``seq`` that the sender has received
     body: Body
-    sender_lease_id: int = 0  # under which the sender takes part in the mandate's view; 0: it does not, or is older
+    sender_lease_id: int = (
+        0  # under which the sender takes part in this view; 0: it does not, or is of an older version
+    )
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -18,7 +18,9 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.preemption import Ledger
-from alderbridge.protocol.wire import JobSpec, MachineRecord, MachineType, MachineTypes, WatchEvent
+from alderbridge.protocol.cloud import MachineType, MachineTypes
+from alderbridge.protocol.jobs import JobSpec
+from alderbridge.protocol.store import MachineRecord, WatchEvent
 from alderbridge.state.keys import (
     BUDGETS,
     CLAIMS,
--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -8,7 +8,19 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.protocol import wire
+from alderbridge.protocol.encoding import encode
+from alderbridge.protocol.store import (
+    Condition,
+    Drop,
+    KeyValue,
+    KeyValuePage,
+    LeaseGranted,
+    LeaseRequest,
+    Put,
+    TransactionRequest,
+    TransactionResult,
+    WatchResponse,
+)
 from alderbridge.settings import address
 from alderbridge.state.errors import (
     LeaseExpiredError,
@@ -54,11 +66,11 @@
     "WatchCompactedError",
 ]
 
-_page = msgspec.json.Decoder(wire.KeyValuePage)
-_key_value = msgspec.json.Decoder(wire.KeyValue)
-_watch_response = msgspec.json.Decoder(wire.WatchResponse)
-_transaction_result = msgspec.json.Decoder(wire.TransactionResult)
-_lease_granted = msgspec.json.Decoder(wire.LeaseGranted)
+_page = msgspec.json.Decoder(KeyValuePage)
+_key_value = msgspec.json.Decoder(KeyValue)
+_watch_response = msgspec.json.Decoder(WatchResponse)
+_transaction_result = msgspec.json.Decoder(TransactionResult)
+_lease_granted = msgspec.json.Decoder(LeaseGranted)
 
 _UNAVAILABLE = (500, 502, 503, 504)  # statuses of a store that did not carry the request out
 _PAGE_KEYS = 500  # keys of one page of a listing
@@ -83,7 +95,7 @@
         timeout_s: float = constants.STATE_TIMEOUT_S,
         client: Client | None = None,
     ) -> tuple[int, bytes]:
-        raw = b"" if body is None else wire.encode(body)
+        raw = b"" if body is None else encode(body)
         status, answer = await (client or self.client).request(method, target, raw, timeout_s)
         if status == 429:
             raise RateLimitedError(f"{method} {target}: {status}")
@@ -91,14 +103,14 @@
             raise StoreRefusedError(f"{method} {target}: {status}")
         return status, answer
 
-    async def get(self, key: str) -> wire.KeyValue | None:
+    async def get(self, key: str) -> KeyValue | None:
         """What is under a key; None: nothing."""
         status, answer = await self._call("GET", f"/kv/{key}")
         if status not in (200, 404):  # says nothing of the key: taken for 404, an accepted job was lost
             raise StoreRefusedError(f"get {key}: {status}")
         return _key_value.decode(answer) if status == 200 else None
 
-    async def list_page(self, prefix: str, after: str | None) -> wire.KeyValuePage:
+    async def list_page(self, prefix: str, after: str | None) -> KeyValuePage:
         """Keys under a prefix, in order, from the first one behind ``after`` on; as many as fit in one page."""
         start = f"&from={after}" if after else ""
         status, answer = await self._call("GET", f"/kv?starts={prefix}{start}&limit={_PAGE_KEYS}")
@@ -108,20 +120,16 @@
 
     async def commit(
         self, conditions: dict[str, int], puts: dict[str, Any], drops: Sequence[str] = (), lease_id: int | None = None
-    ) -> wire.TransactionResult:
+    ) -> TransactionResult:
         """A compare-and-swap transaction; empty ``failed``: it was applied at ``revision``.
 
         Raises ``LeaseExpiredError`` where ``lease_id`` has ended, ``TransactionTooLargeError`` for any other 400.
         """
-        writes: list[dict[str, Any]] = []
-        for key, value in puts.items():
-            write = {"put": key, "data": value}
-            if lease_id is not None:
-                write["permit"] = lease_id
-            writes.append(write)
-        writes += [{"drop": key} for key in drops]
-        body = {"if": [{"k": key, "stamp": revision} for key, revision in conditions.items()], "writes": writes}
-        status, answer = await self._call("POST", "/commit", body)
+        request = TransactionRequest(
+            [Condition(key, revision) for key, revision in conditions.items()],
+            [*(Put(key, value, lease_id) for key, value in puts.items()), *map(Drop, drops)],
+        )
+        status, answer = await self._call("POST", "/commit", request)
         if status == 400:
             text = answer.decode("utf-8", "replace")[:_ERROR_TEXT_CHARACTERS]
             # Only this text is about the lease: a limit that was lowered must not cost the controller its membership.
@@ -130,7 +138,7 @@
 
     async def grant_lease(self, ttl_s: float) -> int:
         """The id of a new lease."""
-        status, answer = await self._call("POST", "/holds", {"ttl_ms": int(ttl_s * 1000)})
+        status, answer = await self._call("POST", "/holds", LeaseRequest(int(ttl_s * 1000)))
         if status != 200:
             raise StoreRefusedError(f"hold: {status}")
         return _lease_granted.decode(answer).lease_id
@@ -147,11 +155,11 @@
         """End a lease; what is attached to it goes with it."""
         await self._call("DELETE", f"/holds/{lease_id}")
 
-    async def watch_now(self, revision: int) -> wire.WatchResponse:
+    async def watch_now(self, revision: int) -> WatchResponse:
         """The changes since that revision, without waiting. Raises ``WatchCompactedError``."""
         return await self.watch(revision, 0.0)
 
-    async def watch(self, revision: int, wait_s: float) -> wire.WatchResponse:
+    async def watch(self, revision: int, wait_s: float) -> WatchResponse:
         """The changes since that revision; if there are none, wait for some. Raises ``WatchCompactedError``."""
         wait_ms = int(wait_s * 1000)
         status, answer = await self._call(
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -4,6 +4,7 @@
 from datetime import UTC, date, datetime, timedelta
 from zoneinfo import ZoneInfo
 
+import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -212,22 +213,22 @@
     monday = at(2026, 6, 1, 8, 0)
     timetable = table(hours, rule)
     assert may(timetable, monday + 39 * 60) and not may(timetable, monday + 40 * 60)  # twice 10 minutes
-    long = wire.msgspec.structs.replace(SPEC, estimate_s=3600.0)
+    long = msgspec.structs.replace(SPEC, estimate_s=3600.0)
     assert timetable.look(long, monday, 0.0).opens_at == at(2026, 6, 2, 8, 0)
-    for_ever = wire.msgspec.structs.replace(SPEC, estimate_s=7201.0)
+    for_ever = msgspec.structs.replace(SPEC, estimate_s=7201.0)
     assert timetable.look(for_ever, monday, 0.0)[:2] == (False, NEVER)
     assert table(hours, name="e").look(SPEC, monday, 0.0).opens_at == NEVER
 
 
 def test_the_cautious_end_of_the_clock_the_stop_and_the_warm_up():
     timetable = table("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "at closing = stop\nwarm up = 120")
-    eight, spec = datetime(2026, 6, 1, 8, tzinfo=UTC).timestamp(), wire.msgspec.structs.replace(SPEC, save_s=10.0)
+    eight, spec = datetime(2026, 6, 1, 8, tzinfo=UTC).timestamp(), msgspec.structs.replace(SPEC, save_s=10.0)
     look = timetable.look(spec, eight - 125.0, 2.0)
     assert not look.warm and look.opens_at == eight + 2.0 and look.stop_at < eight
     assert timetable.look(spec, eight - 118.0, 2.0).warm and not may(timetable, eight + 1.9, 2.0)
     assert may(timetable, eight + 2.0, 2.0) and timetable.look(spec, eight + 9.0, 2.0).stop_at == eight + 3588.0
     assert may(timetable, eight + 3557.0, 2.0, spec) and not may(timetable, eight + 3558.0, 2.0, spec)
-    service = wire.msgspec.structs.replace(SPEC, kind="standing", estimate_s=0.0)
+    service = msgspec.structs.replace(SPEC, kind="standing", estimate_s=0.0)
     ends = table("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "end before closing = yes")
     assert ends.look(service, eight, 0.0).stop_at == eight + 3600.0  # a replica has no end of its own
     assert ends.look(SPEC, eight, 0.0).stop_at == NEVER
@@ -300,8 +301,8 @@
         "[calendar c]\nzone = Europe/Oslo\nmon-fri = 08:00-16:00\nholidays = NO, GB-ENG\n"
         "holiday years = 2026-2030\n[class desk/*]\ncalendar = c\nend before closing = yes"
     )
-    raw = wire.msgspec.json.encode(text)
-    assert len(raw) < 900 and wire.msgspec.json.decode(raw, type=Text) == text
+    raw = msgspec.json.encode(text)
+    assert len(raw) < 900 and msgspec.json.decode(raw, type=Text) == text
     timetable = Timetable(text)
     calls = []
     inner, timetable._look = timetable._look, lambda *args: calls.append(args) or inner(*args)
