--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -43,7 +43,7 @@
     TYPES,
     VIEW,
 )
-from alderbridge.transport.http import Client
+from alderbridge.transport.http_client import Client
 
 __all__ = [  # beside Store, the names of keys.py and errors.py under the path they had
     "BUDGETS",
--- a/alderbridge/state/write_rate_limit.py
+++ b/alderbridge/state/write_rate_limit.py
@@ -10,7 +10,7 @@
 import math
 
 from alderbridge import constants
-from alderbridge.transport.http import TokenBucket
+from alderbridge.transport.token_bucket import TokenBucket
 
 
 class WriteRateLimit:
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -15,8 +15,8 @@
 from alderbridge import constants
 from alderbridge.protocol.messages import Frame, Message
 from alderbridge.settings import address
-from alderbridge.transport.http import connect
 from alderbridge.transport.selector import Listener, Poll, listening
+from alderbridge.transport.sockets import connect
 
 log = logging.getLogger("mesh")
 now = time.monotonic
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 
 from alderbridge import constants
 from alderbridge.protocol import messages
-from alderbridge.transport import http, mesh
+from alderbridge.transport import http, http_client, http_response, http_server, mesh
 from alderbridge.transport.selector import OUT, Poll
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -53,7 +53,7 @@
 def test_an_overdue_connection_is_ended_and_others_go_on(monkeypatch):
     monkeypatch.setattr(constants, "OVERDUE_CHECK_S", 0.0)
     clock = [100.0]
-    monkeypatch.setattr(http, "now", lambda: clock[0])
+    monkeypatch.setattr(http_server, "now", lambda: clock[0])
 
     poll = Poll()
     server = http.Server(lambda *_request: (200, b"{}", []), 2, poll)
@@ -143,7 +143,7 @@
     connection = http.Connection(server, sock)
     for _ in range(100_000):
         if not known:
-            server.report = server.question = connection.plain = None
+            server.known_post_head = server.known_get_head = connection.known_head = None
         if replies:
             connection.ready(1)  # more comes meanwhile: it has to wait
             reply, answer = replies.pop()
@@ -250,14 +250,14 @@
     async def connect(*_address):
         return There()
 
-    monkeypatch.setattr(http, "read", read)
-    monkeypatch.setattr(http, "connect", connect)
+    monkeypatch.setattr(http_client, "read", read)
+    monkeypatch.setattr(http_client, "connect", connect)
 
     async def play(known):
         results = []
         for pieces in answers:
             if not known:
-                http._answers.clear()
+                http_response._known_heads.clear()
             there, body = There(), b"q" * rng.choice((0, 3))
             there.pieces, client = list(pieces), http.Client("h", 1)
             client.idle.append(there)
@@ -280,7 +280,7 @@
     async def hang(*_address):
         await curio.sleep(60.0)
 
-    monkeypatch.setattr(curio, "open_connection", hang)
+    monkeypatch.setattr(http_client, "connect", hang)
     with pytest.raises(http.UnansweredError):
         curio.run(http.Client("127.0.0.1", 1).request, "GET", "/kv")
 
@@ -357,7 +357,7 @@
         seen.append("later")
 
     async def note():
-        after.append((http.now(), list(seen)))
+        after.append((http_server.now(), list(seen)))
 
     async def play():
         serving = await curio.spawn(poll.serve, note)
@@ -369,7 +369,7 @@
         while not after or seen[-1] != "later":
             await curio.sleep(0.01)
         assert set(after[0][1]) == {(0, b"x"), (1, b"x"), (2, b"x"), (2, None), (3, b"x")}
-        poll.alarm = due = http.now() + 0.03
+        poll.alarm = due = http_server.now() + 0.03
         count = len(after)
         while len(after) == count:
             await curio.sleep(0.01)
