--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -132,7 +132,7 @@
         self.machine_shard.processed_seq_of = self.processed_seq_of
         self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
         self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
-        self.busy: placement.Busy | None = None  # made when first asked for in a round
+        self.busy: placement.BusyMachines | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
             float("-inf"),
@@ -342,7 +342,7 @@
                 self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
             case messages.TaskRequest():
                 self.job_shard.on_task_request(label, body, self.now, self.may_act())
-                self.queue_publisher.delta_tracker.tell_again(label, body.job)
+                self.queue_publisher.delta_tracker.resend_row(label, body.job)
             case messages.TaskGrant():
                 machine = self.machine_shard.on_task_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
@@ -391,7 +391,7 @@
 
     def on_queue(self, label: str, queue: messages.QueueSnapshot) -> None:
         """The whole queue of a home that tells no changes."""
-        self.offer_book.take_queue(label, queue, self.now)
+        self.offer_book.apply_snapshot(label, queue, self.now)
         self.leader.on_queue(label, queue, self.now)
         if label != self.me:
             self.write_rate_limit.record_peer_rate(label, queue.changes, self.now)
@@ -399,7 +399,7 @@
     def on_queue_changes(self, label: str, changes: messages.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
         at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.now)
-        self.offer_book.take_changes(label, changes, at)
+        self.offer_book.apply_delta(label, changes, at)
         if self.membership.view.leader == self.me:
             self.leader.on_queue_changes(label, changes, at)
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -32,7 +32,7 @@
 )
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.placement import Offer, fits
-from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.scheduling.policy import MachineKind, MachineResource
 from alderbridge.settings import ConfigError, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -86,7 +86,8 @@
     def __init__(self, rng):
         self.rng = rng
         self.machines = [
-            [f"n-{i}", Kind("g8", rng.choice(ZONES), False), (96.0, 768.0, 8.0), []] for i in range(rng.randint(2, 9))
+            [f"n-{i}", MachineKind("g8", rng.choice(ZONES), False), (96.0, 768.0, 8.0), []]
+            for i in range(rng.randint(2, 9))
         ]
         self.used = {team.name: (0.0, 0.0) for team in TEAMS}
         self.services, self.sites, self.gangs = [], {}, Counter()
@@ -173,7 +174,7 @@
         lender.stopping["maps"] = 2.0
         lender.see(self.sites, {name: kind.zone for name, kind, _, _ in self.machines})
         lender.teams = Teams(TEAMS, self.used)
-        resources = [Resource(kind, free) for _, kind, free, _ in self.machines]
+        resources = [MachineResource(kind, free) for _, kind, free, _ in self.machines]
         needs = lender.needs(self.services, resources, self.used, {})
         held = [
             Held(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
@@ -294,7 +295,7 @@
     victims = [Victim(one.id, int(name[2:]) * 8 + index, 7, one, ran, saved) for index in range(tasks)]
     return Held(
         name,
-        Kind("g8", zone, False),
+        MachineKind("g8", zone, False),
         (96.0 - one.cpus * tasks, 768.0 - one.memory_gb * tasks, 8.0 - one.gpus * tasks),
         victims,
     )
@@ -305,7 +306,7 @@
     one = lent or lender()
     one.see(sites or {}, {held.machine: held.kind.zone for held in machines})
     one.teams = Teams(TEAMS, used)
-    needs = one.needs([service], [Resource(held.kind, held.free) for held in machines], used, {})
+    needs = one.needs([service], [MachineResource(held.kind, held.free) for held in machines], used, {})
     groups = one.choose(needs, machines, Budget(Spent(), 1000.0, {}, 100, one.limit), 1000.0, 12)
     return needs, {name: claim for group in groups for name, claim in group.items()}
 
@@ -359,7 +360,7 @@
     one.pay(made, {"wk-1": tune}, 1000.0)
     one.pay(made, {"wk-1": tune}, 1001.0)
     assert [paid[1:] for paid in one.paid] == [("maps", 2.0)]  # once, however long the claim is there
-    resources = [Resource(held.kind, held.free) for held in machines]
+    resources = [MachineResource(held.kind, held.free) for held in machines]
     assert one.needs([service], resources, used, {"wk-9": 2}) == []  # while it stands, no second room for the same
     left = [held for held in machines if held.machine != name]  # a spot notice, or its death: the claim goes
     _, again = choose(service, left, {"data": (32.0, 8.0)}, lent=one)
@@ -370,12 +371,14 @@
 
 
 def test_room_that_is_free_or_comes_in_time_stops_nothing():
-    service, kind = Service(replica("wk-9", tasks=3), 0, 3, 3, 10.0), Kind("g8", "a", False)
+    service, kind = Service(replica("wk-9", tasks=3), 0, 3, 3, 10.0), MachineKind("g8", "a", False)
     soon = [(8.0, 8.0, 128.0, 2.0), (60.0, 24.0, 384.0, 6.0)]
-    assert [need.count for need in lender().needs([service], [Resource(kind, (0.0, 0.0, 0.0), soon)], {}, {})] == [1]
-    assert lender().needs([service], [Resource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
+    assert [
+        need.count for need in lender().needs([service], [MachineResource(kind, (0.0, 0.0, 0.0), soon)], {}, {})
+    ] == [1]
+    assert lender().needs([service], [MachineResource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
     spread = Service(replica("wk-9", tasks=4, spread=True), 0, 4, 4, 10.0)
-    assert [need.count for need in lender().needs([spread], [Resource(kind, (96.0, 768.0, 8.0))], {}, {})] == [2]
+    assert [need.count for need in lender().needs([spread], [MachineResource(kind, (96.0, 768.0, 8.0))], {}, {})] == [2]
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -13,7 +13,7 @@
 from alderbridge.protocol.messages import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling import placement, policy
-from alderbridge.scheduling.policy import Demand, Kind, Market, Resource
+from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
 from alderbridge.settings import Objective, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -43,7 +43,7 @@
 
 
 def big(free=8.0, ends=(), spot=True):
-    return Resource(Kind("big", "a", spot), (free, 32.0 if free else 0.0, 0.0), ends)
+    return MachineResource(MachineKind("big", "a", spot), (free, 32.0 if free else 0.0, 0.0), ends)
 
 
 def predict_breach(resources, queue, hopeless=lambda demand: False):
@@ -56,7 +56,7 @@
     for resource in resources:
         total = tuple(resource.free[i] + sum(end[i + 1] for end in resource.ends) for i in range(3))
         for one in queue:
-            if policy._may_use(one, resource.kind) and placement.fits(one.spec, total):
+            if policy.may_use(one, resource.kind) and placement.fits(one.spec, total):
                 slots = pools.setdefault((resource.kind, one.spec.id), (one.spec, []))[1]
                 free, count = resource.free, placement.fits(one.spec, resource.free)
                 slots += [0.0] * count
@@ -68,7 +68,7 @@
     for one in queue:
         before = {key: list(slots) for key, (_, slots) in pools.items()}
         for _ in range(one.count):
-            usable = [slots for (kind, _), (_, slots) in pools.items() if slots and policy._may_use(one, kind)]
+            usable = [slots for (kind, _), (_, slots) in pools.items() if slots and policy.may_use(one, kind)]
             if not usable or min(map(min, usable)) > max(0.0, one.due_in_s):
                 if not hopeless(one):
                     return one
@@ -98,8 +98,8 @@
     for _ in range(rng.randint(0, machines)):
         busy = rng.randint(0, 4)
         ends = [(float(rng.randint(0, 40)), 2.0, 8.0, 0.0) for _ in range(busy)]
-        kind = Kind("big", rng.choice("ab"), rng.random() < 0.5)
-        resources.append(Resource(kind, (8.0 - 2.0 * busy, 32.0 - 8.0 * busy, 0.0), ends))
+        kind = MachineKind("big", rng.choice("ab"), rng.random() < 0.5)
+        resources.append(MachineResource(kind, (8.0 - 2.0 * busy, 32.0 - 8.0 * busy, 0.0), ends))
     return resources, queue
 
 
@@ -126,9 +126,9 @@
             kind = market.best(breach, 0.0, count)
             one_by_one.append(kind)
             count[kind] += 1
-            fleet.append(Resource(kind, market.room(kind)))
+            fleet.append(MachineResource(kind, market.room(kind)))
         counts = Counter(resource.kind for resource in resources)
-        wanted = policy.machines_wanted(policy.Walk(resources, queue), market, 0.0, 1000, counts)
+        wanted = policy.machines_to_rent(policy.Walk(resources, queue), market, 0.0, 1000, counts)
         assert wanted == one_by_one
 
 
@@ -155,11 +155,11 @@
     market = Market({"big": BIG}, ["a"], 0.9)
 
     def wanted(below_cap):
-        return policy.machines_wanted(policy.Walk([], [demand(9)]), market, 0.0, below_cap, {})
+        return policy.machines_to_rent(policy.Walk([], [demand(9)]), market, 0.0, below_cap, {})
 
-    assert wanted(10) == [Kind("big", "a", True)] * 3
+    assert wanted(10) == [MachineKind("big", "a", True)] * 3
     market.bid_share = 0.2
-    assert wanted(10) == [Kind("big", "a", False)] * 3
+    assert wanted(10) == [MachineKind("big", "a", False)] * 3
     assert len(wanted(2)) == 2
 
 
@@ -171,9 +171,9 @@
 
 
 def test_refused_kind_is_left_alone_for_a_while():
-    market = Market({"big": BIG}, ["a"], 0.9, {Kind("big", "a", True): 10.0})
-    assert market.best(demand(1), 5.0) == Kind("big", "a", False)
-    assert market.best(demand(1), 11.0) == Kind("big", "a", True)
+    market = Market({"big": BIG}, ["a"], 0.9, {MachineKind("big", "a", True): 10.0})
+    assert market.best(demand(1), 5.0) == MachineKind("big", "a", False)
+    assert market.best(demand(1), 11.0) == MachineKind("big", "a", True)
 
 
 def test_maximum_queue_time_has_a_floor():
@@ -217,10 +217,10 @@
     used = dict.fromkeys(homes, 0.0)
     for _ in range(500):
         needs = [
-            policy.Need(rng.choice(homes), rng.uniform(0.0, 80.0), rng.choice([0.0, 1.0, 40.0]), kept)
+            policy.QuotaDemand(rng.choice(homes), rng.uniform(0.0, 80.0), rng.choice([0.0, 1.0, 40.0]), kept)
             for kept in rng.choices([False, True], k=rng.randint(0, 4))
         ]
-        shares = policy.divide(100.0, used, held, given, needs)
+        shares = policy.divide_quota(100.0, used, held, given, needs)
         assert sum(max(held[h], shares.get(h, 0.0)) for h in homes) <= 100.0 + 1e-6
         given = shares
         for h in homes:  # the home confirms, and uses what it may
@@ -230,8 +230,8 @@
 
 def test_what_is_not_used_goes_to_the_soonest_need():
     homes = {"a": 60.0, "b": 0.0}
-    needs = [policy.Need("b", 30.0), policy.Need("a", 50.0)]
-    shares = policy.divide(100.0, dict(homes), dict(homes), {"a": 60.0, "b": 0.0}, needs)
+    needs = [policy.QuotaDemand("b", 30.0), policy.QuotaDemand("a", 50.0)]
+    shares = policy.divide_quota(100.0, dict(homes), dict(homes), {"a": 60.0, "b": 0.0}, needs)
     assert shares == {"a": 70.0, "b": 30.0}
 
 
@@ -256,7 +256,7 @@
         row = QueueRow(one.id, one.tasks, 0, 120.0, 10.0, None, 300.0, True, False)
         leader.on_queue(label, QueueSnapshot([row], {}, {}, {"t": (one.tasks * one.cpus, 0.0)}, 0), 1.0)
         leader.on_machine_summaries(label, MachineSummaries([]), 1.0)
-    leader.on_scaled_out(Kind("large", "a", True), ["n-1"], 0.0)
+    leader.on_scaled_out(MachineKind("large", "a", True), ["n-1"], 0.0)
     leader.on_machine_summaries(
         "host-0",
         MachineSummaries([MachineSummary("n-1", "large", "a", True, "up", 9.0, (16.0, 64.0, 0.0), [], 1.0)]),
@@ -264,4 +264,4 @@
     )
     allowed = leader.quota_updates(1.0)
     assert allowed["host-0"]["t"][0] == 16.0
-    assert [kind for kind, _ in leader.decide(1.0).scale_out] == [Kind("large", "a", False)]
+    assert [kind for kind, _ in leader.decide(1.0).scale_out] == [MachineKind("large", "a", False)]
