--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -27,7 +27,7 @@
 from alderbridge.configuration import Declarations, Declared, Proposal
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
-from alderbridge.leader.leader import Leader
+from alderbridge.leader.leader import Leader, LeaderSettings
 from alderbridge.machines.shard import Machine, MachineShard
 from alderbridge.membership.view import Membership, MemberStatus, View
 from alderbridge.preemption import Teams, Transaction
@@ -48,10 +48,6 @@
 log = logging.getLogger("core")
 
 
-def _nothing_lent(row: messages.QueueRow, spec: wire.JobSpec) -> int:
-    return 0
-
-
 _record = msgspec.json.Decoder(Record)
 
 
@@ -138,7 +134,9 @@
             float("-inf"),
         )  # machine whose room is kept, and when last for something
         self.leader = Leader(
-            shared.teams, shared.zones, tuning, self.replica, shared.cloud.list_lag_s, shared.workers.lease_s
+            LeaderSettings(shared.teams, shared.zones, tuning, shared.cloud.list_lag_s, shared.workers.lease_s),
+            self.replica,
+            lambda row, spec: self.lender.serves_soon(row, spec) if self.lender is not None else 0,
         )
         self.ledger, self.preemption_planner = self.replica.ledger, Desk(self.leader, self.replica.ledger)
         self.priorities: Callable[[float], list[Text]] = lambda now: self.declared.in_force("priorities", now)
@@ -1043,7 +1041,6 @@
             from alderbridge.lending import Lender  # only here: start-up is charged
 
             self.lender = Lender(lendings, self.shared.teams, self.types, self.lender)
-        self.leader.tasks_served_by_lending = self.lender.serves_soon if self.lender is not None else _nothing_lent
         if self.lender is not None:
             self.lender.types = self.types
             result.append(self.lender)
--- /dev/null
+++ b/alderbridge/leader/scaling.py
@@ -0,0 +1,213 @@
+"""Which machines are rented, drained and terminated. Pure: the controller carries the decisions out."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Container, Sequence
+from dataclasses import dataclass, field
+
+from alderbridge import constants
+from alderbridge.leader.fleet_monitor import FleetMonitor, SummaryRows
+from alderbridge.leader.rented_machines import (
+    BOOT_SLACK,
+    RentedMachine,
+    RentedMachines,
+    RentedMachineState,
+    ReportedState,
+)
+from alderbridge.protocol.messages import MachineSummary
+from alderbridge.scheduling import policy
+from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
+from alderbridge.settings import Tuning
+
+
+@dataclass
+class ScalingDecision:
+    """What the controller is to ask of the cloud and of the machine shards."""
+
+    scale_out: list[tuple[MachineKind, int]] = field(default_factory=list)
+    drain: list[str] = field(default_factory=list)
+    terminate: list[str] = field(default_factory=list)
+
+
+@dataclass
+class ScalingRound:
+    """What one decision is made from, gathered machine by machine, and what it comes to."""
+
+    now: float
+    rows: SummaryRows
+    decision: ScalingDecision = field(default_factory=ScalingDecision)
+    resources: list[MachineResource] = field(default_factory=list)  # that tasks may use, now or soon
+    booting: list[MachineResource] = field(default_factory=list)  # of these, those that boot and are not overdue
+    idle: list[tuple[MachineResource, str]] = field(default_factory=list)  # of these, those with nothing on them
+    alive: int = 0  # machines that are paid for
+
+
+class Autoscaler:
+    """Scales the fleet out and in, once a round of the leader."""
+
+    def __init__(
+        self, tuning: Tuning, list_lag_s: float, market: Market, machines: RentedMachines, monitor: FleetMonitor
+    ) -> None:
+        """``list_lag_s``: how far the cloud's listing may be behind its answers."""
+        self.tuning = tuning
+        self.list_lag_s = list_lag_s
+        self.market = market
+        self.machines = machines
+        self.monitor = monitor
+        self.enter(0.0)
+
+    def enter(self, now: float) -> None:
+        """A new view."""
+        self.entered_at = now
+        self.hard_checked_at = now
+
+    def decide(self, rows: SummaryRows, demands: Sequence[Demand], now: float) -> ScalingDecision:
+        """``rows``: the machine shards' summaries; ``demands``: what waits, soonest deadline first."""
+        scaling = ScalingRound(now, rows)
+        for name, rented in self.machines.items():
+            if rented.state is RentedMachineState.TERMINATED:
+                continue
+            scaling.alive += 1
+            known = rows.get(name)
+            if known is not None:
+                self._consider_reported(scaling, name, rented, *known)
+            else:
+                self._consider_unreported(scaling, name, rented)
+        self._terminate_vanished(scaling)
+        walk = policy.Walk(scaling.resources, demands)
+        self._return_idle(scaling, walk)
+        self._scale_out(scaling, walk, demands)
+        return scaling.decision
+
+    # -- one machine -----------------------------------------------------------
+
+    def _consider_reported(
+        self, scaling: ScalingRound, name: str, rented: RentedMachine, row: MachineSummary, at: float
+    ) -> None:
+        fresh = scaling.now - at < 3 * constants.LEADER_ROUND_S
+        empty = fresh and row.idle_s > 0 and not row.ends
+        cause = self._cause_of_termination(name, rented, row, row.silent_s + (scaling.now - at))
+        if cause:
+            self._begin_termination(scaling, name, cause)
+            scaling.decision.terminate.append(name)
+        elif row.state == ReportedState.DRAINING:
+            if empty:
+                scaling.decision.terminate.append(name)
+            elif rented.state is not RentedMachineState.TERMINATING:
+                rented.state = RentedMachineState.TERMINATING
+        elif rented.state is RentedMachineState.TERMINATING:
+            scaling.decision.drain.append(name)  # its machine shard has not confirmed it yet
+        elif row.state == ReportedState.UP:
+            resource = MachineResource(rented.kind, row.free, row.ends)
+            scaling.resources.append(resource)
+            if empty:
+                scaling.idle.append((resource, name))
+        elif row.state == ReportedState.EXPECTED and rented.kind.type in self.market.types:
+            scaling.resources.append(MachineResource(rented.kind, self.market.room(rented.kind)))
+
+    def _cause_of_termination(self, name: str, rented: RentedMachine, row: MachineSummary, silent_s: float) -> str:
+        """Why a machine is given up though its shard still has it; empty: it is not.
+
+        A return is proof at once that nothing is left there; an expired lease takes longer. The listing proves
+        nothing, but it shows which silent machines are worth asking for.
+        """
+        if rented.failed:
+            return "failed"
+        if name in self.monitor.to_prove_empty:
+            return "inherited tasks wait"
+        expired = row.state == ReportedState.EXPIRED and silent_s > constants.LOST_MACHINE_S
+        hint = rented.missed >= constants.LIST_MISSES or row.state == ReportedState.DRAINING
+        return "lost" if expired or (hint and silent_s > constants.SILENT_S) else ""
+
+    def _consider_unreported(self, scaling: ScalingRound, name: str, rented: RentedMachine) -> None:
+        machine_type = self.market.types.get(rented.kind.type)
+        if machine_type is None:
+            return
+        age_s = scaling.now - rented.rented_at
+        if rented.state is RentedMachineState.TERMINATING:
+            if scaling.now - rented.terminating_since > constants.LEADER_ROUND_S:
+                scaling.decision.terminate.append(name)
+        elif rented.failed or age_s > self._boot_patience_s(machine_type.boot_s, scaling.now):
+            self._begin_termination(scaling, name, "failed" if rented.failed else "did not come up")
+        else:
+            resource = MachineResource(rented.kind, self.market.room(rented.kind))
+            scaling.resources.append(resource)
+            if age_s < BOOT_SLACK * machine_type.boot_s:
+                scaling.booting.append(resource)
+
+    def _boot_patience_s(self, boot_s: float, now: float) -> float:
+        """By when a machine must have come up; under a new view not before a listing can have shown it."""
+        return max(constants.BOOT_PATIENCE * boot_s, now - self.entered_at and 2 * self.list_lag_s)
+
+    def _begin_termination(self, scaling: ScalingRound, name: str, cause: str) -> None:
+        self.machines.begin_termination(name, scaling.now, cause)
+        scaling.decision.drain.append(name)
+
+    # -- the fleet ---------------------------------------------------------------
+
+    def _terminate_vanished(self, scaling: ScalingRound) -> None:
+        """Machines that are recorded, silent and not listed: most likely the cloud took them."""
+        if self.machines.listings < constants.LIST_MISSES:
+            return
+        for name, (row, at) in scaling.rows.items():
+            if name not in self.machines and row.silent_s + scaling.now - at > constants.SILENT_S:
+                scaling.decision.terminate.append(name)
+
+    def _return_idle(self, scaling: ScalingRound, walk: policy.Walk) -> None:
+        """Idle machines at the end of their paid block go, where no breach follows from it."""
+        for resource, name in scaling.idle:
+            age_s = scaling.now - self.machines[name].rented_at
+            if not policy.block_ends(age_s, 2 * constants.LEADER_ROUND_S):
+                continue
+            if not self.monitor.guard.may_return:
+                self.monitor.guard.count_kept_machine()
+            elif not policy.keep_idle(walk, resource):
+                self._begin_termination(scaling, name, "idle at the end of its block")
+
+    def _scale_out(self, scaling: ScalingRound, walk: policy.Walk, demands: Sequence[Demand]) -> None:
+        """Machines for predicted breaches and, at intervals, for what is about to breach."""
+        now = scaling.now
+        below_cap = max(0, self.tuning.max_machines - scaling.alive)
+        fleet = Counter(resource.kind for resource in scaling.resources)
+        kinds = policy.machines_to_rent(walk, self.market, now, below_cap, fleet)
+        if now - self.hard_checked_at >= constants.HARD_CHECK_S:
+            self.hard_checked_at = now
+            hard = policy.hard_check(demands, self.market, now, scaling.booting, below_cap)
+            kinds += hard[len(kinds) :]
+        scaling.decision.scale_out = [
+            (kind, min(count, constants.RENT_BATCH)) for kind, count in Counter(kinds).items()
+        ]
+
+    # -- outlook -------------------------------------------------------------------
+
+    def outlook(self, rows: SummaryRows, without: Container[str], now: float) -> list[MachineResource]:
+        """Room now, room that comes free, and machines that boot, at the time they come up; but for ``without``."""
+        result = []
+        for name, rented in self.machines.items():
+            if name in without or not rented.is_usable:
+                continue
+            row, _ = rows.get(name, (None, now))
+            resource = self._expected_resource(rented, row, now)
+            if resource is not None:
+                result.append(resource)
+        return result
+
+    def _expected_resource(
+        self, rented: RentedMachine, row: MachineSummary | None, now: float
+    ) -> MachineResource | None:
+        machine_type = self.market.types.get(rented.kind.type)
+        if machine_type is None:
+            return None
+        if row is not None:
+            if row.state == ReportedState.UP:
+                return MachineResource(rented.kind, row.free, row.ends)
+            if row.state == ReportedState.EXPECTED:
+                return MachineResource(rented.kind, self.market.room(rented.kind))
+            return None
+        age_s = now - rented.rented_at
+        late_s = BOOT_SLACK * machine_type.boot_s
+        if rented.failed or age_s >= late_s:
+            return None
+        up_in_s = max(machine_type.boot_s - age_s, (late_s - age_s) / 2)
+        return MachineResource(rented.kind, (0.0, 0.0, 0.0), [(up_in_s, *self.market.room(rented.kind))])
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -13,18 +13,16 @@
 
 from alderbridge import constants
 from alderbridge.protocol.messages import QueueDelta, QueueRow, TeamUsage, TeamUsageDelta
-from alderbridge.queues.shard_queue import Amounts
-
-_NOTHING: Amounts = (0.0, 0.0)
+from alderbridge.scheduling.resources import NO_QUOTA, QuotaAmounts
 
 
 class QueueState(NamedTuple):
     """This home's queue and sums in one round."""
 
     rows: list[QueueRow]
-    used: dict[str, Amounts]
-    reserved: dict[str, Amounts]
-    demand: dict[str, Amounts]
+    used: dict[str, QuotaAmounts]
+    reserved: dict[str, QuotaAmounts]
+    demand: dict[str, QuotaAmounts]
     allocations_received: int
 
 
@@ -154,7 +152,7 @@
         changed = {team: one for team, one in sums.items() if known.get(team) != one}
         for team in known:
             if team not in sums:
-                changed[team] = TeamUsage(_NOTHING, _NOTHING, _NOTHING)
+                changed[team] = TeamUsage(NO_QUOTA, NO_QUOTA, NO_QUOTA)
         if not changed and not whole and snapshot.allocations_received == self.allocations_received:
             return None
         self.sums, self.allocations_received = sums, snapshot.allocations_received
@@ -166,8 +164,8 @@
     used, reserved, demand = snapshot.used, snapshot.reserved, snapshot.demand
     teams = dict.fromkeys((*used, *reserved, *demand))
     sums = {
-        team: TeamUsage(used.get(team, _NOTHING), reserved.get(team, _NOTHING), demand.get(team, _NOTHING))
+        team: TeamUsage(used.get(team, NO_QUOTA), reserved.get(team, NO_QUOTA), demand.get(team, NO_QUOTA))
         for team in teams
     }
-    empty = TeamUsage(_NOTHING, _NOTHING, _NOTHING)
+    empty = TeamUsage(NO_QUOTA, NO_QUOTA, NO_QUOTA)
     return {team: one for team, one in sums.items() if one != empty}
--- a/alderbridge/queues/shard_queue.py
+++ b/alderbridge/queues/shard_queue.py
@@ -14,9 +14,7 @@
 import msgspec
 
 from alderbridge.protocol.messages import QueueDelta, QueueRow, QueueSnapshot, TeamUsageDelta
-
-Amounts = tuple[float, float]  # cpus, gpus
-_NOTHING: Amounts = (0.0, 0.0)
+from alderbridge.scheduling.resources import NO_QUOTA, QuotaAmounts
 
 
 def aged(row: QueueRow, by_s: float) -> QueueRow:
@@ -30,9 +28,9 @@
     def __init__(self) -> None:
         """Nothing is known."""
         self.received_rows: dict[str, tuple[QueueRow, float]] = {}  # job -> its row, and when it arrived
-        self.used: dict[str, Amounts] = {}
-        self.reserved: dict[str, Amounts] = {}
-        self.demand: dict[str, Amounts] = {}
+        self.used: dict[str, QuotaAmounts] = {}
+        self.reserved: dict[str, QuotaAmounts] = {}
+        self.demand: dict[str, QuotaAmounts] = {}
         self.allocations_received = 0
         self.has_rows = self.has_sums = False
         self.by_changes = False  # whole queues are from before: late frames
@@ -89,7 +87,7 @@
         self.allocations_received = changes.allocations_received
         for team, sums in changes.teams.items():
             for known, amounts in ((self.used, sums.used), (self.reserved, sums.reserved), (self.demand, sums.demand)):
-                if amounts == _NOTHING:
+                if amounts == NO_QUOTA:
                     known.pop(team, None)
                 else:
                     known[team] = amounts
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -22,8 +22,25 @@
 from alderbridge import constants
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import PRIORITIES, JobSpec, MachineType
+from alderbridge.scheduling.resources import Resources, fits, minus
+
+__all__ = [
+    "BusyMachines",
+    "Candidate",
+    "Entry",
+    "Offer",
+    "Offers",
+    "PlacementRequest",
+    "Resources",
+    "allowed",
+    "fill",
+    "fill_claimed",
+    "fits",
+    "minus",
+    "order",
+    "runnable",
+]
 
-Resources = tuple[float, float, float]  # cpus, memory, gpus
 _GUARANTEED = len(PRIORITIES)  # ranks above the highest priority
 TURN_AHEAD_S = 1e9  # s; so far before all dates stands what has a turn, in the order of its arrival
 
@@ -57,20 +74,6 @@
     )
 
 
-def fits(spec: JobSpec, room: Resources) -> int:
-    """How many tasks of ``spec`` the room holds."""
-    count = room[0] / spec.cpus
-    if spec.memory_gb > 0:
-        count = min(count, room[1] / spec.memory_gb)
-    if spec.gpus > 0:
-        count = min(count, room[2] / spec.gpus)
-    return math.floor(count + 1e-9) if count > 0 else 0
-
-
-def minus(room: Resources, spec: JobSpec, count: int) -> Resources:
-    return (room[0] - spec.cpus * count, room[1] - spec.memory_gb * count, room[2] - spec.gpus * count)
-
-
 class BusyMachines:
     """The machines of a part that run something and have room; made anew each round."""
 
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -26,7 +26,8 @@
 
 from alderbridge import constants
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling.placement import Resources, allowed, fits
+from alderbridge.scheduling.placement import allowed
+from alderbridge.scheduling.resources import Resources, fits
 from alderbridge.settings import Objective, Tuning
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -14,7 +14,7 @@
 from alderbridge import constants, preemption
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import JobState, Record
-from alderbridge.leader.leader import Leader
+from alderbridge.leader.leader import Leader, LeaderSettings
 from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, check_lines, hold, parse
 from alderbridge.lending.lender import Site
 from alderbridge.lending.reserve import Free
@@ -440,13 +440,17 @@
     def __init__(self):
         membership = Membership("host-0", 20.0, 12.0)
         known = Replica(membership, Graph(lambda spec: 1.0, []))
-        self.leader = Leader(TEAMS, ZONES, Tuning(), known, 1.0, 17.0)
+        self.lender = lender()
+        self.leader = Leader(
+            LeaderSettings(TEAMS, ZONES, Tuning(), 1.0, 17.0),
+            known,
+            lambda row, spec: self.lender.serves_soon(row, spec),
+        )
         self.leader.on_types(TYPES)
         self.leader.enter(["host-0"], 0.0)
-        self.leader.listed = True
+        self.leader.rented_machines.listed = True
         self.desk = Desk(self.leader, known.ledger)
         self.desk.enter(["host-0"])
-        self.lender = lender()
         self.tune, self.serve = spec("wk-1", "data", "tune", tasks=16), replica("wk-9", tasks=4)
         for one in (self.tune, self.serve):
             known.saw_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
@@ -489,7 +493,6 @@
     site = Fleet()
     site.tell(1.0, 3)
     site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
-    site.leader.tasks_served_by_lending = site.lender.serves_soon
     assert site.look(1.0)
     (group,) = site.leader.replica.ledger.planned
     assert list(group) == ["n-1"] and group["n-1"].count == 3  # where the weights are
@@ -508,7 +511,6 @@
     site = Fleet()
     site.lender = Lender([Text(TEXT.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
     site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
-    site.leader.tasks_served_by_lending = site.lender.serves_soon
     for now, asks in ((1.0, 0), (2.0, 0), (1.0 + constants.LEND_FIRST_S, 1)):
         site.tell(now, 3)
         site.look(now)
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -17,7 +17,7 @@
 from alderbridge import constants
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
-from alderbridge.leader.leader import Leader
+from alderbridge.leader.leader import Leader, LeaderSettings
 from alderbridge.membership.view import Membership, View
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import (
@@ -148,7 +148,7 @@
     def __init__(self, limit: float, waited_s: float = 30.0) -> None:
         membership = Membership("host-0", 20.0, 12.0)
         known = Replica(membership, Graph(lambda spec: 1.0, []))
-        self.leader = Leader([Team("t", cpus_max=limit)], ["a"], Tuning(), known, 1.0, LEASE_S)
+        self.leader = Leader(LeaderSettings([Team("t", cpus_max=limit)], ["a"], Tuning(), 1.0, LEASE_S), known)
         self.leader.enter(["host-0", "host-1"], 0.0)
         self.homes = {label: JobShard(self.leader.teams, lambda label, body: 1, 4096) for label in self.leader.members}
         for home in self.homes.values():
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import JobState, Record
-from alderbridge.leader.leader import Leader
+from alderbridge.leader.leader import Leader, LeaderSettings
 from alderbridge.membership.view import Membership
 from alderbridge.protocol.messages import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
 from alderbridge.protocol.wire import JobSpec, MachineType
@@ -239,7 +239,7 @@
     """The machine was there for one job, the limit kept for another that can't use it: neither ever began."""
     membership = Membership("host-0", 20.0, 12.0)
     known = Replica(membership, Graph(lambda spec: 1.0, []))
-    leader = Leader([Team("t", cpus_max=16.0)], ["a"], Tuning(), known, 1.0, 17.0)
+    leader = Leader(LeaderSettings([Team("t", cpus_max=16.0)], ["a"], Tuning(), 1.0, 17.0), known)
     leader.on_types(
         {
             "large": MachineType(
@@ -248,7 +248,7 @@
         }
     )
     leader.enter(["host-0", "host-1"], 0.0)
-    leader.listed = True
+    leader.rented_machines.listed = True
     first = spec(tasks=6, cpus=4.0, spot=False)
     other = msgspec.structs.replace(first, id="wk-2", priority="best_effort", tasks=13, cpus=2.0, spot=True)
     for label, one in (("host-1", other), ("host-0", first)):
