--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -85,21 +85,21 @@
     def on_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """The whole queue of a job shard whose member sends no deltas."""
         if label in self.members and self.queues.of(label).apply_snapshot(queue, now):
-            self.queues.arrived(label)
+            self.queues.promote(label)
             self.quota_allocator.changed.update(self.quota_allocator.teams)
 
     def on_queue_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """Rows of a job shard's queue that differ."""
         if label in self.members:
             self.queues.of(label).apply_row_delta(changes, now)
-            self.queues.arrived(label)
+            self.queues.promote(label)
             self.quota_allocator.rows_changed([*(row.job for row in changes.rows), *changes.gone])
 
     def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
         """Usage of a job shard's teams that differs."""
         if label in self.members:
             self.queues.of(label).apply_usage_delta(changes)
-            self.queues.arrived(label)
+            self.queues.promote(label)
             self.quota_allocator.sums_changed(changes.teams)
 
     def on_machine_summaries(self, label: str, summaries: MachineSummaries, now: float) -> None:
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -1,14 +1,14 @@
-"""The sending side: which rows of this home's queue are news, and for whom. Pure.
+"""The sending side: which rows of this job shard's queue changed, and which member has yet to be sent them. Pure.
 
-Each news raises the version; a member is at the version that it was last told. Rows that differ little are told after a
-second, so that a large job's count does not go out with every start. What a member was told counts as known there: the
-channel delivers it in order, or the view ends first.
+Each round raises the version; a member is at the version that it was last sent. Rows that differ little are sent after
+a second, so that a large job's count does not go out with every start. What was sent to a member counts as known there:
+the channel delivers it in order, or the view ends first.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from alderbridge import constants
@@ -17,7 +17,7 @@
 
 
 class QueueState(NamedTuple):
-    """This home's queue and sums in one round."""
+    """This job shard's queue and its teams' usage in one round."""
 
     rows: list[QueueRow]
     used: dict[str, QuotaAmounts]
@@ -27,62 +27,62 @@
 
 
 class _Published(NamedTuple):
-    """A row as it last was news."""
+    """A row as it was last published."""
 
     row: QueueRow
     at: float
     version: int
 
 
-def _counts_differ(told: int, count: int) -> bool:
-    """Whether a count has changed by enough to be told at once: small ones by anything, others by an eighth."""
-    if told <= constants.QUEUE_EXACT or count <= constants.QUEUE_EXACT:
-        return told != count
-    return abs(told - count) * constants.QUEUE_SHARE > told
+def _count_changed(sent: int, count: int) -> bool:
+    """Whether a count has changed by enough to be sent at once: small ones by anything, others by an eighth."""
+    if sent <= constants.QUEUE_EXACT or count <= constants.QUEUE_EXACT:
+        return sent != count
+    return abs(sent - count) * constants.QUEUE_SHARE > sent
 
 
-def _is_news(known: _Published, row: QueueRow, now: float) -> bool:
-    """Whether a member would decide otherwise by the row than by what it was told."""
-    told, passed = known.row, now - known.at
+def _row_changed(published: _Published, row: QueueRow, now: float) -> bool:
+    """Whether a member would decide otherwise by the row than by what it was sent."""
+    sent, passed_s = published.row, now - published.at
     if (row.zone, row.late, row.guaranteed, row.rank, row.priority_boost) != (
-        told.zone,
-        told.late,
-        told.guaranteed,
-        told.rank,
-        told.priority_boost,
+        sent.zone,
+        sent.late,
+        sent.guaranteed,
+        sent.rank,
+        sent.priority_boost,
     ):
         return True
-    if _counts_differ(told.offer, row.offer) or _counts_differ(told.waiting, row.waiting):
+    if _count_changed(sent.offer, row.offer) or _count_changed(sent.waiting, row.waiting):
         return True
     if (
-        abs(row.due_in_s + passed - told.due_in_s) > constants.QUEUE_TIME_S
-        or abs(row.run_s - told.run_s) > constants.QUEUE_TIME_S
+        abs(row.due_in_s + passed_s - sent.due_in_s) > constants.QUEUE_TIME_S
+        or abs(row.run_s - sent.run_s) > constants.QUEUE_TIME_S
     ):
         return True
-    if passed < constants.LEADER_ROUND_S:
+    if passed_s < constants.LEADER_ROUND_S:
         return False
-    return (row.waiting, row.offer, row.inherited) != (told.waiting, told.offer, told.inherited) or (
-        passed >= constants.QUEUE_REFRESH_S
+    return (row.waiting, row.offer, row.inherited) != (sent.waiting, sent.offer, sent.inherited) or (
+        passed_s >= constants.QUEUE_REFRESH_S
     )
 
 
 class DeltaTracker:
-    """What this home has told each member under this view."""
+    """What this job shard has sent to each member under this view."""
 
     def __init__(self) -> None:
-        """Nobody was told anything."""
+        """Nobody was sent anything."""
         self.clear()
 
     def clear(self) -> None:
-        """A new view: everybody is told the whole."""
+        """A new view: everybody is sent the whole."""
         self.version, self.now = 0, 0.0
         self.published: dict[str, _Published] = {}
         self.current: dict[str, QueueRow] = {}  # as they stand in this round
         self.gone: dict[str, int] = {}  # jobs without a row -> the version since which
-        self.told: dict[str, int] = {}  # member -> the version that it knows
-        self.again: dict[str, set[str]] = defaultdict(set)  # member -> jobs of which it has asked for tasks
+        self.sent_versions: dict[str, int] = {}  # member -> the version that it knows
+        self.to_resend: dict[str, set[str]] = defaultdict(set)  # member -> jobs of which it has asked for tasks
         self.built: dict[tuple[int, bool], QueueDelta | None] = {}  # of this round: most members are at one version
-        self.sums: dict[str, TeamUsage] | None = None  # as the leader knows them
+        self.sent_usage: dict[str, TeamUsage] | None = None  # as the leader knows it; None: it was sent nothing
         self.allocations_received = -1
 
     def update(self, rows: Iterable[QueueRow], now: float) -> None:
@@ -92,7 +92,7 @@
         self.current = {row.job: row for row in rows}
         for job, row in self.current.items():
             known = self.published.get(job)
-            if known is None or _is_news(known, row, now):
+            if known is None or _row_changed(known, row, now):
                 self.published[job] = _Published(row, now, self.version)
                 self.gone.pop(job, None)
         for job in [job for job in self.published if job not in self.current]:
@@ -101,21 +101,21 @@
         self._forget_gone()
 
     def _forget_gone(self) -> None:
-        """Jobs that every member knows to be gone; who is far behind is told the whole next time."""
+        """Jobs that every member knows to be gone; who is far behind is sent the whole next time."""
         if len(self.gone) > constants.QUEUE_ENDED_JOBS:
-            newest = max(self.told.values(), default=0)
-            self.told = {label: version for label, version in self.told.items() if version == newest}
-        oldest = min(self.told.values(), default=self.version)
+            newest = max(self.sent_versions.values(), default=0)
+            self.sent_versions = {label: version for label, version in self.sent_versions.items() if version == newest}
+        oldest = min(self.sent_versions.values(), default=self.version)
         self.gone = {job: version for job, version in self.gone.items() if version > oldest}
 
     def resend_row(self, label: str, job: str) -> None:
-        """A member has asked for tasks of the job: it has taken them off what it was told, granted or not."""
-        self.again[label].add(job)
+        """A member has asked for tasks of the job: it has taken them off what it was sent, granted or not."""
+        self.to_resend[label].add(job)
 
     def delta_for(self, label: str, all_rows: bool) -> QueueDelta | None:
         """What the member does not know yet; None: nothing. Without ``all_rows`` only what is on offer."""
-        since, again = self.told.get(label), self.again.pop(label, None)
-        self.told[label] = self.version
+        since, to_resend = self.sent_versions.get(label), self.to_resend.pop(label, None)
+        self.sent_versions[label] = self.version
         if since is None:
             rows = [row for row in self.current.values() if all_rows or row.offer > 0]
             return QueueDelta(self.now, rows, [], True)
@@ -123,7 +123,7 @@
         if key not in self.built:
             self.built[key] = self._since(since, all_rows)
         changes = self.built[key]
-        return changes if again is None else self._with(changes, again)
+        return changes if to_resend is None else self._with(changes, to_resend)
 
     def _since(self, since: int, all_rows: bool) -> QueueDelta | None:
         rows, gone = [], [job for job, version in self.gone.items() if version > since]
@@ -137,35 +137,37 @@
                 gone.append(job)
         return QueueDelta(self.now, rows, gone, False) if rows or gone else None
 
-    def _with(self, changes: QueueDelta | None, again: set[str]) -> QueueDelta | None:
-        """The changes, and the rows of jobs that are to be told again."""
+    def _with(self, changes: QueueDelta | None, to_resend: set[str]) -> QueueDelta | None:
+        """The changes, and the rows of jobs that are to be sent again."""
         known = {row.job for row in changes.rows} if changes is not None else set()
-        more = [self.current[job] for job in sorted(again - known) if job in self.current]
+        more = [self.current[job] for job in sorted(to_resend - known) if job in self.current]
         if changes is None:
             return QueueDelta(self.now, more, [], False) if more else None
         return QueueDelta(self.now, [*changes.rows, *more], changes.gone, False) if more else changes
 
-    def usage_for_leader(self, snapshot: QueueState) -> TeamUsageDelta | None:
-        """The sums that the leader does not know yet, with the count of allowances that they rest on."""
-        sums = _sums(snapshot)
-        known, whole = self.sums or {}, self.sums is None
-        changed = {team: one for team, one in sums.items() if known.get(team) != one}
+    def usage_for_leader(self, queue: QueueState) -> TeamUsageDelta | None:
+        """The teams' usage that the leader does not know yet, with the count of quotas that it rests on."""
+        usage = _team_usage(queue)
+        known, whole = self.sent_usage or {}, self.sent_usage is None
+        changed = {team: one for team, one in usage.items() if known.get(team) != one}
         for team in known:
-            if team not in sums:
-                changed[team] = TeamUsage(NO_QUOTA, NO_QUOTA, NO_QUOTA)
-        if not changed and not whole and snapshot.allocations_received == self.allocations_received:
+            if team not in usage:
+                changed[team] = _NO_USAGE
+        if not changed and not whole and queue.allocations_received == self.allocations_received:
             return None
-        self.sums, self.allocations_received = sums, snapshot.allocations_received
-        return TeamUsageDelta(changed, snapshot.allocations_received, whole)
+        self.sent_usage, self.allocations_received = usage, queue.allocations_received
+        return TeamUsageDelta(changed, queue.allocations_received, whole)
 
 
-def _sums(snapshot: QueueState) -> Mapping[str, TeamUsage]:
-    """One entry for each team of which anything is used, held or wanted."""
-    used, reserved, demand = snapshot.used, snapshot.reserved, snapshot.demand
+_NO_USAGE = TeamUsage(NO_QUOTA, NO_QUOTA, NO_QUOTA)
+
+
+def _team_usage(queue: QueueState) -> dict[str, TeamUsage]:
+    """One entry for each team of which anything is used, reserved or demanded."""
+    used, reserved, demand = queue.used, queue.reserved, queue.demand
     teams = dict.fromkeys((*used, *reserved, *demand))
-    sums = {
+    usage = {
         team: TeamUsage(used.get(team, NO_QUOTA), reserved.get(team, NO_QUOTA), demand.get(team, NO_QUOTA))
         for team in teams
     }
-    empty = TeamUsage(NO_QUOTA, NO_QUOTA, NO_QUOTA)
-    return {team: one for team, one in sums.items() if one != empty}
+    return {team: one for team, one in usage.items() if one != _NO_USAGE}
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -1,6 +1,6 @@
-"""What a part makes of the homes' queues: offers in the order of placement. Pure.
+"""What a machine shard makes of the job shards' queues: offers in the order of placement. Pure.
 
-A row may arrive before its job's record does. It waits here for the record, as it is told but once.
+A row may arrive before its job's record does. It waits here for the record, as it is sent but once.
 """
 
 from __future__ import annotations
@@ -10,39 +10,38 @@
 from alderbridge import constants
 from alderbridge.protocol.messages import QueueDelta, QueueRow, QueueSnapshot
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import Offer, Offers
+from alderbridge.scheduling.offers import Offer, Offers
 
 
 class OfferBook:
-    """The offers of all homes under one view."""
+    """The offers of all job shards under one view."""
 
     def __init__(self, spec_of: Callable[[str], JobSpec | None]) -> None:
         """``spec_of``: the description of a job, where its record is known here."""
         self.spec_of = spec_of
         self.offers = Offers()
-        self.by_changes: set[str] = set()  # homes that tell changes: whole queues of theirs are late frames
-        self.unknown: dict[str, dict[str, tuple[QueueRow, float]]] = {}  # home -> job -> row, when it was told
+        self.delta_senders: set[str] = set()  # members that send deltas: whole queues of theirs are late frames
+        self.unknown: dict[str, dict[str, tuple[QueueRow, float]]] = {}  # member -> job -> row, when it was sent
 
     def clear(self) -> None:
         """A new view: nothing that was offered counts."""
         self.offers.clear()
-        self.by_changes.clear()
+        self.delta_senders.clear()
         self.unknown.clear()
 
     def apply_snapshot(self, label: str, queue: QueueSnapshot, now: float) -> None:
-        """All that a home offers, told in each round."""
-        if label not in self.by_changes:
+        """All that a job shard offers, sent in each round."""
+        if label not in self.delta_senders:
             self.offers.replace(label, self._offers_of(label, queue.rows, now))
 
     def apply_delta(self, label: str, changes: QueueDelta, now: float) -> None:
-        """What a home offers otherwise than before."""
-        self.by_changes.add(label)
+        """What a job shard offers otherwise than before."""
+        self.delta_senders.add(label)
         unknown = self.unknown.setdefault(label, {})
         if changes.whole:
             unknown.clear()
             self.offers.replace(label, ())
-        gone = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
-        for job in gone:
+        for job in changes.gone:
             unknown.pop(job, None)
         offers = self._offers_of(label, changes.rows, now)
         known = {offer.row.job for offer in offers}
@@ -50,6 +49,7 @@
             unknown.pop(row.job, None)
             if row.offer > 0 and row.job not in known:
                 unknown[row.job] = (row, now)
+        gone = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
         self.offers.update(label, offers, gone)
 
     def resolve_unknown_jobs(self) -> None:
@@ -57,9 +57,8 @@
         for label, rows in self.unknown.items():
             known = [(row, at, spec) for row, at in rows.values() if (spec := self.spec_of(row.job)) is not None]
             if known:
-                self.offers.update(
-                    label, [Offer(label, row, spec, at, constants.PACKING_WAIT_S) for row, at, spec in known], ()
-                )
+                offers = [Offer(label, row, spec, at, constants.PACKING_WAIT_S) for row, at, spec in known]
+                self.offers.update(label, offers, ())
                 for row, _, _ in known:
                     del rows[row.job]
 
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -1,10 +1,12 @@
-"""What a home tells each member in a round, in the form that the member reads. Pure.
+"""What a job shard sends to each member in a round, in the form that the member reads. Pure.
 
-States, for one view:
+States, for one view::
 
-* WHOLE_QUEUES: a member, or one that is about to be, runs an older version: each round the whole queue, as ever.
-* CHANGES: all have written the newer generation: what has changed, in numbered messages. Never back in the same view,
-  so that a whole queue from one that tells changes can only be a late frame.
+    WHOLE_QUEUES ---> CHANGES
+
+* WHOLE_QUEUES: a member, or one that is about to be, runs an older version: each round the whole queue.
+* CHANGES: all have written the newer protocol version: what has changed, in numbered messages. Never back in the same
+  view, so that a whole queue from one that sends deltas can only be a late frame.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
 
 class QueueFormat(Enum):
-    """In which form members are told."""
+    """In which form members are sent the queue."""
 
     WHOLE_QUEUES = "whole queues"
     CHANGES = "changes"
@@ -43,22 +45,33 @@
     numbered: bool  # it must arrive, in order
 
 
+class LastSent(NamedTuple):
+    """The queue or status that a member was last sent."""
+
+    message: Message
+    at: float
+    acknowledged: int  # the last number of the member's that went with it
+
+
+_NEVER_SENT = LastSent(KeepAlive(), float("-inf"), 0)
+
+
 class PublishRound(NamedTuple):
-    """What one round is about."""
+    """What one round is made from."""
 
     now: float
     fencing_token: int
     leader: str
     links: Mapping[str, Link]  # the channels to the other members of the view
-    snapshot: QueueState
+    queue: QueueState
     status: PeerStatus
 
 
 class QueuePublisher:
-    """Rounds of one home."""
+    """Rounds of one job shard."""
 
     def __init__(self, me: str) -> None:
-        """``me``: the label of this home."""
+        """``me``: the label of this controller."""
         self.me = me
         self.delta_tracker = DeltaTracker()
         self.enter()
@@ -67,53 +80,54 @@
         """A new view."""
         self.form = QueueFormat.WHOLE_QUEUES
         self.delta_tracker.clear()
-        self.last: dict[str, tuple[Message, float, int]] = {}  # member -> queue or status, when, what it acknowledged
+        self.last_sent: dict[str, LastSent] = {}  # member -> queue or status
 
-    def publish(self, one: PublishRound, all_read_changes: bool) -> Iterator[OutgoingMessage]:
+    def publish(self, round_: PublishRound, all_read_changes: bool) -> Iterator[OutgoingMessage]:
         """All messages of a round; ``all_read_changes``: whoever takes part, or is about to, has written so."""
         if all_read_changes:
             self.form = QueueFormat.CHANGES
         if self.form is QueueFormat.CHANGES:
-            yield from self._changes(one)
-            yield from self._to_each(one, one.status)
+            yield from self._changes(round_)
+            yield from self._to_each(round_, round_.status)
         else:
-            self.delta_tracker.again.clear()  # the next queue says it all
-            queue = QueueSnapshot(*one.snapshot, one.status.suspected, one.status.failed, one.status.changes)
+            self.delta_tracker.to_resend.clear()  # the next queue says it all
+            status = round_.status
+            queue = QueueSnapshot(*round_.queue, status.suspected, status.failed, status.changes)
             yield OutgoingMessage(self.me, queue, False)
-            yield from self._to_each(one, queue)
+            yield from self._to_each(round_, queue)
 
-    def _changes(self, one: PublishRound) -> Iterator[OutgoingMessage]:
+    def _changes(self, round_: PublishRound) -> Iterator[OutgoingMessage]:
         """Members one after the other, as equal messages in a row are encoded once."""
         delta_tracker = self.delta_tracker
-        delta_tracker.update(one.snapshot.rows, one.now)
+        delta_tracker.update(round_.queue.rows, round_.now)
         ready = [
             label
-            for label, link in one.links.items()
-            if link.peer_fencing_token >= one.fencing_token and link.backlog() < constants.QUEUE_BACKLOG
+            for label, link in round_.links.items()
+            if link.peer_fencing_token >= round_.fencing_token and link.backlog() < constants.QUEUE_BACKLOG
         ]
         for label in (self.me, *ready):
             numbered = label != self.me
-            if label == one.leader and (sums := delta_tracker.usage_for_leader(one.snapshot)) is not None:
-                yield OutgoingMessage(label, sums, numbered)
-            if (changes := delta_tracker.delta_for(label, label == one.leader)) is not None:
+            if label == round_.leader and (usage := delta_tracker.usage_for_leader(round_.queue)) is not None:
+                yield OutgoingMessage(label, usage, numbered)
+            if (changes := delta_tracker.delta_for(label, label == round_.leader)) is not None:
                 yield OutgoingMessage(label, changes, numbered)
-                self._acknowledged(label, one)
+                self._note_acknowledgement(label, round_)
 
-    def _acknowledged(self, label: str, one: PublishRound) -> None:
+    def _note_acknowledgement(self, label: str, round_: PublishRound) -> None:
         """The message that has just gone there carries the acknowledgement that the status would."""
-        if label in self.last:
-            message, at, _ = self.last[label]
-            self.last[label] = (message, at, one.links[label].received)
-
-    def _to_each(self, one: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
-        """To whom it is news; the same is told again only now and then, or with an acknowledgement to pass on."""
-        for label, link in one.links.items():
-            last, at, received = self.last.get(label, (KeepAlive(), float("-inf"), 0))
+        if label in self.last_sent:
+            message, at, _ = self.last_sent[label]
+            self.last_sent[label] = LastSent(message, at, round_.links[label].received)
+
+    def _to_each(self, round_: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
+        """To whom it is news; the same is sent again only now and then, or with an acknowledgement to pass on."""
+        for label, link in round_.links.items():
+            last, at, received = self.last_sent.get(label, _NEVER_SENT)
             if (
                 last != message
                 or received != link.received
-                or one.now - at >= constants.MESH_PROBE_S
+                or round_.now - at >= constants.MESH_PROBE_S
                 or (isinstance(message, QueueSnapshot) and message.rows)
             ):
-                self.last[label] = (message, one.now, link.received)
+                self.last_sent[label] = LastSent(message, round_.now, link.received)
                 yield OutgoingMessage(label, message, False)
--- a/alderbridge/queues/sender_clock.py
+++ b/alderbridge/queues/sender_clock.py
@@ -2,7 +2,7 @@
 
 A message says when it was made on its sender's steady clock, whose zero is unknown here. The one that was on its way
 for the shortest time shows the offset best; clocks drift apart, so what it showed is trusted less as time passes.
-Without this the times in a row that was held up for seconds would be wrong by them until it is told again.
+Without this the times in a row that was held up for seconds would be wrong by them until it is sent again.
 """
 
 from __future__ import annotations
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -10,18 +10,14 @@
 
 from __future__ import annotations
 
-import bisect
 import heapq
-import itertools
 import math
-from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
 import msgspec
 
-from alderbridge import constants
-from alderbridge.protocol.messages import QueueRow
-from alderbridge.protocol.wire import PRIORITIES, JobSpec, MachineType
+from alderbridge.protocol.wire import JobSpec, MachineType
+from alderbridge.scheduling.offers import Entry, Offer, Offers, order
 from alderbridge.scheduling.resources import Resources, fits, minus
 
 __all__ = [
@@ -41,9 +37,6 @@
     "runnable",
 ]
 
-_GUARANTEED = len(PRIORITIES)  # ranks above the highest priority
-TURN_AHEAD_S = 1e9  # s; so far before all dates stands what has a turn, in the order of its arrival
-
 
 class Candidate(msgspec.Struct, frozen=True):
     """A machine that may be given tasks."""
@@ -103,94 +96,6 @@
     return False
 
 
-def order(row: QueueRow, spec: JobSpec, due_in_s: float) -> tuple[bool, int, float]:
-    """Whose turn it is: what can still be in time, higher priority, soonest deadline.
-
-    Work within its team's guarantee need not wait for other teams: it ranks with
-    the highest. A job that others need has the priority of the highest of them.
-    Where there is room for all, this is the paper's order.
-    """
-    rank = _GUARANTEED if row.guaranteed else _GUARANTEED - 1 if row.priority_boost > 1 else max(row.rank, spec.rank)
-    if row.priority_boost:
-        return False, -rank, -row.waited_s  # before all dates, who has waited longest first
-    return row.late, -rank, due_in_s
-
-
-class Offer:
-    """Tasks of one job that its home would grant now; ``left`` falls as they are asked for."""
-
-    __slots__ = ("key", "label", "row", "spec", "left", "young_until", "patient_until")
-
-    def __init__(self, label: str, row: QueueRow, spec: JobSpec, now: float, gather_s: float) -> None:
-        late, rank, due = order(row, spec, now + row.due_in_s)  # by the clock: it holds while time passes
-        self.key = (late, rank, now + due - TURN_AHEAD_S) if row.priority_boost else (late, rank, due)
-        self.label, self.row, self.spec, self.left = label, row, spec, row.offer
-        self.young_until = now - row.waited_s + gather_s
-        self.patient_until = now - row.waited_s + constants.RESERVE_AFTER_S  # no room is kept for it before
-
-
-Entry = tuple[bool, int, float, str, str, Offer]  # its key, its home, its job: no two are alike
-
-
-class Offers:
-    """What all homes offer, in the order of placement."""
-
-    def __init__(self) -> None:
-        """Nothing is offered."""
-        self.by_shard: dict[str, dict[str, Entry]] = {}
-        self.merged: list[Entry] | None = []  # of all homes, in order; None: to be put together anew
-        self.sizes: Counter[float] = Counter()  # cpus of a task -> offers
-        self.least_cpus = math.inf  # of the smallest task
-
-    def clear(self) -> None:
-        """A new view: nothing that was offered counts."""
-        self.by_shard.clear()
-        self.sizes.clear()
-        self.least_cpus = math.inf
-        self.merged = None
-
-    def replace(self, label: str, offers: Iterable[Offer]) -> None:
-        """All that a home offers now, in place of what it told before."""
-        for entry in self.by_shard.get(label, {}).values():
-            self.sizes[entry[-1].spec.cpus] -= 1
-        self.by_shard[label] = {offer.row.job: (*offer.key, label, offer.row.job, offer) for offer in offers}
-        self.sizes.update(entry[-1].spec.cpus for entry in self.by_shard[label].values())
-        self.merged = None
-        self._find_least()
-
-    def update(self, label: str, offers: Iterable[Offer], gone: Iterable[str]) -> None:
-        """What a home offers anew or otherwise, and what it offers no more."""
-        known = self.by_shard.setdefault(label, {})
-        for job in gone:
-            self._remove(known, job)
-        for offer in offers:
-            self._remove(known, offer.row.job)
-            entry = known[offer.row.job] = (*offer.key, label, offer.row.job, offer)
-            self.sizes[offer.spec.cpus] += 1
-            if self.merged is not None:
-                bisect.insort(self.merged, entry)
-        self._find_least()
-
-    def _remove(self, known: dict[str, Entry], job: str) -> None:
-        entry = known.pop(job, None)
-        if entry is None:
-            return
-        self.sizes[entry[-1].spec.cpus] -= 1
-        if self.merged is not None:
-            del self.merged[bisect.bisect_left(self.merged, entry)]
-
-    def _find_least(self) -> None:
-        for cpus in [cpus for cpus, count in self.sizes.items() if not count]:
-            del self.sizes[cpus]
-        self.least_cpus = min(self.sizes, default=math.inf)
-
-    def in_order(self) -> list[Entry]:
-        """All offers, whose turn it is first."""
-        if self.merged is None:
-            self.merged = sorted(itertools.chain.from_iterable(owner.values() for owner in self.by_shard.values()))
-        return self.merged
-
-
 def fill_claimed(machine: Candidate, offers: Offers, job: str, count: int) -> list[PlacementRequest]:
     """What to ask for of the one job that the machine's room is kept for, at most ``count``; off ``left``."""
     result, room = [], machine.free
