--- a/alderbridge/leader/demand.py
+++ b/alderbridge/leader/demand.py
@@ -9,7 +9,7 @@
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import ShardQueue
 from alderbridge.reconciliation import ScaleInGuard
-from alderbridge.scheduling.policy import Demand
+from alderbridge.scheduling.demand import Demand
 from alderbridge.settings import Team
 from alderbridge.state.replica import Replica
 
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -21,7 +21,8 @@
 from alderbridge.protocol.wire import ListedMachine, MachineType
 from alderbridge.queues import ShardQueues
 from alderbridge.reconciliation import ScaleInGuard
-from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
+from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
+from alderbridge.scheduling.market import Market
 from alderbridge.scheduling.resources import QuotaAmounts
 from alderbridge.settings import Team, Tuning
 from alderbridge.state.replica import Replica
--- a/alderbridge/leader/quota.py
+++ b/alderbridge/leader/quota.py
@@ -15,8 +15,7 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import ShardQueue
-from alderbridge.scheduling import policy
-from alderbridge.scheduling.policy import QuotaDemand
+from alderbridge.scheduling.quota_division import QuotaDemand, divide_quota
 from alderbridge.scheduling.resources import NO_QUOTA, QuotaAmounts
 from alderbridge.settings import Team
 
@@ -89,7 +88,7 @@
             used = {label: queues[label].used.get(team.name, NO_QUOTA)[index] for label in self.members}
             reserved = {label: queues[label].reserved.get(team.name, NO_QUOTA)[index] for label in self.members}
             given = {label: self.given[label].get(team.name, NO_QUOTA)[index] for label in self.members}
-            shares.append(policy.divide_quota(limit, used, reserved, given, demands) if limit > 0 else given)
+            shares.append(divide_quota(limit, used, reserved, given, demands) if limit > 0 else given)
         return {label: (shares[0].get(label, 0.0), shares[1].get(label, 0.0)) for label in self.members}
 
     def _demands(self, now: float, queues: Mapping[str, ShardQueue], order: RowOrder) -> dict[str, TeamDemand]:
--- a/alderbridge/leader/reachable_order.py
+++ b/alderbridge/leader/reachable_order.py
@@ -9,7 +9,8 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling import placement
-from alderbridge.scheduling.policy import MachineKind, Market
+from alderbridge.scheduling.demand import MachineKind
+from alderbridge.scheduling.market import Market
 from alderbridge.scheduling.resources import fits
 
 RowKey = tuple[bool, tuple[bool, int, float]]  # out of reach, order of placement
--- a/alderbridge/leader/rented_machines.py
+++ b/alderbridge/leader/rented_machines.py
@@ -22,7 +22,7 @@
 
 from alderbridge.protocol.messages import MachineSummary
 from alderbridge.protocol.wire import ListedMachine
-from alderbridge.scheduling.policy import MachineKind
+from alderbridge.scheduling.demand import MachineKind
 
 BOOT_SLACK = 1.5  # times a type's usual boot time; what boots for longer is not counted on
 
--- a/alderbridge/leader/scaling.py
+++ b/alderbridge/leader/scaling.py
@@ -17,7 +17,9 @@
 )
 from alderbridge.protocol.messages import MachineSummary
 from alderbridge.scheduling import policy
-from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
+from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
+from alderbridge.scheduling.market import Market
+from alderbridge.scheduling.walk import Walk
 from alderbridge.settings import Tuning
 
 
@@ -75,7 +77,7 @@
             else:
                 self._consider_unreported(scaling, name, rented)
         self._terminate_vanished(scaling)
-        walk = policy.Walk(scaling.resources, demands)
+        walk = Walk(scaling.resources, demands)
         self._return_idle(scaling, walk)
         self._scale_out(scaling, walk, demands)
         return scaling.decision
@@ -154,7 +156,7 @@
             if name not in self.machines and row.silent_s + scaling.now - at > constants.SILENT_S:
                 scaling.decision.terminate.append(name)
 
-    def _return_idle(self, scaling: ScalingRound, walk: policy.Walk) -> None:
+    def _return_idle(self, scaling: ScalingRound, walk: Walk) -> None:
         """Idle machines at the end of their paid block go, where no breach follows from it."""
         for resource, name in scaling.idle:
             age_s = scaling.now - self.machines[name].rented_at
@@ -165,7 +167,7 @@
             elif not policy.keep_idle(walk, resource):
                 self._begin_termination(scaling, name, "idle at the end of its block")
 
-    def _scale_out(self, scaling: ScalingRound, walk: policy.Walk, demands: Sequence[Demand]) -> None:
+    def _scale_out(self, scaling: ScalingRound, walk: Walk, demands: Sequence[Demand]) -> None:
         """Machines for predicted breaches and, at intervals, for what is about to breach."""
         now = scaling.now
         below_cap = max(0, self.tuning.max_machines - scaling.alive)
