--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -798,7 +798,7 @@
         for submission, record in batch.submissions:
             job = submission.job
             job.revision = revision
-            self.replica.saw_job(job.spec.id, record, revision)
+            self.replica.observe_job(job.spec.id, record, revision)
             if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its home
                 self.job_shard.add(job)
                 self.apply_dependencies(job)
@@ -807,7 +807,7 @@
         self.pump()
 
     def _stored(self, job: Job, record: Record, revision: int) -> None:
-        self.replica.saw_job(job.spec.id, record, revision)
+        self.replica.observe_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
             self.notifications.append(job.spec.id)
         if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
@@ -880,7 +880,7 @@
         for submission, _ in batch.submissions + batch.lists:
             job = submission.job
             if job.spec.id == name and not submission.outcome:
-                self.replica.saw_job(name, record, row.revision)
+                self.replica.observe_job(name, record, row.revision)
                 ours = record.accepted_by == self.me and record.at == job.at and record.state is JobState.ACTIVE
                 if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
                     job.revision = row.revision  # an earlier write of ours had no answer
@@ -927,7 +927,7 @@
         it, beside its home (docs/incidents/read-ahead.md).
         """
         if record.state is not JobState.ACTIVE and not self.knows_job(name):
-            self.replica.saw_job(name, Record(record.state, done_at=record.done_at), revision)
+            self.replica.observe_job(name, Record(record.state, done_at=record.done_at), revision)
             self.process_dependency_events()
 
     def dependencies_of(self, job: Job) -> list[str]:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -453,7 +453,7 @@
         self.desk.enter(["host-0"])
         self.tune, self.serve = spec("wk-1", "data", "tune", tasks=16), replica("wk-9", tasks=4)
         for one in (self.tune, self.serve):
-            known.saw_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
+            known.observe_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
 
     def tell(self, now, waiting, free=0.0):
         rows = [QueueRow("wk-9", waiting, waiting, 10.0, 3600.0, None, now, False, True)] if waiting else []
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -252,7 +252,7 @@
     first = spec(tasks=6, cpus=4.0, spot=False)
     other = msgspec.structs.replace(first, id="wk-2", priority="best_effort", tasks=13, cpus=2.0, spot=True)
     for label, one in (("host-1", other), ("host-0", first)):
-        known.saw_job(one.id, Record(JobState.ACTIVE, label, 0.0, one.tasks, [], one), 1)
+        known.observe_job(one.id, Record(JobState.ACTIVE, label, 0.0, one.tasks, [], one), 1)
         row = QueueRow(one.id, one.tasks, 0, 120.0, 10.0, None, 300.0, True, False)
         leader.on_queue(label, QueueSnapshot([row], {}, {}, {"t": (one.tasks * one.cpus, 0.0)}, 0), 1.0)
         leader.on_machine_summaries(label, MachineSummaries([]), 1.0)
