--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -14,7 +14,7 @@
 from alderbridge.settings import DEFAULT_INI, ConfigError, Platform, Tuning, load_platform, load_tuning
 
 if TYPE_CHECKING:
-    from alderbridge.configuration import Declared
+    from alderbridge.configuration import ConfigurationRevision
 
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -58,7 +58,7 @@
     return _serve(platform, tuning, level, own)
 
 
-def _serve(platform: Platform, tuning: Tuning, level: str, own: dict[str, Declared]) -> int:
+def _serve(platform: Platform, tuning: Tuning, level: str, own: dict[str, ConfigurationRevision]) -> int:
     import curio  # only here: --help and --check need neither the loop nor its start-up time
 
     from alderbridge.controller.process import Controller
--- a/alderbridge/configuration/texts.py
+++ b/alderbridge/configuration/compiler.py
@@ -1,12 +1,6 @@
-"""A declaration's file: read, checked, and compiled to the text that the store keeps.
+"""A file of the operators: read, checked, and compiled to the text that the store keeps.
 
-Each kind has a package with a module ``declaration``:
-
-* ``Text``: a ``msgspec.Struct`` whose fields all have defaults; ``Text()`` declares nothing. A field that an earlier
-  program can't pass over needs a new generation, as in any other record.
-* ``parse(parser, path) -> Text``: of all sections but ``[declaration]``; ``ConfigError``, one line, for a fault. It
-  depends on the file alone: two controllers, on two days, must compile the same.
-* ``check_lines(text) -> list[str]``: for people, what the text puts in force.
+Each kind has a package with a module ``declaration``, a ``ConfigurationReader``.
 """
 
 from __future__ import annotations
@@ -14,19 +8,49 @@
 import configparser
 import hashlib
 import importlib
-from typing import Any
+from typing import Any, Protocol, cast
 
 import msgspec
 
 from alderbridge import constants
 from alderbridge.settings import KINDS, ConfigError, read_ini
 
-READERS: dict[str, Any] = {}  # kind -> its module ``declaration``, once imported
+__all__ = [
+    "KINDS",
+    "READERS",
+    "ConfigurationReader",
+    "ConfigurationRevision",
+    "check_lines",
+    "compiled",
+    "digest_of",
+    "load",
+    "reader",
+]
+
+
+class ConfigurationReader(Protocol):
+    """The module that reads one kind."""
+
+    # A struct whose fields all have defaults; one of defaults alone declares nothing. A field that an earlier program
+    # can't pass over needs a new protocol version, as in any other record.
+    Text: type[msgspec.Struct]
+
+    def parse(self, parser: configparser.ConfigParser, path: str) -> msgspec.Struct:
+        """Compile all sections but ``[declaration]``; ``ConfigError`` for a fault.
+
+        It depends on the file alone: two controllers, on two days, must compile the same.
+        """
+
+    def check_lines(self, text: Any) -> list[str]:
+        """Say for people what the configuration puts in force."""
+
+
+READERS: dict[str, ConfigurationReader] = {}  # kind -> its module, once imported
 SECTION = "declaration"
 
 
-class Declared(msgspec.Struct, frozen=True):
-    """A file, compiled. An empty ``text`` takes the declaration back."""
+class ConfigurationRevision(msgspec.Struct, frozen=True):
+    """A file, compiled. An empty ``text`` takes back what was declared before."""
 
     kind: str
     revision: int
@@ -34,24 +58,26 @@
     text: bytes
 
 
-def reader(kind: str) -> Any:
-    """Imported only when something of the kind is declared: start-up is charged."""
+def reader(kind: str) -> ConfigurationReader:
+    """Return the kind's module. Imported only when something of the kind is declared: start-up is charged."""
     if kind not in READERS:
-        READERS[kind] = importlib.import_module(f"alderbridge.{KINDS[kind]}.declaration")
+        module = importlib.import_module(f"alderbridge.{KINDS[kind]}.declaration")
+        READERS[kind] = cast(ConfigurationReader, module)
     return READERS[kind]
 
 
 def digest_of(text: bytes) -> str:
+    """Return the digest that names a compiled text."""
     return hashlib.blake2b(text, digest_size=16).hexdigest()
 
 
 def compiled(kind: str, text: bytes) -> msgspec.Struct:
-    """``msgspec.DecodeError`` where this program can't read it."""
+    """Return what a text declares; ``msgspec.DecodeError`` where this program can't read it."""
     return msgspec.json.decode(text, type=reader(kind).Text) if text else reader(kind).Text()
 
 
-def load(path: str, kind: str) -> Declared:
-    """``ConfigError``, one line, for each fault of the file."""
+def load(path: str, kind: str) -> ConfigurationRevision:
+    """Read a file of the kind; ``ConfigError``, one line, for each of its faults."""
     if kind not in KINDS:
         raise ConfigError(f"{path}: expected one of {', '.join(KINDS)}, got {kind!r}")
     parser = read_ini(path)
@@ -64,10 +90,11 @@
         raise ConfigError(
             f"{path}: expected no more than {constants.CONFIGURATION_MAX_BYTES} bytes when compiled, got {len(text)}"
         )
-    return Declared(kind, revision, digest_of(text), text)
+    return ConfigurationRevision(kind, revision, digest_of(text), text)
 
 
 def _revision(parser: configparser.ConfigParser, path: str) -> int:
+    """Read the file's own number."""
     if not parser.has_section(SECTION):
         raise ConfigError(f"{path}: [{SECTION}]: no such section, expected one with the key revision")
     for key in parser.options(SECTION):
@@ -81,8 +108,8 @@
     return int(text)
 
 
-def check_lines(declared: Declared) -> list[str]:
-    """What ``--check`` prints of a file."""
+def check_lines(declared: ConfigurationRevision) -> list[str]:
+    """Return what ``--check`` prints of a file."""
     first = f"{declared.kind}: revision {declared.revision}, digest {declared.digest}, {len(declared.text)} bytes"
     if not declared.text:
         return [f"{first}: nothing is declared any more"]
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -24,7 +24,7 @@
 from alderbridge.calendars.declaration import Text as Hours
 from alderbridge.calendars.gate import Gate
 from alderbridge.calendars.timetable import NEVER
-from alderbridge.configuration import Declarations, Declared, Proposal
+from alderbridge.configuration import ConfigurationProposal, ConfigurationRevision, OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.leader.leader import Leader
@@ -93,7 +93,7 @@
     dropped_machines: list[str] = field(default_factory=list)
     lists: list[tuple[Submission, str]] = field(default_factory=list)
     dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
-    proposal: Proposal | None = None  # then nothing else
+    proposal: ConfigurationProposal | None = None  # then nothing else
     claims: ClaimTransaction | None = None  # then nothing else is in it
 
     @property
@@ -108,7 +108,7 @@
         tuning: Tuning,
         now: float,
         rng: Random | None = None,
-        own: dict[str, Declared] | None = None,
+        own: dict[str, ConfigurationRevision] | None = None,
     ) -> None:
         """``own``: what the operators' files of this process declare, by kind."""
         shared = platform.settings
@@ -121,7 +121,7 @@
         self.membership = Membership(self.me, ttl, min(constants.STORE_LEASE_TTL_S, most))
         stretches = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
         self.graph = Graph(self.run_time, stretches)
-        self.declared = Declarations(own, ttl, self.labels)
+        self.declared = OperatorConfiguration(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
         self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
@@ -584,7 +584,7 @@
     def process_configuration(self) -> None:
         """What operators declare has arrived, or something in the store that counts can't be read here."""
         if self.declared.changed:
-            self.declared.look(self.now)
+            self.declared.refresh(self.now)
         if self.declared.unreadable:
             self.membership.mark_unreadable()
         self.refresh_calendars()
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.configuration import Declarations
+from alderbridge.configuration import OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.membership.view import MemberRecord, Membership, View
@@ -34,10 +34,10 @@
 
 
 class Replica:
-    def __init__(self, membership: Membership, graph: Graph, declared: Declarations | None = None) -> None:
+    def __init__(self, membership: Membership, graph: Graph, declared: OperatorConfiguration | None = None) -> None:
         self.membership = membership
         self.graph = graph
-        self.declared = declared or Declarations(None, membership.store_lease.ttl_s, [membership.me])
+        self.declared = declared or OperatorConfiguration(None, membership.store_lease.ttl_s, [membership.me])
         self.ledger = Ledger()  # claims, their budgets and the stops they caused
         self.active: dict[str, tuple[Record, int]] = {}  # jobs that still have a spec, and their stamps
         self.left: dict[str, int] = {}  # of these, tasks that their records do not count as done
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -8,7 +8,7 @@
 
 from alderbridge import settings
 from alderbridge.calendars import declaration as hours
-from alderbridge.configuration.records import Head, Revision, head_key, piece_keys
+from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, piece_keys
 from alderbridge.jobs.shard import JobState, Record, TaskState
 from alderbridge.lending import declaration as lending
 from alderbridge.lending import lender
@@ -222,12 +222,12 @@
     ),
     "record-stops": JobPreemptions(tasks={4: 2, 6: 1}, first=1700000000.25),
     "record-spent": PreemptionsSpent(stops={"forecasts/serving": [(1700000000, 3)]}),
-    "record-declaration": Head(
+    "record-declaration": ConfigurationHead(
         revision=4,
         digest="d4",
         parts=2,
         at=1700000000.25,
-        before=Revision(revision=3, digest="d3", parts=1),
+        before=StoredRevision(revision=3, digest="d3", parts=1),
     ),
     "record-declaration-piece": b"part of a text",
     "declared-hours": hours.Text(
@@ -296,9 +296,9 @@
     "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
     "older-record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE_REQUIRED]),
     "older-record-spent": PreemptionsSpent(stops={}),
-    "older-record-declaration": Head(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
-    "older-record-declaration-first": Head(
-        revision=4, digest="d4", parts=2, at=1700000000.25, before=Revision(revision=0, digest="", parts=0)
+    "older-record-declaration": ConfigurationHead(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
+    "older-record-declaration-first": ConfigurationHead(
+        revision=4, digest="d4", parts=2, at=1700000000.25, before=StoredRevision(revision=0, digest="", parts=0)
     ),
     "older-declared-hours": hours.Text(
         calendars=[hours.Calendar(name="always")],
@@ -402,7 +402,7 @@
         "no lists": list_keys("wk-000017", ""),
         "declarations": DECLARED,
         "declaration": head_key("hours"),
-        "pieces of a declaration": piece_keys("hours", Revision(revision=4, digest="d4", parts=2)),
+        "pieces of a declaration": piece_keys("hours", StoredRevision(revision=4, digest="d4", parts=2)),
         "claim": CLAIMS + "vm-1",
         "budgets": BUDGETS,
         "stops": STOPS + "wk-000017",
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -10,8 +10,14 @@
 from world import Broken, World
 
 from alderbridge import cli, configuration, constants
-from alderbridge.configuration import Declarations, Head, Revision, records, texts
-from alderbridge.configuration import declarations as machine
+from alderbridge.configuration import (
+    ConfigurationHead,
+    OperatorConfiguration,
+    StoredRevision,
+    compiler,
+    operator_configuration,
+    records,
+)
 from alderbridge.controller.core import ControllerCore
 from alderbridge.membership.view import Membership
 from alderbridge.protocol import wire
@@ -34,12 +40,12 @@
 def readers(monkeypatch):
     reader = SimpleNamespace(Text=Text, parse=parse, check_lines=lambda text: [f"words: {' '.join(text.words)}"])
     for kind in configuration.KINDS:
-        monkeypatch.setitem(texts.READERS, kind, reader)
+        monkeypatch.setitem(compiler.READERS, kind, reader)
 
 
 def declare(kind, revision, words):
     raw = msgspec.json.encode(Text(words)) if words else b""
-    return configuration.Declared(kind, revision, texts.digest_of(raw), raw)
+    return configuration.ConfigurationRevision(kind, revision, compiler.digest_of(raw), raw)
 
 
 # -- files
@@ -113,26 +119,26 @@
 def change(declarations, now, revision, **puts):
     for kind, head in puts.items():
         declarations.apply(DECLARED + kind, msgspec.json.encode(head), revision)
-    declarations.look(now)
+    declarations.refresh(now)
 
 
 def put_text(declarations, kind, revision, words):
     one = declare(kind, revision, words)
-    named = Revision(revision, one.digest, records.parts_of(one.text, 512))
+    named = StoredRevision(revision, one.digest, records.parts_of(one.text, 512))
     for key, piece in zip(records.piece_keys(kind, named), records.pieces(one.text, named.parts), strict=True):
         declarations.apply(key, msgspec.json.encode(piece), 1)
     return named
 
 
 def head_of(named, before=None):
-    return Head(named.revision, named.digest, named.parts, 0.0, before)
+    return ConfigurationHead(named.revision, named.digest, named.parts, 0.0, before)
 
 
 def test_both_are_obeyed_until_whoever_acts_must_know_the_newer():
-    one = Declarations(None, 20.0, ["host-0"])
+    one = OperatorConfiguration(None, 20.0, ["host-0"])
     assert one.in_force("hours", 0.0) == []
     first, second = put_text(one, "hours", 1, ["a"]), put_text(one, "hours", 2, ["b"])
-    change(one, 100.0, 5, hours=head_of(first, Revision(0)))
+    change(one, 100.0, 5, hours=head_of(first, StoredRevision(0)))
     assert one.in_force("hours", 120.9) == [Text(), Text(["a"])]
     assert one.in_force("hours", 121.0) == [Text(["a"])] and one.in_force("lending", 121.0) == []
     same = one.in_force("hours", 122.0)
@@ -250,7 +256,7 @@
     def run(self, until):
         while self.events and self.events[0][0] <= until:
             super().run(self.events[0][0])
-            self.look()
+            self.refresh()
 
     def look(self):
         if self.store.revision != self.seen_epoch:
@@ -259,7 +265,7 @@
         lists = {}
         for label, sim in self.nodes.items():
             if sim.core is not None and sim.core.loaded:
-                lists[label] = [0] if sim.old else sim.core.declared.obeyed("hours", self.t)
+                lists[label] = [0] if sim.old else sim.core.declared.revisions_in_force("hours", self.t)
         alone = {obeyed[0] for obeyed in lists.values() if len(obeyed) == 1 and obeyed[0] > 0}
         for revision in alone:
             behind = [label for label, obeyed in lists.items() if obeyed[-1] < revision]
@@ -277,7 +283,7 @@
         row = self.store.data.get(records.head_key("hours"))
         if row is None:
             return
-        head = msgspec.json.decode(row[0], type=Head)
+        head = msgspec.json.decode(row[0], type=ConfigurationHead)
         before, self.seen = self.seen, (head.revision, head.digest)
         if head.revision < before[0] or (head.revision == before[0] and head.digest != before[1]):
             raise Broken(f"older_wins: {before} -> {self.seen}")
@@ -285,7 +291,7 @@
         for named in head.named:
             rows = [self.store.data.get(key) for key in records.piece_keys("hours", named)]
             text = b"" if None in rows else b"".join(msgspec.json.decode(one[0], type=bytes) for one in rows)
-            if None in rows or (named.digest and texts.digest_of(text) != named.digest):
+            if None in rows or (named.digest and compiler.digest_of(text) != named.digest):
                 raise Broken(f"torn: {named}")
 
     def finish(self, until):
@@ -294,7 +300,7 @@
         expected = max([self.seen[0], *files])
         for label, sim in self.nodes.items():
             assert sim.core.membership.may_act(self.t), label
-            obeyed = sim.core.declared.obeyed("hours", self.t)
+            obeyed = sim.core.declared.revisions_in_force("hours", self.t)
             if obeyed != [expected]:
                 raise Broken(f"not_in_force: {label} obeys {obeyed}, {expected} is declared")
             if sim.core.declared.kinds and sim.core.declared.kinds["hours"].head is not None:
@@ -325,8 +331,10 @@
 
 
 def in_force_at_once(monkeypatch):
-    real = machine._Declaration.look
-    monkeypatch.setattr(machine._Declaration, "look", lambda self, now, wait_s: real(self, now, 0.0))
+    real = operator_configuration._KindConfiguration.refresh
+    monkeypatch.setattr(
+        operator_configuration._KindConfiguration, "refresh", lambda self, now, wait_s: real(self, now, 0.0)
+    )
 
 
 FILES = declare("hours", 1, ["a"]), declare("hours", 2, ["b"])
@@ -350,7 +358,7 @@
     def obeyed():
         core = World(1, jobs=0, trouble=False).nodes["host-0"].core
         core.refresh_calendars = lambda: None
-        first, second = (Revision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
+        first, second = (StoredRevision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
         rows = [
             wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(piece)), 1)
             for named, one in zip((first, second), FILES, strict=True)
@@ -371,20 +379,20 @@
 
 def settled_at_once(monkeypatch):
     """A head that names nothing before it: who starts then obeys it alone."""
-    real = machine._Declaration._due_revision
+    real = operator_configuration._KindConfiguration._due_revision
 
     def due(self, *args):
         proposal = real(self, *args)
         for key, value in (proposal.puts if proposal is not None else {}).items():
-            if isinstance(value, Head):
+            if isinstance(value, ConfigurationHead):
                 proposal.puts[key] = msgspec.structs.replace(value, before=None)
         return proposal
 
-    monkeypatch.setattr(machine._Declaration, "_due_revision", due)
+    monkeypatch.setattr(operator_configuration._KindConfiguration, "_due_revision", due)
 
 
 def head_before_texts(monkeypatch):
-    real = machine._Declaration._due_revision
+    real = operator_configuration._KindConfiguration._due_revision
 
     def due(self, membership, labels, wall, room, value_bytes):
         proposal = real(self, membership, labels, wall, 100, value_bytes)
@@ -393,19 +401,19 @@
             proposal.drops = []
         return proposal
 
-    monkeypatch.setattr(machine._Declaration, "_due_revision", due)
+    monkeypatch.setattr(operator_configuration._KindConfiguration, "_due_revision", due)
 
 
 def texts_of_others_dropped(monkeypatch):
     monkeypatch.setattr(
-        machine._Declaration,
+        operator_configuration._KindConfiguration,
         "_unnamed",
         lambda self, named: [key for key in self.pieces if key not in records.piece_keys(self.kind, named[-1])],
     )
 
 
 def head_not_asserted(monkeypatch):
-    real = machine._Declaration.due
+    real = operator_configuration._KindConfiguration.due
 
     def due(self, *args):
         proposal = real(self, *args)
@@ -413,11 +421,11 @@
             proposal.conditions = {}
         return proposal
 
-    monkeypatch.setattr(machine._Declaration, "due", due)
+    monkeypatch.setattr(operator_configuration._KindConfiguration, "due", due)
 
 
 def older_file_wins(monkeypatch):
-    real = machine._Declaration.due
+    real = operator_configuration._KindConfiguration.due
 
     def due(self, membership, labels, now, wall, room, value_bytes):
         if self.head is not None and self.head.before is None and self.own is not None:
@@ -425,7 +433,7 @@
                 return self._due_revision(membership, labels, wall, room, value_bytes)
         return real(self, membership, labels, now, wall, room, value_bytes)
 
-    monkeypatch.setattr(machine._Declaration, "due", due)
+    monkeypatch.setattr(operator_configuration._KindConfiguration, "due", due)
 
 
 def older_versions_not_waited_for(monkeypatch):
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -16,7 +16,7 @@
 
 from alderbridge import settings
 from alderbridge.cloud import Cloud
-from alderbridge.configuration import texts
+from alderbridge.configuration import compiler
 from alderbridge.protocol import messages, wire
 from alderbridge.state.store import Store
 from alderbridge.transport import mesh
@@ -176,11 +176,11 @@
 
 @pytest.mark.parametrize("kind", settings.KINDS)
 def test_what_operators_declare_is_compiled_to_the_same_text(kind):
-    found = texts.load(str(FOLDER / f"{kind}.ini"), kind)
+    found = compiler.load(str(FOLDER / f"{kind}.ini"), kind)
     text = content(f"declared-{kind}.json")
     assert (found.kind, found.revision, found.text) == (kind, 4, text)
     assert found.digest.encode() == content(f"digest-{kind}.txt")
-    assert texts.compiled(kind, text) == examples.RECORDS[f"declared-{kind}"]
+    assert compiler.compiled(kind, text) == examples.RECORDS[f"declared-{kind}"]
 
 
 # -- the files themselves --------------------------------------------------
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -13,7 +13,7 @@
 from world import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
 
 from alderbridge import configuration, constants
-from alderbridge.configuration import Declarations, texts
+from alderbridge.configuration import OperatorConfiguration, compiler
 from alderbridge.controller.core import ControllerCore
 from alderbridge.jobs.shard import JobState, Record, TaskState
 from alderbridge.machines.shard import MachineState
@@ -392,8 +392,8 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_a_head_in_doubt_is_obeyed_beside_the_one_before_by_whoever_has_read_it(shown):
     raw = msgspec.json.encode({"words": ["a"]})
-    own = configuration.Declared("hours", 3, texts.digest_of(raw), raw)
-    one, other = (Declarations(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
+    own = configuration.ConfigurationRevision("hours", 3, compiler.digest_of(raw), raw)
+    one, other = (OperatorConfiguration(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
     membership = SimpleNamespace(
         registered={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
     )
@@ -403,21 +403,21 @@
     def show(declarations, now):
         for key, value in proposal.puts.items():
             declarations.apply(key, msgspec.json.encode(value), 7)
-        declarations.look(now)
+        declarations.refresh(now)
 
     show(other, 0.1)
-    assert other.obeyed("hours", 0.1) == [0, 3]
+    assert other.revisions_in_force("hours", 0.1) == [0, 3]
     if shown:
         show(one, 0.1)
     one.failed(proposal, constants.STATE_TIMEOUT_S)
-    assert one.obeyed("hours", 2.0) == ([0, 3] if shown else [0])
+    assert one.revisions_in_force("hours", 2.0) == ([0, 3] if shown else [0])
     again = one.due(membership, 2.0 + constants.CONFIGURATION_RETRY_S, 9.0, 12, 4096)
     assert (again is None) is shown, "its own head is not proposed over itself"
     if again is not None:
         assert again.conditions == proposal.conditions, "the store has it at 7: a conflict"
         one.failed(again, 3.0)
         show(one, 4.0)
-    assert one.obeyed("hours", 20.9) == [0, 3] and one.obeyed("hours", 26.0) == [3]
+    assert one.revisions_in_force("hours", 20.9) == [0, 3] and one.obeyed("hours", 26.0) == [3]
 
 
 @pytest.mark.parametrize("shown", (True, False))
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -13,7 +13,7 @@
 from world import LABELS, TYPES, SimController, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
 
 from alderbridge import configuration, constants
-from alderbridge.configuration import Declarations, Head, Revision, records, texts
+from alderbridge.configuration import ConfigurationHead, OperatorConfiguration, StoredRevision, compiler, records
 from alderbridge.controller import process
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
@@ -599,22 +599,22 @@
 def test_the_answer_to_a_text_does_not_bring_it_back_when_another_head_has_dropped_it():
     """Counted on as stored, it was named by this file's head: nobody could read that, and all stopped acting."""
     raw = msgspec.json.encode({"words": ["a" * 900]})
-    own = configuration.Declared("hours", 3, texts.digest_of(raw), raw)
-    one = Declarations({"hours": own}, 20.0, ["host-0"])
-    other = Revision(2, "other", 0)
+    own = configuration.ConfigurationRevision("hours", 3, compiler.digest_of(raw), raw)
+    one = OperatorConfiguration({"hours": own}, 20.0, ["host-0"])
+    other = StoredRevision(2, "other", 0)
     membership = SimpleNamespace(
         present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: False
     )
-    head = Head(1, "first", 0, 0.0)
+    head = ConfigurationHead(1, "first", 0, 0.0)
     one.apply(DECLARED + "hours", msgspec.json.encode(head), 5)
-    one.look(0.0)
+    one.refresh(0.0)
     proposal = one.due(membership, 0.0, 0.0, 1, 512)  # room for one text, the head is to follow
     ((key, piece),) = proposal.puts.items()
-    assert key in records.piece_keys("hours", Revision(3, own.digest, records.parts_of(raw, 512)))
+    assert key in records.piece_keys("hours", StoredRevision(3, own.digest, records.parts_of(raw, 512)))
     one.apply(key, msgspec.json.encode(piece), 7)  # the replica shows it, and the other's head, before the answer
     one.apply(key, None, 8)
-    one.apply(DECLARED + "hours", msgspec.json.encode(Head(2, "other", 0, 0.0, head.last)), 8)
-    one.look(0.0)
+    one.apply(DECLARED + "hours", msgspec.json.encode(ConfigurationHead(2, "other", 0, 0.0, head.last)), 8)
+    one.refresh(0.0)
     one.done(proposal, 7, 0.0)
     assert key not in one.kinds["hours"].pieces
     assert other.revision == one.kinds["hours"].head.revision
