--- a/alderbridge/calendars/__init__.py
+++ b/alderbridge/calendars/__init__.py
@@ -1,6 +1,6 @@
 """Calendars that jobs consult before they run; docs/hours.md."""
 
-from alderbridge.calendars.declaration import Text, check_lines, parse
-from alderbridge.calendars.timetable import Look, Timetable, Timetables
+from alderbridge.calendars.configuration import CalendarConfiguration, check_lines, parse
+from alderbridge.calendars.timetable import Eligibility, Timetable, Timetables
 
-__all__ = ["Look", "Text", "Timetable", "Timetables", "check_lines", "parse"]
+__all__ = ["Eligibility", "CalendarConfiguration", "Timetable", "Timetables", "check_lines", "parse"]
--- a/alderbridge/calendars/declaration.py
+++ b/alderbridge/calendars/configuration.py
@@ -36,7 +36,7 @@
     parts: list[str] = []
 
 
-class Class(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
+class CalendarRule(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """Which jobs consult which calendar, and how. The first class that holds a job counts."""
 
     owner: str  # patterns, in which * stands for anything
@@ -48,7 +48,7 @@
     warm_up_s: float = 0.0  # before the opening
     spread_s: float = constants.OPENING_SPREAD_S  # after it
 
-    def holds(self, owner: str, workload: str) -> bool:
+    def matches(self, owner: str, workload: str) -> bool:
         return _matches(self.owner, owner) and _matches(self.workload, workload)
 
     @property
@@ -56,11 +56,11 @@
         return f"{self.owner}/{self.workload}"
 
 
-class Text(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
+class CalendarConfiguration(msgspec.Struct, frozen=True, array_like=True, omit_defaults=True):
     """One declaration of hours; an empty one takes all others back."""
 
     calendars: list[Calendar] = []
-    classes: list[Class] = []
+    classes: list[CalendarRule] = []
 
 
 def day_number(day: date) -> int:
@@ -75,11 +75,11 @@
     """What was expected of one value."""
 
 
-def parse(parser: configparser.ConfigParser, path: str) -> Text:
+def parse(parser: configparser.ConfigParser, path: str) -> CalendarConfiguration:
     """The text of a file that was read; ``ConfigError`` with one line per fault."""
     faults: list[str] = []
     calendars: dict[str, Calendar] = {}
-    classes: list[Class] = []
+    classes: list[CalendarRule] = []
     for section in parser.sections():
         kind, _, name = section.partition(" ")
         name = name.strip()
@@ -94,7 +94,7 @@
             calendars[name] = calendar
         elif kind == "class" and name.count("/") == 1 and all(name.split("/")):
             found = _Reader(dict(parser.items(section)), fault).job_class(*name.split("/"))
-            before = next((one for one in classes if one.holds(found.owner, found.workload)), None)
+            before = next((one for one in classes if one.matches(found.owner, found.workload)), None)
             if before is not None:
                 fault("", f"never holds a job: [class {before.name}] above holds all of them")
             classes.append(found)
@@ -113,7 +113,7 @@
     ]
     if faults:
         raise ConfigError("\n".join(faults))
-    return Text(list(calendars.values()), classes)
+    return CalendarConfiguration(list(calendars.values()), classes)
 
 
 def _rings(calendars: dict[str, Calendar]) -> Iterator[tuple[str, list[str]]]:
@@ -193,11 +193,11 @@
             self.fault("", "expected hours on some day, such as mon-fri = 07:30-15:45")
         return Calendar(name, zone, full, sorted(dates.items()), holidays, on_holidays)
 
-    def job_class(self, owner: str, workload: str) -> Class:
+    def job_class(self, owner: str, workload: str) -> CalendarRule:
         calendar = self.take("calendar", _name, "")
         if not calendar:
             self.fault("calendar", "expected the name of a calendar")
-        result = Class(
+        result = CalendarRule(
             owner,
             workload,
             calendar,
@@ -330,7 +330,7 @@
         raise _Fault("expected a date that exists, as 2026-12-24") from None
 
 
-def check_lines(text: Text, wall: float | None = None) -> list[str]:
+def check_lines(text: CalendarConfiguration, wall: float | None = None) -> list[str]:
     """What ``--check`` prints: the next openings of each calendar from ``wall``, or now; what holds for each class."""
     from alderbridge.calendars.timetable import Timetable
 
@@ -364,3 +364,6 @@
         return "no end"
     tz = load_zone(zone)
     return datetime.fromtimestamp(wall, tz).strftime("%a %Y-%m-%d %H:%M") if tz else f"{wall:.0f}"
+
+
+configuration_type = CalendarConfiguration  # for ``configuration.ConfigurationReader``
--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -18,8 +18,8 @@
 from typing import TYPE_CHECKING
 
 from alderbridge import constants
-from alderbridge.calendars.declaration import Text
-from alderbridge.calendars.timetable import DAY, NEVER, Look, Timetables, shown
+from alderbridge.calendars.configuration import CalendarConfiguration
+from alderbridge.calendars.timetable import DAY, NEVER, Eligibility, Timetables, format_wall
 from alderbridge.protocol.wire import JobSpec
 
 if TYPE_CHECKING:
@@ -28,14 +28,18 @@
 log = logging.getLogger("calendars")
 
 
-class Gate:
+class CalendarGate:
     def __init__(
-        self, texts: Sequence[Text], clock: Callable[[], float], skew_s: float, rank: Callable[[JobSpec], int]
+        self,
+        configurations: Sequence[CalendarConfiguration],
+        clock: Callable[[], float],
+        skew_s: float,
+        rank: Callable[[JobSpec], int],
     ) -> None:
         """``clock``: the time of day, right to within ``skew_s``. ``rank``: of the jobs that need a job, or -1."""
-        self.texts, self.tables = list(texts), Timetables(texts)
+        self.configurations, self.tables = list(configurations), Timetables(configurations)
         self.clock, self.skew_s, self.rank = clock, skew_s, rank
-        for text in texts:
+        for text in configurations:
             for calendar in text.calendars:
                 left = calendar.holidays[-1] - clock() / DAY if calendar.holidays else NEVER
                 if left < constants.HOLIDAYS_SHORT_DAYS:
@@ -43,24 +47,24 @@
                         "calendar=%s state=running out cause=its last holiday is in %d days", calendar.name, left
                     )
 
-    def look(self, spec: JobSpec) -> Look:
-        return self.tables.look(spec, self.clock(), self.skew_s)
+    def eligibility(self, spec: JobSpec) -> Eligibility:
+        return self.tables.eligibility(spec, self.clock(), self.skew_s)
 
     def may_start(self, spec: JobSpec) -> bool:
-        return self.tables.look(spec, self.clock(), self.skew_s).may_start
+        return self.tables.eligibility(spec, self.clock(), self.skew_s).may_start
 
     def to_stop(self, spec: JobSpec) -> bool:
         wall = self.clock()
-        return wall >= self.tables.look(spec, wall, self.skew_s).stop_at
+        return wall >= self.tables.eligibility(spec, wall, self.skew_s).stop_at
 
-    def turns(self, jobs: Iterable[Job], now: float) -> set[str]:
+    def update_turns(self, jobs: Iterable[Job], now: float) -> set[str]:
         """The jobs that are closed, and not warm. Gives each job its turn as its state changes."""
         wall, closed = self.clock(), set()
         waits: dict[tuple[float, float], list[Job]] = {}  # (opening, spread) -> jobs that get their turn anew
         for job in jobs:
             if job.is_blocked or not job.waiting:
                 continue
-            look = self.tables.look(job.spec, wall, self.skew_s)
+            look = self.tables.eligibility(job.spec, wall, self.skew_s)
             if look.rule is None and not job.opens_at and not job.opened_at:
                 continue
             if not look.may_start:
@@ -110,7 +114,7 @@
             before += job.waiting
 
     @staticmethod
-    def _say_closed(job: Job, look: Look) -> None:
+    def _say_closed(job: Job, look: Eligibility) -> None:
         spec, rule = job.spec, look.rule
         if look.opens_at == NEVER:
             log.error(
@@ -129,5 +133,5 @@
                 spec.team,
                 spec.job_class,
                 rule.calendar,
-                shown(look.opens_at),
+                format_wall(look.opens_at),
             )
--- a/alderbridge/calendars/timetable.py
+++ b/alderbridge/calendars/timetable.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from alderbridge import constants
-from alderbridge.calendars.declaration import Calendar, Class, Spans, Text
+from alderbridge.calendars.configuration import Calendar, CalendarConfiguration, CalendarRule, Spans
 from alderbridge.protocol.wire import JobSpec
 
 log = logging.getLogger("calendars")
@@ -26,7 +26,7 @@
 _zones: dict[str, object] = {}
 
 
-class Look(NamedTuple):
+class Eligibility(NamedTuple):
     """What holds for a job at one moment. All times are times of day by this controller's clock, in seconds."""
 
     may_start: bool
@@ -35,10 +35,10 @@
     warm: bool  # closed, and machines may be rented for it
     stop_at: float  # from when on what runs is to be stopped; ``NEVER``: it runs on
     opened_at: float = 0.0  # when the period began in which a task may start now; 0: it has been open for ever
-    rule: Class | None = None
+    rule: CalendarRule | None = None
 
 
-OPEN = Look(True, 0.0, NEVER, False, NEVER)
+OPEN = Eligibility(True, 0.0, NEVER, False, NEVER)
 
 
 def load_zone(name: str):
@@ -165,7 +165,7 @@
 class Timetable:
     """One text, compiled. A look costs two dictionary look-ups while nothing opens or closes."""
 
-    def __init__(self, text: Text) -> None:
+    def __init__(self, text: CalendarConfiguration) -> None:
         self.text = text
         calendars = {calendar.name: calendar for calendar in text.calendars}
         self.hours: dict[str, _Hours] = {}
@@ -178,21 +178,21 @@
 
         for name in calendars:
             build(name)
-        self.rules: dict[tuple[str, str], Class | None] = {}
-        self.looks: dict[tuple, tuple[float, float, Look]] = {}  # each holds from one time of day until another
+        self.rules: dict[tuple[str, str], CalendarRule | None] = {}
+        self.looks: dict[tuple, tuple[float, float, Eligibility]] = {}  # each holds from one time of day until another
 
     def periods(self, calendar: str, wall: float, count: int) -> Periods:
         return [period for _, period in zip(range(count), self.hours[calendar].periods(wall), strict=False)]
 
-    def rule(self, spec: JobSpec) -> Class | None:
+    def rule(self, spec: JobSpec) -> CalendarRule | None:
         key = (spec.team, spec.job_class)
         try:
             return self.rules[key]
         except KeyError:
-            rule = self.rules[key] = next((one for one in self.text.classes if one.holds(*key)), None)
+            rule = self.rules[key] = next((one for one in self.text.classes if one.matches(*key)), None)
             return rule
 
-    def look(self, spec: JobSpec, wall: float, skew_s: float) -> Look:
+    def eligibility(self, spec: JobSpec, wall: float, skew_s: float) -> Eligibility:
         """What holds for the job when this controller's clock shows ``wall``, right to within ``skew_s``."""
         rule = self.rule(spec)
         if rule is None:
@@ -211,8 +211,8 @@
         return known[2]
 
     def _look(
-        self, rule: Class, run_s: float, save_s: float | None, wall: float, skew_s: float
-    ) -> tuple[float, float, Look]:
+        self, rule: CalendarRule, run_s: float, save_s: float | None, wall: float, skew_s: float
+    ) -> tuple[float, float, Eligibility]:
         """The look, and from when until when it holds."""
         closes_at, stop_at = 0.0, NEVER if save_s is None else 0.0
         fresh = wall + DAY  # nothing is looked up for longer than that: what never opens may come into sight
@@ -228,23 +228,23 @@
             if last <= since or last <= wall:
                 continue
             if since <= wall:
-                return wall, min(last, fresh), Look(True, since, until, False, stop, since, rule)
+                return wall, min(last, fresh), Eligibility(True, since, until, False, stop, since, rule)
             warm = wall >= since - rule.warm_up_s
             fresh = min(fresh, since if warm else since - rule.warm_up_s)
-            return wall, fresh, Look(False, since, closes_at, warm, stop_at, 0.0, rule)
-        return wall, fresh, Look(False, NEVER, closes_at, False, stop_at, 0.0, rule)
+            return wall, fresh, Eligibility(False, since, closes_at, warm, stop_at, 0.0, rule)
+        return wall, fresh, Eligibility(False, NEVER, closes_at, False, stop_at, 0.0, rule)
 
 
 class Timetables:
     """All texts that hold: the one in force, and for some seconds the one that follows it. All must be open."""
 
-    def __init__(self, texts: Sequence[Text]) -> None:
+    def __init__(self, texts: Sequence[CalendarConfiguration]) -> None:
         self.tables = [Timetable(text) for text in texts]
 
-    def look(self, spec: JobSpec, wall: float, skew_s: float) -> Look:
+    def eligibility(self, spec: JobSpec, wall: float, skew_s: float) -> Eligibility:
         if len(self.tables) == 1:
-            return self.tables[0].look(spec, wall, skew_s)
-        looks = [table.look(spec, wall, skew_s) for table in self.tables]
+            return self.tables[0].eligibility(spec, wall, skew_s)
+        looks = [table.eligibility(spec, wall, skew_s) for table in self.tables]
         may_start = all(look.may_start for look in looks)
         at = max((look.opens_at for look in looks), default=0.0)
         if not may_start:
@@ -252,7 +252,7 @@
         rule = next((look.rule for look in looks if not look.may_start), None) or next(
             (look.rule for look in looks if look.rule is not None), None
         )
-        return Look(
+        return Eligibility(
             may_start,
             at,
             min((look.closes_at for look in looks), default=NEVER),
@@ -266,7 +266,7 @@
         """When all are open next: each in turn says how long it is closed at least."""
         at = wall
         for _ in range(constants.CALENDAR_AHEAD_DAYS):
-            looks = [table.look(spec, at, skew_s) for table in self.tables]
+            looks = [table.eligibility(spec, at, skew_s) for table in self.tables]
             later = max((look.opens_at for look in looks if not look.may_start), default=at)
             if later <= at or later > wall + constants.CALENDAR_AHEAD_DAYS * DAY:
                 return NEVER if later > at else at
@@ -274,7 +274,7 @@
         return NEVER
 
 
-def shown(wall: float) -> str:
+def format_wall(wall: float) -> str:
     """A time of day for the log."""
     if not wall < 1e11:
         return "never"
--- a/alderbridge/configuration/compiler.py
+++ b/alderbridge/configuration/compiler.py
@@ -1,6 +1,6 @@
 """A file of the operators: read, checked, and compiled to the text that the store keeps.
 
-Each kind has a package with a module ``declaration``, a ``ConfigurationReader``.
+Each kind has a package with a module ``configuration``, a ``ConfigurationReader``.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
     # A struct whose fields all have defaults; one of defaults alone declares nothing. A field that an earlier program
     # can't pass over needs a new protocol version, as in any other record.
-    Text: type[msgspec.Struct]
+    configuration_type: type[msgspec.Struct]
 
     def parse(self, parser: configparser.ConfigParser, path: str) -> msgspec.Struct:
         """Compile all sections but ``[declaration]``; ``ConfigError`` for a fault.
@@ -61,7 +61,7 @@
 def reader(kind: str) -> ConfigurationReader:
     """Return the kind's module. Imported only when something of the kind is declared: start-up is charged."""
     if kind not in READERS:
-        module = importlib.import_module(f"alderbridge.{KINDS[kind]}.declaration")
+        module = importlib.import_module(f"alderbridge.{KINDS[kind]}.configuration")
         READERS[kind] = cast(ConfigurationReader, module)
     return READERS[kind]
 
@@ -73,7 +73,9 @@
 
 def compiled(kind: str, text: bytes) -> msgspec.Struct:
     """Return what a text declares; ``msgspec.DecodeError`` where this program can't read it."""
-    return msgspec.json.decode(text, type=reader(kind).Text) if text else reader(kind).Text()
+    return (
+        msgspec.json.decode(text, type=reader(kind).configuration_type) if text else reader(kind).configuration_type()
+    )
 
 
 def load(path: str, kind: str) -> ConfigurationRevision:
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.calendars.declaration import Text as Hours
-from alderbridge.calendars.gate import Gate
+from alderbridge.calendars.configuration import CalendarConfiguration
+from alderbridge.calendars.gate import CalendarGate
 from alderbridge.calendars.timetable import NEVER
 from alderbridge.configuration import ConfigurationProposal, ConfigurationRevision, OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
@@ -32,7 +32,7 @@
 from alderbridge.membership.view import Membership, MemberStatus, View
 from alderbridge.preemption import ClaimTransaction, Teams
 from alderbridge.preemption.planner import PreemptionPlanner, PreemptionPolicy
-from alderbridge.priorities import Rules, Text
+from alderbridge.priorities import PriorityConfiguration, PriorityPolicy
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
 from alderbridge.scheduling import placement, policy
@@ -43,7 +43,7 @@
 from alderbridge.transport.channel import Channel
 
 if TYPE_CHECKING:
-    from alderbridge.lending import Lender
+    from alderbridge.lending import CapacityLender
 
 log = logging.getLogger("core")
 
@@ -141,10 +141,12 @@
             shared.teams, shared.zones, tuning, self.replica, shared.cloud.list_lag_s, shared.workers.lease_s
         )
         self.ledger, self.preemption_planner = self.replica.ledger, PreemptionPlanner(self.leader, self.replica.ledger)
-        self.priorities: Callable[[float], list[Text]] = lambda now: self.declared.in_force("priorities", now)
-        self.rules = Rules([])
+        self.priorities: Callable[[float], list[PriorityConfiguration]] = lambda now: self.declared.in_force(
+            "priorities", now
+        )
+        self.rules = PriorityPolicy([])
         self.lendings: Callable[[float], list] = lambda now: self.declared.in_force("lending", now)
-        self.lender: Lender | None = None
+        self.lender: CapacityLender | None = None
         self.reserved_gpus: dict[
             str, float
         ] = {}  # machine -> GPUs that lending work leaves free, as the leader told last
@@ -168,7 +170,7 @@
         self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
         self.doomed_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
         self.wall_offset_s = 0.0  # time of day less ``now``
-        self.calendars: Gate | None = None  # None: nothing is declared
+        self.calendars: CalendarGate | None = None  # None: nothing is declared
         self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
         self.has_new_submission = False  # a submission has come since the last look for what to write
         # Until a view says who else writes, all controllers share what the store takes.
@@ -236,14 +238,16 @@
         if "hours" in self.declared.kinds:
             self.apply_calendars(self.declared.in_force("hours", self.now))
 
-    def apply_calendars(self, texts: list[Hours]) -> None:
+    def apply_calendars(self, texts: list[CalendarConfiguration]) -> None:
         """The texts of hours that hold now, all of them: the one in force, and one that is about to be."""
         if self.calendars is not None:
-            texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
-        if texts != (self.calendars.texts if self.calendars is not None else []):
+            texts = texts or [
+                CalendarConfiguration()
+            ]  # taken back: nothing is closed any more, and turns are given anew
+        if texts != (self.calendars.configurations if self.calendars is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
-            self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
+            self.calendars = CalendarGate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
             self.job_shard.calendars = self.machine_shard.calendars = self.calendars
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
@@ -1006,7 +1010,7 @@
             else 0.0
         )
         if held:
-            room_elsewhere = self.lender.leaving(candidate.free[2] - held, room_elsewhere)
+            room_elsewhere = self.lender.limit_lending(candidate.free[2] - held, room_elsewhere)
 
         def keep(offer: placement.Offer) -> bool:
             """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
@@ -1035,16 +1039,16 @@
     def preemption_policies(self) -> list[PreemptionPolicy]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
         texts = self.priorities(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
-        if texts != self.rules.texts:
-            self.rules = Rules(texts)
+        if texts != self.rules.configurations:
+            self.rules = PriorityPolicy(texts)
         result: list[PreemptionPolicy] = [self.rules] if texts else []
         lendings = self.lendings(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         if not lendings:
             self.lender = None
-        elif self.lender is None or self.lender.texts != lendings:
-            from alderbridge.lending import Lender  # only here: start-up is charged
+        elif self.lender is None or self.lender.configurations != lendings:
+            from alderbridge.lending import CapacityLender  # only here: start-up is charged
 
-            self.lender = Lender(lendings, self.shared.teams, self.types, self.lender)
+            self.lender = CapacityLender(lendings, self.shared.teams, self.types, self.lender)
         self.leader.tasks_served_by_lending = self.lender.serves_soon if self.lender is not None else _nothing_lent
         if self.lender is not None:
             self.lender.types = self.types
@@ -1098,7 +1102,7 @@
                 self.send_unreliable(label, messages.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
-            gpus = self.lender.keep(self.preemption_planner, now)
+            gpus = self.lender.gpus_to_reserve(self.preemption_planner, now)
             if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
                     self.send_unreliable(label, messages.GpuReservation(gpus))
@@ -1234,7 +1238,7 @@
             # what waits for others holds no part of the guarantee
             if free is None or known[0].state is not JobState.ACTIVE or (name in waiting and self.graph.waiting(name)):
                 continue
-            if self.calendars is not None and at != NEVER and not (look := self.calendars.look(spec)).may_start:
+            if self.calendars is not None and at != NEVER and not (look := self.calendars.eligibility(spec)).may_start:
                 if look.warm:
                     warm.append((NEVER, name))
                 continue  # nor does what waits for its hours
--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.calendars.gate import Gate
+from alderbridge.calendars.gate import CalendarGate
 from alderbridge.protocol.messages import (
     AcknowledgeFinished,
     MachineTaskReport,
@@ -461,7 +461,7 @@
         self.due_at = 0.0  # see ``due_writes``
         self.jobs_added = 0  # jobs, ever
         self.counted_at = -math.inf  # see ``used``
-        self.calendars: Gate | None = None  # None: no hours are declared
+        self.calendars: CalendarGate | None = None  # None: no hours are declared
         self.closed: set[str] = set()  # jobs that wait for their hours, and ask for nothing yet
         self.stopping_at_closing: set[tuple[str, int, int]] = (
             set()
@@ -593,7 +593,7 @@
     ) -> list[QueueRow]:
         rows = []
         if self.calendars is not None:
-            self.closed = self.calendars.turns(self.jobs.values(), now)
+            self.closed = self.calendars.update_turns(self.jobs.values(), now)
         for job in self.jobs.values():
             if job.is_blocked or job.state is not JobState.ACTIVE or now < job.paused_until:
                 continue
--- a/alderbridge/lending/__init__.py
+++ b/alderbridge/lending/__init__.py
@@ -1,10 +1,20 @@
 """GPUs lent and returned: which go to serving, on which machines, and which are not lent again for a while.
 
-Pure. One mechanism with urgency: a ``Lender`` is a source of the leader's desk (``claims``), its stops are claims.
+Pure. A ``CapacityLender`` is a policy of the leader's preemption planner, as priorities are.
 """
 
-from alderbridge.lending.declaration import Lend, Serve, Text, check_lines, parse
-from alderbridge.lending.lender import Lender, Service
-from alderbridge.lending.reserve import Reserve, hold
+from alderbridge.lending.configuration import LendingClass, LendingConfiguration, ServingClass, check_lines, parse
+from alderbridge.lending.lender import CapacityLender, ServingJob
+from alderbridge.lending.reserve import GpuReserve, allocate_reserve
 
-__all__ = ["Lend", "Lender", "Reserve", "Serve", "Service", "Text", "check_lines", "hold", "parse"]
+__all__ = [
+    "LendingClass",
+    "CapacityLender",
+    "GpuReserve",
+    "ServingClass",
+    "ServingJob",
+    "LendingConfiguration",
+    "check_lines",
+    "allocate_reserve",
+    "parse",
+]
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -13,8 +13,8 @@
 
 from alderbridge import constants, preemption
 from alderbridge.jobs.shard import JobState
-from alderbridge.lending.declaration import Lend, Text
-from alderbridge.lending.reserve import Free, Reserve, hold
+from alderbridge.lending.configuration import LendingClass, LendingConfiguration
+from alderbridge.lending.reserve import FreeGpus, GpuReserve, allocate_reserve
 from alderbridge.preemption import (
     CandidateMachine,
     ClaimGroup,
@@ -39,7 +39,7 @@
 REASON = "serving"
 
 
-class Service(NamedTuple):
+class ServingJob(NamedTuple):
     """A job of a class that serves."""
 
     spec: JobSpec
@@ -52,55 +52,55 @@
     order: tuple = ()  # as placement has it
 
 
-class Site(NamedTuple):
+class MachineContents(NamedTuple):
     """What a part tells of one machine beside its victims."""
 
     images: frozenset[str] = frozenset()  # cached, or being fetched
     replicas: Mapping[str, int] = {}  # job that serves -> its tasks there
 
 
-class Lender:
+class CapacityLender:
     reason = REASON
 
     def __init__(
         self,
-        texts: Sequence[Text],
+        configurations: Sequence[LendingConfiguration],
         teams: Iterable[Team],
         types: Mapping[str, MachineType],
-        before: Lender | None = None,
+        before: CapacityLender | None = None,
     ) -> None:
         """``texts``: in force, two at once while one replaces the other: then the stricter. ``before``: until now."""
-        self.texts = list(texts)
+        self.configurations = list(configurations)
         self.limits = {team.name: team for team in teams}
         self.types = types
         self.teams = Teams([], {})  # as they stand, while victims are chosen
-        self.sites: dict[str, Site] = {}  # as parts told last
+        self.sites: dict[str, MachineContents] = {}  # as parts told last
         self.unsure: set[str] = set()  # jobs of whose replicas it is not known in which zones they are
         self.own_only: set[str] = set()  # jobs whose team is at its limit: only its own tasks make room there
-        self.paid: deque[tuple[float, str, float]] = deque()  # time of day, team, GPUs that came back for it
+        self.returned: deque[tuple[float, str, float]] = deque()  # time of day, team, GPUs that came back for it
         self.seen: set[tuple[str, float]] = set()  # claims that are counted in ``paid``
-        self._known: dict[tuple, tuple[bool, list[Lend] | None]] = {}
+        self._known: dict[tuple, tuple[bool, list[LendingClass] | None]] = {}
         self.zone_of: dict[str, str] = {}
-        self.peaks = Reserve()
+        self.peaks = GpuReserve()
         self.used: Counter[str] = Counter()  # GPUs of each team's replicas, at the last look
         self.since: dict[str, float] = {}  # job -> since when it has a need
         self.tasks_served_by_lending: Counter[str] = Counter()  # job -> waiting replicas that no machine is rented for
         self.held: dict[str, PreemptionClaim] = {}  # of this reason, at the last look
         self.specs: dict[str, JobSpec | None] = {}  # of their victims' jobs
         if before is not None:
-            self.paid, self.seen, self.peaks, self.sites = before.paid, before.seen, before.peaks, before.sites
+            self.returned, self.seen, self.peaks, self.sites = before.returned, before.seen, before.peaks, before.sites
             self.zone_of, self.since = before.zone_of, before.since
         self.stopping: Counter[str] = Counter()  # team -> GPUs of its claims whose victims are not known to be gone
         self._begin([])
 
     # -- classes ---------------------------------------------------------------
 
-    def _class(self, spec: JobSpec) -> tuple[bool, list[Lend] | None]:
+    def _class(self, spec: JobSpec) -> tuple[bool, list[LendingClass] | None]:
         key = (spec.team, spec.job_class, spec.service, spec.gpus > 0)
         if key not in self._known:
-            lends = [text.lends(spec) for text in self.texts]
+            lends = [text.lends(spec) for text in self.configurations]
             self._known[key] = (
-                bool(self.texts) and all(text.serves(spec) for text in self.texts),
+                bool(self.configurations) and all(text.serves(spec) for text in self.configurations),
                 None if not lends or None in lends else lends,
             )
         return self._known[key]
@@ -108,7 +108,7 @@
     def serves(self, spec: JobSpec) -> bool:
         return self._class(spec)[0]
 
-    def lends(self, spec: JobSpec) -> list[Lend] | None:
+    def lends(self, spec: JobSpec) -> list[LendingClass] | None:
         return self._class(spec)[1]
 
     def preemptible(self, spec: JobSpec) -> bool:
@@ -116,29 +116,29 @@
         return lends is not None and all(one.most_stops for one in lends)
 
     def _pace(self, field: str) -> int:
-        return min((getattr(text, field) for text in self.texts), default=0)
+        return min((getattr(text, field) for text in self.configurations), default=0)
 
     @property
     def keep_s(self) -> float:
-        return max((text.keep_s for text in self.texts), default=0.0)
+        return max((text.keep_s for text in self.configurations), default=0.0)
 
     def reserve(self, team: str) -> float:
         """GPUs declared to be kept for a team's replicas."""
-        return max((text.reserve.get(team, 0.0) for text in self.texts), default=0.0)
+        return max((text.reserve.get(team, 0.0) for text in self.configurations), default=0.0)
 
     # -- needs -------------------------------------------------------------------
 
-    def use(self, services: Iterable[Service]) -> Counter[str]:
+    def gpus_in_use(self, services: Iterable[ServingJob]) -> Counter[str]:
         """GPUs of each team's replicas."""
         result: Counter[str] = Counter()
         for one in services:
             result[one.spec.team] += one.on * one.spec.gpus
         return result
 
-    def wish(self, services: Sequence[Service]) -> dict[str, float]:
-        """GPUs of each team's replicas with those that wait, no more than it has or is guaranteed: for ``Reserve``."""
-        used = self.use(services)
-        wanted = self.use(one._replace(on=one.on + one.waiting) for one in services)
+    def gpu_demand(self, services: Sequence[ServingJob]) -> dict[str, float]:
+        """GPUs of each team's replicas with those that wait, but no more than it has or is guaranteed."""
+        used = self.gpus_in_use(services)
+        wanted = self.gpus_in_use(one._replace(on=one.on + one.waiting) for one in services)
         return {team: min(gpus, max(self._guarantee(team), used[team])) for team, gpus in wanted.items()}
 
     def _guarantee(self, team: str) -> float:
@@ -159,9 +159,9 @@
             default=math.inf,
         )
 
-    def needs(
+    def demands(
         self,
-        services: Iterable[Service],
+        services: Iterable[ServingJob],
         resources: Iterable[Resource],
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
@@ -172,7 +172,7 @@
         take, cpus and GPUs. ``promised``: tasks of a job that claims make room for.
         """
         services = sorted(services, key=lambda one: one.order)
-        within = {team: self._guarantee(team) - gpus for team, gpus in self.use(services).items()}
+        within = {team: self._guarantee(team) - gpus for team, gpus in self.gpus_in_use(services).items()}
         rooms = [[one.kind, one.free, one.ends] for one in resources]
         self.own_only, self.unsure = set(), set()
         result = []
@@ -199,7 +199,7 @@
                 result.append(PreemptionDemand(spec, int(count), one.due_in_s, REASON, one.zone, one.guaranteed))
         return result
 
-    def _holds(self, one: Service, rooms: list[list], most: int) -> int:
+    def _holds(self, one: ServingJob, rooms: list[list], most: int) -> int:
         """How many of the replicas go where room is, or comes in the time that lending takes; takes that room."""
         spec, found = one.spec, 0
         horizon = max(one.due_in_s, spec.save_s + constants.LEND_S)
@@ -247,10 +247,10 @@
         for row in rows:
             replicas = Counter(job for job, *_ in row.tasks if (spec := specs(job)) is not None and self.serves(spec))
             if row.machine in kinds and (replicas or row.images):
-                sites[row.machine] = Site(frozenset(row.images), replicas)
-        self.see(sites, {name: kinds[name].zone for name in sites})
+                sites[row.machine] = MachineContents(frozenset(row.images), replicas)
+        self.set_machine_contents(sites, {name: kinds[name].zone for name in sites})
 
-    def services(self, desk: PreemptionPlanner, now: float) -> list[Service]:
+    def services(self, desk: PreemptionPlanner, now: float) -> list[ServingJob]:
         """The services that lending serves, as their rows and records stand."""
         rows, result = desk.queue_rows(now), []
         for job, (record, _) in desk.leader.replica.active.items():
@@ -258,7 +258,7 @@
             if record.state is JobState.ACTIVE and spec is not None and self.serves(spec) and not spec.needs:
                 row = rows.get(job) or QueueRow(job, 0, 0, math.inf, 0.0, None, 0.0, False, False)
                 result.append(
-                    Service(
+                    ServingJob(
                         spec,
                         max(0, spec.tasks - row.waiting),
                         row.waiting,
@@ -283,8 +283,8 @@
                 spec.gpus for job, _, _ in claim.victims[gone:] if (spec := self.specs[job]) is not None
             )
         services = self.services(desk, now)
-        self.used = self.use(services)
-        self.peaks.see(self.wish(services), now)
+        self.used = self.gpus_in_use(services)
+        self.peaks.record_use(self.gpu_demand(services), now)
         self.tasks_served_by_lending = Counter(
             {job: count for job, count in promised.items() if any(claim.job == job for claim in self.held.values())}
         )
@@ -298,12 +298,12 @@
                 used[team, 1] += amounts[1]
         taken = {team: (used[team, 0], used[team, 1]) for team, _ in used}
         resources = [one for one in leader.outlook(now, desk.ledger.entries) if self._gpu_type(one.kind)]
-        needs = self.needs(services, resources, taken, promised)
-        self.since = {need.spec.id: self.since.get(need.spec.id, now) for need in needs}
-        for need in needs:
-            if now - self.since[need.spec.id] < constants.LEND_FIRST_S:
-                self.tasks_served_by_lending[need.spec.id] += need.count
-        return needs
+        demands = self.demands(services, resources, taken, promised)
+        self.since = {demand.spec.id: self.since.get(demand.spec.id, now) for demand in demands}
+        for demand in demands:
+            if now - self.since[demand.spec.id] < constants.LEND_FIRST_S:
+                self.tasks_served_by_lending[demand.spec.id] += demand.count
+        return demands
 
     def serves_soon(self, row: QueueRow, spec: JobSpec) -> int:
         """Waiting tasks that no machine is rented for now: what just came is looked at within a second."""
@@ -315,11 +315,11 @@
         known = self.types.get(kind.type)
         return known is not None and known.gpus > 0
 
-    def keep(self, desk: PreemptionPlanner, now: float) -> dict[str, float]:
+    def gpus_to_reserve(self, desk: PreemptionPlanner, now: float) -> dict[str, float]:
         """Free GPUs that lending work leaves alone now, by machine."""
         gpus = sum(
             self.peaks.gpus(team, self.reserve(team), self._guarantee(team), self.used[team], self.keep_s, now)
-            for team in {*self.peaks.peaks, *(team for text in self.texts for team in text.reserve)}
+            for team in {*self.peaks.peaks, *(team for text in self.configurations for team in text.reserve)}
         )
         if gpus <= 0:
             return {}
@@ -333,10 +333,10 @@
             for row in room.rows:
                 if row.state == "up" and row.free[2] > 0 and desk.ledger.claim_of(row.machine) is None:
                     site = self._site(row.machine)
-                    machines.append(Free(row.machine, row.free[2], bool(images & site.images), bool(site.replicas)))
-        return hold(gpus, machines)
+                    machines.append(FreeGpus(row.machine, row.free[2], bool(images & site.images), bool(site.replicas)))
+        return allocate_reserve(gpus, machines)
 
-    def leaving(self, gpus: float, elsewhere: Callable[[Offer], int]) -> Callable[[Offer], int]:
+    def limit_lending(self, gpus: float, elsewhere: Callable[[Offer], int]) -> Callable[[Offer], int]:
         """``elsewhere`` for a machine on which lending work may take only so many GPUs."""
 
         def result(offer: Offer) -> int:
@@ -351,25 +351,27 @@
 
     # -- pace --------------------------------------------------------------------
 
-    def limit(self, need: PreemptionDemand) -> PreemptionLimit:
+    def limit(self, demand: PreemptionDemand) -> PreemptionLimit:
         """In stops, as the store counts them; each takes a GPU or more, and ``allowed`` counts those."""
         return PreemptionLimit(self._pace("gpus_a_minute"), self._pace("gpus_at_once"))
 
-    def pay(self, held: Mapping[str, PreemptionClaim], specs: Mapping[str, JobSpec | None], wall: float) -> None:
+    def count_returned(
+        self, held: Mapping[str, PreemptionClaim], specs: Mapping[str, JobSpec | None], wall: float
+    ) -> None:
         """Count the GPUs of claims of this reason that are in the store; ``specs``: of their victims' jobs."""
         for machine, claim in held.items():
             if (machine, claim.at) in self.seen:
                 continue
             self.seen.add((machine, claim.at))
             gpus = sum(spec.gpus for job, _, _ in claim.victims if (spec := specs.get(job)) is not None)
-            self.paid.append((claim.at, claim.team, gpus))
+            self.returned.append((claim.at, claim.team, gpus))
         least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
-        self.paid = deque(one for one in self.paid if one[0] > least)
+        self.returned = deque(one for one in self.returned if one[0] > least)
         self.seen = {key for key in self.seen if key[1] > least or key[0] in held}
 
     # -- the choice ----------------------------------------------------------------
 
-    def see(self, sites: Mapping[str, Site], zone_of: Mapping[str, str]) -> None:
+    def set_machine_contents(self, sites: Mapping[str, MachineContents], zone_of: Mapping[str, str]) -> None:
         """What parts told of all their machines."""
         self.sites, self.zone_of = dict(sites), dict(zone_of)
 
@@ -391,40 +393,40 @@
 
     def select_victims(
         self,
-        needs: Iterable[PreemptionDemand],
+        demands: Iterable[PreemptionDemand],
         machines: Sequence[CandidateMachine],
         budget: PreemptionBudget,
         max_changes: int,
     ) -> list[ClaimGroup]:
         """Claims for the needs; see ``preemption.select_victims``."""
         rules = SelectionRules(self.allowed, self.victim_cost, self.count_victim, self.placement_cost)
-        self.pay(self.held, self.specs, budget.wall)
+        self.count_returned(self.held, self.specs, budget.wall)
         self._begin(machines)
         result: list[ClaimGroup] = []
         taken: set[str] = set()
         rooms = [[one.kind, one.free, ()] for one in machines]
-        for need in needs:
+        for demand in demands:
             served = 0
-            if need.spec.id in self.unsure:
-                one = Service(need.spec, 0, zone=need.zone)
-                need = need._replace(count=need.count - self._holds(one, rooms, need.count))
-            for zone, most_there in self._zones(need):
-                if served >= need.count:
+            if demand.spec.id in self.unsure:
+                one = ServingJob(demand.spec, 0, zone=demand.zone)
+                demand = demand._replace(count=demand.count - self._holds(one, rooms, demand.count))
+            for zone, most_there in self._zones(demand):
+                if served >= demand.count:
                     break
-                self.need = need._replace(zone=zone, count=min(need.count - served, most_there))
+                self.demand = demand._replace(zone=zone, count=min(demand.count - served, most_there))
                 here = [one for one in machines if one.machine not in taken and zone in (None, one.kind.zone)]
-                found = preemption.select_victims([self.need], here, rules, budget, max_changes)
+                found = preemption.select_victims([self.demand], here, rules, budget, max_changes)
                 for group in found:
                     taken.update(group)
                     served += sum(claim.count for claim in group.values())
                 result += found
         return result
 
-    def _zones(self, need: PreemptionDemand) -> list[tuple[str | None, int]]:
+    def _zones(self, demand: PreemptionDemand) -> list[tuple[str | None, int]]:
         """Where to look, one after the other, and for how many there: no more than ``apart`` allows."""
-        spec = need.spec
+        spec = demand.spec
         if not spec.spread:
-            return [(need.zone, need.count)]
+            return [(demand.zone, demand.count)]
         here = self.zones_of(spec)
         cached = Counter(self.zone_of[name] for name, site in self.sites.items() if spec.image in site.images)
         lent = Counter(self.zone_of[name] for name in self.where.values())
@@ -432,18 +434,18 @@
         return [
             (zone, quota)
             for zone in zones
-            if need.zone in (None, zone) and (quota := self._quota(spec, here, zone)) > 0
+            if demand.zone in (None, zone) and (quota := self._quota(spec, here, zone)) > 0
         ]
 
-    def allowed(self, need: PreemptionDemand, victim: Victim) -> bool:
-        spec, team = victim.spec, need.spec.team
+    def allowed(self, demand: PreemptionDemand, victim: Victim) -> bool:
+        spec, team = victim.spec, demand.spec.team
         lends = self.lends(spec)
-        if lends is None or not self.serves(need.spec) or spec.gpus > self._left(team) + 1e-9:
+        if lends is None or not self.serves(demand.spec) or spec.gpus > self._left(team) + 1e-9:
             return False
         beyond = self.teams.beyond(spec)
-        if spec.team != team and (need.spec.id in self.own_only or not beyond):
+        if spec.team != team and (demand.spec.id in self.own_only or not beyond):
             return False
-        if not preemption.allowed(need.spec, need.guaranteed, spec, beyond):
+        if not preemption.allowed(demand.spec, demand.guaranteed, spec, beyond):
             return False
         return all(
             victim.ran_s >= one.least_run_s
@@ -454,12 +456,12 @@
 
     def _left(self, team: str) -> float:
         if team not in self.left:
-            spent = sum(gpus for _, other, gpus in self.paid if other == team)
+            spent = sum(gpus for _, other, gpus in self.returned if other == team)
             self.left[team] = min(self._pace("gpus_a_minute") - spent, self._pace("gpus_at_once") - self.stopping[team])
         return self.left[team]
 
     def count_victim(self, victim: Victim, sign: int) -> None:
-        team = self.need.spec.team
+        team = self.demand.spec.team
         self.left[team] = self._left(team) - sign * victim.spec.gpus
         self.opened[self.where[victim.job, victim.index]] += sign
         self.teams.count_victim(victim.spec, sign)
@@ -475,9 +477,9 @@
             * (lost_seconds(victim) + constants.LEND_RISK * (victim.saved_s_ago or 0.0))
         )
 
-    def placement_cost(self, need: PreemptionDemand, held: CandidateMachine) -> float:
+    def placement_cost(self, demand: PreemptionDemand, held: CandidateMachine) -> float:
         """GPU seconds that replicas' GPUs idle there, and what is to be avoided: see ``constants``."""
-        spec, name = need.spec, held.machine
+        spec, name = demand.spec, held.machine
         if self.opened[name] > 0:
             return 0.0
         cost = constants.LEND_OPEN_S * spec.gpus
@@ -492,14 +494,14 @@
             cost += 2 * constants.LEND_AVOID_S if last else constants.LEND_OPEN_S * spec.gpus
         return cost
 
-    def _site(self, name: str) -> Site:
+    def _site(self, name: str) -> MachineContents:
         return self.sites.get(name, _NOTHING)
 
     def _elsewhere(self, spec: JobSpec, held: CandidateMachine) -> bool:
         """Whether another machine that is looked at has the image, fetches it, or is to."""
         for name in set(self.where.values()):
             if (
-                self.need.zone in (None, self.zone_of[name])
+                self.demand.zone in (None, self.zone_of[name])
                 and name != held.machine
                 and (self.opened[name] > 0 or spec.image in self._site(name).images)
             ):
@@ -507,4 +509,4 @@
         return False
 
 
-_NOTHING = Site()
+_NOTHING = MachineContents()
--- a/alderbridge/lending/reserve.py
+++ b/alderbridge/lending/reserve.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Reserve:
+class GpuReserve:
     """The most that each team's replicas used within the last ``keep_s``.
 
     A load that swings within that time finds its GPUs free, however often it swings: one reclaim, not one a swing.
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.peaks: dict[str, deque[tuple[float, float]]] = {}  # team -> (time, GPUs), falling
 
-    def see(self, used: Mapping[str, float], now: float) -> None:
+    def record_use(self, used: Mapping[str, float], now: float) -> None:
         """GPUs of each team's replicas, those that wait within its guarantee included."""
         for team in used.keys() | self.peaks.keys():
             peaks, gpus = self.peaks.setdefault(team, deque()), used.get(team, 0.0)
@@ -34,7 +34,7 @@
         return max(0.0, min(max(peak, used + declared), guarantee) - used)
 
 
-class Free(NamedTuple):
+class FreeGpus(NamedTuple):
     """A machine with free GPUs."""
 
     machine: str
@@ -43,7 +43,7 @@
     serves: bool  # replicas run there
 
 
-def hold(gpus: float, machines: Iterable[Free]) -> dict[str, float]:
+def allocate_reserve(gpus: float, machines: Iterable[FreeGpus]) -> dict[str, float]:
     """Free GPUs that lending work leaves alone: where weights are cached, then whole machines, then the fullest piles.
 
     What is not free is not held: nothing is stopped for a reserve.
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.calendars.gate import Gate
+from alderbridge.calendars.gate import CalendarGate
 from alderbridge.protocol.messages import (
     MachineSummary,
     MachineTaskReport,
@@ -200,7 +200,7 @@
         self.reconciliation = ReconciliationProgress(0.0)
         self.records_to_drop: list[str] = []  # nothing is on them: no new view need wait for them
         self.fencing_token = 0
-        self.calendars: Gate | None = None  # None: no hours are declared
+        self.calendars: CalendarGate | None = None  # None: no hours are declared
         self.members: list[str] = []
         self._types: dict[str, MachineType] = {}
         self.settled_at: float | None = None  # since when all members act under this view
--- a/alderbridge/priorities/__init__.py
+++ b/alderbridge/priorities/__init__.py
@@ -1,6 +1,6 @@
-"""Priority classes per tenant: when urgent work may stop other work, and which."""
+"""Priority classes of each team: when urgent work may preempt other work, and which."""
 
-from alderbridge.priorities.declaration import PriorityClass, Text, check_lines, parse
-from alderbridge.priorities.rules import Rules
+from alderbridge.priorities.configuration import PriorityClass, PriorityConfiguration, check_lines, parse
+from alderbridge.priorities.policy import PriorityPolicy
 
-__all__ = ["PriorityClass", "Rules", "Text", "check_lines", "parse"]
+__all__ = ["PriorityClass", "PriorityPolicy", "PriorityConfiguration", "check_lines", "parse"]
--- a/alderbridge/priorities/needs.py
+++ b/alderbridge/priorities/demands.py
@@ -1,29 +1,36 @@
-"""Urgent work that nothing else serves in time: the only reason to stop other work for it."""
+"""Urgent work that nothing else serves in time: the only reason to preempt other work for it."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Container, Iterable, Mapping
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from alderbridge.preemption.model import PreemptionDemand
 from alderbridge.protocol.messages import QueueRow
+from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.placement import order
 from alderbridge.scheduling.policy import Demand, Resource, Walk
 
-if TYPE_CHECKING:
-    from alderbridge.priorities.rules import Rules
 
+class UrgentClasses(Protocol):
+    """Which work may preempt; ``reason`` is that of its claims."""
 
-def needs(
-    rules: Rules,
+    reason: str
+
+    def may_preempt(self, spec: JobSpec) -> bool:
+        """Whether work like this may ask for others' room at all."""
+
+
+def unserved_demands(
+    classes: UrgentClasses,
     demands: Iterable[Demand],
     rows: Mapping[str, QueueRow],
     resources: Iterable[Resource],
     promised: Counter[str],
     stopped: Container[str],
 ) -> list[PreemptionDemand]:
-    """Tasks of classes that may preempt, left by free room, by room that comes free and by machines that boot.
+    """Return tasks of classes that may preempt, left by free room, by room that comes free and by machines that boot.
 
     ``demands``: all that waits, within the teams' limits. ``resources``: without machines that have a claim, whose
     room is spoken for; ``promised``: tasks of a job that claims make room for. ``stopped``: jobs that claims have
@@ -31,7 +38,11 @@
     """
     queue = [demand for demand in demands if demand.spec.id in rows]
     queue.sort(key=lambda demand: order(rows[demand.spec.id], demand.spec, demand.due_in_s))
-    mine = [number for number, demand in enumerate(queue) if rules.needs(demand.spec) and demand.spec.id not in stopped]
+    mine = [
+        number
+        for number, demand in enumerate(queue)
+        if classes.may_preempt(demand.spec) and demand.spec.id not in stopped
+    ]
     if not mine:
         return []
     queue = [
@@ -45,6 +56,6 @@
         count = min(lacking[number], row.offer - promised[row.job])
         if count > 0:
             result.append(
-                PreemptionDemand(demand.spec, count, demand.due_in_s, rules.reason, demand.zone, row.guaranteed)
+                PreemptionDemand(demand.spec, count, demand.due_in_s, classes.reason, demand.zone, row.guaranteed)
             )
     return result
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -7,16 +7,16 @@
 from msgspec import Raw
 
 from alderbridge import settings
-from alderbridge.calendars import declaration as hours
+from alderbridge.calendars import configuration as hours
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, piece_keys
 from alderbridge.jobs.shard import JobState, Record, TaskState
-from alderbridge.lending import declaration as lending
+from alderbridge.lending import configuration as lending
 from alderbridge.lending import lender
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.view import MemberRecord, View
 from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent
-from alderbridge.priorities import declaration as priorities
-from alderbridge.priorities import rules
+from alderbridge.priorities import configuration as priorities
+from alderbridge.priorities import policy
 from alderbridge.protocol import messages, wire
 from alderbridge.state.replica import list_keys
 from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, ROOT, STOPS, TYPES, VIEW
@@ -230,7 +230,7 @@
         before=StoredRevision(revision=3, digest="d3", parts=1),
     ),
     "record-declaration-piece": b"part of a text",
-    "declared-hours": hours.Text(
+    "declared-hours": hours.CalendarConfiguration(
         calendars=[
             hours.Calendar(
                 name="desk",
@@ -243,7 +243,7 @@
             hours.Calendar(name="either", of="any", parts=["desk"]),
         ],
         classes=[
-            hours.Class(
+            hours.CalendarRule(
                 owner="forecasts",
                 workload="batch-*",
                 calendar="desk",
@@ -255,17 +255,19 @@
             )
         ],
     ),
-    "declared-lending": lending.Text(
-        serve=[lending.Serve(owner="forecasts", workload="llm-*")],
+    "declared-lending": lending.LendingConfiguration(
+        serve=[lending.ServingClass(owner="forecasts", workload="llm-*")],
         lend=[
-            lending.Lend(owner="*", workload="fine-tune", least_run_s=21.5, most_stops=4, waits_at_most_s=901.5),
+            lending.LendingClass(
+                owner="*", workload="fine-tune", least_run_s=21.5, most_stops=4, waits_at_most_s=901.5
+            ),
         ],
         reserve={"forecasts": 5.5},
         gpus_a_minute=65,
         gpus_at_once=33,
         keep_s=31.5,
     ),
-    "declared-priorities": priorities.Text(
+    "declared-priorities": priorities.PriorityConfiguration(
         classes=[
             priorities.PriorityClass(
                 owner="forecasts",
@@ -300,12 +302,16 @@
     "older-record-declaration-first": ConfigurationHead(
         revision=4, digest="d4", parts=2, at=1700000000.25, before=StoredRevision(revision=0, digest="", parts=0)
     ),
-    "older-declared-hours": hours.Text(
+    "older-declared-hours": hours.CalendarConfiguration(
         calendars=[hours.Calendar(name="always")],
-        classes=[hours.Class(owner="forecasts", workload="batch-*", calendar="always", run_factor=1.4, spread_s=60.0)],
+        classes=[
+            hours.CalendarRule(owner="forecasts", workload="batch-*", calendar="always", run_factor=1.4, spread_s=60.0)
+        ],
+    ),
+    "older-declared-lending": lending.LendingConfiguration(
+        serve=[], lend=[], reserve={}, gpus_a_minute=0, gpus_at_once=0, keep_s=0.0
     ),
-    "older-declared-lending": lending.Text(serve=[], lend=[], reserve={}, gpus_a_minute=0, gpus_at_once=0, keep_s=0.0),
-    "older-declared-priorities": priorities.Text(classes=[]),
+    "older-declared-priorities": priorities.PriorityConfiguration(classes=[]),
 }
 
 # Bodies that others send to a controller, filled in.
@@ -426,7 +432,7 @@
             MachineState.TERMINATED,
         ],
         "priorities, lowest first": wire.PRIORITIES,
-        "reasons of claims, for priority and for lent GPUs": [rules.REASON, lender.REASON],
+        "reasons of claims, for priority and for lent GPUs": [policy.REASON, lender.REASON],
         "kinds of declarations": list(settings.KINDS),
     },
 }
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -23,7 +23,7 @@
     select_victims,
 )
 from alderbridge.preemption.planner import PreemptionPlanner
-from alderbridge.priorities import Text, check_lines, needs, parse, rules
+from alderbridge.priorities import PriorityConfiguration, check_lines, demands, parse, policy
 from alderbridge.protocol import wire
 from alderbridge.scheduling.placement import allowed, fits, minus
 from alderbridge.scheduling.policy import Kind
@@ -48,7 +48,7 @@
 """
 
 
-def declared(text=INI) -> Text:
+def declared(text=INI) -> PriorityConfiguration:
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
     return parse(parser, "p.ini")
@@ -293,7 +293,7 @@
     worlds = [play(seed, trouble=False, falls_in_claims=False) for seed in (101, 103)]
     assert all(world.made > 0 for world in worlds)
     bare = ClaimsWorld(101, trouble=False, falls_in_claims=False)
-    bare.text = Text()
+    bare.text = PriorityConfiguration()
     bare.run(200.0)
     assert bare.made == 0 and worlds[0].made > 0
 
@@ -330,7 +330,7 @@
 
 
 def protocol_not_asked(monkeypatch):
-    monkeypatch.setattr(rules, "allowed", lambda *args: True)
+    monkeypatch.setattr(policy, "allowed", lambda *args: True)
 
 
 def promises_not_counted(monkeypatch):
@@ -338,8 +338,8 @@
 
 
 def victims_preempt(monkeypatch):
-    real = needs.needs
-    monkeypatch.setattr(rules, "needs", lambda *args: real(*args[:-1], ()))
+    real = demands.unserved_demands
+    monkeypatch.setattr(policy, "unserved_demands", lambda *args: real(*args[:-1], ()))
 
 
 @pytest.mark.parametrize(
@@ -437,10 +437,10 @@
     young, old = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
     budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: ANY)
     machines = [held("a", young, cpus=2.0), held("b", old, cpus=2.0)]
-    rules = SelectionRules(lambda need, victim: True, preemption.lost_cpu_seconds)
+    selection_rules = SelectionRules(lambda need, victim: True, preemption.lost_cpu_seconds)
     urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
     for needs_in_turn, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
-        groups = select_victims(needs_in_turn, machines, rules, budget, 12)
+        groups = select_victims(needs_in_turn, machines, selection_rules, budget, 12)
         assert stopped(groups) == expected
 
 
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -38,7 +38,9 @@
 
 @pytest.fixture(autouse=True)
 def readers(monkeypatch):
-    reader = SimpleNamespace(Text=Text, parse=parse, check_lines=lambda text: [f"words: {' '.join(text.words)}"])
+    reader = SimpleNamespace(
+        configuration_type=Text, parse=parse, check_lines=lambda text: [f"words: {' '.join(text.words)}"]
+    )
     for kind in configuration.KINDS:
         monkeypatch.setitem(compiler.READERS, kind, reader)
 
@@ -256,7 +258,7 @@
     def run(self, until):
         while self.events and self.events[0][0] <= until:
             super().run(self.events[0][0])
-            self.refresh()
+            self.look()
 
     def look(self):
         if self.store.revision != self.seen_epoch:
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from alderbridge.calendars import Text, Timetable, Timetables, check_lines, parse
-from alderbridge.calendars.declaration import Calendar, Class, day_number
+from alderbridge.calendars import CalendarConfiguration, Timetable, Timetables, check_lines, parse
+from alderbridge.calendars.configuration import Calendar, CalendarRule, day_number
 from alderbridge.calendars.timetable import DAY, NEVER, load_zone
 from alderbridge.protocol import wire
 from alderbridge.settings import ConfigError
@@ -30,7 +30,7 @@
 )
 
 
-def read(text: str) -> Text:
+def read(text: str) -> CalendarConfiguration:
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
     return parse(parser, "hours.ini")
@@ -45,7 +45,7 @@
 
 
 def may(timetable, wall: float, skew_s: float = 0.0, spec=SPEC) -> bool:
-    return timetable.look(spec, wall, skew_s).may_start
+    return timetable.eligibility(spec, wall, skew_s).may_start
 
 
 # -- against a slow reading
@@ -102,7 +102,7 @@
         )
 
     both = [calendar("a"), calendar("b"), Calendar("c", of=draw(st.sampled_from(["all", "any"])), parts=["a", "b"])]
-    rule = Class(
+    rule = CalendarRule(
         "desk",
         "*",
         draw(st.sampled_from("abc")),
@@ -110,7 +110,7 @@
         draw(st.sampled_from([0.1, 1.0, 6.0])),
         draw(st.booleans()),
     )
-    return day, Text(both, [rule]), draw(st.sampled_from([0, 60, 180]))
+    return day, CalendarConfiguration(both, [rule]), draw(st.sampled_from([0, 60, 180]))
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
@@ -136,18 +136,18 @@
         following = n if expected else following
         if n % 7 and not (n and expected != starts(n - 1)):
             continue
-        look = timetable.look(SPEC, wall, float(skew))
-        assert look.may_start == expected, (wall, look)
+        eligibility = timetable.eligibility(SPEC, wall, float(skew))
+        assert eligibility.may_start == expected, (wall, eligibility)
         if following is not None:
-            assert expected or look.opens_at == begin + 60.0 * following
+            assert expected or eligibility.opens_at == begin + 60.0 * following
         else:
-            assert look.opens_at > begin + 60 * 3 * 1440
+            assert eligibility.opens_at > begin + 60 * 3 * 1440
         if expected:
-            assert look.opened_at <= wall and look.closes_at >= wall + 60 * tail
+            assert eligibility.opened_at <= wall and eligibility.closes_at >= wall + 60 * tail
     fresh = Timetable(text)
-    for n in range(0, 3 * 1440, 191):  # what is kept between looks is what a first look says
+    for n in range(0, 3 * 1440, 191):  # what is kept from one question to the next is what a first answer says
         wall = begin + 60.0 * n
-        assert timetable.look(SPEC, wall, float(skew)) == fresh.look(SPEC, wall, float(skew))
+        assert timetable.eligibility(SPEC, wall, float(skew)) == fresh.eligibility(SPEC, wall, float(skew))
 
 
 # -- hard cases, each by name
@@ -157,11 +157,12 @@
     timetable = table("[calendar c]\nzone = Europe/Oslo\nsun = 02:15-02:45")
     assert [may(timetable, at(2026, 10, 25, 2, 30, fold=fold)) for fold in (0, 1)] == [True, True]
     between = at(2026, 10, 25, 2, 50)
-    assert not may(timetable, between) and timetable.look(SPEC, between, 0.0).opens_at == at(
+    assert not may(timetable, between) and timetable.eligibility(SPEC, between, 0.0).opens_at == at(
         2026, 10, 25, 2, 15, fold=1
     )
     spring = at(2026, 3, 28, 12, 0)
-    assert timetable.look(SPEC, spring, 0.0).opens_at == at(2026, 4, 5, 2, 15)  # on 29 March there is no such time
+    expected = at(2026, 4, 5, 2, 15)  # on 29 March there is no such time
+    assert timetable.eligibility(SPEC, spring, 0.0).opens_at == expected
     night = table("[calendar c]\nzone = Europe/Oslo\nsat = 22:00-06:00")
     assert night.periods("c", at(2026, 10, 24, 12), 1)[0] == (at(2026, 10, 24, 22), at(2026, 10, 25, 6))
     assert at(2026, 10, 25, 6) - at(2026, 10, 24, 22) == 9 * 3600
@@ -197,12 +198,12 @@
     older = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00").text
     newer = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00\n2026-06-01 = 11:00-18:00").text
     assert may(Timetable(older), wall) and not may(Timetable(newer), wall)
-    look = Timetables([older, newer]).look(SPEC, wall, 0.0)
-    assert not look.may_start and look.opens_at == at(2026, 6, 1, 11, 0)
+    eligibility = Timetables([older, newer]).eligibility(SPEC, wall, 0.0)
+    assert not eligibility.may_start and eligibility.opens_at == at(2026, 6, 1, 11, 0)
     late = at(2026, 6, 1, 17, 0)
     assert may(Timetables([newer]), late) and not may(Timetables([older, newer]), late)
-    assert Timetables([older, newer]).look(SPEC, late, 0.0).opens_at == at(2026, 6, 8, 8, 0)
-    assert Timetables([Text()]).look(SPEC, wall, 0.0).may_start  # an empty one takes all back
+    assert Timetables([older, newer]).eligibility(SPEC, late, 0.0).opens_at == at(2026, 6, 8, 8, 0)
+    assert Timetables([CalendarConfiguration()]).eligibility(SPEC, wall, 0.0).may_start  # an empty one takes all back
 
 
 def test_a_task_that_can_never_end_before_closing_never_opens():
@@ -213,29 +214,29 @@
     timetable = table(hours, rule)
     assert may(timetable, monday + 39 * 60) and not may(timetable, monday + 40 * 60)  # twice 10 minutes
     long = wire.msgspec.structs.replace(SPEC, estimate_s=3600.0)
-    assert timetable.look(long, monday, 0.0).opens_at == at(2026, 6, 2, 8, 0)
+    assert timetable.eligibility(long, monday, 0.0).opens_at == at(2026, 6, 2, 8, 0)
     for_ever = wire.msgspec.structs.replace(SPEC, estimate_s=7201.0)
-    assert timetable.look(for_ever, monday, 0.0)[:2] == (False, NEVER)
-    assert table(hours, name="e").look(SPEC, monday, 0.0).opens_at == NEVER
+    assert timetable.eligibility(for_ever, monday, 0.0)[:2] == (False, NEVER)
+    assert table(hours, name="e").eligibility(SPEC, monday, 0.0).opens_at == NEVER
 
 
 def test_the_cautious_end_of_the_clock_the_stop_and_the_warm_up():
     timetable = table("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "at closing = stop\nwarm up = 120")
     eight, spec = datetime(2026, 6, 1, 8, tzinfo=UTC).timestamp(), wire.msgspec.structs.replace(SPEC, save_s=10.0)
-    look = timetable.look(spec, eight - 125.0, 2.0)
-    assert not look.warm and look.opens_at == eight + 2.0 and look.stop_at < eight
-    assert timetable.look(spec, eight - 118.0, 2.0).warm and not may(timetable, eight + 1.9, 2.0)
-    assert may(timetable, eight + 2.0, 2.0) and timetable.look(spec, eight + 9.0, 2.0).stop_at == eight + 3588.0
+    eligibility = timetable.eligibility(spec, eight - 125.0, 2.0)
+    assert not eligibility.warm and eligibility.opens_at == eight + 2.0 and eligibility.stop_at < eight
+    assert timetable.eligibility(spec, eight - 118.0, 2.0).warm and not may(timetable, eight + 1.9, 2.0)
+    assert may(timetable, eight + 2.0, 2.0) and timetable.eligibility(spec, eight + 9.0, 2.0).stop_at == eight + 3588.0
     assert may(timetable, eight + 3557.0, 2.0, spec) and not may(timetable, eight + 3558.0, 2.0, spec)
     service = wire.msgspec.structs.replace(SPEC, kind="standing", estimate_s=0.0)
     ends = table("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "end before closing = yes")
-    assert ends.look(service, eight, 0.0).stop_at == eight + 3600.0  # a replica has no end of its own
-    assert ends.look(SPEC, eight, 0.0).stop_at == NEVER
+    assert ends.eligibility(service, eight, 0.0).stop_at == eight + 3600.0  # a replica has no end of its own
+    assert ends.eligibility(SPEC, eight, 0.0).stop_at == NEVER
 
 
 def test_a_zone_that_this_controller_does_not_know_is_closed():
-    text = Text([Calendar("c", "Europe/Atlantis", [[(0, 1440)]] * 7)], [Class("*", "*", "c")])
-    assert Timetable(text).look(SPEC, 0.0, 0.0)[:2] == (False, NEVER)
+    text = CalendarConfiguration([Calendar("c", "Europe/Atlantis", [[(0, 1440)]] * 7)], [CalendarRule("*", "*", "c")])
+    assert Timetable(text).eligibility(SPEC, 0.0, 0.0)[:2] == (False, NEVER)
 
 
 def test_zones_are_those_of_the_pinned_package():
@@ -301,10 +302,10 @@
         "holiday years = 2026-2030\n[class desk/*]\ncalendar = c\nend before closing = yes"
     )
     raw = wire.msgspec.json.encode(text)
-    assert len(raw) < 900 and wire.msgspec.json.decode(raw, type=Text) == text
+    assert len(raw) < 900 and wire.msgspec.json.decode(raw, type=CalendarConfiguration) == text
     timetable = Timetable(text)
     calls = []
     inner, timetable._look = timetable._look, lambda *args: calls.append(args) or inner(*args)
     for second in range(DAY):
-        timetable.look(SPEC, at(2026, 6, 1, 0, 0) + second, 1.0)
+        timetable.eligibility(SPEC, at(2026, 6, 1, 0, 0) + second, 1.0)
     assert len(calls) <= 6
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -7,8 +7,8 @@
 import world as w
 
 from alderbridge import constants
-from alderbridge.calendars import Text, Timetable
-from alderbridge.calendars.declaration import Calendar, Class
+from alderbridge.calendars import CalendarConfiguration, Timetable
+from alderbridge.calendars.configuration import Calendar, CalendarRule
 from alderbridge.calendars.timetable import DAY, NEVER
 from alderbridge.controller.core import ControllerCore
 from alderbridge.jobs.shard import JobShard
@@ -27,10 +27,10 @@
         super().__init__(seed, **more)
         self.is_quiet = not (falls or more.get("trouble", True))
         rng = self.rng
-        self.texts, self.stored = [Text()], [-math.inf]
+        self.texts, self.stored = [CalendarConfiguration()], [-math.inf]
         for at in (rng.uniform(2.0, 15.0), rng.uniform(50.0, 110.0)):
             self.after(at, self.declare, self.text())
-        self.after(210.0, self.declare, Text())
+        self.after(210.0, self.declare, CalendarConfiguration())
         off = rng.choice([-SKEW_S, SKEW_S, None])  # all at one end of the bound, or anywhere in it
         for sim in self.nodes.values():
             sim.ahead_s = BASE + (rng.uniform(-SKEW_S, SKEW_S) if off is None else off)
@@ -50,7 +50,7 @@
             spec, cpus=1.0, save_s=self.rng.choice([0.0, 1.0]), estimate_s=spec.estimate_s * self.rng.choice([1.0, 1.5])
         )
 
-    def text(self) -> Text:
+    def text(self) -> CalendarConfiguration:
         """Minutes that are open or closed, over midnight, a calendar a team."""
         rng, calendars, classes = self.rng, [], []
         for team in ("free", "bound"):
@@ -59,7 +59,7 @@
                 days.append((day, [(m, m + 1) for m in minutes if rng.random() < 0.6]))
             calendars.append(Calendar(team, "UTC", [[(0, 1440)]] * 7, days))
             classes.append(
-                Class(
+                CalendarRule(
                     team,
                     rng.choice(["x", "*"]),
                     team,
@@ -70,9 +70,9 @@
                     rng.choice([0.0, 5.0, 20.0]),
                 )
             )
-        return Text(calendars, classes)
+        return CalendarConfiguration(calendars, classes)
 
-    def declare(self, text: Text) -> None:
+    def declare(self, text: CalendarConfiguration) -> None:
         if self.t < self.store.down_until:
             self.after(1.0, self.declare, text)
             return
@@ -89,7 +89,7 @@
 
     def enforce(self, sim, life: int, number: int) -> None:
         known = sim.core is not None and sim.life == life and sim.core.calendars is not None
-        if known and sim.core.calendars.texts[-1] is self.texts[number]:
+        if known and sim.core.calendars.configurations[-1] is self.texts[number]:
             sim.core.apply_calendars([self.texts[number]])
 
     def cut(self, for_s: float) -> None:
@@ -105,7 +105,7 @@
                 sim,
             )
 
-    def in_force(self) -> list[Text]:
+    def in_force(self) -> list[CalendarConfiguration]:
         """What nobody may act against by now: known for a ttl to all who act, and dropped by none before a ttl."""
         after = [*self.stored[1:], math.inf]
         return [
@@ -114,7 +114,9 @@
             if since + TTL_S + constants.ORDER_DELIVERY_S <= self.t < until + TTL_S + constants.PROOF_MARGIN_S
         ]
 
-    def open_until(self, text: Text, spec: wire.JobSpec, ago_s: float = 0.0) -> tuple[Class | None, float]:
+    def open_until(
+        self, text: CalendarConfiguration, spec: wire.JobSpec, ago_s: float = 0.0
+    ) -> tuple[CalendarRule | None, float]:
         table, wall = Timetable(text), BASE + self.t - ago_s
         rule = table.rule(spec)
         if rule is None:
@@ -176,7 +178,7 @@
     """Between the grant and the report whose answer brings the order a machine may hang for as long as its lease."""
     world = w.World(1, jobs=6, trouble=False)
     world.run(100.0)
-    shut = Text([Calendar("never", "UTC", [[]] * 7)], [Class("*", "*", "never", stops=True)])
+    shut = CalendarConfiguration([Calendar("never", "UTC", [[]] * 7)], [CalendarRule("*", "*", "never", stops=True)])
     spec = msgspec.structs.replace(world.make_job(90), kind="sweep", tasks=1, types=None, zone=None, one_zone=False)
     world.submit(spec)
     for step in range(90_000):
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -15,9 +15,19 @@
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.leader.leader import Leader
-from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, check_lines, hold, parse
-from alderbridge.lending.lender import Site
-from alderbridge.lending.reserve import Free
+from alderbridge.lending import (
+    CapacityLender,
+    GpuReserve,
+    LendingClass,
+    LendingConfiguration,
+    ServingClass,
+    ServingJob,
+    allocate_reserve,
+    check_lines,
+    parse,
+)
+from alderbridge.lending.lender import MachineContents
+from alderbridge.lending.reserve import FreeGpus
 from alderbridge.membership.view import Membership
 from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
 from alderbridge.preemption.planner import PreemptionPlanner
@@ -51,9 +61,9 @@
     )
 }
 TEAMS = [Team("maps", 64.0, 400.0, 16.0, 64.0), Team("vision", 32.0, 300.0, 8.0, 48.0), Team("data")]
-TEXT = Text(
-    [Serve("*", "llm")],
-    [Lend("*", "tune", 20.0, 3, 900.0), Lend("*", "batch", 0.0, 1, 900.0)],
+TEXT = LendingConfiguration(
+    [ServingClass("*", "llm")],
+    [LendingClass("*", "tune", 20.0, 3, 900.0), LendingClass("*", "batch", 0.0, 1, 900.0)],
     {"maps": 4.0},
     24,
     16,
@@ -118,7 +128,7 @@
             )
             on = sum(self.put(one, index) for index in range(rng.randint(0, tasks // 2)))
             self.services.append(
-                Service(
+                ServingJob(
                     one,
                     on,
                     tasks - on,
@@ -158,7 +168,7 @@
         )
         self.gangs[one.id] += 1
         if one.service:
-            site = self.sites.setdefault(machine[0], Site(frozenset([one.image]), Counter()))
+            site = self.sites.setdefault(machine[0], MachineContents(frozenset([one.image]), Counter()))
             site.replicas[one.id] += 1
         return True
 
@@ -169,12 +179,12 @@
         )
 
     def plan(self, lender, spent=0.0):
-        lender.paid.append((990.0, "maps", spent))
+        lender.returned.append((990.0, "maps", spent))
         lender.stopping["maps"] = 2.0
-        lender.see(self.sites, {name: kind.zone for name, kind, _, _ in self.machines})
+        lender.set_machine_contents(self.sites, {name: kind.zone for name, kind, _, _ in self.machines})
         lender.teams = Teams(TEAMS, self.used)
         resources = [Resource(kind, free) for _, kind, free, _ in self.machines]
-        needs = lender.needs(self.services, resources, self.used, {})
+        needs = lender.demands(self.services, resources, self.used, {})
         held = [
             CandidateMachine(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
             for name, kind, free, tasks in self.machines
@@ -256,7 +266,7 @@
 
 
 def lender():
-    return Lender([TEXT], TEAMS, TYPES)
+    return CapacityLender([TEXT], TEAMS, TYPES)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -273,11 +283,15 @@
 BROKEN = {
     "a team below its guarantee for another": (Teams, "beyond", lambda self, spec: True),
     "preemption that the protocol does not allow": (preemption, "allowed", lambda *args: True),
-    "faster than the pace": (Lender, "_left", lambda self, team: 1000.0),
-    "more in a zone than apart allows": (Lender, "_quota", staticmethod(lambda spec, here, zone: spec.tasks)),
-    "room that its team may not use": (Lender, "_headroom", lambda self, spec, used: math.inf),
-    "replicas beyond their team's guarantee": (Lender, "_guarantee", lambda self, team: 1000.0),
-    "a victim that its class spares": (Lender, "lends", lambda self, spec: [Lend("*", "*", 0.0, 9, 9999.0)]),
+    "faster than the pace": (CapacityLender, "_left", lambda self, team: 1000.0),
+    "more in a zone than apart allows": (CapacityLender, "_quota", staticmethod(lambda spec, here, zone: spec.tasks)),
+    "room that its team may not use": (CapacityLender, "_headroom", lambda self, spec, used: math.inf),
+    "replicas beyond their team's guarantee": (CapacityLender, "_guarantee", lambda self, team: 1000.0),
+    "a victim that its class spares": (
+        CapacityLender,
+        "lends",
+        lambda self, spec: [LendingClass("*", "*", 0.0, 9, 9999.0)],
+    ),
 }
 
 
@@ -303,9 +317,9 @@
 def choose(service, machines, used, sites=None, lent=None):
     """(needs, claim by machine) for one service."""
     one = lent or lender()
-    one.see(sites or {}, {held.machine: held.kind.zone for held in machines})
+    one.set_machine_contents(sites or {}, {held.machine: held.kind.zone for held in machines})
     one.teams = Teams(TEAMS, used)
-    needs = one.needs([service], [Resource(held.kind, held.free) for held in machines], used, {})
+    needs = one.demands([service], [Resource(held.kind, held.free) for held in machines], used, {})
     groups = one.select_victims(needs, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, one.limit), 12)
     return needs, {name: claim for group in groups for name, claim in group.items()}
 
@@ -314,8 +328,8 @@
     tune = spec("wk-1", "data", "tune", checkpoint_s=30.0, save_s=5.0)
     machines = [full(f"n-{i}", "a", tune, saved=saved) for i, saved in ((1, 1.0), (2, 25.0), (3, 1.0))]
     used = {"data": (96.0, 24.0)}
-    service = Service(replica("wk-9", tasks=4, image_gb=60.0), 0, 4, 4, 5.0)
-    _, made = choose(service, machines, used, {"n-2": Site(frozenset("i"))})
+    service = ServingJob(replica("wk-9", tasks=4, image_gb=60.0), 0, 4, 4, 5.0)
+    _, made = choose(service, machines, used, {"n-2": MachineContents(frozenset("i"))})
     assert {name: claim.count for name, claim in made.items()} == {"n-2": 4}  # it fetches the 60 GB already
     _, made = choose(service, machines, used)
     assert sorted(claim.count for claim in made.values()) == [4]
@@ -324,7 +338,7 @@
 def test_the_last_machine_that_could_be_all_free_is_left_whole():
     tune = spec("wk-1", "data", "tune")
     mixed = full("n-2", "a", tune, 4)._replace(free=(64.0, 512.0, 0.0))  # four GPUs: work that does not lend
-    service = Service(replica("wk-9", tasks=2), 0, 2, 2, 5.0)
+    service = ServingJob(replica("wk-9", tasks=2), 0, 2, 2, 5.0)
     _, made = choose(service, [full("n-1", "a", tune, ran=30.0), mixed], {"data": (96.0, 24.0)})
     assert list(made) == ["n-2"]
 
@@ -332,16 +346,16 @@
 def test_a_replica_of_eight_gpus_gets_one_machine_and_stops_a_gang_of_sixteen_only_whole():
     gang = spec("wk-1", "data", "tune", 8.0, 2, kind="group")
     machines = [full("n-1", "a", gang, 1), full("n-2", "a", gang, 1)]
-    service = Service(replica("wk-9", gpus=8.0), 0, 1, 1, 5.0)
+    service = ServingJob(replica("wk-9", gpus=8.0), 0, 1, 1, 5.0)
     _, made = choose(service, machines, {"data": (64.0, 16.0)})
     assert sorted(claim.count for claim in made.values()) == [0, 1]
     assert {victim for claim in made.values() for victim in claim.victims} == {("wk-1", 8, 7), ("wk-1", 16, 7)}
-    tight = Lender([Text(TEXT.serve, TEXT.lend, {}, 64, 8, 60.0)], TEAMS, TYPES)
+    tight = CapacityLender([LendingConfiguration(TEXT.serve, TEXT.lend, {}, 64, 8, 60.0)], TEAMS, TYPES)
     assert choose(service, machines, {"data": (64.0, 16.0)}, lent=tight)[1] == {}  # sixteen at once are too many
 
 
 def test_at_its_limit_only_a_teams_own_batch_makes_room():
-    service = Service(replica("wk-9", "vision"), 4, 1, 0, 5.0)
+    service = ServingJob(replica("wk-9", "vision"), 4, 1, 0, 5.0)
     mine, theirs = spec("wk-1", "vision", "batch"), spec("wk-2", "data", "batch")
     used = {"vision": (200.0, 48.0), "data": (32.0, 8.0)}
     _, made = choose(service, [full("n-1", "a", theirs), full("n-2", "a", mine)], used)
@@ -353,46 +367,46 @@
 def test_what_dies_is_taken_or_withdrawn_in_the_middle_is_planned_anew():
     one, tune = lender(), spec("wk-1", "data", "tune")
     machines, used = [full("n-1", "a", tune), full("n-2", "a", tune)], {"data": (64.0, 16.0)}
-    service = Service(replica("wk-9", tasks=2), 0, 2, 2, 5.0)
+    service = ServingJob(replica("wk-9", tasks=2), 0, 2, 2, 5.0)
     _, made = choose(service, machines, used, lent=one)
     name = next(iter(made))
-    one.pay(made, {"wk-1": tune}, 1000.0)
-    one.pay(made, {"wk-1": tune}, 1001.0)
+    one.count_returned(made, {"wk-1": tune}, 1000.0)
+    one.count_returned(made, {"wk-1": tune}, 1001.0)
     assert [paid[1:] for paid in one.paid] == [("maps", 2.0)]  # once, however long the claim is there
     resources = [Resource(held.kind, held.free) for held in machines]
-    assert one.needs([service], resources, used, {"wk-9": 2}) == []  # while it stands, no second room for the same
+    assert one.demands([service], resources, used, {"wk-9": 2}) == []  # while it stands, no second room for the same
     left = [held for held in machines if held.machine != name]  # a spot notice, or its death: the claim goes
     _, again = choose(service, left, {"data": (32.0, 8.0)}, lent=one)
     assert list(again) == [left[0].machine] and again != made
-    assert one.needs([], resources, used, {}) == []  # withdrawn: nobody needs anything
-    one.pay({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
+    assert one.demands([], resources, used, {}) == []  # withdrawn: nobody needs anything
+    one.count_returned({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
     assert not one.paid and not one.seen
 
 
 def test_room_that_is_free_or_comes_in_time_stops_nothing():
-    service, kind = Service(replica("wk-9", tasks=3), 0, 3, 3, 10.0), Kind("g8", "a", False)
+    service, kind = ServingJob(replica("wk-9", tasks=3), 0, 3, 3, 10.0), Kind("g8", "a", False)
     soon = [(8.0, 8.0, 128.0, 2.0), (60.0, 24.0, 384.0, 6.0)]
-    assert [need.count for need in lender().needs([service], [Resource(kind, (0.0, 0.0, 0.0), soon)], {}, {})] == [1]
-    assert lender().needs([service], [Resource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
-    spread = Service(replica("wk-9", tasks=4, spread=True), 0, 4, 4, 10.0)
-    assert [need.count for need in lender().needs([spread], [Resource(kind, (96.0, 768.0, 8.0))], {}, {})] == [2]
+    assert [need.count for need in lender().demands([service], [Resource(kind, (0.0, 0.0, 0.0), soon)], {}, {})] == [1]
+    assert lender().demands([service], [Resource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
+    spread = ServingJob(replica("wk-9", tasks=4, spread=True), 0, 4, 4, 10.0)
+    assert [need.count for need in lender().demands([spread], [Resource(kind, (96.0, 768.0, 8.0))], {}, {})] == [2]
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_load_that_swings_within_keep_s_finds_its_gpus_free(seed):
-    rng, reserve, seen = random.Random(seed), Reserve(), []
+    rng, reserve, seen = random.Random(seed), GpuReserve(), []
     for second in range(600):
         used = rng.choice([2.0, 10.0, 24.0]) if second < 400 else 2.0
-        reserve.see({"maps": used}, float(second))
+        reserve.record_use({"maps": used}, float(second))
         seen.append(used)
         kept = reserve.gpus("maps", 4.0, 16.0, used, 60.0, float(second))
         assert kept == max(0.0, min(16.0, max(max(seen[-61:]), used + 4.0)) - used)
 
 
 def test_what_is_held_is_free_where_weights_are_and_in_few_places():
-    free = [Free("n-1", 3.0, False, False), Free("n-2", 8.0, False, False), Free("n-3", 2.0, True, True)]
-    assert hold(7.0, free) == {"n-3": 2.0, "n-2": 5.0}
-    assert hold(99.0, free) == {"n-1": 3.0, "n-2": 8.0, "n-3": 2.0} and hold(0.0, free) == {}
+    free = [FreeGpus("n-1", 3.0, False, False), FreeGpus("n-2", 8.0, False, False), FreeGpus("n-3", 2.0, True, True)]
+    assert allocate_reserve(7.0, free) == {"n-3": 2.0, "n-2": 5.0}
+    assert allocate_reserve(99.0, free) == {"n-1": 3.0, "n-2": 8.0, "n-3": 2.0} and allocate_reserve(0.0, free) == {}
 
 
 def text_of(lines):
@@ -406,9 +420,11 @@
         "[declaration]\nrevision=1\n[serve maps/llm-*]\n[lend */tune]\nleast run = 5\n"
         "[reserve maps]\ngpus=8\n[pace]\nkeep = 30"
     )
-    assert text == Text([Serve("maps", "llm-*")], [Lend("*", "tune", 5.0, 3, 900.0)], {"maps": 8.0}, 64, 32, 30.0)
-    assert len(check_lines(text)) == 4 and check_lines(Text()) == []
-    both = Lender([text, TEXT], TEAMS, TYPES)  # one replaces the other: the stricter
+    assert text == LendingConfiguration(
+        [ServingClass("maps", "llm-*")], [LendingClass("*", "tune", 5.0, 3, 900.0)], {"maps": 8.0}, 64, 32, 30.0
+    )
+    assert len(check_lines(text)) == 4 and check_lines(LendingConfiguration()) == []
+    both = CapacityLender([text, TEXT], TEAMS, TYPES)  # one replaces the other: the stricter
     assert not both.serves(replica("wk-1", "vision")) and both.lends(spec("wk-1", "maps", "batch")) is None
     assert (both.reserve("maps"), both.keep_s, both.limit(None).a_minute) == (8.0, 120.0, 24)
 
@@ -496,14 +512,14 @@
     site.tell(9.0, 3)
     assert not site.look(9.0)  # no second room for the same
     assert [one.count for one in site.leader.demands(9.0)] == []
-    assert site.lender.stopping["maps"] == 3.0 and [one[2] for one in site.lender.paid] == []
+    assert site.lender.stopping["maps"] == 3.0 and [one[2] for one in site.lender.returned] == []
     site.tell(10.0, 4)
-    assert site.look(10.0) and site.lender.paid[0][1:] == ("maps", 3.0)
+    assert site.look(10.0) and site.lender.returned[0][1:] == ("maps", 3.0)
 
 
 def test_a_need_that_nothing_serves_is_rented_for_after_a_moment():
     site = Fleet()
-    site.lender = Lender([Text(TEXT.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
+    site.lender = CapacityLender([LendingConfiguration(TEXT.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
     site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
     site.leader.tasks_served_by_lending = site.lender.serves_soon
     for now, asks in ((1.0, 0), (2.0, 0), (1.0 + constants.LEND_FIRST_S, 1)):
@@ -516,16 +532,16 @@
     site = Fleet()
     site.tell(1.0, 0, 3.0)
     site.look(1.0)
-    assert site.lender.keep(site.desk, 1.0) == {"n-0": 3.0, "n-1": 1.0}  # declared beside what runs
+    assert site.lender.gpus_to_reserve(site.desk, 1.0) == {"n-0": 3.0, "n-1": 1.0}  # declared beside what runs
     offers = [
         Offer("host-0", QueueRow(one.id, 9, 9, 1.0, 1.0, None, 9.0, False, False), one, 0.0, 0.0)
         for one in (site.tune, site.tune, site.serve)
     ]
-    elsewhere = site.lender.leaving(2.0, lambda offer: 0)
+    elsewhere = site.lender.limit_lending(2.0, lambda offer: 0)
     assert [offer.left - elsewhere(offer) for offer in offers] == [2, 0, 9]
 
 
-LENT = Text([Serve("free", "soon")], [Lend("*", "tune", 1.0, 2, 300.0)], {}, 10, 6, 10.0)
+LENT = LendingConfiguration([ServingClass("free", "soon")], [LendingClass("*", "tune", 1.0, 2, 300.0)], {}, 10, 6, 10.0)
 GUARANTEED = {"free": (12.0, 6.0), "bound": (4.0, 2.0)}
 
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -417,7 +417,7 @@
         assert again.conditions == proposal.conditions, "the store has it at 7: a conflict"
         one.failed(again, 3.0)
         show(one, 4.0)
-    assert one.revisions_in_force("hours", 20.9) == [0, 3] and one.obeyed("hours", 26.0) == [3]
+    assert one.revisions_in_force("hours", 20.9) == [0, 3] and one.revisions_in_force("hours", 26.0) == [3]
 
 
 @pytest.mark.parametrize("shown", (True, False))
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -5,8 +5,9 @@
 Machines of eight GPUs in three zones; fine-tuning of one GPU a task, 5 to 60 minutes long, always waits for room;
 replicas of two models come and go with a load that swings from the third minute on, apart, within their team's
 guarantee of half of all GPUs. Compared: no lending (replicas wait for room that comes free), naive (the youngest tasks
-anywhere, at once, no memory), and the package (``Lender``, ``claims.choose`` and ``Reserve``). Ideal network: a stop
-takes its saving and a report of up to 3 s, a start its image. Simulated; figures are for comparison with each other.
+anywhere, at once, no memory), and the package (``CapacityLender``, ``preemption.select_victims`` and ``GpuReserve``).
+Ideal network: a stop takes its saving and a report of up to 3 s, a start its image. Simulated; figures are for
+comparison with each other.
 """
 
 from __future__ import annotations
@@ -21,9 +22,17 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from alderbridge.lending import Lend, Lender, Reserve, Serve, Service, Text, hold  # noqa: E402
-from alderbridge.lending.lender import Site  # noqa: E402
-from alderbridge.lending.reserve import Free  # noqa: E402
+from alderbridge.lending import (  # noqa: E402
+    CapacityLender,
+    GpuReserve,
+    LendingClass,
+    LendingConfiguration,
+    ServingClass,
+    ServingJob,
+    allocate_reserve,
+)
+from alderbridge.lending.lender import MachineContents  # noqa: E402
+from alderbridge.lending.reserve import FreeGpus  # noqa: E402
 from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim  # noqa: E402
 from alderbridge.protocol.wire import JobSpec, MachineType  # noqa: E402
 from alderbridge.scheduling.policy import Kind, Resource  # noqa: E402
@@ -64,8 +73,10 @@
         self.images: dict[str, set[str]] = {name: set() for name in self.kinds}
         most = args.machines * GPUS
         self.teams = [Team("maps", 0.0, 0.0, most / 2, 0.0), Team("vision", 0.0, 0.0, 0.0, 0.0)]
-        text = Text([Serve("maps", "llm")], [Lend("*", "tune", 20.0, 3, 1e9)], {}, most, most, args.keep)
-        self.lender, self.reserve = Lender([text], self.teams, {"g8": TYPE}), Reserve()
+        text = LendingConfiguration(
+            [ServingClass("maps", "llm")], [LendingClass("*", "tune", 20.0, 3, 1e9)], {}, most, most, args.keep
+        )
+        self.lender, self.reserve = CapacityLender([text], self.teams, {"g8": TYPE}), GpuReserve()
         self.models = {name: self.model(name, 1000) for name in ("wk-1", "wk-2")}
         self.tune = spec(
             "wk-9",
@@ -200,12 +211,12 @@
         if self.mode == "lending":
             used = sum(task.job.service for tasks in self.on.values() for task in tasks)
             wish = used + sum(map(len, self.asked.values()))
-            self.reserve.see({"maps": min(wish, self.teams[0].gpus)}, self.now)
+            self.reserve.record_use({"maps": min(wish, self.teams[0].gpus)}, self.now)
             kept = self.reserve.gpus("maps", 0.0, self.teams[0].gpus, used, self.keep, self.now)
-            held = hold(
+            held = allocate_reserve(
                 kept,
                 [
-                    Free(
+                    FreeGpus(
                         name,
                         self.free(name) - sum(self.claimed[name].values()),
                         bool(self.images[name] & self.models.keys()),
@@ -245,19 +256,21 @@
         for model in self.models:
             waiting = len(self.asked[model])
             job = self.model(model, max(1, on[model] + waiting))
-            services.append(Service(job, on[model], waiting, waiting, 18.0, None, True, (False, -3, 18.0, model)))
+            services.append(ServingJob(job, on[model], waiting, waiting, 18.0, None, True, (False, -3, 18.0, model)))
         sites = {
-            name: Site(frozenset(self.images[name]), Counter(task.job.id for task in tasks if task.job.service))
+            name: MachineContents(
+                frozenset(self.images[name]), Counter(task.job.id for task in tasks if task.job.service)
+            )
             for name, tasks in self.on.items()
         }
-        lender.see(sites, {name: kind.zone for name, kind in self.kinds.items()})
+        lender.set_machine_contents(sites, {name: kind.zone for name, kind in self.kinds.items()})
         serving = sum(on[model] for model in self.models)
         used = {"maps": (4.0 * serving, float(serving)), "vision": (4.0 * on["wk-9"], float(on["wk-9"]))}
         lender.teams = Teams(self.teams, used)
         # A machine with a claim is left alone until its room is used, as in the desk.
         open_names = [name for name in self.kinds if not sum(self.claimed[name].values())]
         resources = [Resource(self.kinds[name], self.room(name), self.ends(name)) for name in open_names]
-        needs = lender.needs(services, resources, used, promised)
+        needs = lender.demands(services, resources, used, promised)
         if not needs:
             return
         machines = [
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -26,8 +26,8 @@
 from alderbridge import settings  # noqa: E402
 from alderbridge.protocol import wire  # noqa: E402
 from alderbridge import constants  # noqa: E402
-from alderbridge.calendars import Text  # noqa: E402
-from alderbridge.calendars.declaration import Calendar, Class  # noqa: E402
+from alderbridge.calendars import CalendarConfiguration  # noqa: E402
+from alderbridge.calendars.configuration import Calendar, CalendarRule  # noqa: E402
 
 OPENS, CALM, UNTIL = 90.0, 60.0, 240.0
 base.OBJECTIVES.append(settings.Objective("finished", "opening", 200.0))
@@ -41,9 +41,9 @@
         self.first: dict[str, float] = {}  # job of the class -> its first start
         super().__init__(machines, args.load, args.seed)
         self.size = 2 * machines  # that the cloud has
-        text = Text(
+        text = CalendarConfiguration(
             [Calendar("c", "UTC", [[(0, 1440)]] * 7, [(0, [(int(OPENS // 60), 1440)])])],
-            [Class("*", "opening", "c", warm_up_s=warm_s, spread_s=spread_s)],
+            [CalendarRule("*", "opening", "c", warm_up_s=warm_s, spread_s=spread_s)],
         )
         # The bench's time of day: the calendar opens at a whole minute, which is second 90 here.
         self.offset = int(OPENS // 60) * 60 - OPENS
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -27,7 +27,7 @@
 
 from alderbridge import constants
 from alderbridge.preemption import PreemptionDemand, PreemptionLimit  # noqa: E402
-from alderbridge.priorities import Rules, parse  # noqa: E402
+from alderbridge.priorities import PriorityPolicy, parse  # noqa: E402
 from alderbridge.protocol import wire
 from alderbridge.state.store import CLAIMS  # noqa: E402
 
@@ -44,14 +44,14 @@
 """
 
 
-class Naive(Rules):
+class Naive(PriorityPolicy):
     """As it was tried once: no wait for room that comes by itself, no memory, the youngest first."""
 
     def find_demands(self, desk, now):
         promised, result = desk.promised(), []
         for row in desk.queue_rows(now).values():
             spec = desk.leader.replica.spec(row.job)
-            if spec is not None and self.needs(spec) and row.offer > promised[row.job]:
+            if spec is not None and self.may_preempt(spec) and row.offer > promised[row.job]:
                 result.append(PreemptionDemand(spec, row.offer - promised[row.job], 0.0, self.reason, row.zone))
         return result
 
