--- a/alderbridge/lending/__init__.py
+++ b/alderbridge/lending/__init__.py
@@ -4,7 +4,8 @@
 """
 
 from alderbridge.lending.configuration import LendingClass, LendingConfiguration, ServingClass, check_lines, parse
-from alderbridge.lending.lender import CapacityLender, ServingJob
+from alderbridge.lending.demands import ServingJob
+from alderbridge.lending.lender import CapacityLender
 from alderbridge.lending.reserve import GpuReserve, allocate_reserve
 
 __all__ = [
--- a/alderbridge/lending/reserve.py
+++ b/alderbridge/lending/reserve.py
@@ -15,10 +15,11 @@
     """
 
     def __init__(self) -> None:
+        """Begin without any use."""
         self.peaks: dict[str, deque[tuple[float, float]]] = {}  # team -> (time, GPUs), falling
 
     def record_use(self, used: Mapping[str, float], now: float) -> None:
-        """GPUs of each team's replicas, those that wait within its guarantee included."""
+        """Record the GPUs of each team's replicas, those that wait within its guarantee included."""
         for team in used.keys() | self.peaks.keys():
             peaks, gpus = self.peaks.setdefault(team, deque()), used.get(team, 0.0)
             while peaks and peaks[-1][1] <= gpus:
@@ -26,7 +27,7 @@
             peaks.append((now, gpus))
 
     def gpus(self, team: str, declared: float, guarantee: float, used: float, keep_s: float, now: float) -> float:
-        """How many more than it uses are to be free for a team's replicas, within its guarantee."""
+        """Return how many more than it uses are to be free for a team's replicas, within its guarantee."""
         peaks = self.peaks.get(team, deque())
         while peaks and now - peaks[0][0] > keep_s:
             peaks.popleft()
@@ -44,16 +45,17 @@
 
 
 def allocate_reserve(gpus: float, machines: Iterable[FreeGpus]) -> dict[str, float]:
-    """Free GPUs that lending work leaves alone: where weights are cached, then whole machines, then the fullest piles.
+    """Return the free GPUs that lending work leaves alone, by machine.
 
-    What is not free is not held: nothing is stopped for a reserve.
+    First where weights are cached, then on whole machines, then where most are free. What is not free is not
+    reserved: nothing is stopped for a reserve.
     """
     held: dict[str, float] = {}
     for one in sorted(machines, key=lambda one: (not one.cached, one.serves, -one.gpus, one.machine)):
         if gpus <= 1e-9:
             break
-        part = min(one.gpus, gpus)
-        if part > 0:
-            held[one.machine] = part
-            gpus -= part
+        reserved = min(one.gpus, gpus)
+        if reserved > 0:
+            held[one.machine] = reserved
+            gpus -= reserved
     return held
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -26,8 +26,10 @@
     check_lines,
     parse,
 )
-from alderbridge.lending.lender import MachineContents
+from alderbridge.lending.fleet import MachineContents, ServingFleet
 from alderbridge.lending.reserve import FreeGpus
+from alderbridge.lending.rules import LendingRules
+from alderbridge.lending.selection import LendingSelection
 from alderbridge.membership.view import Membership
 from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
 from alderbridge.preemption.planner import PreemptionPlanner
@@ -179,9 +181,9 @@
         )
 
     def plan(self, lender, spent=0.0):
-        lender.returned.append((990.0, "maps", spent))
-        lender.stopping["maps"] = 2.0
-        lender.set_machine_contents(self.sites, {name: kind.zone for name, kind, _, _ in self.machines})
+        lender.pace.returned.append((990.0, "maps", spent))
+        lender.pace.stopping["maps"] = 2.0
+        lender.fleet.update(self.sites, {name: kind.zone for name, kind, _, _ in self.machines})
         lender.teams = Teams(TEAMS, self.used)
         resources = [Resource(kind, free) for _, kind, free, _ in self.machines]
         needs = lender.demands(self.services, resources, self.used, {})
@@ -283,12 +285,12 @@
 BROKEN = {
     "a team below its guarantee for another": (Teams, "beyond", lambda self, spec: True),
     "preemption that the protocol does not allow": (preemption, "allowed", lambda *args: True),
-    "faster than the pace": (CapacityLender, "_left", lambda self, team: 1000.0),
-    "more in a zone than apart allows": (CapacityLender, "_quota", staticmethod(lambda spec, here, zone: spec.tasks)),
-    "room that its team may not use": (CapacityLender, "_headroom", lambda self, spec, used: math.inf),
-    "replicas beyond their team's guarantee": (CapacityLender, "_guarantee", lambda self, team: 1000.0),
+    "faster than the pace": (LendingSelection, "_left", lambda self, team: 1000.0),
+    "more in a zone than apart allows": (ServingFleet, "quota", staticmethod(lambda spec, here, zone: spec.tasks)),
+    "room that its team may not use": (LendingRules, "headroom", lambda self, spec, used: math.inf),
+    "replicas beyond their team's guarantee": (LendingRules, "guarantee", lambda self, team: 1000.0),
     "a victim that its class spares": (
-        CapacityLender,
+        LendingRules,
         "lends",
         lambda self, spec: [LendingClass("*", "*", 0.0, 9, 9999.0)],
     ),
@@ -317,7 +319,7 @@
 def choose(service, machines, used, sites=None, lent=None):
     """(needs, claim by machine) for one service."""
     one = lent or lender()
-    one.set_machine_contents(sites or {}, {held.machine: held.kind.zone for held in machines})
+    one.fleet.update(sites or {}, {held.machine: held.kind.zone for held in machines})
     one.teams = Teams(TEAMS, used)
     needs = one.demands([service], [Resource(held.kind, held.free) for held in machines], used, {})
     groups = one.select_victims(needs, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, one.limit), 12)
@@ -370,17 +372,17 @@
     service = ServingJob(replica("wk-9", tasks=2), 0, 2, 2, 5.0)
     _, made = choose(service, machines, used, lent=one)
     name = next(iter(made))
-    one.count_returned(made, {"wk-1": tune}, 1000.0)
-    one.count_returned(made, {"wk-1": tune}, 1001.0)
-    assert [paid[1:] for paid in one.paid] == [("maps", 2.0)]  # once, however long the claim is there
+    one.pace.count_returned(made, {"wk-1": tune}, 1000.0)
+    one.pace.count_returned(made, {"wk-1": tune}, 1001.0)
+    assert [paid[1:] for paid in one.pace.returned] == [("maps", 2.0)]  # once, however long the claim is there
     resources = [Resource(held.kind, held.free) for held in machines]
     assert one.demands([service], resources, used, {"wk-9": 2}) == []  # while it stands, no second room for the same
     left = [held for held in machines if held.machine != name]  # a spot notice, or its death: the claim goes
     _, again = choose(service, left, {"data": (32.0, 8.0)}, lent=one)
     assert list(again) == [left[0].machine] and again != made
     assert one.demands([], resources, used, {}) == []  # withdrawn: nobody needs anything
-    one.count_returned({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
-    assert not one.paid and not one.seen
+    one.pace.count_returned({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
+    assert not one.pace.returned and not one.pace.counted
 
 
 def test_room_that_is_free_or_comes_in_time_stops_nothing():
@@ -425,8 +427,8 @@
     )
     assert len(check_lines(text)) == 4 and check_lines(LendingConfiguration()) == []
     both = CapacityLender([text, TEXT], TEAMS, TYPES)  # one replaces the other: the stricter
-    assert not both.serves(replica("wk-1", "vision")) and both.lends(spec("wk-1", "maps", "batch")) is None
-    assert (both.reserve("maps"), both.keep_s, both.limit(None).a_minute) == (8.0, 120.0, 24)
+    assert not both.rules.serves(replica("wk-1", "vision")) and both.rules.lends(spec("wk-1", "maps", "batch")) is None
+    assert (both.rules.reserve("maps"), both.rules.keep_s, both.limit(None).a_minute) == (8.0, 120.0, 24)
 
 
 @pytest.mark.parametrize(
@@ -512,9 +514,9 @@
     site.tell(9.0, 3)
     assert not site.look(9.0)  # no second room for the same
     assert [one.count for one in site.leader.demands(9.0)] == []
-    assert site.lender.stopping["maps"] == 3.0 and [one[2] for one in site.lender.returned] == []
+    assert site.lender.pace.stopping["maps"] == 3.0 and [one[2] for one in site.lender.pace.returned] == []
     site.tell(10.0, 4)
-    assert site.look(10.0) and site.lender.returned[0][1:] == ("maps", 3.0)
+    assert site.look(10.0) and site.lender.pace.returned[0][1:] == ("maps", 3.0)
 
 
 def test_a_need_that_nothing_serves_is_rented_for_after_a_moment():
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -263,7 +263,7 @@
             )
             for name, tasks in self.on.items()
         }
-        lender.set_machine_contents(sites, {name: kind.zone for name, kind in self.kinds.items()})
+        lender.fleet.update(sites, {name: kind.zone for name, kind in self.kinds.items()})
         serving = sum(on[model] for model in self.models)
         used = {"maps": (4.0 * serving, float(serving)), "vision": (4.0 * on["wk-9"], float(on["wk-9"]))}
         lender.teams = Teams(self.teams, used)
