--- a/alderbridge/lending/demands.py
+++ b/alderbridge/lending/demands.py
@@ -12,8 +12,8 @@
 from alderbridge.lending.rules import LendingRules
 from alderbridge.preemption import PreemptionDemand
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import Room, allowed, fits
-from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.scheduling.placement import Resources, allowed, fits
+from alderbridge.scheduling.policy import MachineKind, MachineResource
 
 REASON = "serving"
 
@@ -36,11 +36,13 @@
 
     __slots__ = ("kind", "free", "ends")
 
-    def __init__(self, kind: Kind, free: Room, ends: Iterable[tuple[float, float, float, float]] = ()) -> None:
+    def __init__(
+        self, kind: MachineKind, free: Resources, ends: Iterable[tuple[float, float, float, float]] = ()
+    ) -> None:
         """``ends``: tasks that end, as (in s, cpus, memory in GB, GPUs)."""
         self.kind, self.free, self.ends = kind, free, ends
 
-    def within(self, horizon_s: float) -> Room:
+    def within(self, horizon_s: float) -> Resources:
         """Return what is free, with what comes free in that time."""
         coming = [end for end in self.ends if end[0] <= horizon_s]
         cpus, memory, gpus = (self.free[i] + sum(end[i + 1] for end in coming) for i in range(3))
@@ -72,7 +74,7 @@
     def find(
         self,
         services: Iterable[ServingJob],
-        resources: Iterable[Resource],
+        resources: Iterable[MachineResource],
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
     ) -> list[PreemptionDemand]:
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -33,7 +33,7 @@
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.placement import Offer, order
-from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.scheduling.policy import MachineKind, MachineResource
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
     def demands(
         self,
         services: Iterable[ServingJob],
-        resources: Iterable[Resource],
+        resources: Iterable[MachineResource],
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
     ) -> list[PreemptionDemand]:
@@ -146,7 +146,7 @@
             return 0
         return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < constants.LEND_FIRST_S else 0)
 
-    def _has_gpus(self, kind: Kind) -> bool:
+    def _has_gpus(self, kind: MachineKind) -> bool:
         known = self.types.get(kind.type)
         return known is not None and known.gpus > 0
 
@@ -165,7 +165,7 @@
         return PreemptionLimit(self.rules.gpus_a_minute, self.rules.gpus_at_once)
 
     def observe_machines(
-        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         """Take in images and replicas of all machines that are up."""
         contents = {}
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -99,7 +99,7 @@
         self.last_sequence = (0, 0)  # (tenure, counter) of the newest report
         # Since when only this process could have answered its reports; None: not yet.
         self.exclusive_since: float | None = None
-        self.free: placement.Room | None = None  # what is free, until something changes here
+        self.free: placement.Resources | None = None  # what is free, until something changes here
         # of each task: since when it runs or None, Expected Run Time, cpus, memory, gpus; as ``free``, until a change
         self.busy: list[tuple[float | None, float, float, float, float]] | None = None
         self.tasks: dict[TaskKey, ObservedTask] = {}
@@ -830,14 +830,16 @@
             return None
         return Candidate(machine.name, machine.type, machine.zone, machine.spot, self.free(machine), machine.images)
 
-    def busy(self, now: float) -> placement.Busy:
+    def busy(self, now: float) -> placement.BusyMachines:
         """Machines that run something and may have room left."""
         found = [self.candidate(machine, now) for machine in self.machines.values() if not machine.idle]
-        return placement.Busy(candidate for candidate in found if candidate is not None and candidate.free[0] > 0)
+        return placement.BusyMachines(
+            candidate for candidate in found if candidate is not None and candidate.free[0] > 0
+        )
 
     # -- for placement and the leader ----------------------------------------
 
-    def free(self, machine: Machine) -> placement.Room:
+    def free(self, machine: Machine) -> placement.Resources:
         if machine.free is not None:
             return machine.free
         kind = self.types.get(machine.type)
@@ -888,7 +890,7 @@
         rows, ceil, nothing = [], math.ceil, (0.0, 0.0, 0.0)
         loads: dict[str, Load | None] = {}
         for machine in self.machines.values():
-            ends: dict[int, placement.Room] = {}  # whole seconds: what ends together is one entry
+            ends: dict[int, placement.Resources] = {}  # whole seconds: what ends together is one entry
             busy = machine.busy if machine.busy is not None else self._busy(machine, loads, run_time)
             for since, run_s, cpus, memory, gpus in busy:
                 left = run_s if since is None else run_s - (now - since)
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -10,7 +10,7 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.placement import order
-from alderbridge.scheduling.policy import Demand, Resource, Walk
+from alderbridge.scheduling.policy import Demand, MachineResource, Walk
 
 
 class UrgentClasses(Protocol):
@@ -26,7 +26,7 @@
     classes: UrgentClasses,
     demands: Iterable[Demand],
     rows: Mapping[str, QueueRow],
-    resources: Iterable[Resource],
+    resources: Iterable[MachineResource],
     promised: Counter[str],
     stopped: Container[str],
 ) -> list[PreemptionDemand]:
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -63,7 +63,7 @@
             job = key[len(JOBS) :]
             known = self.active.get(job)
             if known is None or change.revision > known[1]:  # else this node's own write
-                self.saw_job(job, _record.decode(change.data), change.revision)
+                self.observe_job(job, _record.decode(change.data), change.revision)
         elif key.startswith(LISTS):
             if gone:
                 self.lists.pop(key, None)
@@ -87,7 +87,7 @@
             self.declared.apply(key, None if gone else bytes(change.data), change.revision)
         return False
 
-    def saw_job(self, job: str, record: Record, revision: int) -> None:
+    def observe_job(self, job: str, record: Record, revision: int) -> None:
         known = self.active.get(job)
         if known is not None and revision <= known[1]:
             return
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -26,7 +26,7 @@
 from alderbridge.priorities import PriorityConfiguration, check_lines, demands, parse, policy
 from alderbridge.protocol import wire
 from alderbridge.scheduling.placement import allowed, fits, minus
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 from alderbridge.settings import ConfigError
 from alderbridge.state.store import BUDGETS, CLAIMS, JOBS
 
@@ -390,7 +390,7 @@
     free = (cpus, 64.0, 0.0)
     for victim in victims:
         free = minus(free, victim.spec, 1)
-    return CandidateMachine(name, Kind("m", "a", False), free, list(victims))
+    return CandidateMachine(name, MachineKind("m", "a", False), free, list(victims))
 
 
 def pick(need_spec, count, *machines, most=12, limit=ANY, may=lambda need, victim: True):
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -44,7 +44,7 @@
 )
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.placement import Offer, fits
-from alderbridge.scheduling.policy import Kind, Resource
+from alderbridge.scheduling.policy import MachineKind, MachineResource
 from alderbridge.settings import ConfigError, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -98,7 +98,8 @@
     def __init__(self, rng):
         self.rng = rng
         self.machines = [
-            [f"n-{i}", Kind("g8", rng.choice(ZONES), False), (96.0, 768.0, 8.0), []] for i in range(rng.randint(2, 9))
+            [f"n-{i}", MachineKind("g8", rng.choice(ZONES), False), (96.0, 768.0, 8.0), []]
+            for i in range(rng.randint(2, 9))
         ]
         self.used = {team.name: (0.0, 0.0) for team in TEAMS}
         self.services, self.sites, self.gangs = [], {}, Counter()
@@ -185,7 +186,7 @@
         lender.pace.stopping["maps"] = 2.0
         lender.fleet.update(self.sites, {name: kind.zone for name, kind, _, _ in self.machines})
         lender.teams = Teams(TEAMS, self.used)
-        resources = [Resource(kind, free) for _, kind, free, _ in self.machines]
+        resources = [MachineResource(kind, free) for _, kind, free, _ in self.machines]
         needs = lender.demands(self.services, resources, self.used, {})
         held = [
             CandidateMachine(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
@@ -310,7 +311,7 @@
     victims = [Victim(one.id, int(name[2:]) * 8 + index, 7, one, ran, saved) for index in range(tasks)]
     return CandidateMachine(
         name,
-        Kind("g8", zone, False),
+        MachineKind("g8", zone, False),
         (96.0 - one.cpus * tasks, 768.0 - one.memory_gb * tasks, 8.0 - one.gpus * tasks),
         victims,
     )
@@ -321,7 +322,7 @@
     one = lent or lender()
     one.fleet.update(sites or {}, {held.machine: held.kind.zone for held in machines})
     one.teams = Teams(TEAMS, used)
-    needs = one.demands([service], [Resource(held.kind, held.free) for held in machines], used, {})
+    needs = one.demands([service], [MachineResource(held.kind, held.free) for held in machines], used, {})
     groups = one.select_victims(needs, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, one.limit), 12)
     return needs, {name: claim for group in groups for name, claim in group.items()}
 
@@ -375,7 +376,7 @@
     one.pace.count_returned(made, {"wk-1": tune}, 1000.0)
     one.pace.count_returned(made, {"wk-1": tune}, 1001.0)
     assert [paid[1:] for paid in one.pace.returned] == [("maps", 2.0)]  # once, however long the claim is there
-    resources = [Resource(held.kind, held.free) for held in machines]
+    resources = [MachineResource(held.kind, held.free) for held in machines]
     assert one.demands([service], resources, used, {"wk-9": 2}) == []  # while it stands, no second room for the same
     left = [held for held in machines if held.machine != name]  # a spot notice, or its death: the claim goes
     _, again = choose(service, left, {"data": (32.0, 8.0)}, lent=one)
@@ -386,12 +387,16 @@
 
 
 def test_room_that_is_free_or_comes_in_time_stops_nothing():
-    service, kind = ServingJob(replica("wk-9", tasks=3), 0, 3, 3, 10.0), Kind("g8", "a", False)
+    service, kind = ServingJob(replica("wk-9", tasks=3), 0, 3, 3, 10.0), MachineKind("g8", "a", False)
     soon = [(8.0, 8.0, 128.0, 2.0), (60.0, 24.0, 384.0, 6.0)]
-    assert [need.count for need in lender().demands([service], [Resource(kind, (0.0, 0.0, 0.0), soon)], {}, {})] == [1]
-    assert lender().demands([service], [Resource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
+    assert [
+        need.count for need in lender().demands([service], [MachineResource(kind, (0.0, 0.0, 0.0), soon)], {}, {})
+    ] == [1]
+    assert lender().demands([service], [MachineResource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
     spread = ServingJob(replica("wk-9", tasks=4, spread=True), 0, 4, 4, 10.0)
-    assert [need.count for need in lender().demands([spread], [Resource(kind, (96.0, 768.0, 8.0))], {}, {})] == [2]
+    assert [need.count for need in lender().demands([spread], [MachineResource(kind, (96.0, 768.0, 8.0))], {}, {})] == [
+        2
+    ]
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -464,7 +469,7 @@
         self.lender = lender()
         self.tune, self.serve = spec("wk-1", "data", "tune", tasks=16), replica("wk-9", tasks=4)
         for one in (self.tune, self.serve):
-            known.saw_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
+            known.observe_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
 
     def tell(self, now, waiting, free=0.0):
         rows = [QueueRow("wk-9", waiting, waiting, 10.0, 3600.0, None, now, False, True)] if waiting else []
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -628,7 +628,7 @@
     control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
     core = control.core
     record = Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC)
-    core.replica.saw_job(SPEC.id, record, 5)
+    core.replica.observe_job(SPEC.id, record, 5)
     core.membership.observe_view(View("host-1", {"host-0": 1, "host-1": 2}), 4)
     return control, record
 
@@ -640,7 +640,7 @@
 
     async def slow(key):
         row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
-        control.core.replica.saw_job(SPEC.id, Record(ended), 6)
+        control.core.replica.observe_job(SPEC.id, Record(ended), 6)
         assert (await control.withdraw(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
@@ -655,7 +655,7 @@
     control.core.replica.active.clear()
 
     async def slow(key):
-        control.core.replica.saw_job(SPEC.id, record, 6)
+        control.core.replica.observe_job(SPEC.id, record, 6)
 
     monkeypatch.setattr(control.store, "get", slow)
     assert curio.run(control.status_stored, SPEC.id)[0] == 503
@@ -671,12 +671,12 @@
 
     async def poll():
         assert control.status_now(SPEC.id, answers.append) is None
-        control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
+        control.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
         await control.told(control.ask_count, messages.JobQueryReply(control.ask_count, 200, body))
 
     async def known():
         async def ask(label, what, job):
-            control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
+            control.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
             return 200, body, []
 
         control.ask = ask
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -35,7 +35,7 @@
 from alderbridge.lending.reserve import FreeGpus  # noqa: E402
 from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim  # noqa: E402
 from alderbridge.protocol.wire import JobSpec, MachineType  # noqa: E402
-from alderbridge.scheduling.policy import Kind, Resource  # noqa: E402
+from alderbridge.scheduling.policy import MachineKind, MachineResource  # noqa: E402
 from alderbridge.settings import Team  # noqa: E402
 
 ZONES, GPUS, REPORT_S, QUIET_S = ["a", "b", "c"], 8, 3.0, 120.0
@@ -68,7 +68,7 @@
     def __init__(self, args: argparse.Namespace, mode: str) -> None:
         self.mode, self.rng, self.now = mode, random.Random(args.seed), 0.0
         self.period, self.keep = args.period, args.keep
-        self.kinds = {f"n-{i:03}": Kind("g8", ZONES[i % 3], False) for i in range(args.machines)}
+        self.kinds = {f"n-{i:03}": MachineKind("g8", ZONES[i % 3], False) for i in range(args.machines)}
         self.on: dict[str, list[Task]] = {name: [] for name in self.kinds}
         self.images: dict[str, set[str]] = {name: set() for name in self.kinds}
         most = args.machines * GPUS
@@ -269,7 +269,7 @@
         lender.teams = Teams(self.teams, used)
         # A machine with a claim is left alone until its room is used, as in the desk.
         open_names = [name for name in self.kinds if not sum(self.claimed[name].values())]
-        resources = [Resource(self.kinds[name], self.room(name), self.ends(name)) for name in open_names]
+        resources = [MachineResource(self.kinds[name], self.room(name), self.ends(name)) for name in open_names]
         needs = lender.demands(services, resources, used, promised)
         if not needs:
             return
