--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -14,7 +14,7 @@
 from alderbridge.settings import DEFAULT_INI, ConfigError, Platform, Tuning, load_platform, load_tuning
 
 if TYPE_CHECKING:
-    from alderbridge.configuration import Declared
+    from alderbridge.configuration import ConfigurationRevision
 
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -24,7 +24,7 @@
 
     platform: Platform
     tuning: Tuning
-    declared: dict[str, Declared]  # by kind, from the files that the operators' settings name
+    declared: dict[str, ConfigurationRevision]  # by kind, from the files that the operators' settings name
     log_level: int
 
 
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -21,10 +21,10 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.calendars.declaration import Text as Hours
-from alderbridge.calendars.gate import Gate
+from alderbridge.calendars.configuration import CalendarConfiguration
+from alderbridge.calendars.gate import CalendarGate
 from alderbridge.calendars.timetable import NEVER
-from alderbridge.configuration import Declarations, Declared, Proposal
+from alderbridge.configuration import ConfigurationProposal, ConfigurationRevision, OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.leader.leader import Leader, LeaderSettings
@@ -32,7 +32,7 @@
 from alderbridge.membership.view import Membership, MemberStatus, View
 from alderbridge.preemption import ClaimTransaction, Teams
 from alderbridge.preemption.planner import PreemptionPlanner, PreemptionPolicy
-from alderbridge.priorities import Rules, Text
+from alderbridge.priorities import PriorityConfiguration, PriorityPolicy
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import OfferBook, PublishRound, QueueFormat, QueuePublisher, QueueState, SenderClock
 from alderbridge.scheduling import placement, policy
@@ -43,7 +43,7 @@
 from alderbridge.transport.channel import Channel
 
 if TYPE_CHECKING:
-    from alderbridge.lending import Lender
+    from alderbridge.lending import CapacityLender
 
 log = logging.getLogger("core")
 
@@ -89,7 +89,7 @@
     dropped_machines: list[str] = field(default_factory=list)
     lists: list[tuple[Submission, str]] = field(default_factory=list)
     dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
-    proposal: Proposal | None = None  # then nothing else
+    proposal: ConfigurationProposal | None = None  # then nothing else
     claims: ClaimTransaction | None = None  # then nothing else is in it
 
     @property
@@ -104,7 +104,7 @@
         tuning: Tuning,
         now: float,
         rng: Random | None = None,
-        own: dict[str, Declared] | None = None,
+        own: dict[str, ConfigurationRevision] | None = None,
     ) -> None:
         """``own``: what the operators' files of this process declare, by kind."""
         shared = platform.settings
@@ -117,7 +117,7 @@
         self.membership = Membership(self.me, ttl, min(constants.STORE_LEASE_TTL_S, most))
         stretches = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
         self.graph = Graph(self.run_time, stretches)
-        self.declared = Declarations(own, ttl, self.labels)
+        self.declared = OperatorConfiguration(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
         self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
@@ -139,10 +139,12 @@
             lambda row, spec: self.lender.serves_soon(row, spec) if self.lender is not None else 0,
         )
         self.ledger, self.preemption_planner = self.replica.ledger, PreemptionPlanner(self.leader, self.replica.ledger)
-        self.priorities: Callable[[float], list[Text]] = lambda now: self.declared.in_force("priorities", now)
-        self.rules = Rules([])
+        self.priorities: Callable[[float], list[PriorityConfiguration]] = lambda now: self.declared.in_force(
+            "priorities", now
+        )
+        self.rules = PriorityPolicy([])
         self.lendings: Callable[[float], list] = lambda now: self.declared.in_force("lending", now)
-        self.lender: Lender | None = None
+        self.lender: CapacityLender | None = None
         self.reserved_gpus: dict[
             str, float
         ] = {}  # machine -> GPUs that lending work leaves free, as the leader told last
@@ -166,7 +168,7 @@
         self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
         self.doomed_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
         self.wall_offset_s = 0.0  # time of day less ``now``
-        self.calendars: Gate | None = None  # None: nothing is declared
+        self.calendars: CalendarGate | None = None  # None: nothing is declared
         self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
         self.has_new_submission = False  # a submission has come since the last look for what to write
         # Until a view says who else writes, all controllers share what the store takes.
@@ -234,14 +236,16 @@
         if "hours" in self.declared.kinds:
             self.apply_calendars(self.declared.in_force("hours", self.now))
 
-    def apply_calendars(self, texts: list[Hours]) -> None:
+    def apply_calendars(self, texts: list[CalendarConfiguration]) -> None:
         """The texts of hours that hold now, all of them: the one in force, and one that is about to be."""
         if self.calendars is not None:
-            texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
-        if texts != (self.calendars.texts if self.calendars is not None else []):
+            texts = texts or [
+                CalendarConfiguration()
+            ]  # taken back: nothing is closed any more, and turns are given anew
+        if texts != (self.calendars.configurations if self.calendars is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
-            self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
+            self.calendars = CalendarGate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
             self.job_shard.calendars = self.machine_shard.calendars = self.calendars
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
@@ -582,7 +586,7 @@
     def process_configuration(self) -> None:
         """What operators declare has arrived, or something in the store that counts can't be read here."""
         if self.declared.changed:
-            self.declared.look(self.now)
+            self.declared.refresh(self.now)
         if self.declared.unreadable:
             self.membership.mark_unreadable()
         self.refresh_calendars()
@@ -1004,7 +1008,7 @@
             else 0.0
         )
         if held:
-            room_elsewhere = self.lender.leaving(candidate.free[2] - held, room_elsewhere)
+            room_elsewhere = self.lender.limit_lending(candidate.free[2] - held, room_elsewhere)
 
         def keep(offer: placement.Offer) -> bool:
             """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
@@ -1033,16 +1037,16 @@
     def preemption_policies(self) -> list[PreemptionPolicy]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
         texts = self.priorities(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
-        if texts != self.rules.texts:
-            self.rules = Rules(texts)
+        if texts != self.rules.configurations:
+            self.rules = PriorityPolicy(texts)
         result: list[PreemptionPolicy] = [self.rules] if texts else []
         lendings = self.lendings(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         if not lendings:
             self.lender = None
-        elif self.lender is None or self.lender.texts != lendings:
-            from alderbridge.lending import Lender  # only here: start-up is charged
+        elif self.lender is None or self.lender.configurations != lendings:
+            from alderbridge.lending import CapacityLender  # only here: start-up is charged
 
-            self.lender = Lender(lendings, self.shared.teams, self.types, self.lender)
+            self.lender = CapacityLender(lendings, self.shared.teams, self.types, self.lender)
         if self.lender is not None:
             self.lender.types = self.types
             result.append(self.lender)
@@ -1095,7 +1099,7 @@
                 self.send_unreliable(label, messages.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
-            gpus = self.lender.keep(self.preemption_planner, now)
+            gpus = self.lender.gpus_to_reserve(self.preemption_planner, now)
             if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
                     self.send_unreliable(label, messages.GpuReservation(gpus))
@@ -1231,7 +1235,7 @@
             # what waits for others holds no part of the guarantee
             if free is None or known[0].state is not JobState.ACTIVE or (name in waiting and self.graph.waiting(name)):
                 continue
-            if self.calendars is not None and at != NEVER and not (look := self.calendars.look(spec)).may_start:
+            if self.calendars is not None and at != NEVER and not (look := self.calendars.eligibility(spec)).may_start:
                 if look.warm:
                     warm.append((NEVER, name))
                 continue  # nor does what waits for its hours
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -10,7 +10,7 @@
 
 from alderbridge import constants
 from alderbridge.cloud import Cloud
-from alderbridge.configuration import Declared
+from alderbridge.configuration import ConfigurationRevision
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.health import HealthCheck
 from alderbridge.controller.job_queries import JobQueries, JobQueryResponder
@@ -53,7 +53,7 @@
         platform: Platform,
         tuning: Tuning,
         poll: Poll,
-        own: dict[str, Declared] | None = None,
+        own: dict[str, ConfigurationRevision] | None = None,
         store: Store | None = None,
     ) -> None:
         self.platform, self.poll = platform, poll
