--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -36,7 +36,7 @@
     WatchCompactedError,
 )
 from alderbridge.transport import mesh
-from alderbridge.transport.http import Answer, Exchange, Reading, Server, TokenBucket, UnansweredError
+from alderbridge.transport.http import Answer, Exchange, ResponseReader, Server, TokenBucket, UnansweredError
 from alderbridge.transport.selector import Poll
 
 log = logging.getLogger("controller")
@@ -299,7 +299,7 @@
 
         try:
             host, port = address(worker)
-            reading = Reading(host, "POST", "/commands", wire.acknowledge_request(fencing_token, incarnation))
+            reading = ResponseReader(host, "POST", "/commands", wire.acknowledge_request(fencing_token, incarnation))
             exchange = Exchange(self.poll, host, port, reading, done)
         except (OSError, ValueError, h11.ProtocolError) as error:
             self.core.machine_shard.prober.unanswered(name, now())
--- a/alderbridge/transport/http.py
+++ b/alderbridge/transport/http.py
@@ -9,8 +9,6 @@
 from alderbridge.transport.sockets import connect, read
 from alderbridge.transport.token_bucket import TokenBucket
 
-Reading = ResponseReader
-
 __all__ = [
     "Answer",
     "Client",
@@ -18,7 +16,6 @@
     "ConnectionState",
     "Exchange",
     "Handler",
-    "Reading",
     "ResponseReader",
     "Server",
     "TokenBucket",
