--- a/alderbridge/transport/channel.py
+++ b/alderbridge/transport/channel.py
@@ -1,4 +1,4 @@
-"""Ordered delivery to one member under one fencing token: resent until acknowledged, forgotten at a change of view."""
+"""Ordered delivery to one member under one fencing token: resent until acknowledged, dropped at a change of view."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Channel:
-    """Ordered messages to and from one member under one mandate."""
+    """Ordered messages to and from one member under one fencing token; times are in s of a steady clock."""
 
     def __init__(self, me: str) -> None:
         self.me = me
@@ -17,10 +17,11 @@
         self.reset(0, 0.0)
 
     def reset(self, fencing_token: int, now: float, lease_id: int = 0) -> None:
+        """Begin anew under another view; ``lease_id``: under which this controller takes part in it, 0: it does not."""
         self.fencing_token, self.lease_id = fencing_token, lease_id
         self.next_seq = 1
         self.received = 0
-        self.unacked: deque[tuple[int, Message, float]] = deque()  # number, body, when it was first sent
+        self.unacked: deque[tuple[int, Message, float]] = deque()  # sequence, body, when it was first sent
         self.acked_at = float("-inf")  # when the newest acknowledged message was first sent
         self.progress_at = now
         self.posted_at = now
@@ -43,11 +44,11 @@
         return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)
 
     def observe_view(self, frame: Frame) -> None:
-        """That the peer knows a view, and nothing else: neither taken nor acknowledged."""
+        """Note which view the peer knows; the frame is neither accepted nor acknowledged."""
         self.peer_fencing_token = max(self.peer_fencing_token, frame.fencing_token)
 
     def receive(self, frame: Frame, now: float) -> Message | None:
-        """The body, if it is new and in order under this mandate."""
+        """The body, if it is new and in order under this fencing token."""
         self.observe_view(frame)
         if frame.fencing_token != self.fencing_token:
             return None
@@ -62,6 +63,7 @@
         return frame.body
 
     def resend(self, now: float) -> list[Frame]:
+        """All frames without an acknowledgement, if there was no progress lately."""
         if not self.unacked or now - self.progress_at < constants.MESH_RESEND_S:
             return []
         self.progress_at = now
@@ -76,8 +78,8 @@
         return now - self.posted_at >= constants.MESH_PROBE_S
 
     def is_stalled(self, now: float) -> bool:
-        """Sent again and again, and never acknowledged: after a cut, the other end may have closed unheard."""
+        """Whether nothing was acknowledged for long: the other end may have closed while the network was cut."""
         if not self.unacked or now - self.alive_at < constants.MESH_STALL_S:
             return False
-        self.alive_at = now  # the next connection has its time, too
+        self.alive_at = now  # the next connection gets as long
         return True
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -4,90 +4,44 @@
 
 import logging
 import socket
-import struct
 import time
 from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 
 import curio
 import msgspec
 
 from alderbridge import constants
-from alderbridge.protocol.messages import Frame, Message
+from alderbridge.protocol.messages import Frame
 from alderbridge.settings import address
+from alderbridge.transport.framing import Encoder, split_frames
 from alderbridge.transport.selector import Listener, Poll, listening
 from alderbridge.transport.sockets import connect
 
+__all__ = ["Encoder", "Incoming", "Mesh", "split_frames"]
+
 log = logging.getLogger("mesh")
 now = time.monotonic
 
-_HEAD = struct.Struct(">I")  # a frame's length goes before it
-_encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Frame).decode
-
-
-class _Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A frame whose body is encoded already; the same bytes."""
-
-    version: str
-    sender: str
-    fencing_token: int
-    seq: int
-    ack: int
-    body: msgspec.Raw
-    sender_lease_id: int = 0
-
-
-class Encoder:
-    """Frames as they go over the wire. What goes to several peers, one after the other, is encoded once."""
-
-    def __init__(self) -> None:
-        self.body: Message | None = None
-        self.raw = msgspec.Raw(b"")
-
-    def __call__(self, frame: Frame) -> bytes:
-        if frame.body is not self.body:
-            self.body, self.raw = frame.body, msgspec.Raw(_encode(frame.body))
-        data = _encode(
-            _Envelope(
-                frame.version, frame.sender, frame.fencing_token, frame.seq, frame.ack, self.raw, frame.sender_lease_id
-            )
-        )
-        return _HEAD.pack(len(data)) + data
-
-
-def split_frames(buffer: bytearray) -> Iterator[Frame]:
-    """The whole frames at the front of ``buffer``, which keeps the rest."""
-    at, length = 0, len(buffer)
-    try:
-        with memoryview(buffer) as view:
-            while length - at >= _HEAD.size:
-                (size,) = _HEAD.unpack_from(view, at)
-                if size > constants.MAX_FRAME:
-                    raise msgspec.DecodeError(f"frame of {size} bytes")
-                if length - at - _HEAD.size < size:
-                    return
-                at += _HEAD.size + size
-                yield _decode(view[at - size : at])
-    finally:
-        del buffer[:at]
+_BACKLOG = 64  # connections that the system keeps until they are accepted
+_MAX_LOGGED_ERRORS = 100
 
 
 class Mesh:
-    """One outgoing connection to each peer, and whatever comes in."""
+    """One outgoing connection to each peer, and the connections of the peers to this controller."""
 
     def __init__(self, listen: str, peers: dict[str, str], deliver: Callable[[list[Frame]], None], poll: Poll) -> None:
-        self.set_answering, self.poll = address(listen), poll
+        self.listen_address, self.poll = address(listen), poll
         self.peers = {label: address(addr) for label, addr in peers.items()}
         self.deliver = deliver
         self.queues: dict[str, deque[bytes]] = {label: deque() for label in peers}
         self.wake = {label: curio.Event() for label in peers}
         self.encode = Encoder()
         self.open: dict[str, curio.io.Socket] = {}  # the sockets of connected peers
-        self.writing: set[str] = set()  # peers whose rest is being written by ``send_to``
+        self.writing: set[str] = set()  # peers whose queue is being written by ``send_to``
         self.connected: set[str] = set()
         self.renewing: set[str] = set()
-        self.complained: set[str] = set()
+        self.logged_errors: set[str] = set()
         self.incoming: set[Incoming] = set()
 
     def put(self, label: str, frame: Frame) -> None:
@@ -114,27 +68,29 @@
                     sent = 0
                 except OSError:
                     self.renew(label)
-                    sent = len(data)  # lost with its connection; what must arrive is sent again
+                    sent = len(data)  # lost with its connection; the channel sends again what must arrive
                 if sent < len(data):
                     queue.appendleft(data[sent:])
             if queue or label in self.renewing:
                 await self.wake[label].set()
 
     async def serve(self) -> None:
-        listener = Listener(self.poll, listening(*self.set_answering, 64), lambda client: Incoming(self, client))
+        """Accept the connections of peers until this is cancelled."""
+        listener = Listener(self.poll, listening(*self.listen_address, _BACKLOG), lambda client: Incoming(self, client))
         try:
-            while True:  # end silent connections; cheaper than a timer for each read
+            while True:  # close silent connections; cheaper than a timer for each read
                 await curio.sleep(constants.OVERDUE_CHECK_S)
                 listener.resume()
-                for one in [one for one in self.incoming if now() - one.received_at > constants.MESH_SILENCE_S * 2]:
-                    one.close()
+                silence_s = constants.MESH_SILENCE_S * 2
+                for connection in [one for one in self.incoming if now() - one.received_at > silence_s]:
+                    connection.close()
         finally:
             listener.close()
 
-    def malformed(self, error: Exception) -> None:
-        """A peer of another version: said once, then its connection is dropped."""
-        if str(error) not in self.complained and len(self.complained) < 100:
-            self.complained.add(str(error))
+    def log_malformed(self, error: Exception) -> None:
+        """Log what is wrong with a peer's bytes, most likely another version's: each error only once."""
+        if str(error) not in self.logged_errors and len(self.logged_errors) < _MAX_LOGGED_ERRORS:
+            self.logged_errors.add(str(error))
             log.error("mesh state=message_dropped cause=%s", error)
 
     async def send_to(self, label: str) -> None:
@@ -148,22 +104,7 @@
                 self.connected.add(label)
                 self.open[label] = sock
                 log.info("mesh peer=%s state=connected", label)
-                while True:
-                    await self.wake[label].wait()
-                    self.wake[label].clear()
-                    if label in self.renewing:
-                        log.info("mesh peer=%s state=renewed cause=no acknowledgement", label)
-                        break
-                    queue = self.queues[label]
-                    if not queue:
-                        continue
-                    data = b"".join(queue)
-                    queue.clear()
-                    self.writing.add(label)
-                    try:
-                        await curio.timeout_after(constants.MESH_SILENCE_S, sock.sendall, data)
-                    finally:
-                        self.writing.discard(label)
+                await self._write_queue(label, sock)
             except (OSError, curio.TaskTimeout) as error:
                 log.debug("mesh peer=%s state=lost cause=%r", label, error)
             finally:
@@ -173,12 +114,32 @@
                     await sock.close()
             await curio.sleep(constants.MESH_RETRY_S)
 
+    async def _write_queue(self, label: str, sock: curio.io.Socket) -> None:
+        """Write what ``flush`` leaves, until the connection is to be renewed."""
+        while True:
+            await self.wake[label].wait()
+            self.wake[label].clear()
+            if label in self.renewing:
+                log.info("mesh peer=%s state=renewed cause=no acknowledgement", label)
+                return
+            queue = self.queues[label]
+            if not queue:
+                continue
+            data = b"".join(queue)
+            queue.clear()
+            self.writing.add(label)
+            try:
+                await curio.timeout_after(constants.MESH_SILENCE_S, sock.sendall, data)
+            finally:
+                self.writing.discard(label)
+
 
-_space = memoryview(bytearray(262144))  # all read into it: making room for each read costs more than the read
+# All connections read into it: allocating a buffer for each read would cost more than the read.
+_read_buffer = memoryview(bytearray(256 * 1024))
 
 
 class Incoming:
-    """A peer's connection to this controller."""
+    """A peer's connection to this controller: delivers its frames."""
 
     __slots__ = ("mesh", "sock", "fd", "buffer", "received_at")
 
@@ -190,26 +151,28 @@
         mesh.poll.watch(self, self.fd)
 
     def ready(self, _event: int) -> None:
+        """Read what has arrived, and deliver the frames that are complete."""
         if self not in self.mesh.incoming:
             return
         try:
-            size = self.sock.recv_into(_space)
+            size = self.sock.recv_into(_read_buffer)
             if not size:
                 return self.close()
             self.received_at = now()
-            self.buffer += _space[:size]
+            self.buffer += _read_buffer[:size]
             frames = list(split_frames(self.buffer))
             if frames:
                 self.mesh.deliver(frames)
         except BlockingIOError:
             pass
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.mesh.malformed(error)
+            self.mesh.log_malformed(error)
             self.close()
         except OSError:
             self.close()
 
     def close(self) -> None:
+        """End the connection; the peer opens another one."""
         if self in self.mesh.incoming:
             self.mesh.incoming.discard(self)
             self.mesh.poll.unwatch(self.fd)
