--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -120,7 +120,7 @@
             self.settle(self.takes.popleft()[1])
         while self.poll_ends and (self.poll_ends[0][1] not in self.polls or self.poll_ends[0][0] <= now()):
             await self.told(self.poll_ends.popleft()[1], None)
-        self.poll.alarm = min((ends[0][0] for ends in (self.takes, self.poll_ends) if ends), default=float("inf"))
+        self.poll.wake_at = min((ends[0][0] for ends in (self.takes, self.poll_ends) if ends), default=float("inf"))
         await self.mesh.flush()
 
     async def wait_for(self, what: object, timeout_s: float) -> bool:
--- a/alderbridge/transport/http_client.py
+++ b/alderbridge/transport/http_client.py
@@ -80,7 +80,7 @@
         if self.sock.connect_ex((host, port)) in (0, errno.EINPROGRESS):
             poll.watch(self, self.sock.fileno(), OUT)
         else:
-            poll.again(self)
+            poll.call_again(self)
 
     def ready(self, event: int) -> None:
         """Send or receive what the socket allows; 0: it could not be connected."""
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -250,7 +250,7 @@
         if isinstance(answer, tuple):
             self.respond(answer)
         elif answer is not None:
-            self.server.poll.begin(self.finish, answer, method, target)
+            self.server.poll.spawn(self.finish, answer, method, target)
 
     async def finish(self, pending: Awaitable[Answer], method: str, target: str) -> None:
         """Respond with what the handler has yet to finish."""
@@ -320,7 +320,7 @@
         self.set_deadline(constants.IDLE_S)
         self.watch_for(IN)
         if self.uses_h11 or self.data:
-            self.server.poll.again(self)
+            self.server.poll.call_again(self)
 
     def close(self) -> None:
         """End the connection, with or without a response."""
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -18,7 +18,7 @@
 from alderbridge.transport.selector import Listener, Poll, listening
 from alderbridge.transport.sockets import connect
 
-__all__ = ["Encoder", "Incoming", "Mesh", "split_frames"]
+__all__ = ["Encoder", "IncomingConnection", "Mesh", "split_frames"]
 
 log = logging.getLogger("mesh")
 now = time.monotonic
@@ -42,7 +42,7 @@
         self.connected: set[str] = set()
         self.renewing: set[str] = set()
         self.logged_errors: set[str] = set()
-        self.incoming: set[Incoming] = set()
+        self.incoming: set[IncomingConnection] = set()
 
     def put(self, label: str, frame: Frame) -> None:
         """Queue a frame; dropped while the peer is out of reach."""
@@ -76,7 +76,9 @@
 
     async def serve(self) -> None:
         """Accept the connections of peers until this is cancelled."""
-        listener = Listener(self.poll, listening(*self.listen_address, _BACKLOG), lambda client: Incoming(self, client))
+        listener = Listener(
+            self.poll, listening(*self.listen_address, _BACKLOG), lambda client: IncomingConnection(self, client)
+        )
         try:
             while True:  # close silent connections; cheaper than a timer for each read
                 await curio.sleep(constants.OVERDUE_CHECK_S)
@@ -138,7 +140,7 @@
 _read_buffer = memoryview(bytearray(256 * 1024))
 
 
-class Incoming:
+class IncomingConnection:
     """A peer's connection to this controller: delivers its frames."""
 
     __slots__ = ("mesh", "sock", "fd", "buffer", "received_at")
--- a/alderbridge/transport/selector.py
+++ b/alderbridge/transport/selector.py
@@ -28,7 +28,7 @@
     """What handles the events of one file."""
 
     def ready(self, event: int) -> None:
-        """Handle what epoll reported (0: called because of ``again``). Must not block."""
+        """Handle what epoll reported (0: called because of ``call_again``). Must not block."""
 
     def close(self) -> None:
         """Called after an exception in ``ready``."""
@@ -56,7 +56,7 @@
         self.bell = object()  # to the kernel, a file
         self.due: list[tuple[Watched, int]] = []
         self.begun: list[tuple[Any, ...]] = []  # coroutine functions to spawn, each with its arguments
-        self.alarm = float("inf")  # the bell becomes readable then at the latest
+        self.wake_at = float("inf")  # the bell becomes readable then at the latest
 
     # -- what the kernel calls
 
@@ -90,8 +90,8 @@
         at = now()
         if self.due:
             timeout = 0
-        elif self.alarm != float("inf"):
-            left = max(0.0, self.alarm - at)
+        elif self.wake_at != float("inf"):
+            left = max(0.0, self.wake_at - at)
             timeout = left if timeout is None else min(timeout, left)
         result = []
         early = self.polled_at + self.interval_s - at
@@ -111,7 +111,7 @@
                 self.due.append((one, event))
         if early <= 0:
             self.polled_at = now()
-        if (self.due or self.alarm <= now()) and self.bell in self.keys:
+        if (self.due or self.wake_at <= now()) and self.bell in self.keys:
             result.append((self.keys[self.bell], EVENT_READ))
         return result
 
@@ -139,11 +139,11 @@
         except OSError:  # closed already
             pass
 
-    def again(self, one: Watched) -> None:
+    def call_again(self, one: Watched) -> None:
         """Call ``one`` again, though no event will report what it has left to do."""
         self.due.append((one, 0))
 
-    def begin(self, *call: object) -> None:
+    def spawn(self, *call: object) -> None:
         """Spawn a task, for what has to wait."""
         self.begun.append(call)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -119,10 +119,10 @@
     def unwatch(self, _fd):
         self.events = 0
 
-    def again(self, one):
+    def call_again(self, one):
         self.due.append(one)
 
-    def begin(self, *call):
+    def spawn(self, *call):
         self.begun.append(call)
 
 
@@ -319,7 +319,7 @@
         for frame in sent:
             here.put("peer", frame)
             await here.flush()
-        reader = mesh.Incoming(there, client._socket)
+        reader = mesh.IncomingConnection(there, client._socket)
         serving = await curio.spawn(poll.serve, nothing)
         for _ in range(500):
             if len(got) == len(sent):
@@ -365,11 +365,11 @@
         ones = [One(number) for number in range(4)]
         for one in ones:
             one.there.send(b"x")
-        poll.begin(later)
+        poll.spawn(later)
         while not after or seen[-1] != "later":
             await curio.sleep(0.01)
         assert set(after[0][1]) == {(0, b"x"), (1, b"x"), (2, b"x"), (2, None), (3, b"x")}
-        poll.alarm = due = http_server.now() + 0.03
+        poll.wake_at = due = http_server.now() + 0.03
         count = len(after)
         while len(after) == count:
             await curio.sleep(0.01)
