--- a/alderbridge/membership/election.py
+++ b/alderbridge/membership/election.py
@@ -25,6 +25,7 @@
     """The decision on the next view, with what it has to remember from one call to the next."""
 
     def __init__(self, membership: Membership) -> None:
+        """``membership``: whose next view is decided on."""
         self.membership = membership
         self.leaderless_since: float | None = None  # s; since when a lead that others have precedence for is free
         self.joining: dict[str, int] = {}  # the members to be, as the last call found them
--- a/alderbridge/membership/failure_detector.py
+++ b/alderbridge/membership/failure_detector.py
@@ -37,6 +37,7 @@
     """Another member of the view."""
 
     def __init__(self, label: str, acknowledged_at: float) -> None:
+        """``acknowledged_at``: no message was acknowledged yet, so a time before the view was written."""
         self.label = label
         self.state = PeerState.ALIVE
         self.last_frame_at: float | None = None  # its last frame under this token; None: the view has just arrived
@@ -74,6 +75,7 @@
     """The other members of the view as seen by this one, and until when this one has contact itself."""
 
     def __init__(self, me: str) -> None:
+        """``me``: the label of this member, which is in no view yet."""
         self.me = me
         self.peers: dict[str, MonitoredPeer] = {}
         self.failed_by: dict[str, set[str]] = {}  # member -> those known to have declared it failed
--- a/alderbridge/membership/store_lease.py
+++ b/alderbridge/membership/store_lease.py
@@ -12,6 +12,7 @@
     """
 
     def __init__(self, ttl_s: float) -> None:
+        """No lease yet."""
         self.ttl_s = ttl_s
         self.lease_id = 0  # 0: none
         self.requested_at = float("-inf")  # the store granted this lease later than this
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -55,6 +55,7 @@
     """
 
     def __init__(self, membership: Membership, graph: Graph, declared: Declarations | None = None) -> None:
+        """Empty; what changes of the store mean for these three is passed on to them."""
         self.membership = membership
         self.graph = graph
         self.declared = declared or Declarations(None, membership.store_lease.ttl_s, [membership.me])
--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -84,6 +84,7 @@
     """
 
     def __init__(self, endpoint: str) -> None:
+        """``endpoint``: HOST:PORT of the state service."""
         self.client = Client(*address(endpoint))
         self.watch_client = Client(*address(endpoint), keep=1)
 
--- a/alderbridge/transport/channel.py
+++ b/alderbridge/transport/channel.py
@@ -5,13 +5,14 @@
 from collections import deque
 
 from alderbridge import __version__, constants
-from alderbridge.protocol.messages import Frame, Message
+from alderbridge.protocol.messages import Body, Frame
 
 
 class Channel:
     """Ordered messages to and from one member under one fencing token; times are in s of a steady clock."""
 
     def __init__(self, me: str) -> None:
+        """``me``: the label of this controller; the channel is under no view yet."""
         self.me = me
         self.peer_fencing_token = 0
         self.reset(0, 0.0)
@@ -21,13 +22,13 @@
         self.fencing_token, self.lease_id = fencing_token, lease_id
         self.next_seq = 1
         self.received = 0
-        self.unacked: deque[tuple[int, Message, float]] = deque()  # sequence, body, when it was first sent
+        self.unacked: deque[tuple[int, Body, float]] = deque()  # sequence, body, when it was first sent
         self.acked_at = float("-inf")  # when the newest acknowledged message was first sent
         self.progress_at = now
         self.posted_at = now
         self.alive_at = now  # the last acknowledgement, or when the oldest message without one was sent
 
-    def post(self, body: Message, now: float) -> Frame:
+    def post(self, body: Body, now: float) -> Frame:
         """A message that must arrive."""
         if not self.unacked:
             self.progress_at = self.alive_at = now
@@ -36,18 +37,18 @@
         self.next_seq += 1
         return self._frame(self.next_seq - 1, body)
 
-    def post_unreliable(self, body: Message) -> Frame:
+    def post_unreliable(self, body: Body) -> Frame:
         """A message that may be lost."""
         return self._frame(0, body)
 
-    def _frame(self, seq: int, body: Message) -> Frame:
+    def _frame(self, seq: int, body: Body) -> Frame:
         return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)
 
     def observe_view(self, frame: Frame) -> None:
         """Note which view the peer knows; the frame is neither accepted nor acknowledged."""
         self.peer_fencing_token = max(self.peer_fencing_token, frame.fencing_token)
 
-    def receive(self, frame: Frame, now: float) -> Message | None:
+    def receive(self, frame: Frame, now: float) -> Body | None:
         """The body, if it is new and in order under this fencing token."""
         self.observe_view(frame)
         if frame.fencing_token != self.fencing_token:
--- a/alderbridge/transport/framing.py
+++ b/alderbridge/transport/framing.py
@@ -31,10 +31,12 @@
     """Encodes frames. A body that goes to several peers, one after the other, is encoded once."""
 
     def __init__(self) -> None:
+        """No body is encoded yet."""
         self.body: Message | None = None
         self.raw = msgspec.Raw(b"")
 
     def __call__(self, frame: Frame) -> bytes:
+        """The bytes of a frame, with its length before it."""
         if frame.body is not self.body:
             self.body, self.raw = frame.body, msgspec.Raw(_encode(frame.body))
         data = _encode(
--- a/alderbridge/transport/http_client.py
+++ b/alderbridge/transport/http_client.py
@@ -25,6 +25,7 @@
     """Keep-alive connections to one address, at most ``keep`` of them idle."""
 
     def __init__(self, host: str, port: int, keep: int = 6) -> None:
+        """Connects when there is a request."""
         self.host, self.port, self.keep = host, port, keep
         self.idle: list[curio.io.Socket] = []
 
@@ -71,6 +72,7 @@
     def __init__(
         self, poll: Poll, host: str, port: int, reader: ResponseReader, done: Callable[[tuple[int, bytes] | None], None]
     ) -> None:
+        """Begins to connect; raises ``OSError``."""
         self.poll, self.reader, self.done = poll, reader, done
         self.unsent = reader.request
         self.began_at = now()
--- a/alderbridge/transport/http_response.py
+++ b/alderbridge/transport/http_response.py
@@ -33,6 +33,7 @@
     """The bytes of a request, and its response put together from the pieces that arrive."""
 
     def __init__(self, host: str, method: str, target: str, body: bytes) -> None:
+        """The request that is to be sent is then in ``request``."""
         self._request_parts = host, method, target, body
         shape = _NUMBER.sub("0", target)
         before, after = _request_head(host, method, shape)
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -81,6 +81,7 @@
     )
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
+        """A client has connected; ``sock`` does not block."""
         self.server, self.sock, self.fd = server, sock, sock.fileno()
         self.state = ConnectionState.READING
         self.set_deadline(constants.IDLE_S)
@@ -339,6 +340,7 @@
     """
 
     def __init__(self, handler: Handler, max_connections: int, poll: Poll) -> None:
+        """``max_connections``: more are closed at once."""
         self.handler, self.max_connections, self.poll = handler, max_connections, poll
         self.open: set[Connection] = set()
         # Heads of the last requests that h11 has parsed: most others are like them.
--- a/alderbridge/transport/known_head.py
+++ b/alderbridge/transport/known_head.py
@@ -51,15 +51,15 @@
         return None
     states_length = any(name == b"content-length" for name, _ in event.headers)
     length = _LENGTH.search(head) if states_length else None
-    around = (head[: length.start(1)], head[length.end(1) :]) if length else (head, None)
+    before, after = (head[: length.start(1)], head[length.end(1) :]) if length else (head, None)
     if isinstance(event, h11.Response):
-        return KnownHead(*around, event.status_code) if length and event.status_code not in (204, 304) else None
+        return KnownHead(before, after, event.status_code) if length and event.status_code not in (204, 304) else None
     if event.method not in (b"GET", b"POST") or (length is None and states_length):
         return None
     meaning = event.method.decode(), event.target.decode("latin-1")
     if event.method == b"GET":
-        return KnownHead(around[0][4 + len(event.target) :], around[1], meaning, b"GET ")
-    return KnownHead(*around, meaning)
+        return KnownHead(before[4 + len(event.target) :], after, meaning, b"GET ")
+    return KnownHead(before, after, meaning)
 
 
 def _is_plain(head: bytes, event: h11.Request | h11.Response) -> bool:
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -31,6 +31,7 @@
     """One outgoing connection to each peer, and the connections of the peers to this controller."""
 
     def __init__(self, listen: str, peers: dict[str, str], deliver: Callable[[list[Frame]], None], poll: Poll) -> None:
+        """``listen`` and ``peers`` (by label) are HOST:PORT; ``deliver`` gets the frames of all peers."""
         self.listen_address, self.poll = address(listen), poll
         self.peers = {label: address(addr) for label, addr in peers.items()}
         self.deliver = deliver
@@ -146,6 +147,7 @@
     __slots__ = ("mesh", "sock", "fd", "buffer", "received_at")
 
     def __init__(self, mesh: Mesh, sock: socket.socket) -> None:
+        """A peer has connected; ``sock`` does not block."""
         self.mesh, self.sock, self.fd = mesh, sock, sock.fileno()
         self.buffer = bytearray()
         self.received_at = now()
--- a/alderbridge/transport/selector.py
+++ b/alderbridge/transport/selector.py
@@ -40,6 +40,7 @@
     __slots__ = ("fileobj", "fd", "events", "data")
 
     def __init__(self, fileobj: object, fd: int, events: int, data: object) -> None:
+        """``data`` is the kernel's."""
         self.fileobj, self.fd, self.events, self.data = fileobj, fd, events, data
 
 
@@ -47,7 +48,8 @@
     """A selector for ``curio.run``, and the loop that handles what it watches."""
 
     def __init__(self, interval_s: float = 0.0) -> None:
-        self.interval_s = interval_s  # between two polls: what arrives meanwhile is handled together
+        """``interval_s``: the shortest time between two polls; what arrives meanwhile is handled together."""
+        self.interval_s = interval_s
         self.polled_at = float("-inf")
         self.epoll = select.epoll()
         self.pause = select.epoll()  # watches nothing: only to wait for a time
@@ -187,7 +189,8 @@
 class Listener:
     """Accepts connections and passes them on."""
 
-    def __init__(self, poll: Poll, sock: socket.socket, accepted: Callable[[socket.socket], None]) -> None:
+    def __init__(self, poll: Poll, sock: socket.socket, accepted: Callable[[socket.socket], object]) -> None:
+        """``accepted`` is called with each new connection, which does not block."""
         self.poll, self.sock, self.accepted = poll, sock, accepted
         sock.setblocking(False)
         self.watched = False
--- a/alderbridge/transport/token_bucket.py
+++ b/alderbridge/transport/token_bucket.py
@@ -7,6 +7,7 @@
     """``rate`` tokens a second, and up to ``burst`` at once; below 1 at once it would never let anything pass."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
+        """Full at ``now``."""
         self.rate, self.burst = rate, max(1.0, burst)
         self.level, self.at = self.burst, now
 
