--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.configuration import Declarations
+from alderbridge.configuration import OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.membership.membership import Membership
@@ -54,11 +54,11 @@
     Times are times of day in s, as the records have them.
     """
 
-    def __init__(self, membership: Membership, graph: Graph, declared: Declarations | None = None) -> None:
+    def __init__(self, membership: Membership, graph: Graph, declared: OperatorConfiguration | None = None) -> None:
         """Empty; what changes of the store mean for these three is passed on to them."""
         self.membership = membership
         self.graph = graph
-        self.declared = declared or Declarations(None, membership.store_lease.ttl_s, [membership.me])
+        self.declared = declared or OperatorConfiguration(None, membership.store_lease.ttl_s, [membership.me])
         self.ledger = Ledger()  # preemption claims, their budget and the preemptions
         self.active: dict[str, tuple[Record, int]] = {}  # jobs that still have a spec, and their revisions
         self.left: dict[str, int] = {}  # of these, tasks that their records do not count as done
