--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -169,5 +169,5 @@
         if self.queries.poll_deadlines:
             await self.queries.expire_polls()
         deadlines = (self.workers_api.grant_deadlines, self.queries.poll_deadlines)
-        self.poll.alarm = min((one[0][0] for one in deadlines if one), default=float("inf"))
+        self.poll.wake_at = min((one[0][0] for one in deadlines if one), default=float("inf"))
         await self.mesh.flush()
--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -16,7 +16,7 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.protocol import wire
 from alderbridge.settings import address
-from alderbridge.transport.http import Exchange, Reading
+from alderbridge.transport.http import Exchange, ResponseReader
 from alderbridge.transport.selector import Poll
 
 log = logging.getLogger("controller")
@@ -67,7 +67,7 @@
         try:
             host, port = address(probe.worker)
             request = wire.acknowledge_request(probe.fencing_token, probe.incarnation)
-            exchange = Exchange(self.poll, host, port, Reading(host, "POST", "/commands", request), on_answer)
+            exchange = Exchange(self.poll, host, port, ResponseReader(host, "POST", "/commands", request), on_answer)
         except (OSError, ValueError, h11.ProtocolError) as error:
             self.core.machine_shard.prober.unanswered(probe.machine, now())
             log.debug("machine=%s state=probe_failed cause=%s", probe.machine, error)
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -81,6 +81,7 @@
     )
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
+        """A client has connected; ``sock`` does not block."""
         self.server, self.sock, self.fd = server, sock, sock.fileno()
         self.state = ConnectionState.READING
         self.set_deadline(constants.IDLE_S)
@@ -250,7 +251,7 @@
         if isinstance(answer, tuple):
             self.respond(answer)
         elif answer is not None:
-            self.server.poll.begin(self.finish, answer, method, target)
+            self.server.poll.spawn(self.finish, answer, method, target)
 
     async def finish(self, pending: Awaitable[Answer], method: str, target: str) -> None:
         """Respond with what the handler has yet to finish."""
@@ -320,7 +321,7 @@
         self.set_deadline(constants.IDLE_S)
         self.watch_for(IN)
         if self.uses_h11 or self.data:
-            self.server.poll.again(self)
+            self.server.poll.call_again(self)
 
     def close(self) -> None:
         """End the connection, with or without a response."""
@@ -339,6 +340,7 @@
     """
 
     def __init__(self, handler: Handler, max_connections: int, poll: Poll) -> None:
+        """``max_connections``: more are closed at once."""
         self.handler, self.max_connections, self.poll = handler, max_connections, poll
         self.open: set[Connection] = set()
         # Heads of the last requests that h11 has parsed: most others are like them.
