--- a/alderbridge/scheduling/offers.py
+++ b/alderbridge/scheduling/offers.py
@@ -34,6 +34,7 @@
     __slots__ = ("key", "label", "row", "spec", "left", "young_until", "patient_until")
 
     def __init__(self, label: str, row: QueueRow, spec: JobSpec, now: float, packing_wait_s: float) -> None:
+        """``label``: of the job's shard; ``now``: when the row was sent, in s."""
         late, rank, due = order(row, spec, now + row.due_in_s)  # by the clock: it holds while time passes
         self.key = (late, rank, now + due - BOOST_AHEAD_S) if row.priority_boost else (late, rank, due)
         self.label, self.row, self.spec, self.left = label, row, spec, row.offer
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -1,11 +1,11 @@
-"""Which waiting tasks go to a machine of this part that has room.
+"""Which waiting tasks go to a machine of this machine shard that has room.
 
-What can still be in time first, then higher priority, then soonest deadline; an
-image that must be fetched counts as a later deadline. The machine must be of an
-allowed type, zone and kind.
+What can still be in time first, then higher priority, then soonest deadline; an image that must be fetched counts as a
+later deadline. The machine must be of an allowed type, zone and kind.
 
-What the homes offer is put in order when they tell of it, not for each report:
-``fill`` reads it from the front and stops when the machine is full.
+What the job shards offer is sorted when it arrives, not for each heartbeat: ``fill`` reads it from the front and stops
+when the machine is full. An offer whose image must be fetched waits in a heap until its later deadline comes, so that
+the front of the list is enough.
 """
 
 from __future__ import annotations
@@ -38,6 +38,14 @@
 ]
 
 
+# How many of an offer's tasks are left to other machines.
+RoomElsewhere = Callable[[Offer], int]
+# Whether the room that is left stays free for an offer whose tasks it does not hold yet. Smaller tasks took each slot
+# as it came free, and 8-CPU tasks waited for as long as there were any.
+KeepsRoom = Callable[[Offer], bool]
+_Shape = tuple[float, float, float, bool, str | None, tuple[str, ...]]  # what decides where a task may run
+
+
 class Candidate(msgspec.Struct, frozen=True):
     """A machine that may be given tasks."""
 
@@ -50,7 +58,7 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True):
-    """Tasks of one job to ask its home for, for one machine."""
+    """Tasks of one job to ask its shard for, for one machine."""
 
     owner: str = msgspec.field(name="home")
     job: str
@@ -60,6 +68,7 @@
 
 
 def allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
+    """Whether tasks of ``spec`` may run on such a machine, room apart."""
     return (
         (spec.types is None or machine_type in spec.types)
         and (spec.zone is None or spec.zone == zone)
@@ -68,22 +77,23 @@
 
 
 class BusyMachines:
-    """The machines of a part that run something and have room; made anew each round."""
+    """The machines of a machine shard that run something and have room; made anew each round."""
 
     def __init__(self, machines: Iterable[Candidate]) -> None:
+        """``machines``: those that run something."""
         self.machines = list(machines)
-        self.rooms: dict[tuple, int] = {}
+        self.capacities: dict[_Shape, int] = {}
 
     def capacity_for(self, spec: JobSpec) -> int:
         """How many tasks of ``spec`` fit them; alike jobs share the answer."""
         shape = (spec.cpus, spec.memory_gb, spec.gpus, spec.spot, spec.zone, tuple(spec.types or ()))
-        if shape not in self.rooms:
-            self.rooms[shape] = sum(
+        if shape not in self.capacities:
+            self.capacities[shape] = sum(
                 fits(spec, machine.free)
                 for machine in self.machines
                 if allowed(spec, machine.type, machine.zone, machine.spot)
             )
-        return self.rooms[shape]
+        return self.capacities[shape]
 
 
 def runnable(spec: JobSpec, types: Iterable[MachineType]) -> bool:
@@ -97,7 +107,7 @@
 
 
 def fill_claimed(machine: Candidate, offers: Offers, job: str, count: int) -> list[PlacementRequest]:
-    """What to ask for of the one job that the machine's room is kept for, at most ``count``; off ``left``."""
+    """What to ask for of the one job that has a claim to the machine's room, at most ``count``; off ``left``."""
     result, room = [], machine.free
     for *_, offer in offers.in_order():
         if offer.row.job != job or offer.left <= 0 or offer.row.zone not in (None, machine.zone):
@@ -110,59 +120,68 @@
     return result
 
 
+def _keep_nothing(offer: Offer) -> bool:
+    return False
+
+
 def fill(
     machine: Candidate,
     offers: Offers,
     fetch_s: Callable[[JobSpec], float],
-    room_elsewhere: Callable[[Offer], int],
-    keep: Callable[[Offer], bool] = lambda offer: False,
+    room_elsewhere: RoomElsewhere,
+    keep: KeepsRoom = _keep_nothing,
     now: float = math.inf,
 ) -> list[PlacementRequest]:
-    """What to ask for, for one machine; takes it off ``left``.
-
-    ``keep``: whether the room that is left stays free for an offer whose tasks it does not hold yet. Smaller
-    tasks took each slot as it came free, and 8-CPU tasks waited for as long as there were any.
-    ``room_elsewhere``: how many of an offer's tasks are left to other machines. An offer whose
-    image must be fetched waits in a heap until its later deadline has its turn, so that the
-    front of the list is enough.
-    """
-    result: list[PlacementRequest] = []
+    """What to ask for, for one machine; takes it off ``left``. ``fetch_s``: of an image, zero where it is there."""
+    requests: list[PlacementRequest] = []
     room, least = machine.free, offers.least_cpus - 1e-9
     if room[0] < least:
-        return result
-    later: list[Entry] = []  # by the deadline less the fetch
-
-    def ask(offer: Offer) -> None:
-        nonlocal room
-        count = min(fits(offer.spec, room), offer.left - room_elsewhere(offer))
-        if count > 0:
-            offer.left -= count
-            room = minus(room, offer.spec, count)
-            result.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
-
+        return requests
+    later: list[Entry] = []  # a heap: their image must be fetched, so their deadline counts as later
     for entry in offers.in_order():
         if room[0] < least:
-            return result
+            return requests
         while later and later[0][:3] <= entry[:3]:
-            ask(heapq.heappop(later)[-1])
+            room = _request(machine, heapq.heappop(later)[-1], room, room_elsewhere, requests)
         offer = entry[-1]
         spec = offer.spec
         if offer.left <= 0:
             continue
         if spec.cpus > room[0] + 1e-9 or spec.memory_gb > room[1] + 1e-9 or spec.gpus > room[2] + 1e-9:
             if now >= offer.patient_until and keep(offer):
-                return result
+                return requests
             continue
-        if not allowed(spec, machine.type, machine.zone, machine.spot):
-            continue
-        if offer.row.zone is not None and offer.row.zone != machine.zone:
+        zone = offer.row.zone
+        if not allowed(spec, machine.type, machine.zone, machine.spot) or (zone is not None and zone != machine.zone):
             continue
         fetch = fetch_s(spec)
         if fetch > 0:
-            late, rank, due, *rest = entry
-            heapq.heappush(later, (late, rank, due + fetch, *rest))
+            heapq.heappush(later, (*entry[:2], entry[2] + fetch, *entry[3:]))
         else:
-            ask(offer)
+            room = _request(machine, offer, room, room_elsewhere, requests)
+    _request_rest(machine, later, room, room_elsewhere, requests)
+    return requests
+
+
+def _request(
+    machine: Candidate, offer: Offer, room: Resources, room_elsewhere: RoomElsewhere, requests: list[PlacementRequest]
+) -> Resources:
+    """Ask for as many tasks of the offer as the room holds; returns the room that is left."""
+    count = min(fits(offer.spec, room), offer.left - room_elsewhere(offer))
+    if count <= 0:
+        return room
+    offer.left -= count
+    requests.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
+    return minus(room, offer.spec, count)
+
+
+def _request_rest(
+    machine: Candidate,
+    later: list[Entry],
+    room: Resources,
+    room_elsewhere: RoomElsewhere,
+    requests: list[PlacementRequest],
+) -> None:
+    """Ask for all of the heap that the room holds."""
     while later:
-        ask(heapq.heappop(later)[-1])
-    return result
+        room = _request(machine, heapq.heappop(later)[-1], room, room_elsewhere, requests)
