--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -177,6 +177,7 @@
     """
 
     def no_use(demand: Demand) -> bool:
+        """Whether the machine is of no use to the demand."""
         return not (may_use(demand, resource.kind) and fits(demand.spec, resource.free))
 
     walk.remove(resource)
