--- a/alderbridge/calendars/timetable.py
+++ b/alderbridge/calendars/timetable.py
@@ -1,4 +1,4 @@
-"""Whether a class may start now, and when it opens: a pure function of the text and the time of day.
+"""Whether a class may start now, and when it opens: a pure function of the configuration and the time of day.
 
 An instant is open when the clock on the wall shows a time of an open span: of the local day, or of the day before
 whose shift runs on past midnight. A shift belongs to the day on which it begins, exceptions and holidays too. So the
@@ -9,13 +9,13 @@
 
 import logging
 import math
-import re
 from collections.abc import Iterator, Sequence
 from datetime import UTC, datetime
 from typing import NamedTuple
 
 from alderbridge import constants
-from alderbridge.calendars.configuration import Calendar, CalendarConfiguration, CalendarRule, Spans
+from alderbridge.calendars.model import Calendar, CalendarConfiguration, CalendarRule, Spans
+from alderbridge.calendars.zones import load_zone
 from alderbridge.protocol.wire import JobSpec
 
 log = logging.getLogger("calendars")
@@ -23,7 +23,7 @@
 DAY = 86400
 Periods = Sequence[tuple[float, float]]  # times of day, [from, until), in order, apart
 NEVER = math.inf
-_zones: dict[str, object] = {}
+_Key = tuple[int, float, float, float]  # rule, run time in s, save time in s (-1: is not stopped), skew in s
 
 
 class Eligibility(NamedTuple):
@@ -41,26 +41,6 @@
 OPEN = Eligibility(True, 0.0, NEVER, False, NEVER)
 
 
-def load_zone(name: str):
-    """A zone of the pinned ``tzdata``, whatever the system has: two controllers must read one text alike.
-
-    ``zoneinfo`` would take the system's files first. ``None``: there is no such zone.
-    """
-    if name not in _zones:
-        from importlib import resources
-        from zoneinfo import ZoneInfo
-
-        zone = None
-        if re.fullmatch(r"[A-Za-z][A-Za-z0-9_+-]*(/[A-Za-z0-9_+-]+)*", name):
-            try:
-                with resources.files("tzdata").joinpath("zoneinfo", *name.split("/")).open("rb") as file:
-                    zone = ZoneInfo.from_file(file, key=name)
-            except (OSError, ValueError, ModuleNotFoundError):
-                zone = None
-        _zones[name] = zone
-    return _zones[name]
-
-
 class _Hours:
     """One calendar: the open periods of each day of UTC, worked out once."""
 
@@ -76,21 +56,23 @@
             )
 
     def day(self, number: int) -> Periods:
+        """Open periods within a day of UTC."""
         known = self.days.get(number)
         if known is None:
             if len(self.days) > 2 * constants.CALENDAR_AHEAD_DAYS:
                 self.days.clear()
             of = self.calendar.of
             known = self.days[number] = (
-                _all([part.day(number) for part in self.parts])
+                _all([other.day(number) for other in self.parts])
                 if of == "all"
-                else _any([period for part in self.parts for period in part.day(number)])
+                else _any([period for other in self.parts for period in other.day(number)])
                 if of
                 else self._own(number)
             )
         return known
 
     def _own(self, number: int) -> Periods:
+        """Open periods within a day of UTC, of a calendar with hours of its own."""
         if self.zone is None or not -600_000 < number < 2_000_000:
             return ()
         found = []
@@ -106,6 +88,7 @@
         return _any(found)
 
     def _spans(self, day: int) -> Spans:
+        """Open spans of a local day."""
         if day in self.dates:
             return self.dates[day]
         return self.calendar.on_holidays if day in self.holidays else self.calendar.week[(day + 3) % 7]
@@ -123,7 +106,9 @@
         return [(begin, high, first), (high, end, last)]
 
     def _offset(self, at: int) -> int:
-        return int(datetime.fromtimestamp(at, self.zone).utcoffset().total_seconds())
+        offset = datetime.fromtimestamp(at, self.zone).utcoffset()
+        assert offset is not None
+        return int(offset.total_seconds())
 
     def periods(self, wall: float) -> Iterator[tuple[float, float]]:
         """Open periods that end after ``wall``, as far as is looked ahead; one that reaches further has no end.
@@ -132,7 +117,7 @@
         """
         now = math.floor(wall / DAY)
         least, most = now - constants.CALENDAR_BACK_DAYS, now + constants.CALENDAR_AHEAD_DAYS
-        since = until = None
+        since, until = 0.0, None
         for number in range(least, most):
             for begin, end in self.day(number):
                 if until == begin:
@@ -163,37 +148,40 @@
 
 
 class Timetable:
-    """One text, compiled. A look costs two dictionary look-ups while nothing opens or closes."""
+    """One configuration, compiled. A question costs two dictionary look-ups while nothing opens or closes."""
 
-    def __init__(self, text: CalendarConfiguration) -> None:
-        self.text = text
-        calendars = {calendar.name: calendar for calendar in text.calendars}
+    def __init__(self, configuration: CalendarConfiguration) -> None:
+        """Build the hours of each calendar once, those that it rests on first."""
+        self.configuration = configuration
+        calendars = {calendar.name: calendar for calendar in configuration.calendars}
         self.hours: dict[str, _Hours] = {}
 
         def build(name: str) -> _Hours:
             if name not in self.hours:
                 calendar = calendars[name]
-                self.hours[name] = _Hours(calendar, [build(part) for part in calendar.parts])
+                self.hours[name] = _Hours(calendar, [build(other) for other in calendar.parts])
             return self.hours[name]
 
         for name in calendars:
             build(name)
         self.rules: dict[tuple[str, str], CalendarRule | None] = {}
-        self.looks: dict[tuple, tuple[float, float, Eligibility]] = {}  # each holds from one time of day until another
+        self.known: dict[_Key, tuple[float, float, Eligibility]] = {}  # each holds from one time of day until another
 
     def periods(self, calendar: str, wall: float, count: int) -> Periods:
+        """Return the next open periods of a calendar, as far as it is known."""
         return [period for _, period in zip(range(count), self.hours[calendar].periods(wall), strict=False)]
 
     def rule(self, spec: JobSpec) -> CalendarRule | None:
+        """Return the class that the job belongs to; None: it consults no calendar."""
         key = (spec.team, spec.job_class)
         try:
             return self.rules[key]
         except KeyError:
-            rule = self.rules[key] = next((one for one in self.text.classes if one.matches(*key)), None)
+            rule = self.rules[key] = next((one for one in self.configuration.classes if one.matches(*key)), None)
             return rule
 
     def eligibility(self, spec: JobSpec, wall: float, skew_s: float) -> Eligibility:
-        """What holds for the job when this controller's clock shows ``wall``, right to within ``skew_s``."""
+        """Return what holds for the job when this controller's clock shows ``wall``, right to within ``skew_s``."""
         rule = self.rule(spec)
         if rule is None:
             return OPEN
@@ -203,17 +191,17 @@
         # Replicas have no end of their own: where tasks must end before closing they are stopped.
         stops = rule.stops or (rule.ends and spec.service)
         key = (id(rule), run_s, spec.save_s if stops else -1.0, skew_s)
-        known = self.looks.get(key)
+        known = self.known.get(key)
         if known is None or not known[0] <= wall < known[1]:
-            if len(self.looks) > constants.QUEUE_ROWS * 10:
-                self.looks.clear()
-            known = self.looks[key] = self._look(rule, run_s, spec.save_s if stops else None, wall, skew_s)
+            if len(self.known) > constants.QUEUE_ROWS * 10:
+                self.known.clear()
+            known = self.known[key] = self._compute(rule, run_s, spec.save_s if stops else None, wall, skew_s)
         return known[2]
 
-    def _look(
+    def _compute(
         self, rule: CalendarRule, run_s: float, save_s: float | None, wall: float, skew_s: float
     ) -> tuple[float, float, Eligibility]:
-        """The look, and from when until when it holds."""
+        """Return the eligibility, and from when until when it holds."""
         closes_at, stop_at = 0.0, NEVER if save_s is None else 0.0
         fresh = wall + DAY  # nothing is looked up for longer than that: what never opens may come into sight
         for begin, end in self.hours[rule.calendar].periods(wall - skew_s):
@@ -236,38 +224,40 @@
 
 
 class Timetables:
-    """All texts that hold: the one in force, and for some seconds the one that follows it. All must be open."""
+    """All configurations in force: one, and for some seconds the one that follows it. All must be open."""
 
-    def __init__(self, texts: Sequence[CalendarConfiguration]) -> None:
-        self.tables = [Timetable(text) for text in texts]
+    def __init__(self, configurations: Sequence[CalendarConfiguration]) -> None:
+        """Compile all of them."""
+        self.tables = [Timetable(configuration) for configuration in configurations]
 
     def eligibility(self, spec: JobSpec, wall: float, skew_s: float) -> Eligibility:
+        """Return what holds for the job by all of them; see ``Timetable.eligibility``."""
         if len(self.tables) == 1:
             return self.tables[0].eligibility(spec, wall, skew_s)
-        looks = [table.eligibility(spec, wall, skew_s) for table in self.tables]
-        may_start = all(look.may_start for look in looks)
-        at = max((look.opens_at for look in looks), default=0.0)
+        answers = [table.eligibility(spec, wall, skew_s) for table in self.tables]
+        may_start = all(answer.may_start for answer in answers)
+        at = max((answer.opens_at for answer in answers), default=0.0)
         if not may_start:
             at = self._opening(spec, wall, skew_s)
-        rule = next((look.rule for look in looks if not look.may_start), None) or next(
-            (look.rule for look in looks if look.rule is not None), None
+        rule = next((answer.rule for answer in answers if not answer.may_start), None) or next(
+            (answer.rule for answer in answers if answer.rule is not None), None
         )
         return Eligibility(
             may_start,
             at,
-            min((look.closes_at for look in looks), default=NEVER),
-            not may_start and all(look.may_start or look.warm for look in looks),
-            min((look.stop_at for look in looks), default=NEVER),
-            max((look.opened_at for look in looks), default=0.0),
+            min((answer.closes_at for answer in answers), default=NEVER),
+            not may_start and all(answer.may_start or answer.warm for answer in answers),
+            min((answer.stop_at for answer in answers), default=NEVER),
+            max((answer.opened_at for answer in answers), default=0.0),
             rule,
         )
 
     def _opening(self, spec: JobSpec, wall: float, skew_s: float) -> float:
-        """When all are open next: each in turn says how long it is closed at least."""
+        """Return when all are open next: each in turn says how long it is closed at least."""
         at = wall
         for _ in range(constants.CALENDAR_AHEAD_DAYS):
-            looks = [table.eligibility(spec, at, skew_s) for table in self.tables]
-            later = max((look.opens_at for look in looks if not look.may_start), default=at)
+            answers = [table.eligibility(spec, at, skew_s) for table in self.tables]
+            later = max((answer.opens_at for answer in answers if not answer.may_start), default=at)
             if later <= at or later > wall + constants.CALENDAR_AHEAD_DAYS * DAY:
                 return NEVER if later > at else at
             at = later
@@ -275,7 +265,7 @@
 
 
 def format_wall(wall: float) -> str:
-    """A time of day for the log."""
+    """Return a time of day for the log."""
     if not wall < 1e11:
         return "never"
     return datetime.fromtimestamp(wall, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
--- a/alderbridge/configuration/ini.py
+++ b/alderbridge/configuration/ini.py
@@ -23,6 +23,10 @@
         self.path, self.section, self.key, self.problem = path, section, key, problem
 
 
+class ExpectationError(ValueError):
+    """What was expected of a value, without the value and its place."""
+
+
 class NumberSetting(NamedTuple):
     """What a number may be, and what it is where nothing is given."""
 
@@ -32,14 +36,14 @@
     whole: bool = False
 
     def parse(self, text: str) -> float:
-        """Read the number; ``ValueError`` with what was expected."""
+        """Read the number; ``ExpectationError`` where it is none, or out of range."""
         try:
             number = int(text) if self.whole else float(text)
         except ValueError:
             number = float("nan")
         if not self.lowest <= number <= self.highest:
             kind = "a whole number" if self.whole else "a number"
-            raise ValueError(f"expected {kind} from {self.lowest:g} to {self.highest:g}")
+            raise ExpectationError(f"expected {kind} from {self.lowest:g} to {self.highest:g}")
         return number
 
 
@@ -76,7 +80,7 @@
             return setting.default
         try:
             return setting.parse(text)
-        except ValueError as error:
+        except ExpectationError as error:
             raise self.error(key, f"{error}, got {text!r}") from None
 
     def words(self, key: str, default: str = "") -> list[str]:
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -195,8 +195,8 @@
 
 def test_an_exception_added_this_minute_holds_at_once_and_beside_the_older_text():
     wall = at(2026, 6, 1, 9, 0)
-    older = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00").text
-    newer = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00\n2026-06-01 = 11:00-18:00").text
+    older = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00").configuration
+    newer = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00\n2026-06-01 = 11:00-18:00").configuration
     assert may(Timetable(older), wall) and not may(Timetable(newer), wall)
     eligibility = Timetables([older, newer]).eligibility(SPEC, wall, 0.0)
     assert not eligibility.may_start and eligibility.opens_at == at(2026, 6, 1, 11, 0)
@@ -305,7 +305,7 @@
     assert len(raw) < 900 and wire.msgspec.json.decode(raw, type=CalendarConfiguration) == text
     timetable = Timetable(text)
     calls = []
-    inner, timetable._look = timetable._look, lambda *args: calls.append(args) or inner(*args)
+    inner, timetable._compute = timetable._compute, lambda *args: calls.append(args) or inner(*args)
     for second in range(DAY):
         timetable.eligibility(SPEC, at(2026, 6, 1, 0, 0) + second, 1.0)
     assert len(calls) <= 6
