--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -46,7 +46,7 @@
         return 2
     if args.check:
         print(f"{args.config}: good")
-        kept = platform.settings.state.kept
+        kept = platform.settings.state.effective
         if platform.settings.state.next is not None:
             print(
                 f"state service, kept from the start: rps {kept.rps:g}, write_rps {kept.write_rps:g}, "
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -123,7 +123,7 @@
         self.graph = Graph(self.run_time, stretches)
         self.declared = OperatorConfiguration(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
-        self.limits = shared.state.kept
+        self.limits = shared.state.effective
         self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
         self.job_shard.machine_owner = self.membership.machine_owner
         self.machine_shard = MachineShard(
--- a/alderbridge/settings.py
+++ b/alderbridge/settings.py
@@ -4,6 +4,7 @@
 
 import configparser
 from pathlib import Path
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
@@ -22,17 +23,23 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
+    """Another controller of the platform."""
+
     label: str
     location: str
     addr: str
 
 
 class Endpoints(msgspec.Struct, frozen=True):
+    """Addresses of the services that controllers use."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
+    """What a team is guaranteed, and its limits (``_max``; 0: none)."""
+
     name: str
     cpus: float = 0.0
     cpus_max: float = 0.0
@@ -41,6 +48,8 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
+    """A service-level objective of the platform."""
+
     kind: str
     job_class: str | None = msgspec.field(default=None, name="class")
     within_s: float | None = None
@@ -49,6 +58,8 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
+    """Times that workers keep to, in s."""
+
     report_s: float
     lease_s: float
     cancel_s: float
@@ -63,7 +74,16 @@
     txn_ops: int | None = None
 
 
+Number = TypeVar("Number", int, float)
+
+
+def _tighter(now: Number, later: Number | None) -> Number:
+    return now if later is None else min(now, later)
+
+
 class State(msgspec.Struct, frozen=True):
+    """Limits of the state service; ``next``: those that it will have."""
+
     rps: float
     write_rps: float
     value_kb: float
@@ -71,33 +91,35 @@
     next: NextState | None = None
 
     @property
-    def kept(self) -> State:
-        """The tighter of both limits, each: nobody says when the change comes."""
+    def effective(self) -> State:
+        """Return the tighter of both limits, each: nobody says when the change comes."""
         later = self.next or NextState()
-        rps, writes, size, ops = (
-            have if new is None else min(have, new)
-            for have, new in (
-                (self.rps, later.rps),
-                (self.write_rps, later.write_rps),
-                (self.value_kb, later.value_kb),
-                (self.txn_ops, later.txn_ops),
-            )
+        return State(
+            rps=_tighter(self.rps, later.rps),
+            write_rps=_tighter(self.write_rps, later.write_rps),
+            value_kb=_tighter(self.value_kb, later.value_kb),
+            txn_ops=_tighter(self.txn_ops, later.txn_ops),
         )
-        return State(rps, writes, size, ops)
 
 
 class Cloud(msgspec.Struct, frozen=True):
+    """Limits of the cloud's interface."""
+
     rps: float
     list_lag_s: float
 
 
 class Limits(msgspec.Struct, frozen=True):
+    """What one controller process may use."""
+
     cpu: float
     memory_mb: float
     max_sockets: int
 
 
 class Shared(msgspec.Struct, frozen=True):
+    """Settings that all controllers have in common."""
+
     zones: list[str]
     teams: list[Team]
     workers: Workers
@@ -132,13 +154,20 @@
     declared: dict[str, str] = {}  # kind -> path of its file
 
 
-# key -> (section, lowest, highest)
-_RANGES: dict[str, tuple[str, float, float]] = {
-    "target_ratio": ("policy", 0.0, 100.0),
-    "workload_multiplier": ("policy", 0.01, 100.0),
-    "queue_time_floor_s": ("policy", 0.0, 86400.0),
-    "bid_share": ("policy", 0.0, 10.0),
-    "max_machines": ("policy", 0, 100_000),
+class _Range(NamedTuple):
+    """Where a number is set, and what it may be; a whole number where ``lowest`` is one."""
+
+    section: str
+    lowest: float
+    highest: float
+
+
+_RANGES = {
+    "target_ratio": _Range("policy", 0.0, 100.0),
+    "workload_multiplier": _Range("policy", 0.01, 100.0),
+    "queue_time_floor_s": _Range("policy", 0.0, 86400.0),
+    "bid_share": _Range("policy", 0.0, 10.0),
+    "max_machines": _Range("policy", 0, 100_000),
 }
 
 
@@ -151,31 +180,41 @@
 
 
 def load_platform(path: str) -> Platform:
+    """Read and check the platform's file; ``ConfigError`` for its first fault."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
         raise ConfigError(f"{path}: cannot be read: {error.strerror}") from None
     try:
-        conf = msgspec.json.decode(raw, type=Platform)
+        platform = msgspec.json.decode(raw, type=Platform)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{path}: {error}") from None
-    places = {
-        "listen": conf.listen,
-        "mesh_addr": conf.mesh_addr,
-        "endpoints.cloud": conf.endpoints.cloud,
-        "endpoints.state": conf.endpoints.state,
+    _check_addresses(platform, path)
+    labels = [platform.label, *(peer.label for peer in platform.peers)]
+    if len(set(labels)) != len(labels):
+        raise ConfigError(f"{path}: peers: expected labels that differ, got {labels}")
+    _check_numbers(platform.settings, path)
+    return platform
+
+
+def _check_addresses(platform: Platform, path: str) -> None:
+    addresses = {
+        "listen": platform.listen,
+        "mesh_addr": platform.mesh_addr,
+        "endpoints.cloud": platform.endpoints.cloud,
+        "endpoints.state": platform.endpoints.state,
     }
-    places |= {f"peers[{i}].addr": peer.addr for i, peer in enumerate(conf.peers)}
-    for key, value in places.items():
+    addresses |= {f"peers[{i}].addr": peer.addr for i, peer in enumerate(platform.peers)}
+    for key, value in addresses.items():
         try:
             address(value)
         except ValueError as error:
             raise ConfigError(f"{path}: {key}: {error}") from None
-    labels = [conf.label, *(peer.label for peer in conf.peers)]
-    if len(set(labels)) != len(labels):
-        raise ConfigError(f"{path}: peers: expected labels that differ, got {labels}")
-    shared = conf.settings
-    positive = {
+
+
+def _check_numbers(shared: Shared, path: str) -> None:
+    """``ConfigError`` for a number that is not above 0 but must be."""
+    positive: dict[str, float] = {
         "workers.lease_s": shared.workers.lease_s,
         "workers.report_s": shared.workers.report_s,
         "workers.cancel_s": shared.workers.cancel_s,
@@ -192,11 +231,10 @@
     for key, number in positive.items():
         if number <= 0:
             raise ConfigError(f"{path}: settings.{key}: expected a number above 0, got {number}")
-    return conf
 
 
 def read_ini(path: str) -> configparser.ConfigParser:
-    """``ConfigError`` where it can't be read, or is no INI file."""
+    """Read an INI file; ``ConfigError`` where it can't be read, or is none."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with open(path, encoding="utf-8") as file:
@@ -215,9 +253,9 @@
             return Tuning()
         path = DEFAULT_INI
     parser = read_ini(path)
-    known = {(section, key) for key, (section, _, _) in _RANGES.items()} | {("log", "log_format")}
+    known = {(allowed.section, key) for key, allowed in _RANGES.items()} | {("log", "log_format")}
     known |= {("declared", kind) for kind in KINDS}
-    values: dict[str, float | int | str] = {}
+    values: dict[str, Any] = {}
     files: dict[str, str] = {}
     for section in parser.sections():
         for key, text in parser.items(section):
@@ -232,8 +270,9 @@
     return Tuning(**values, declared=files)
 
 
-def _number(path: str, section: str, key: str, text: str) -> float | int:
+def _number(path: str, section: str, key: str, text: str) -> float:
     _, low, high = _RANGES[key]
+    number: float | None
     try:
         number = int(text) if isinstance(low, int) else float(text)
     except ValueError:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -134,8 +134,8 @@
 
 def test_the_tighter_limits_hold_from_the_start():
     state = State(100.0, 20.0, 4.0, 12, NextState(value_kb=2.0, txn_ops=40))
-    assert state.kept == State(100.0, 20.0, 2.0, 12)
-    assert State(100.0, 20.0, 4.0, 12).kept == State(100.0, 20.0, 4.0, 12)
+    assert state.effective == State(100.0, 20.0, 2.0, 12)
+    assert State(100.0, 20.0, 4.0, 12).effective == State(100.0, 20.0, 4.0, 12)
 
 
 @pytest.mark.parametrize(
