--- a/alderbridge/calendars/configuration.py
+++ b/alderbridge/calendars/configuration.py
@@ -208,15 +208,15 @@
         return result
 
 
-def check_lines(text: CalendarConfiguration, wall: float | None = None) -> list[str]:
+def check_lines(configuration: CalendarConfiguration, wall: float | None = None) -> list[str]:
     """Return what ``--check`` prints: what holds for each class, and when each calendar opens next.
 
     ``wall``: the time of day to count from, in s; None: now.
     """
     wall = time.time() if wall is None else wall
-    table = Timetable(text)
+    table = Timetable(configuration)
     lines = []
-    for calendar in text.calendars:
+    for calendar in configuration.calendars:
         zone = calendar.zone or "UTC"
         periods = table.periods(calendar.name, wall, 3)
         openings = ", ".join(f"{_clock(begin, zone)} to {_clock(end, zone)}" for begin, end in periods)
@@ -226,7 +226,7 @@
             last = EPOCH + timedelta(calendar.holidays[-1])
             line += f"; {len(calendar.holidays)} holidays, the last on {last}"
         lines.append(line)
-    for one in text.classes:
+    for one in configuration.classes:
         line = f"class {one.name}: calendar {one.calendar}, at closing {'stopped' if one.stops else 'runs on'}"
         if one.ends:
             line += f", started only if {one.run_factor:g} times its estimate ends before closing"
--- a/alderbridge/configuration/compiler.py
+++ b/alderbridge/configuration/compiler.py
@@ -41,7 +41,7 @@
         It depends on the file alone: two controllers, on two days, must compile the same.
         """
 
-    def check_lines(self, text: Any) -> list[str]:
+    def check_lines(self, configuration: Any) -> list[str]:
         """Say for people what the configuration puts in force."""
 
 
--- a/alderbridge/lending/configuration.py
+++ b/alderbridge/lending/configuration.py
@@ -121,13 +121,13 @@
             raise SettingError(path, f"reserve {team}", "", f"no [serve {team}/WORKLOAD], so nothing would use it")
 
 
-def check_lines(text: LendingConfiguration) -> list[str]:
+def check_lines(lending: LendingConfiguration) -> list[str]:
     """Say who serves, who lends and how fast GPUs come back, for ``--check``."""
     lines = [
         f"serve {one.owner}/{one.workload}: replicas with GPUs get lent ones back, within the team's guarantee"
-        for one in text.serve
+        for one in lending.serve
     ]
-    for one in text.lend:
+    for one in lending.lend:
         how = (
             f"after {one.least_run_s:g} s, {one.most_stops} times a task, until {one.waits_at_most_s:g} s after "
             f"its job's first stop"
@@ -135,11 +135,13 @@
             else "never"
         )
         lines.append(f"lend {one.owner}/{one.workload}: stopped for replicas {how}")
-    lines += [f"reserve {team}: {gpus:g} GPUs are not lent, where they are free" for team, gpus in text.reserve.items()]
-    if text.serve:
+    lines += [
+        f"reserve {team}: {gpus:g} GPUs are not lent, where they are free" for team, gpus in lending.reserve.items()
+    ]
+    if lending.serve:
         lines.append(
-            f"pace: {text.gpus_a_minute} GPUs a minute and {text.gpus_at_once} at once come back for a team; "
-            f"what replicas used is not lent again for {text.keep_s:g} s"
+            f"pace: {lending.gpus_a_minute} GPUs a minute and {lending.gpus_at_once} at once come back for a team; "
+            f"what replicas used is not lent again for {lending.keep_s:g} s"
         )
     return lines
 
--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -88,7 +88,7 @@
     """All claims, what was spent of budgets, and how often jobs were preempted; what of it is to be written."""
 
     def __init__(self) -> None:
-        """Begin empty, until ``apply`` has told what the store has."""
+        """Begin empty, until ``apply`` brings what the store has."""
         self.entries: dict[str, ClaimEntry] = {}  # machine -> its claim in the store
         self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its stops, and their revision
         self.spent, self.spent_revision = PreemptionsSpent(), 0
--- a/alderbridge/priorities/configuration.py
+++ b/alderbridge/priorities/configuration.py
@@ -60,7 +60,7 @@
 
     classes: list[PriorityClass] = []  # a job belongs to the first that holds it
 
-    def of(self, spec: JobSpec) -> PriorityClass | None:
+    def class_of(self, spec: JobSpec) -> PriorityClass | None:
         """Return the job's class, if it has any."""
         return next((one for one in self.classes if one.matches(spec)), None)
 
@@ -103,11 +103,11 @@
             raise SettingError(path, f"class {one.title}", "may preempt", f"no class is named {pattern!r}")
 
 
-def check_lines(text: PriorityConfiguration) -> list[str]:
+def check_lines(configuration: PriorityConfiguration) -> list[str]:
     """Say who may preempt whom, for ``--check``: one line a class."""
     lines = []
-    for one in text.classes:
-        others = [other.title for other in text.classes if one.names(other) and other.preemptible]
+    for one in configuration.classes:
+        others = [other.title for other in configuration.classes if one.names(other) and other.preemptible]
         who = f"class {one.title} ({', '.join(one.workloads)}; {', '.join(one.urgency) or 'any urgency'})"
         may = (
             f"may stop {', '.join(others)} where the protocol allows it: {one.stops_a_minute} a minute, "
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -39,7 +39,7 @@
         """Return the job's class in each configuration; None where one has none: then no rule speaks of it."""
         key = (spec.team, spec.job_class, spec.priority)
         if key not in self._known:
-            found = [configuration.of(spec) for configuration in self.configurations]
+            found = [configuration.class_of(spec) for configuration in self.configurations]
             known = [one for one in found if one is not None]
             self._known[key] = known if known and len(known) == len(found) else None
         return self._known[key]
