--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -132,7 +132,7 @@
         self.machine_shard.processed_seq_of = self.processed_seq_of
         self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
         self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
-        self.busy: placement.Busy | None = None  # made when first asked for in a round
+        self.busy: placement.BusyMachines | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
             float("-inf"),
@@ -346,7 +346,7 @@
                 self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
             case messages.TaskRequest():
                 self.job_shard.on_task_request(label, body, self.now, self.may_act())
-                self.queue_publisher.delta_tracker.tell_again(label, body.job)
+                self.queue_publisher.delta_tracker.resend_row(label, body.job)
             case messages.TaskGrant():
                 machine = self.machine_shard.on_task_grant(label, body, self.now)
                 if machine is not None and not machine.reserved:
@@ -397,7 +397,7 @@
 
     def on_queue(self, label: str, queue: messages.QueueSnapshot) -> None:
         """The whole queue of a home that tells no changes."""
-        self.offer_book.take_queue(label, queue, self.now)
+        self.offer_book.apply_snapshot(label, queue, self.now)
         self.leader.on_queue(label, queue, self.now)
         if label != self.me:
             self.write_rate_limit.record_peer_rate(label, queue.changes, self.now)
@@ -405,7 +405,7 @@
     def on_queue_changes(self, label: str, changes: messages.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
         at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.now)
-        self.offer_book.take_changes(label, changes, at)
+        self.offer_book.apply_delta(label, changes, at)
         if self.membership.view.leader == self.me:
             self.leader.on_queue_changes(label, changes, at)
 
@@ -806,7 +806,7 @@
         for submission, record in batch.submissions:
             job = submission.job
             job.revision = revision
-            self.replica.saw_job(job.spec.id, record, revision)
+            self.replica.observe_job(job.spec.id, record, revision)
             if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its home
                 self.job_shard.add(job)
                 self.apply_dependencies(job)
@@ -815,7 +815,7 @@
         self.pump()
 
     def _stored(self, job: Job, record: Record, revision: int) -> None:
-        self.replica.saw_job(job.spec.id, record, revision)
+        self.replica.observe_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
             self.notifications.append(job.spec.id)
         if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
@@ -888,7 +888,7 @@
         for submission, _ in batch.submissions + batch.lists:
             job = submission.job
             if job.spec.id == name and not submission.outcome:
-                self.replica.saw_job(name, record, row.revision)
+                self.replica.observe_job(name, record, row.revision)
                 ours = record.accepted_by == self.me and record.at == job.at and record.state is JobState.ACTIVE
                 if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
                     job.revision = row.revision  # an earlier write of ours had no answer
@@ -935,7 +935,7 @@
         it, beside its home (docs/incidents/read-ahead.md).
         """
         if record.state is not JobState.ACTIVE and not self.knows_job(name):
-            self.replica.saw_job(name, Record(record.state, done_at=record.done_at), revision)
+            self.replica.observe_job(name, Record(record.state, done_at=record.done_at), revision)
             self.process_dependency_events()
 
     def dependencies_of(self, job: Job) -> list[str]:
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -16,7 +16,7 @@
 from alderbridge.priorities.demands import unserved_demands
 from alderbridge.protocol.messages import MachineTasks
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 
 if TYPE_CHECKING:
     from alderbridge.preemption.planner import PreemptionPlanner
@@ -92,7 +92,7 @@
     is_reported = preemptible
 
     def observe_machines(
-        self, rows: Sequence[MachineTasks], kinds: Mapping[str, Kind], specs: Callable[[str], JobSpec | None]
+        self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
         """Nothing beside the victims is of use here."""
 
