--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -72,7 +72,7 @@
     print(f"{config}: good")
     state = startup.platform.settings.state
     if state.next is not None:
-        limits = state.kept
+        limits = state.effective
         print(
             f"state service, kept from the start: rps {limits.rps:g}, write_rps {limits.write_rps:g}, "
             f"value_kb {limits.value_kb:g}, txn_ops {limits.txn_ops}"
