--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -9,12 +9,9 @@
 
 from __future__ import annotations
 
-import hashlib
 import itertools
 import logging
-from collections import deque
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 from random import Random
 from typing import TYPE_CHECKING
 
@@ -24,13 +21,18 @@
 from alderbridge.calendars.declaration import Text as Hours
 from alderbridge.calendars.gate import Gate
 from alderbridge.calendars.timetable import NEVER
-from alderbridge.configuration import Declarations, Declared, Proposal
+from alderbridge.configuration import Declarations, Declared
+from alderbridge.controller.effects import Effects, JobEndStored
+from alderbridge.controller.messenger import Handler, Messenger
+from alderbridge.controller.state import ControllerState
+from alderbridge.controller.submissions import Submission, beside
+from alderbridge.controller.write_batch import WriteBatch
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import Machine, MachineShard
 from alderbridge.membership.view import Membership, MemberStatus, View
-from alderbridge.preemption import Teams, Transaction
+from alderbridge.preemption import Teams
 from alderbridge.preemption.desk import Desk, Source
 from alderbridge.priorities import Rules, Text
 from alderbridge.protocol import messages, wire
@@ -45,6 +47,8 @@
 if TYPE_CHECKING:
     from alderbridge.lending import Lender
 
+__all__ = ["ControllerCore", "Submission", "WriteBatch"]
+
 log = logging.getLogger("core")
 
 
@@ -55,52 +59,6 @@
 _record = msgspec.json.Decoder(Record)
 
 
-def beside(record: Record, room: int) -> tuple[Record, dict[str, list[str]]]:
-    """The record without what its job waits for, and that as lists that fit one value each."""
-    assert record.spec is not None and record.spec.needs is not None
-    needs = sorted(record.spec.needs)
-    each = max(1, (room - 2) // (max(map(len, needs)) + 3))
-    count = -(-len(needs) // each)
-    more = f"{hashlib.blake2b(' '.join(needs).encode(), digest_size=8).hexdigest()}/{count}"
-    parts = [needs[at : at + each] for at in range(0, len(needs), each)]
-    spec = msgspec.structs.replace(record.spec, needs=None)
-    return (
-        msgspec.structs.replace(record, spec=spec, dependency_digest=more),
-        dict(zip(list_keys(spec.id, more), parts, strict=True)),
-    )
-
-
-@dataclass(eq=False)
-class Submission:
-    """A job on its way into the store."""
-
-    job: Job
-    outcome: str = ""  # "accepted", "known", "refused" or "too long"; empty: not decided
-    lists: dict[str, list[str]] = field(default_factory=dict)  # what has no room in its record, to be stored before it
-
-
-@dataclass
-class WriteBatch:
-    """One transaction, and whose records it carries."""
-
-    fencing_token: int
-    conditions: dict[str, int]
-    puts: dict[str, object] = field(default_factory=dict)
-    drops: list[str] = field(default_factory=list)
-    jobs: list[tuple[Job, Record, list[tuple[str, int, int]]]] = field(default_factory=list)
-    submissions: list[tuple[Submission, Record]] = field(default_factory=list)
-    machines: list[str] = field(default_factory=list)
-    dropped_machines: list[str] = field(default_factory=list)
-    lists: list[tuple[Submission, str]] = field(default_factory=list)
-    dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
-    proposal: Proposal | None = None  # then nothing else
-    claims: Transaction | None = None  # then nothing else is in it
-
-    @property
-    def changes(self) -> int:
-        return len(self.puts) + max(len(self.dropped_machines), len(self.drops))
-
-
 class ControllerCore:
     def __init__(
         self,
@@ -119,19 +77,27 @@
         most = shared.workers.cancel_s - lease - constants.CANCEL_SLACK_S
         ttl = min(max(constants.STORE_LEASE_TTL_S, constants.TOTAL_LEASE_S - lease), most)
         self.membership = Membership(self.me, ttl, min(constants.STORE_LEASE_TTL_S, most))
+        self.effects = Effects()
+        self.state = ControllerState(self.me, self.membership, now)
+        self.messenger = Messenger(self.state, self.effects, [peer.label for peer in platform.peers])
         stretches = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
         self.graph = Graph(self.run_time, stretches)
         self.declared = Declarations(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
-        self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
+        self.job_shard = JobShard(shared.teams, self.messenger.send, int(self.limits.value_kb * 1024))
         self.job_shard.machine_owner = self.membership.machine_owner
         self.machine_shard = MachineShard(
-            self.me, shared.workers.lease_s, self.send, self.spec_of, self.job_owner, rng or Random(platform.label)
+            self.me,
+            shared.workers.lease_s,
+            self.messenger.send,
+            self.spec_of,
+            self.job_owner,
+            rng or Random(platform.label),
         )
-        self.machine_shard.processed_seq_of = self.processed_seq_of
+        self.machine_shard.processed_seq_of = self.messenger.processed_seq_of
         self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
-        self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
+        self.machine_shard.send_deferred = self.job_shard.send_deferred = self.messenger.send_deferred
         self.busy: placement.Busy | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
@@ -150,14 +116,7 @@
         ] = {}  # machine -> GPUs that lending work leaves free, as the leader told last
         self.reserved_gpus_until = self.kept_at = float("-inf")
         self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> its claim's stamp, tasks asked for its room
-        self.channels = {peer.label: Channel(self.me) for peer in platform.peers}
-        self.inbox: deque[tuple[int, messages.Message]] = deque()
-        self.deferred: dict[str, list[messages.Message]] = {}  # before the next message there, or in the next round
-        self.local_seq = self.local_processed_seq = 0
-        self.now = now
-        self.loaded = False
         self.entered_lease_id = 0  # the permit under which home and part were last built
-        self.is_member = False  # home, part and channels were built for the view as of one of its members
         self.types: dict[str, wire.MachineType] = {}
         self.offer_book = OfferBook(self.spec_of)
         self.offers = self.offer_book.offers
@@ -167,7 +126,6 @@
         self.drops_in_flight: set[str] = set()  # machines whose drop was sent, and that were not recorded since
         self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
         self.doomed_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
-        self.wall_offset_s = 0.0  # time of day less ``now``
         self.calendars: Gate | None = None  # None: nothing is declared
         self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
         self.has_new_submission = False  # a submission has come since the last look for what to write
@@ -176,20 +134,14 @@
         self.machines_reported_at = 0.0
         self.guaranteed_at, self.guaranteed_jobs = float("-inf"), set()
         self.entered_at = now  # when the view arrived here
-        # left for the controller
-        self.outgoing_frames: list[tuple[str, messages.Frame]] = []
         self.queue_publisher = QueuePublisher(self.me)
         self.sender_clocks: dict[str, SenderClock] = {}
-        self.channel_renewals: list[str] = []  # peers to be connected anew
-        self.queries: deque[tuple[str, messages.JobQuery]] = deque()
-        self.query_replies: deque[messages.JobQueryReply] = deque()
-        # submissions decided, jobs whose end is stored, machines that have all grants they asked for
-        self.notifications: deque[Submission | str | Machine] = deque()
+        self.messenger.handlers = self.handlers_by_type()
 
     # -- small questions ---------------------------------------------------
 
     def may_act(self) -> bool:
-        return self.loaded and self.membership.may_act(self.now)
+        return self.state.may_act()
 
     def spec_of(self, job: str) -> wire.JobSpec | None:
         known = self.job_shard.jobs.get(job)
@@ -208,9 +160,6 @@
         label = self.replica.accepted_by(job)
         return self.membership.job_owner(label) if label else ""
 
-    def processed_seq_of(self, label: str) -> int:
-        return self.local_processed_seq if label == self.me else self.channels[label].received
-
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
         needed = self.graph.needed_by(job.spec.id)
         basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
@@ -223,7 +172,7 @@
                     self.shared.objectives,
                     guaranteed,
                     job.waiting_since - job.submitted,
-                    [by - self.wall_offset_s - job.waiting_since for by in needed],
+                    [by - self.state.wall_offset_s - job.waiting_since for by in needed],
                 ),
             )
             if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
@@ -234,7 +183,7 @@
     def refresh_calendars(self) -> None:
         """Texts come into force with what arrives, and with time."""
         if "hours" in self.declared.kinds:
-            self.apply_calendars(self.declared.in_force("hours", self.now))
+            self.apply_calendars(self.declared.in_force("hours", self.state.now))
 
     def apply_calendars(self, texts: list[Hours]) -> None:
         """The texts of hours that hold now, all of them: the one in force, and one that is about to be."""
@@ -243,7 +192,7 @@
         if texts != (self.calendars.texts if self.calendars is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
-            self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
+            self.calendars = Gate(texts, lambda: self.state.wall(), skew, self.rank)
             self.job_shard.calendars = self.machine_shard.calendars = self.calendars
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
@@ -262,50 +211,16 @@
 
     # -- messages ------------------------------------------------------------
 
-    def send(self, label: str, body: messages.Message) -> int:
-        """A message that must arrive; its number in the channel to that member."""
-        if label == self.me:
-            self.local_seq += 1
-            self.inbox.append((self.local_seq, body))
-            return self.local_seq
-        channel = self.channels.get(label)
-        if channel is None:
-            return 0
-        if label in self.deferred:
-            self.flush_deferred(label)
-        frame = channel.post(body, self.now)
-        self.outgoing_frames.append((label, frame))
-        return frame.seq
-
-    def send_deferred(self, label: str, body: messages.Message) -> int:
-        """One that must arrive, and may wait for company: a write for each wakes the peer, which costs more than it."""
-        if label == self.me:
-            return self.send(label, body)
-        if label in self.channels:
-            self.deferred.setdefault(label, []).append(body)
-        return 0
-
-    def flush_deferred(self, label: str) -> None:
-        channel = self.channels[label]
-        self.outgoing_frames += [(label, channel.post(body, self.now)) for body in self.deferred.pop(label, ())]
-
-    def send_unreliable(self, label: str, body: messages.Message) -> None:
-        """A message that may be lost."""
-        if label == self.me:
-            self.dispatch(label, body)
-        elif label in self.channels:
-            self.outgoing_frames.append((label, self.channels[label].post_unreliable(body)))
-
     def on_frame(self, frame: messages.Frame, now: float) -> None:
-        self.now = now
-        channel, membership = self.channels.get(frame.sender), self.membership
+        self.state.now = now
+        channel, membership = self.messenger.channels.get(frame.sender), self.membership
         if channel is None:
             return
         body = None
         if frame.fencing_token != membership.fencing_token or membership.failure_detector.accepts(frame.sender):
             if membership.status(now) is MemberStatus.OUTSIDE:
-                self.is_member = False  # its hold is lost: its acknowledgement would count for who it was
-            if self.is_member or isinstance(frame.body, messages.JobQuery | messages.JobQueryReply):
+                self.state.is_member = False  # its hold is lost: its acknowledgement would count for who it was
+            if self.state.is_member or isinstance(frame.body, messages.JobQuery | messages.JobQueryReply):
                 body = channel.receive(frame, now)
             else:
                 # What the view's members say is meant for an earlier life of this label, which acknowledgements do not
@@ -315,8 +230,8 @@
             if frame.fencing_token == membership.fencing_token:
                 self.observe_frame(frame, channel.acked_at, now)
         if body is not None:
-            self.dispatch(frame.sender, body)
-            self.pump()
+            self.messenger.dispatch(frame.sender, body)
+            self.messenger.pump()
 
     def observe_frame(self, frame: messages.Frame, acked_at: float, now: float) -> None:
         """A frame under this mandate: whose sender may have restarted, and know nothing of whom it had given up."""
@@ -327,78 +242,97 @@
             if isinstance(frame.body, messages.QueueSnapshot | messages.PeerStatus):
                 failure_detector.record_peer_report(frame.sender, frame.body.suspected, frame.body.failed)
 
-    def pump(self) -> None:
-        """Deliver messages to this controller itself, until none is left."""
-        while self.inbox:
-            seq, body = self.inbox.popleft()
-            self.local_processed_seq = seq
-            self.dispatch(self.me, body)
-
-    def dispatch(self, label: str, body: messages.Message) -> None:
-        match body:
-            case messages.MachineTaskReport():
-                self.job_shard.on_task_report(label, body, self.now)
-            case messages.AcknowledgeFinished():
-                self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
-            case messages.TaskRequest():
-                self.job_shard.on_task_request(label, body, self.now, self.may_act())
-                self.queue_publisher.delta_tracker.tell_again(label, body.job)
-            case messages.TaskGrant():
-                machine = self.machine_shard.on_task_grant(label, body, self.now)
-                if machine is not None and not machine.reserved:
-                    self.notifications.append(machine)
-            case messages.QueueSnapshot():
-                self.on_queue(label, body)
-            case messages.QueueDelta():
-                self.on_queue_changes(label, body)
-            case messages.TeamUsageDelta():
-                self.leader.on_team_changes(label, body)
-            case messages.PeerStatus():
-                self.write_rate_limit.record_peer_rate(label, body.changes, self.now)
-            case messages.MachineSummaries():
-                self.leader.on_machine_summaries(label, body, self.now)
-            case messages.StopTask():
-                self.machine_shard.on_stop_task(body)
-            case messages.QuotaAllocation():
-                self.job_shard.allocate_quota(body.teams)
-            case messages.QuotaDelta():
-                self.job_shard.allocate_quota(body.teams, whole=False)
-            case messages.DrainMachines():
-                self.machine_shard.drain(body.machines)
-            case messages.MachinesTerminated():
-                self.machine_records_to_drop += self.machine_shard.on_terminated(body.machines)
-            case messages.ListMachineTasks():
-                sources = self.preemption_policies()
-                self.send_unreliable(
-                    label,
-                    messages.MachineTaskList(
-                        self.machine_shard.machine_tasks(
-                            self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
-                        ),
-                        True,
-                    ),
-                )
-            case messages.GpuReservation():
-                self.reserved_gpus, self.reserved_gpus_until = body.gpus, self.now + constants.GPU_RESERVATION_TTL_S
-            case messages.MachineTaskList():
-                self.preemption_planner.on_tasks(label, body, self.now)
-            case messages.JobQuery():
-                self.queries.append((label, body))
-            case messages.JobQueryReply():
-                self.query_replies.append(body)
-            case _:
-                pass
+    def handlers_by_type(self) -> dict[type[messages.Message], Handler]:
+        return {
+            messages.MachineTaskReport: self.on_task_report,
+            messages.AcknowledgeFinished: self.on_acknowledge_finished,
+            messages.TaskRequest: self.on_task_request,
+            messages.TaskGrant: self.on_task_grant,
+            messages.QueueSnapshot: self.on_queue,
+            messages.QueueDelta: self.on_queue_changes,
+            messages.TeamUsageDelta: self.leader.on_team_changes,
+            messages.PeerStatus: self.on_peer_status,
+            messages.MachineSummaries: self.on_machine_summaries,
+            messages.StopTask: self.on_stop_task,
+            messages.QuotaAllocation: self.on_quota_allocation,
+            messages.QuotaDelta: self.on_quota_delta,
+            messages.DrainMachines: self.on_drain_machines,
+            messages.MachinesTerminated: self.on_machines_terminated,
+            messages.ListMachineTasks: self.on_list_machine_tasks,
+            messages.GpuReservation: self.on_gpu_reservation,
+            messages.MachineTaskList: self.on_machine_task_list,
+            messages.JobQuery: self.on_job_query,
+            messages.JobQueryReply: self.on_job_query_reply,
+        }
+
+    def on_task_report(self, label: str, report: messages.MachineTaskReport) -> None:
+        self.job_shard.on_task_report(label, report, self.state.now)
+
+    def on_acknowledge_finished(self, label: str, finished: messages.AcknowledgeFinished) -> None:
+        self.machine_shard.on_acknowledge_finished(finished.machine, finished.job, finished.index, finished.attempt)
+
+    def on_task_request(self, label: str, request: messages.TaskRequest) -> None:
+        self.job_shard.on_task_request(label, request, self.state.now, self.may_act())
+        self.queue_publisher.delta_tracker.tell_again(label, request.job)
+
+    def on_task_grant(self, label: str, grant: messages.TaskGrant) -> None:
+        machine = self.machine_shard.on_task_grant(label, grant, self.state.now)
+        if machine is not None and not machine.reserved:
+            self.effects.notifications.append(machine)
+
+    def on_peer_status(self, label: str, status: messages.PeerStatus) -> None:
+        self.write_rate_limit.record_peer_rate(label, status.changes, self.state.now)
+
+    def on_machine_summaries(self, label: str, summaries: messages.MachineSummaries) -> None:
+        self.leader.on_machine_summaries(label, summaries, self.state.now)
+
+    def on_stop_task(self, label: str, stop: messages.StopTask) -> None:
+        self.machine_shard.on_stop_task(stop)
+
+    def on_quota_allocation(self, label: str, allocation: messages.QuotaAllocation) -> None:
+        self.job_shard.allocate_quota(allocation.teams)
+
+    def on_quota_delta(self, label: str, delta: messages.QuotaDelta) -> None:
+        self.job_shard.allocate_quota(delta.teams, whole=False)
+
+    def on_drain_machines(self, label: str, drain: messages.DrainMachines) -> None:
+        self.machine_shard.drain(drain.machines)
+
+    def on_machines_terminated(self, label: str, terminated: messages.MachinesTerminated) -> None:
+        self.machine_records_to_drop += self.machine_shard.on_terminated(terminated.machines)
+
+    def on_list_machine_tasks(self, label: str, request: messages.ListMachineTasks) -> None:
+        sources = self.preemption_policies()
+        tasks = self.machine_shard.machine_tasks(
+            self.state.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
+        )
+        self.messenger.send_unreliable(label, messages.MachineTaskList(tasks, True))
+
+    def on_gpu_reservation(self, label: str, reservation: messages.GpuReservation) -> None:
+        self.reserved_gpus, self.reserved_gpus_until = (
+            reservation.gpus,
+            self.state.now + constants.GPU_RESERVATION_TTL_S,
+        )
+
+    def on_machine_task_list(self, label: str, tasks: messages.MachineTaskList) -> None:
+        self.preemption_planner.on_tasks(label, tasks, self.state.now)
+
+    def on_job_query(self, label: str, query: messages.JobQuery) -> None:
+        self.effects.queries.append((label, query))
+
+    def on_job_query_reply(self, label: str, reply: messages.JobQueryReply) -> None:
+        self.effects.query_replies.append(reply)
 
     def on_queue(self, label: str, queue: messages.QueueSnapshot) -> None:
         """The whole queue of a home that tells no changes."""
-        self.offer_book.take_queue(label, queue, self.now)
-        self.leader.on_queue(label, queue, self.now)
+        self.offer_book.take_queue(label, queue, self.state.now)
+        self.leader.on_queue(label, queue, self.state.now)
         if label != self.me:
-            self.write_rate_limit.record_peer_rate(label, queue.changes, self.now)
+            self.write_rate_limit.record_peer_rate(label, queue.changes, self.state.now)
 
     def on_queue_changes(self, label: str, changes: messages.QueueDelta) -> None:
         """Rows of a home's queue that are news."""
-        at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.now)
+        at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.state.now)
         self.offer_book.take_changes(label, changes, at)
         if self.membership.view.leader == self.me:
             self.leader.on_queue_changes(label, changes, at)
@@ -411,14 +345,14 @@
         The view that has it may have arrived before the store's answer. What was built for that view was an
         outsider's: acting on it, a home without its jobs halted all their tasks and served none until the next view.
         """
-        self.now = now
+        self.state.now = now
         self.membership.store_lease.record_renewal(lease_id, sent_at, now)
-        if not self.is_member and self.membership.status(now) is not MemberStatus.OUTSIDE:
-            self.enter_view(now, now + self.wall_offset_s)
+        if not self.state.is_member and self.membership.status(now) is not MemberStatus.OUTSIDE:
+            self.enter_view(now, now + self.state.wall_offset_s)
 
     def apply_events(self, changes: list[wire.WatchEvent], now: float, wall: float) -> None:
         """Changes of the store, in order."""
-        self.now, self.wall_offset_s = now, wall - now
+        self.state.now, self.state.wall_offset_s = now, wall - now
         shown: list[str] = []
         for change in changes:
             if self.replica.apply(change):
@@ -447,7 +381,7 @@
         record, revision = self.replica.active.get(name, (None, 0))
         if (
             record is None
-            or not self.is_member
+            or not self.state.is_member
             or revision <= self.membership.fencing_token
             or name in self.job_shard.jobs
             or name in self.submissions
@@ -455,7 +389,7 @@
             or self.membership.job_owner(record.accepted_by) != self.me
         ):
             return
-        job = Job(record, revision, self.now, max(0.0, self.now + self.wall_offset_s - record.at), fresh=True)
+        job = Job(record, revision, self.state.now, max(0.0, self.state.wall() - record.at), fresh=True)
         self.job_shard.add(job)
         self.apply_dependencies(job)
         log.info("job=%s state=adopted cause=stored after its submission was given up", name)
@@ -467,7 +401,7 @@
 
         Nothing is built on the rows before the changes have caught up with them.
         """
-        self.now, self.wall_offset_s = now, wall - now
+        self.state.now, self.state.wall_offset_s = now, wall - now
         newer = False
         self.entered_lease_id = 0  # views may have passed unseen: nothing known under them holds any more
         self.replica.machines, self.replica.records = {}, {}
@@ -489,7 +423,7 @@
         self.process_configuration()
         if not self.types:
             self.set_machine_types(self.replica.types)
-        self.loaded = True
+        self.state.loaded = True
         log.info("replica state=loaded revision=%d jobs=%d", revision, len(self.replica.active))
 
     def enter_view(self, now: float, wall: float) -> None:
@@ -499,17 +433,14 @@
         log.info("view fencing_token=%d leader=%s members=%s", fencing_token, view.leader, members)
         self.entered_at = now
         inside = self.membership.status(now) is not MemberStatus.OUTSIDE
-        for channel in self.channels.values():
-            channel.reset(fencing_token, now, self.membership.store_lease.lease_id if inside else 0)
-        self.inbox.clear()
-        self.deferred.clear()
+        self.messenger.enter(fencing_token, self.membership.store_lease.lease_id if inside else 0)
         self.queue_publisher.enter()
         self.offer_book.clear()
         self.sender_clocks.clear()
-        continued = inside and self.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
+        continued = inside and self.state.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
         old = self.job_shard.jobs if continued else {}
         self.entered_lease_id = self.membership.store_lease.lease_id if inside else 0
-        self.is_member = inside
+        self.state.is_member = inside
         jobs: dict[str, Job] = {}
         if inside:
             for name, (record, revision) in self.replica.active.items():
@@ -528,7 +459,7 @@
                         job.apply_stored_end(record.state)
                         job.stored_state = record.state
                         job.mark_dirty(now)
-                        self.notifications.append(name)
+                        self.effects.notifications.append(JobEndStored(name))
                     job.revision = max(job.revision, revision)
                     jobs[name] = job
         recorded = {name: self.replica.record(name) for name in self.replica.machines} if inside else {}
@@ -550,7 +481,7 @@
             name for name in self.machine_records_to_drop if name in self.machine_shard.terminated
         ]
         self.drops_in_flight.clear()  # under an older view: carried out before this one, or never
-        self.pump()
+        self.messenger.pump()
 
     # -- dependencies ----------------------------------------------------------
 
@@ -560,10 +491,10 @@
         if self.graph.waiting(name):
             job.block()
             if name in self.graph.doomed:
-                job.abort(self.now, "a job before it is aborted")
+                job.abort(self.state.now, "a job before it is aborted")
             return
         ready_at = max(job.ready_at, self.graph.ready_at(name))
-        job.unblock(min(self.now, ready_at - self.wall_offset_s) if ready_at else job.submitted, ready_at)
+        job.unblock(min(self.state.now, ready_at - self.state.wall_offset_s) if ready_at else job.submitted, ready_at)
 
     def process_dependency_events(self) -> None:
         """Facts of the store have arrived: who is ready now, who is doomed."""
@@ -571,7 +502,7 @@
         ready, graph.fresh_ready = graph.fresh_ready, []
         doomed, graph.fresh_doomed = graph.fresh_doomed, []
         for name in doomed:
-            self.doomed_at[name] = self.now
+            self.doomed_at[name] = self.state.now
         for name in ready + doomed:
             job = self.job_shard.jobs.get(name)
             if job is not None:
@@ -582,18 +513,18 @@
     def process_configuration(self) -> None:
         """What operators declare has arrived, or something in the store that counts can't be read here."""
         if self.declared.changed:
-            self.declared.look(self.now)
+            self.declared.look(self.state.now)
         if self.declared.unreadable:
             self.membership.mark_unreadable()
         self.refresh_calendars()
 
     def next_view(self, now: float) -> tuple[View, dict[str, int], list[str]] | None:
         """The change of view to try, with the stamps to assert and the keys of members that are removed."""
-        change = self.membership.next_view(now, self.max_changes - 1) if self.loaded else None
+        change = self.membership.next_view(now, self.max_changes - 1) if self.state.loaded else None
         if change is None:
             return None
         view, revisions = (
-            self.membership.mark_quorum_overlap(change[0], self.job_shard.settled and self.is_member),
+            self.membership.mark_quorum_overlap(change[0], self.job_shard.settled and self.state.is_member),
             change[1],
         )
         drops = [MEMBERS + label for label, revision in revisions.items() if revision and label not in view.members]
@@ -607,7 +538,7 @@
 
     def next_batch(self, now: float) -> WriteBatch | None:
         """One transaction of what is due, most urgent first, within the write budget."""
-        self.now = now
+        self.state.now = now
         if not self.may_act():
             return None
         # Users wait for submissions and ends: these may run ahead of an equal share of the changes. The store
@@ -624,11 +555,11 @@
         # the leader's ends, marks and submissions waiting for as long as its watch hung.
         waits, self.claims_deferred = self.claims_deferred, False
         if not waits and not self.ledger.idle and self.membership.is_leader(now):
-            batch.claims = self.ledger.due(now + self.wall_offset_s, room, self.job_shard.value_bytes)
+            batch.claims = self.ledger.due(now + self.state.wall_offset_s, room, self.job_shard.value_bytes)
             if batch.claims is not None:
                 batch.conditions |= batch.claims.conditions
                 batch.puts, batch.drops = batch.claims.puts, batch.claims.drops
-                self.write_rate_limit.spend(batch.changes, self.now)
+                self.write_rate_limit.spend(batch.changes, self.state.now)
                 return batch
         if drops := self.machine_shard.due_record_drops(now):
             self.machine_records_to_drop = list(dict.fromkeys(self.machine_records_to_drop + drops))
@@ -651,14 +582,14 @@
             and plain
             and (
                 proposal := self.declared.due(
-                    self.membership, now, now + self.wall_offset_s, plain, self.job_shard.value_bytes
+                    self.membership, now, now + self.state.wall_offset_s, plain, self.job_shard.value_bytes
                 )
             )
             is not None
         ):
             batch.proposal, batch.puts, batch.drops = proposal, proposal.puts, proposal.drops
             batch.conditions |= proposal.conditions
-            self.write_rate_limit.spend(batch.changes, self.now)
+            self.write_rate_limit.spend(batch.changes, self.state.now)
             return batch
         for name in [name for name in self.machine_shard.records_to_write if name not in self.machine_records_to_drop][
             :plain
@@ -716,7 +647,7 @@
             del self.lists_to_drop[:count]
         if not batch.changes:
             return None
-        self.write_rate_limit.spend(batch.changes, self.now)
+        self.write_rate_limit.spend(batch.changes, self.state.now)
         return batch
 
     def nothing_to_write(self) -> bool:
@@ -725,7 +656,7 @@
             self.has_new_submission
             or self.job_shard.tally.changed
             or self.machine_shard.records_to_write
-            or self.machine_shard.due_record_drops(self.now)
+            or self.machine_shard.due_record_drops(self.state.now)
             or self.machine_records_to_drop
             or self.lists_to_drop
             or not self.ledger.idle
@@ -780,7 +711,7 @@
         )
 
     def on_batch_written(self, batch: WriteBatch, revision: int, now: float) -> None:
-        self.now = now
+        self.state.now = now
         current = batch.fencing_token == self.membership.fencing_token
         if batch.proposal is not None:
             self.declared.done(batch.proposal, revision, now)
@@ -806,12 +737,12 @@
                 self.apply_dependencies(job)
             self._decide_submission(submission, "accepted")
         self.process_dependency_events()
-        self.pump()
+        self.messenger.pump()
 
     def _stored(self, job: Job, record: Record, revision: int) -> None:
         self.replica.saw_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
-            self.notifications.append(job.spec.id)
+            self.effects.notifications.append(JobEndStored(job.spec.id))
         if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
             self.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
             job.dependency_digest = ""
@@ -858,7 +789,7 @@
 
     def resolve_conflict(self, batch: WriteBatch, key: str, row: wire.KeyValue | None, now: float) -> None:
         """What the store holds under a key whose condition failed: decide anew."""
-        self.now = now
+        self.state.now = now
         current = batch.fencing_token == self.membership.fencing_token
         if batch.proposal is not None:
             return  # a head that has changed: the replica will tell
@@ -899,11 +830,11 @@
                     job.mark_dirty(now)
                 self._stored(job, record, row.revision)
         self.process_dependency_events()
-        self.pump()
+        self.messenger.pump()
 
     def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
         """Queue a job for the store; None where its record would not fit, whatever is put beside it."""
-        self.now, self.wall_offset_s = now, wall - now
+        self.state.now, self.state.wall_offset_s = now, wall - now
         if spec.id in self.submissions:
             return self.submissions[spec.id]
         ended = self.replica.ended
@@ -960,15 +891,15 @@
         submission.outcome = outcome
         self.submissions.pop(submission.job.spec.id, None)
         self.adopt_late_record(spec.id)
-        self.notifications.append(submission)
+        self.effects.notifications.append(submission)
 
     # -- workers -------------------------------------------------------------------
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Machine | None:
         """A report of a machine of this part; None where it must not be answered with 200."""
-        self.now = now
+        self.state.now = now
         machine = self.machine_shard.on_heartbeat(heartbeat, now)
-        self.pump()
+        self.messenger.pump()
         if machine is not None and machine.acknowledged:
             self.execute_claim(machine)
             self.place_tasks(machine, now)
@@ -976,10 +907,10 @@
 
     def on_probe_answered(self, heartbeat: wire.Heartbeat, now: float) -> None:
         """What a machine of this part answered to an empty ``/commands`` under this view."""
-        self.now = now
+        self.state.now = now
         if self.may_act():
             self.machine_shard.on_probe_answer(heartbeat, now)
-            self.pump()
+            self.messenger.pump()
 
     def place_tasks(self, machine: Machine, now: float) -> None:
         """Ask homes for tasks that fit this machine."""
@@ -1025,18 +956,22 @@
             candidate, self.offers, lambda spec: self.machine_shard.fetch_s(machine, spec), room_elsewhere, keep, now
         ):
             take = self.machine_shard.reserve(machine, want.job, want.count)
-            self.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
-        self.pump()
+            self.messenger.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
+        self.messenger.pump()
 
     # -- claims ------------------------------------------------------------------------
 
     def preemption_policies(self) -> list[Source]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
-        texts = self.priorities(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
+        texts = (
+            self.priorities(self.state.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
+        )
         if texts != self.rules.texts:
             self.rules = Rules(texts)
         result: list[Source] = [self.rules] if texts else []
-        lendings = self.lendings(self.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
+        lendings = (
+            self.lendings(self.state.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
+        )
         if not lendings:
             self.lender = None
         elif self.lender is None or self.lender.texts != lendings:
@@ -1055,13 +990,13 @@
         if claim is None:
             if machine.claim_stops:
                 self.machine_shard.drop_claim(machine)
-        elif self.now + self.wall_offset_s < claim.until:
+        elif self.state.wall() < claim.until:
             self.machine_shard.execute_claim(machine, claim.victims, claim.wind_down_s)
 
     def place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Ask for tasks of the job that a claim keeps room for; the machine with what is left for others."""
         entry = self.ledger.entries.get(machine.name)
-        if entry is None or self.now + self.wall_offset_s >= entry.claim.until:
+        if entry is None or self.state.wall() >= entry.claim.until:
             return candidate
         claim, spec = entry.claim, self.spec_of(entry.claim.job)
         revision, used = self.claim_requests.get(machine.name, (0, 0))
@@ -1074,7 +1009,7 @@
         room = candidate.free
         for want in placement.keep(candidate, self.offers, claim.job, claim.count - used):
             take = self.machine_shard.reserve(machine, want.job, want.count)
-            self.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
+            self.messenger.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
             used, room = used + want.count, placement.minus(room, spec, want.count)
         self.claim_requests[machine.name] = (entry.revision, used)
         return msgspec.structs.replace(candidate, free=placement.minus(room, spec, claim.count - used))
@@ -1091,48 +1026,48 @@
             return Teams(self.shared.teams, used)
 
         sources = self.preemption_policies()
-        if self.preemption_planner.round(now, now + self.wall_offset_s, sources, teams, self.max_changes):
+        if self.preemption_planner.round(now, now + self.state.wall_offset_s, sources, teams, self.max_changes):
             for label in self.membership.view.members:
-                self.send_unreliable(label, messages.ListMachineTasks())
+                self.messenger.send_unreliable(label, messages.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
             self.kept_at = now
             gpus = self.lender.keep(self.preemption_planner, now)
             if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
-                    self.send_unreliable(label, messages.GpuReservation(gpus))
+                    self.messenger.send_unreliable(label, messages.GpuReservation(gpus))
 
     # -- rounds ----------------------------------------------------------------------
 
     def round(self, now: float) -> None:
         """What is due every fifth of a second."""
-        self.now = now
+        self.state.now = now
         self.machine_shard.set_answering(now, self.may_act())
         self.refresh_calendars()
-        for label in list(self.deferred):
-            self.flush_deferred(label)
+        for label in list(self.messenger.deferred):
+            self.messenger.flush_deferred(label)
         if self.membership.status(now) is MemberStatus.OUTSIDE:
-            for label in self.channels:
-                self.send_unreliable(label, messages.KeepAlive())
+            for label in self.messenger.channels:
+                self.messenger.send_unreliable(label, messages.KeepAlive())
             return
         self.membership.failure_detector.refresh(now)
         self.refresh_settlement(now)
         self.refresh_machines(now)
         self.write_rate_limit.refresh(now)
         self.publish_queue(now, self.queue_snapshot(now))
-        self.maintain_channels(now)
+        self.messenger.maintain_channels(now)
         if now - self.machines_reported_at >= constants.LEADER_ROUND_S:
             self.machines_reported_at = now
             self.report_machines(now)
         if self.membership.is_leader(now):
             self.send_quota_updates(now)
             self.plan_preemptions(now)
-        self.pump()
+        self.messenger.pump()
 
     def refresh_settlement(self, now: float) -> None:
         """Whether every member is known to act under this view, or not at all."""
         fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.me]
-        everyone = all(self.channels[label].peer_fencing_token >= fencing_token for label in others)
+        everyone = all(self.messenger.channels[label].peer_fencing_token >= fencing_token for label in others)
         if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
             self.machine_shard.settle(now)
             if not self.job_shard.settled:
@@ -1161,23 +1096,23 @@
     def publish_queue(self, now: float, snapshot: Snapshot) -> None:
         """The members are told of the queue, and whoever is none that this process is there."""
         membership, failure_detector = self.membership, self.membership.failure_detector
-        links = {label: self.channels[label] for label in self.queue_subscribers()}
+        links = {label: self.messenger.channels[label] for label in self.queue_subscribers()}
         status = messages.PeerStatus(
             failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
         )
         one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
         for told in self.queue_publisher.tell(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
             if told.numbered:
-                self.send(told.label, told.message)
+                self.messenger.send(told.label, told.message)
             else:
-                self.send_unreliable(told.label, told.message)
-        for label in self.channels:
+                self.messenger.send_unreliable(told.label, told.message)
+        for label in self.messenger.channels:
             if label not in links:
-                self.send_unreliable(label, messages.KeepAlive())
+                self.messenger.send_unreliable(label, messages.KeepAlive())
 
     def queue_subscribers(self) -> list[str]:
         """The other members of the view; but for older processes in a member's place, once changes are told."""
-        others = [label for label in self.channels if label in self.membership.view.members]
+        others = [label for label in self.messenger.channels if label in self.membership.view.members]
         if self.queue_publisher.form is Form.WHOLE_QUEUES:
             return others
         return [
@@ -1186,22 +1121,15 @@
             if self.membership.protocol_versions.get(label, 0) >= constants.VERSION_WITH_QUEUE_DELTAS
         ]
 
-    def maintain_channels(self, now: float) -> None:
-        """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
-        for label, channel in self.channels.items():
-            if label in self.membership.view.members and channel.is_quiet(now):
-                self.send(label, messages.KeepAlive())
-            if channel.is_stalled(now):
-                self.channel_renewals.append(label)
-            self.outgoing_frames += [(label, frame) for frame in channel.resend(now)]
-
     def report_machines(self, now: float) -> None:
         """The leader is told of this part's machines, once a second."""
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
-        self.send_unreliable(leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.run_time)))
+        self.messenger.send_unreliable(
+            leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.run_time))
+        )
         if self.ledger.entries and self.membership.all_support(constants.VERSION_WITH_CONFIGURATION):
-            self.send_unreliable(
+            self.messenger.send_unreliable(
                 leader,
                 messages.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False),
             )
@@ -1211,9 +1139,9 @@
         by_changes = self.membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)
         for label, teams in self.leader.quota_updates(now).items():
             if by_changes:
-                self.send(label, messages.QuotaDelta(teams))
+                self.messenger.send(label, messages.QuotaDelta(teams))
             else:
-                self.send(label, messages.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
+                self.messenger.send(label, messages.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
 
     def jobs_within_guarantee(self) -> set[str]:
         """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs, on any home."""
@@ -1250,11 +1178,11 @@
 
     def on_terminated(self, names: list[str], now: float) -> None:
         """The cloud has confirmed a return: everybody is told."""
-        self.now = now
+        self.state.now = now
         self.leader.on_terminated(names)
         for label in self.membership.view.members:
-            self.send(label, messages.MachinesTerminated(names))
-        self.pump()
+            self.messenger.send(label, messages.MachinesTerminated(names))
+        self.messenger.pump()
 
     def set_machine_types(self, types: dict[str, wire.MachineType]) -> None:
         self.types = self.machine_shard.types = types
@@ -1264,25 +1192,25 @@
         """The machine types, where the store has none or others; spot prices alone are no news."""
         lasting = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.types.values()]
         known = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
-        if not lasting or lasting == known or not self.membership.is_leader(self.now):
+        if not lasting or lasting == known or not self.membership.is_leader(self.state.now):
             return None
         machine_types = wire.MachineTypes(list(self.types.values()))
         return machine_types if len(msgspec.json.encode(machine_types)) < self.job_shard.value_bytes else None
 
     def drain_machines(self, names: list[str], now: float) -> None:
-        self.now = now
+        self.state.now = now
         by_part: dict[str, list[str]] = {}
         for name in names:
             by_part.setdefault(self.membership.machine_owner(name), []).append(name)
         for label, part in by_part.items():
-            self.send(label, messages.DrainMachines(part))
-        self.pump()
+            self.messenger.send(label, messages.DrainMachines(part))
+        self.messenger.pump()
 
     # -- users -------------------------------------------------------------------------
 
     def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
         """From memory: an end that the store holds, or this home's own job."""
-        self.now = now
+        self.state.now = now
         ended = self.replica.ended.get(job)
         if ended is not None:
             return ended.value, 0, 0
@@ -1306,17 +1234,17 @@
         the answer could be taken back by a home that has yet to hear of it.
         """
         at = self.doomed_at.get(job)
-        return at is not None and self.now - at > self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
+        return at is not None and self.state.now - at > self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
 
     def is_certainly_pending(self, job: str, now: float) -> bool:
         """Whether a record that is active in the store may be told so, a moment after it was read."""
-        self.now = now
+        self.state.now = now
         spec = self.spec_of(job)
         return spec is not None and job not in self.graph.doomed and self.may_act()
 
     def cancel(self, job: str, now: float) -> str | None:
         """The job's stored state, "" while its end is being written, None where this is not its home."""
-        self.now = now
+        self.state.now = now
         if job in self.replica.ended:
             return self.replica.ended[job].value
         mine = self.job_shard.jobs.get(job)
@@ -1327,3 +1255,19 @@
             mine.end_awaited = True
             return ""
         return mine.stored_state.value
+
+    # -- what the process calls, delegated to the owners -----------------------
+
+    @property
+    def loaded(self) -> bool:
+        """Whether the replica has been read."""
+        return self.state.loaded
+
+    @property
+    def channels(self) -> dict[str, Channel]:
+        """The channels to the peers, by label."""
+        return self.messenger.channels
+
+    def send_unreliable(self, label: str, body: messages.Message) -> None:
+        """See ``Messenger``."""
+        self.messenger.send_unreliable(label, body)
--- /dev/null
+++ b/alderbridge/controller/messenger.py
@@ -0,0 +1,97 @@
+"""Messages to the other members and to this controller itself. Pure: frames leave through ``Effects``."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any
+
+from alderbridge.controller.effects import Effects
+from alderbridge.controller.state import ControllerState
+from alderbridge.protocol import messages
+from alderbridge.transport.channel import Channel
+
+Handler = Callable[[str, Any], None]  # called with the sender's label and a message of the type it is registered for
+
+
+class Messenger:
+    """The channels to the peers, the inbox of messages to itself, and the dispatch of what arrives."""
+
+    def __init__(self, state: ControllerState, effects: Effects, peers: Iterable[str]) -> None:
+        """``peers``: labels of the other controllers. Messages are dispatched once ``handlers`` is set."""
+        self.me = state.me
+        self.state = state
+        self.effects = effects
+        self.handlers: Mapping[type[messages.Message], Handler] = {}
+        self.channels = {label: Channel(self.me) for label in peers}
+        self.inbox: deque[tuple[int, messages.Message]] = deque()
+        self.deferred: dict[str, list[messages.Message]] = {}  # before the next message there, or in the next round
+        self.local_seq = self.local_processed_seq = 0
+
+    def enter(self, fencing_token: int, lease_id: int) -> None:
+        """A new view: what was on its way under the one before is dropped."""
+        for channel in self.channels.values():
+            channel.reset(fencing_token, self.state.now, lease_id)
+        self.inbox.clear()
+        self.deferred.clear()
+
+    def send(self, label: str, body: messages.Message) -> int:
+        """A message that must arrive; its number in the channel to that member."""
+        if label == self.me:
+            self.local_seq += 1
+            self.inbox.append((self.local_seq, body))
+            return self.local_seq
+        channel = self.channels.get(label)
+        if channel is None:
+            return 0
+        if label in self.deferred:
+            self.flush_deferred(label)
+        frame = channel.post(body, self.state.now)
+        self.effects.outgoing_frames.append((label, frame))
+        return frame.seq
+
+    def send_deferred(self, label: str, body: messages.Message) -> int:
+        """One that must arrive, and may wait for company: a write for each wakes the peer, which costs more than it."""
+        if label == self.me:
+            return self.send(label, body)
+        if label in self.channels:
+            self.deferred.setdefault(label, []).append(body)
+        return 0
+
+    def flush_deferred(self, label: str) -> None:
+        channel = self.channels[label]
+        self.effects.outgoing_frames += [
+            (label, channel.post(body, self.state.now)) for body in self.deferred.pop(label, ())
+        ]
+
+    def send_unreliable(self, label: str, body: messages.Message) -> None:
+        """A message that may be lost."""
+        if label == self.me:
+            self.dispatch(label, body)
+        elif label in self.channels:
+            self.effects.outgoing_frames.append((label, self.channels[label].post_unreliable(body)))
+
+    def pump(self) -> None:
+        """Deliver messages to this controller itself, until none is left."""
+        while self.inbox:
+            seq, body = self.inbox.popleft()
+            self.local_processed_seq = seq
+            self.dispatch(self.me, body)
+
+    def dispatch(self, label: str, body: messages.Message) -> None:
+        """Handle a message; kinds that nobody handles are dropped."""
+        handler = self.handlers.get(type(body))
+        if handler is not None:
+            handler(label, body)
+
+    def processed_seq_of(self, label: str) -> int:
+        return self.local_processed_seq if label == self.me else self.channels[label].received
+
+    def maintain_channels(self, now: float) -> None:
+        """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
+        for label, channel in self.channels.items():
+            if label in self.state.membership.view.members and channel.is_quiet(now):
+                self.send(label, messages.KeepAlive())
+            if channel.is_stalled(now):
+                self.effects.channel_renewals.append(label)
+            self.effects.outgoing_frames += [(label, frame) for frame in channel.resend(now)]
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -15,6 +15,7 @@
 from alderbridge.cloud import Cloud, CloudError, NoCapacityError
 from alderbridge.configuration import Declared
 from alderbridge.controller.core import ControllerCore, WriteBatch
+from alderbridge.controller.effects import JobEndStored
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.leader.leader import ScalingDecision
 from alderbridge.machines.shard import Machine
@@ -88,31 +89,30 @@
 
     async def after(self) -> None:
         """Move what the node has left for others."""
-        core = self.core
+        core, effects = self.core, self.core.effects
         if self.writer_waits and not core.nothing_to_write():
             await self.work.set()
-        while core.queries:
-            label, ask = core.queries.popleft()
+        while effects.queries:
+            label, ask = effects.queries.popleft()
             if ask.kind == "status":
                 self.answer_status(label, ask)
             else:
                 await curio.spawn(self.answer_ask, label, ask, daemon=True)
-        renewals, core.channel_renewals = core.channel_renewals, []
-        for label in renewals:
+        for label in effects.take_channel_renewals():
             self.mesh.renew(label)
-        outgoing, core.outgoing_frames = core.outgoing_frames, []
-        for label, frame in outgoing:
+        for label, frame in effects.take_outgoing_frames():
             self.mesh.put(label, frame)
-        while core.query_replies:
-            reply = core.query_replies.popleft()
+        while effects.query_replies:
+            reply = effects.query_replies.popleft()
             waiting = self.asks.get(reply.query_id)
             if reply.query_id in self.polls:
                 await self.told(reply.query_id, reply)
             elif waiting is not None:
                 waiting[1].append(reply)
                 await waiting[0].set()
-        while core.notifications:
-            what = core.notifications.popleft()
+        while effects.notifications:
+            notification = effects.notifications.popleft()
+            what = notification.job if isinstance(notification, JobEndStored) else notification
             for event in self.waiters.pop(what, ()):
                 await event.set()
             self.settle(what)
--- /dev/null
+++ b/alderbridge/controller/write_batch.py
@@ -0,0 +1,32 @@
+"""One transaction of records that are due, and whose they are."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from alderbridge.configuration import Proposal
+from alderbridge.controller.submissions import Submission
+from alderbridge.jobs.shard import Job, Record
+from alderbridge.preemption import Transaction
+
+
+@dataclass
+class WriteBatch:
+    """One transaction, and whose records it carries."""
+
+    fencing_token: int
+    conditions: dict[str, int]
+    puts: dict[str, object] = field(default_factory=dict)
+    drops: list[str] = field(default_factory=list)
+    jobs: list[tuple[Job, Record, list[tuple[str, int, int]]]] = field(default_factory=list)
+    submissions: list[tuple[Submission, Record]] = field(default_factory=list)
+    machines: list[str] = field(default_factory=list)
+    dropped_machines: list[str] = field(default_factory=list)
+    lists: list[tuple[Submission, str]] = field(default_factory=list)
+    dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
+    proposal: Proposal | None = None  # then nothing else
+    claims: Transaction | None = None  # then nothing else is in it
+
+    @property
+    def changes(self) -> int:
+        return len(self.puts) + max(len(self.dropped_machines), len(self.drops))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -107,7 +107,7 @@
 def control(monkeypatch):
     """A controller at work; what its store holds is the test's."""
     one = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
-    one.core.loaded = True
+    one.core.state.loaded = True
     wide = msgspec.structs.replace(TYPES["large"], name="wide", cpus=64.0)
     only_a = msgspec.structs.replace(TYPES["large"], name="one_zone", zones=["a"])
     one.core.set_machine_types({**TYPES, "wide": wide, "one_zone": only_a})
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -8,6 +8,7 @@
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.state import ControllerState
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
 from alderbridge.membership.view import MemberRecord, Membership, View
 from alderbridge.state.store import VIEW
@@ -51,13 +52,13 @@
         if self.core is None or self.world.t < self.frozen_until:
             return
         passing = []
-        for label, frame in self.core.outgoing_frames:
+        for label, frame in self.core.effects.outgoing_frames:
             until, held = self.world.cuts.get((self.label, label), (0.0, False))
             if self.world.t >= until:
                 passing.append((label, frame))
             elif held:
                 self.world.after(until - self.world.t, self.world.nodes[label].frame, msgspec.msgpack.encode(frame))
-        self.core.outgoing_frames = passing
+        self.core.effects.outgoing_frames = passing
         super().flush()
 
 
@@ -244,7 +245,7 @@
 
     monkeypatch.setattr(ControllerCore, "observe_frame", hear)
     monkeypatch.setattr(
-        ControllerCore, "is_member", property(lambda self: True, lambda self, value: None), raising=False
+        ControllerState, "is_member", property(lambda self: True, lambda self, value: None), raising=False
     )
     with pytest.raises(Broken, match="left_out: host-0"):  # an outsider that takes what members say, and is believed
         for seed in range(13000, 13004):
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -258,7 +258,7 @@
             self.look_at_store()
         lists = {}
         for label, sim in self.nodes.items():
-            if sim.core is not None and sim.core.loaded:
+            if sim.core is not None and sim.core.state.loaded:
                 lists[label] = [0] if sim.old else sim.core.declared.obeyed("hours", self.t)
         alone = {obeyed[0] for obeyed in lists.values() if len(obeyed) == 1 and obeyed[0] > 0}
         for revision in alone:
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -84,22 +84,24 @@
     world = World(8700, trouble=False, jobs=30)
     home, part, name, index, run = a_run(world)
     owner = world.nodes[part].core
-    owner.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
+    owner.messenger.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
     world.nodes[home].crash()
     world.restart(world.nodes[home])
-    while not (core := world.nodes[home].core).loaded:
+    while not (core := world.nodes[home].core).state.loaded:
         world.run(world.t + 0.01)
-    assert not core.is_member and core.membership.fencing_token == owner.membership.fencing_token
+    assert not core.state.is_member and core.membership.fencing_token == owner.membership.fencing_token
     seen = messages.MachineTaskReport(
         run.machine, run.zone, 0, [messages.TaskStatusReport(name, index, run.attempt, "running", None)], []
     )
-    core.on_frame(owner.channels[home].post(seen, world.t), world.t)
-    assert not [body for _, body in core.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
+    core.on_frame(owner.messenger.channels[home].post(seen, world.t), world.t)
+    assert not [body for _, body in core.effects.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
         "no halt of what it ran"
     )
-    assert core.channels[part].received == 0, "nor an acknowledgement"
-    core.on_frame(owner.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
-    assert [ask.query_id for _, ask in core.queries] == [7], "questions are taken; 503 has the asker read the store"
+    assert core.messenger.channels[part].received == 0, "nor an acknowledgement"
+    core.on_frame(owner.messenger.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
+    assert [ask.query_id for _, ask in core.effects.queries] == [7], (
+        "questions are taken; 503 has the asker read the store"
+    )
 
 
 def test_the_view_may_arrive_before_the_process_knows_its_hold():
@@ -114,10 +116,10 @@
     fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
     while core.membership.fencing_token <= fencing_token or not late:
         world.run(world.t + 0.05)
-    assert not core.is_member and not core.may_act()
+    assert not core.state.is_member and not core.may_act()
     core.lease_acquired = real
     core.lease_acquired(*late[0])
-    assert core.may_act() and core.is_member and core.job_shard.jobs
+    assert core.may_act() and core.state.is_member and core.job_shard.jobs
     world.served(core)
 
 
@@ -174,7 +176,7 @@
         async def deliver():
             while not second.asks:
                 await curio.sleep(0)
-            second.core.query_replies.append(messages.JobQueryReply(next(iter(second.asks)), 200, body))
+            second.core.effects.query_replies.append(messages.JobQueryReply(next(iter(second.asks)), 200, body))
             await second.after()
 
         task = await curio.spawn(deliver)
@@ -302,11 +304,11 @@
 
 def former_frames_accepted(monkeypatch):
     def on_frame(self, frame, now):
-        self.now = now
-        body = self.channels[frame.sender].receive(frame, now)
+        self.state.now = now
+        body = self.messenger.channels[frame.sender].receive(frame, now)
         if body is not None:
-            self.dispatch(frame.sender, body)
-            self.pump()
+            self.messenger.dispatch(frame.sender, body)
+            self.messenger.pump()
 
     monkeypatch.setattr(ControllerCore, "on_frame", on_frame)
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -550,7 +550,7 @@
         if sim.core.may_act():
             acted.append(world.t - began)
             assert lease_id == named and lease_id in store.holds
-    assert world.answers_lost and sim.core.may_act() and sim.core.is_member
+    assert world.answers_lost and sim.core.may_act() and sim.core.state.is_member
     assert strange is (step == "key"), "a life that nobody knows was in the view"
     if step == "extend":
         assert not [at for at in acted if sim.core.membership.store_lease.ttl_s < at < lost_s], (
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -123,12 +123,12 @@
     world = World(15020, trouble=False, jobs=0)
     world.run(20.0)
     one, other = world.nodes["host-0"].core, world.nodes["host-1"].core
-    assert one.is_member
-    before = one.channels["host-1"].received
+    assert one.state.is_member
+    before = one.messenger.channels["host-1"].received
     one.membership.store_lease.mark_expired()
     for _ in range(2):
-        one.on_frame(other.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
-    assert one.channels["host-1"].received == before
+        one.on_frame(other.messenger.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
+    assert one.messenger.channels["host-1"].received == before
 
 
 # -- a leader that users and workers still reach, and nobody else -------------------
@@ -354,7 +354,7 @@
         control.clock[0] += constants.QUERY_TIMEOUT_S + 0.1
         await control.after()
         await curio.sleep(0.05)
-        control.core.query_replies.append(
+        control.core.effects.query_replies.append(
             messages.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1))
         )
         await control.after()
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -199,7 +199,7 @@
         """Ask the store what has changed, or take in what it said."""
         core, look = self.controls[label].core, self.looks.pop(label, None)
         if look is None:
-            rows = None if core.loaded else self.store.rows()
+            rows = None if core.state.loaded else self.store.rows()
             self.looks[label] = self.t, rows, self.store.since(core.replica.revision), self.store.revision
             return
         sent, rows, changes, revision = look
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -458,7 +458,7 @@
         for index, run in job.runs.items()
         if sim.core.membership.machine_owner(run.machine) != sim.label and run.state is TaskState.RUNNING
     )
-    old = part.channels[home.me].post_unreliable(MachineTaskReport(run.machine, run.zone, 10**6, [], []))
+    old = part.messenger.channels[home.me].post_unreliable(MachineTaskReport(run.machine, run.zone, 10**6, [], []))
     fencing_token = home.membership.fencing_token
     world.end(next(sim for sim in world.nodes.values() if sim.core not in (home, part)), 1.0)
     while home.membership.fencing_token == fencing_token:
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -123,7 +123,7 @@
         super().call(answered, fail, method, *args, too_large=too_large)
 
     def tell_users(self) -> None:
-        for item in self.core.notifications:
+        for item in self.core.effects.notifications:
             if isinstance(item, Submission):
                 self.world.decided(item)
         super().tell_users()
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -312,7 +312,7 @@
     assert not alone.carry_out(put).failed
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
-    alone.core.pump()
+    alone.core.messenger.pump()
     assert not alone.core.job_shard.barrier, "nothing is on it"
     alone.write()
     assert MACHINES + name not in alone.store.data
@@ -697,7 +697,7 @@
         )
 
     core = control.core
-    core.loaded, core.job_shard.value_bytes = True, 200
+    core.state.loaded, core.job_shard.value_bytes = True, 200
     core.set_machine_types(TYPES)
     monkeypatch.setattr(control.store, "get", get)
     monkeypatch.setattr(core.membership, "may_act", lambda now: True)
@@ -807,7 +807,7 @@
 
     def follow(self) -> None:
         core, store, world = self.core, self.world.store, self.world
-        if self.follow_busy or not core.loaded or not self.troubled() or world.rng.random() >= 0.05:
+        if self.follow_busy or not core.state.loaded or not self.troubled() or world.rng.random() >= 0.05:
             return super().follow()
         self.follow_busy, sent = True, world.t
 
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -324,7 +324,7 @@
 
     def flush(self):
         if self.core is not None and any(
-            isinstance(frame.body, messages.TaskGrant) for _, frame in self.core.outgoing_frames
+            isinstance(frame.body, messages.TaskGrant) for _, frame in self.core.effects.outgoing_frames
         ):
             self.jump(0.1)
         super().flush()
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -289,7 +289,7 @@
 
     def flush(self):
         if self.core is not None:
-            for label, frame in self.core.outgoing_frames:
+            for label, frame in self.core.effects.outgoing_frames:
                 self.world.sent.add(type(frame.body))
                 known_older = self.core.membership.protocol_versions.get(label) == OLDER
                 if (self.label in self.world.older or known_older) and isinstance(frame.body, NEW_MESSAGES):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -477,14 +477,16 @@
     world = World(9600, jobs=0, trouble=False)
     world.run(5.0)
     core = world.nodes["host-0"].core
-    core.outgoing_frames.clear()
+    core.effects.outgoing_frames.clear()
     clears = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
-    core.send_deferred("host-1", clears[0])
-    core.send_deferred("host-1", clears[1])
-    assert not core.outgoing_frames
-    core.send("host-1", clears[2])
-    assert [frame.body for _, frame in core.outgoing_frames] == clears
-    assert [frame.seq for _, frame in core.outgoing_frames] == sorted(frame.seq for _, frame in core.outgoing_frames)
-    core.send_deferred("host-1", clears[0])
+    core.messenger.send_deferred("host-1", clears[0])
+    core.messenger.send_deferred("host-1", clears[1])
+    assert not core.effects.outgoing_frames
+    core.messenger.send("host-1", clears[2])
+    assert [frame.body for _, frame in core.effects.outgoing_frames] == clears
+    assert [frame.seq for _, frame in core.effects.outgoing_frames] == sorted(
+        frame.seq for _, frame in core.effects.outgoing_frames
+    )
+    core.messenger.send_deferred("host-1", clears[0])
     core.round(world.t)
-    assert clears[0] in [frame.body for _, frame in core.outgoing_frames[3:]] and not core.deferred
+    assert clears[0] in [frame.body for _, frame in core.effects.outgoing_frames[3:]] and not core.messenger.deferred
--- a/tests/world.py
+++ b/tests/world.py
@@ -472,13 +472,13 @@
 
         def read(since: int | None = None):
             store.check()
-            if since is None and (self.reads_all or not core.loaded):
+            if since is None and (self.reads_all or not core.state.loaded):
                 return self.seen(store.rows()), [], store.revision
             return None, self.seen(store.since(core.replica.revision if since is None else since)), store.revision
 
         def done(answer, rows=None, sent=sent):
             rows, changes, revision = answer if rows is None else (rows, *answer[1:])
-            if rows is not None and core.loaded and self.reads_all:  # then what has changed since the first row
+            if rows is not None and core.state.loaded and self.reads_all:  # then what has changed since the first row
                 self.reads_all = False
                 self.call(lambda answer, sent=world.t: done(answer, rows, sent), failed, read, revision)
                 return
@@ -493,7 +493,7 @@
 
         def failed():
             self.follow_busy = False
-            self.reads_all = world.reloads and core.loaded  # as the program does after any trouble with following
+            self.reads_all = world.reloads and core.state.loaded  # as the program does after any trouble with following
 
         self.call(done, failed, read)
 
@@ -570,8 +570,8 @@
         return self.seen([wire.KeyValue(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
 
     def tell_users(self) -> None:
-        while self.core.notifications:
-            item = self.core.notifications.popleft()
+        while self.core.effects.notifications:
+            item = self.core.effects.notifications.popleft()
             if isinstance(item, Submission) and item.outcome == "accepted":
                 self.world.accept(item.job.spec.id)
 
@@ -661,7 +661,7 @@
 
         world.asking[number] = (self.label, life, world.t + constants.QUERY_TIMEOUT_S, answered)
         world.after(constants.QUERY_TIMEOUT_S, given_up)
-        core.send_unreliable(home, messages.JobQuery(number, "status", job))
+        core.messenger.send_unreliable(home, messages.JobQuery(number, "status", job))
         self.flush()
 
     def status_stored(self, job: str, told) -> None:
@@ -719,7 +719,7 @@
 
         if core.knows_job(spec.id):
             known()
-        elif not core.loaded or not core.types:
+        elif not core.state.loaded or not core.types:
             told(None)
         elif Controller.never_runs(SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec):
             self.status(spec.id, told)
@@ -746,11 +746,11 @@
     def questions(self) -> None:
         """What others ask this one to withdraw, and their answers."""
         core, world = self.core, self.world
-        while core.queries:
-            label, ask = core.queries.popleft()
+        while core.effects.queries:
+            label, ask = core.effects.queries.popleft()
 
             def told(state: str | None, label: str = label, ask: messages.JobQuery = ask) -> None:
-                core.send_unreliable(
+                core.messenger.send_unreliable(
                     label, messages.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode())
                 )
 
@@ -758,8 +758,8 @@
                 self.withdraw(ask.job, told)
             else:
                 told((core.local_job_state(ask.job, world.t) or (None,))[0])
-        while core.query_replies:
-            reply = core.query_replies.popleft()
+        while core.effects.query_replies:
+            reply = core.effects.query_replies.popleft()
             label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
             if label == self.label and life == self.life and world.t <= until:
                 told(reply.body.decode() if reply.status == 200 else None)
@@ -768,11 +768,11 @@
         if self.core is None:
             return
         world = self.world
-        if self.core.queries or self.core.query_replies:
+        if self.core.effects.queries or self.core.effects.query_replies:
             self.questions()
-        self.dead_links -= set(self.core.channel_renewals)
-        self.core.channel_renewals.clear()
-        outgoing, self.core.outgoing_frames = self.core.outgoing_frames, []
+        self.dead_links -= set(self.core.effects.channel_renewals)
+        self.core.effects.channel_renewals.clear()
+        outgoing, self.core.effects.outgoing_frames = self.core.effects.outgoing_frames, []
         for label, frame in outgoing:
             other = world.nodes[label]
             cut = max(self.cut_mesh_until, other.cut_mesh_until)
@@ -804,7 +804,7 @@
             return
         core = self.core
         heartbeat = wire.parse_heartbeat(raw)
-        if not core.loaded or not core.membership.may_act(world.t):
+        if not core.state.loaded or not core.membership.may_act(world.t):
             return reply(503, b"")
         owner = core.membership.report_to(heartbeat.machine)
         if owner != self.label:
@@ -1274,7 +1274,7 @@
             if spec.service or self.rng.random() < 0.15:
                 self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
             return
-        if core is not None and core.types and core.membership.may_act(self.t) and core.loaded:
+        if core is not None and core.types and core.membership.may_act(self.t) and core.state.loaded:
             ready = not spec.needs or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
                 and all(map(core.knows_job, spec.needs))
@@ -1455,7 +1455,7 @@
             self.cancelled_at.setdefault(job, math.inf)
         if again:
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
-        if core is None or not core.loaded:
+        if core is None or not core.state.loaded:
             return
         home, told = core.job_owner(job), self.withdrawn
         if home == sim.label or job in core.replica.ended:
@@ -1468,7 +1468,7 @@
                 self.t + constants.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
-            core.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
+            core.messenger.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
             sim.flush()
         else:
             sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -157,12 +157,12 @@
             core = self.nodes[sender]
             if core is None:
                 continue
-            outgoing_frames, core.outgoing_frames = core.outgoing_frames, []
-            core.notifications.clear()
+            outgoing_frames, core.effects.outgoing_frames = core.effects.outgoing_frames, []
+            core.effects.notifications.clear()
             for peer, frame in outgoing_frames:
                 if self.nodes[peer] is not None:
                     self.clock(f"on {type(frame.body).__name__}", self.nodes[peer].on_frame, frame, self.now)
-                    if self.nodes[peer].outgoing_frames:
+                    if self.nodes[peer].effects.outgoing_frames:
                         waiting.append(peer)
 
     def fall(self, away_s: float, dead: float) -> None:
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -233,7 +233,7 @@
         self.nodes = {label: ControllerCore(self.platform(label), settings.Tuning(), 0.0) for label in self.labels}
         for label, core in self.nodes.items():
             core.membership.store_lease.record_renewal(self.labels.index(label) + 1, 0.0)
-            core.loaded = True
+            core.state.loaded = True
             core.set_machine_types({KIND.name: KIND})
             core.leader.on_listing([], 0.0)
         members = {label: number + 1 for number, label in enumerate(self.labels)}
@@ -377,8 +377,8 @@
         while waiting:
             sender = waiting.popleft()
             core = self.nodes[sender]
-            outgoing_frames, core.outgoing_frames = core.outgoing_frames, []
-            core.notifications.clear()
+            outgoing_frames, core.effects.outgoing_frames = core.effects.outgoing_frames, []
+            core.effects.notifications.clear()
             buffers: dict[str, bytearray] = {}
             self.clock.owner = sender
             for peer, frame in outgoing_frames:
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -50,7 +50,7 @@
         for core in self.nodes.values():
             core.apply_calendars([text])
             gate = core.calendars
-            gate.clock = lambda core=core: core.now + self.offset
+            gate.clock = lambda core=core: core.state.now + self.offset
         for number in range(args.jobs):
             self.at(5.0 + 50.0 * number / args.jobs, self.opening_job, number, args.tasks)
 
