--- /dev/null
+++ b/alderbridge/controller/batch_results.py
@@ -0,0 +1,192 @@
+"""What follows from the store's answer to a transaction of records. Pure."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+
+from alderbridge import constants
+from alderbridge.configuration import Declarations
+from alderbridge.controller.dependency_tracker import DependencyTracker
+from alderbridge.controller.effects import Effects, JobEndStored
+from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.messenger import Messenger
+from alderbridge.controller.record_writer import RecordWriter
+from alderbridge.controller.state import ControllerState
+from alderbridge.controller.submissions import Submission, Submissions
+from alderbridge.controller.write_batch import WriteBatch
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.protocol import wire
+from alderbridge.state.replica import Replica, list_keys
+from alderbridge.state.store import JOBS, MACHINES
+
+log = logging.getLogger("core")
+
+_record = msgspec.json.Decoder(Record)
+
+
+class BatchResults:
+    """Brings the owners of the records up to date with what is stored, or has all that failed written again."""
+
+    def __init__(
+        self,
+        state: ControllerState,
+        effects: Effects,
+        messenger: Messenger,
+        replica: Replica,
+        declared: Declarations,
+        job_shard: JobShard,
+        machine_records: MachineRecords,
+        submissions: Submissions,
+        dependencies: DependencyTracker,
+        record_writer: RecordWriter,
+    ) -> None:
+        """``record_writer`` made the transactions."""
+        self.state = state
+        self.effects = effects
+        self.messenger = messenger
+        self.replica = replica
+        self.declared = declared
+        self.job_shard = job_shard
+        self.machine_records = machine_records
+        self.submissions = submissions
+        self.dependencies = dependencies
+        self.record_writer = record_writer
+
+    # -- not carried out -------------------------------------------------------
+
+    def on_failed(self, batch: WriteBatch, now: float) -> None:
+        """Refused, in conflict, or without an answer: all of it is due again."""
+        for job, _, _ in batch.jobs:
+            job.mark_dirty(now)
+        self.record_writer.lists_to_drop += batch.dropped_lists
+        batch.dropped_lists = []  # once: a conflict that can't be read fails again
+        if batch.proposal is not None:
+            self.declared.failed(batch.proposal, now)
+        if batch.claims is not None:
+            self.replica.ledger.failed(batch.claims)
+            self.record_writer.claims_deferred = True
+
+    def on_too_large(self, batch: WriteBatch, now: float) -> None:
+        """The store takes less than the settings said: the same again would never be carried out."""
+        self.on_failed(batch, now)
+        if batch.changes > 1:
+            self.record_writer.max_changes = max(1, batch.changes // 2)
+            return
+        self.reduce_value_limit(max((len(msgspec.json.encode(value)) for value in batch.puts.values()), default=0))
+        for submission in [one for one, _ in batch.submissions] + [one for one, _ in batch.lists]:
+            if self.submissions.pending.get(submission.job.spec.id) is submission:
+                self.submissions.decide(submission, "too long")
+
+    def reduce_value_limit(self, size: int) -> None:
+        """The store has refused a value of ``size`` bytes."""
+        self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(constants.MIN_VALUE_BYTES, size * 3 // 4))
+        log.error(
+            "store state=limits_reduced cause=400 values=%d bytes changes=%d",
+            self.job_shard.value_bytes,
+            self.record_writer.max_changes,
+        )
+
+    # -- carried out -----------------------------------------------------------
+
+    def on_written(self, batch: WriteBatch, revision: int, now: float) -> None:
+        """The store holds all of it, at ``revision``."""
+        self.state.now = now
+        current = batch.fencing_token == self.state.membership.fencing_token
+        if batch.proposal is not None:
+            self.declared.done(batch.proposal, revision, now)
+        if batch.claims is not None:
+            self.replica.ledger.done(batch.claims, revision)
+        self._machines_written(batch, revision, current)
+        for job, record, cleared in batch.jobs:
+            if self.job_shard.jobs.get(job.spec.id) is job:
+                self.job_shard.on_written(job, record, revision, cleared, now)
+            self._job_stored(job, record, revision)
+        for submission, key in batch.lists:
+            self.replica.lists[key] = submission.lists.pop(key, [])
+        for submission, record in batch.submissions:
+            self._submission_stored(submission, record, revision, current)
+        self.dependencies.process_events()
+        self.messenger.pump()
+
+    def _machines_written(self, batch: WriteBatch, revision: int, current: bool) -> None:
+        for name in batch.dropped_machines:
+            if not self.machine_records.written_since(name, batch):
+                self.machine_records.dropped(name)
+        for name in batch.machines if current else ():
+            self.machine_records.recorded(name, revision)
+
+    def _job_stored(self, job: Job, record: Record, revision: int) -> None:
+        self.replica.saw_job(job.spec.id, record, revision)
+        if record.state is not JobState.ACTIVE:
+            self.effects.notifications.append(JobEndStored(job.spec.id))
+        if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
+            self.record_writer.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
+            job.dependency_digest = ""
+        if job.is_complete and self.job_shard.jobs.get(job.spec.id) is job:
+            self.job_shard.remove(job)
+
+    def _submission_stored(self, submission: Submission, record: Record, revision: int, current: bool) -> None:
+        job = submission.job
+        job.revision = revision
+        self.replica.saw_job(job.spec.id, record, revision)
+        if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its owner
+            self.job_shard.add(job)
+            self.dependencies.apply(job)
+        self.submissions.decide(submission, "accepted")
+
+    # -- in conflict -----------------------------------------------------------
+
+    def resolve_conflict(self, batch: WriteBatch, key: str, row: wire.KeyValue | None, now: float) -> None:
+        """What the store holds under a key whose condition failed: decide anew."""
+        self.state.now = now
+        current = batch.fencing_token == self.state.membership.fencing_token
+        if batch.proposal is not None:
+            return  # a head that has changed: the replica will tell
+        if key.startswith(MACHINES):
+            self._resolve_machine(batch, key[len(MACHINES) :], row, current)
+            return
+        if row is None or batch.claims is not None:
+            return  # claims in conflict are given up: the replica will show them
+        name, record = key[len(JOBS) :], _record.decode(row.data)
+        for submission, _ in batch.submissions + batch.lists:
+            if submission.job.spec.id == name and not submission.outcome:
+                self._resolve_submission(submission, record, row.revision, current)
+        for job, _, _ in batch.jobs:
+            if job.spec.id == name and self.job_shard.jobs.get(name) is job:
+                self._resolve_job(job, record, row.revision)
+        self.dependencies.process_events()
+        self.messenger.pump()
+
+    def _resolve_machine(self, batch: WriteBatch, name: str, row: wire.KeyValue | None, current: bool) -> None:
+        """An earlier write of this member's had no answer."""
+        if name in batch.dropped_machines and row is None:
+            if not self.machine_records.written_since(name, batch):
+                self.machine_records.dropped(name)
+        elif not current:
+            pass  # what was read may be gone again, and the replica tells
+        elif name in batch.dropped_machines and row is not None:
+            self.replica.machines[name] = row.revision
+        elif row is not None:
+            self.machine_records.recorded(name, row.revision)
+
+    def _resolve_submission(self, submission: Submission, record: Record, revision: int, current: bool) -> None:
+        job = submission.job
+        name = job.spec.id
+        self.replica.saw_job(name, record, revision)
+        ours = record.accepted_by == self.state.me and record.at == job.at and record.state is JobState.ACTIVE
+        if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
+            job.revision = revision  # an earlier write of this member's had no answer
+            self.job_shard.add(job)
+            self.dependencies.apply(job)
+        self.submissions.decide(submission, "known")
+
+    def _resolve_job(self, job: Job, record: Record, revision: int) -> None:
+        """Only its owner writes it under this view: an earlier write of this member's."""
+        job.revision = revision
+        if record.state is not JobState.ACTIVE:
+            job.apply_stored_end(record.state)
+            self.job_shard.on_written(job, record, revision, [], self.state.now)
+            job.mark_dirty(self.state.now)
+        self._job_stored(job, record, revision)
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -18,16 +18,21 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.calendars.declaration import Text as Hours
-from alderbridge.calendars.gate import Gate
 from alderbridge.calendars.timetable import NEVER
 from alderbridge.configuration import Declarations, Declared
+from alderbridge.controller.batch_results import BatchResults
+from alderbridge.controller.calendar_control import CalendarControl
+from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.effects import Effects, JobEndStored
+from alderbridge.controller.job_directory import JobDirectory
+from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.machine_records import MachineRecords
 from alderbridge.controller.messenger import Handler, Messenger
+from alderbridge.controller.queue_times import QueueTimes
+from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.controller.state import ControllerState
-from alderbridge.controller.submissions import Submission, beside
+from alderbridge.controller.submissions import Submission, Submissions
 from alderbridge.controller.write_batch import WriteBatch
-from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import Machine, MachineShard
@@ -37,9 +42,9 @@
 from alderbridge.priorities import Rules, Text
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import Form, OfferBook, QueuePublisher, Round, SenderClock, Snapshot
-from alderbridge.scheduling import placement, policy
+from alderbridge.scheduling import placement
 from alderbridge.settings import Platform, Tuning
-from alderbridge.state.replica import Replica, list_keys
+from alderbridge.state.replica import Replica
 from alderbridge.state.store import JOBS, LISTS, MACHINES, MEMBERS, VIEW
 from alderbridge.state.write_rate_limit import WriteRateLimit
 from alderbridge.transport.channel import Channel
@@ -80,24 +85,39 @@
         self.effects = Effects()
         self.state = ControllerState(self.me, self.membership, now)
         self.messenger = Messenger(self.state, self.effects, [peer.label for peer in platform.peers])
-        stretches = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
-        self.graph = Graph(self.run_time, stretches)
+        self.queue_times = QueueTimes(self.state, tuning, shared.objectives)
+        self.graph = self.queue_times.graph
         self.declared = Declarations(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
         self.job_shard = JobShard(shared.teams, self.messenger.send, int(self.limits.value_kb * 1024))
         self.job_shard.machine_owner = self.membership.machine_owner
+        self.directory = JobDirectory(self.membership, self.replica, self.job_shard)
         self.machine_shard = MachineShard(
             self.me,
             shared.workers.lease_s,
             self.messenger.send,
-            self.spec_of,
-            self.job_owner,
+            self.directory.spec_of,
+            self.directory.job_owner,
             rng or Random(platform.label),
         )
         self.machine_shard.processed_seq_of = self.messenger.processed_seq_of
-        self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
+        self.machine_records = MachineRecords(self.replica, self.machine_shard)
+        self.machine_shard.cancelled, self.machine_shard.keep_record = (
+            self.directory.cancelled,
+            self.machine_records.keep,
+        )
         self.machine_shard.send_deferred = self.job_shard.send_deferred = self.messenger.send_deferred
+        self.calendars = CalendarControl(
+            self.state, self.declared, self.job_shard, self.machine_shard, self.queue_times.rank, shared.skew_ms
+        )
+        self.dependencies = DependencyTracker(self.state, self.graph, self.replica, self.job_shard)
+        self.submissions = Submissions(
+            self.state, self.replica, self.job_shard, self.dependencies, self.effects.notifications.append
+        )
+        self.job_queries = JobQueries(
+            self.state, self.replica, self.job_shard, self.directory, self.dependencies, self.graph
+        )
         self.busy: placement.Busy | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
@@ -118,19 +138,34 @@
         self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> its claim's stamp, tasks asked for its room
         self.entered_lease_id = 0  # the permit under which home and part were last built
         self.types: dict[str, wire.MachineType] = {}
-        self.offer_book = OfferBook(self.spec_of)
+        self.offer_book = OfferBook(self.directory.spec_of)
         self.offers = self.offer_book.offers
-        self.submissions: dict[str, Submission] = {}
-        self.machine_records_to_drop: list[str] = []  # machines whose records go
-        self.claims_deferred = False  # the last transaction of claims failed: what else is due goes first, once
-        self.drops_in_flight: set[str] = set()  # machines whose drop was sent, and that were not recorded since
-        self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
-        self.doomed_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
-        self.calendars: Gate | None = None  # None: nothing is declared
-        self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
-        self.has_new_submission = False  # a submission has come since the last look for what to write
         # Until a view says who else writes, all controllers share what the store takes.
         self.write_rate_limit = WriteRateLimit(self.limits.write_rps * constants.RATE_SHARE, len(self.labels), now)
+        self.record_writer = RecordWriter(
+            self.state,
+            self.replica,
+            self.declared,
+            self.job_shard,
+            self.machine_shard,
+            self.machine_records,
+            self.submissions,
+            self.dependencies,
+            self.write_rate_limit,
+            self.limits.txn_ops,
+        )
+        self.batch_results = BatchResults(
+            self.state,
+            self.effects,
+            self.messenger,
+            self.replica,
+            self.declared,
+            self.job_shard,
+            self.machine_records,
+            self.submissions,
+            self.dependencies,
+            self.record_writer,
+        )
         self.machines_reported_at = 0.0
         self.guaranteed_at, self.guaranteed_jobs = float("-inf"), set()
         self.entered_at = now  # when the view arrived here
@@ -143,72 +178,6 @@
     def may_act(self) -> bool:
         return self.state.may_act()
 
-    def spec_of(self, job: str) -> wire.JobSpec | None:
-        known = self.job_shard.jobs.get(job)
-        if known is not None:
-            return known.spec
-        stored = self.replica.active.get(job)
-        return stored[0].spec if stored is not None else None
-
-    def cancelled(self, job: str) -> bool:
-        """Whether the store says so, as far as it has been read here: never taken back."""
-        return self.replica.ended.get(job) is JobState.ABORTED
-
-    def job_owner(self, job: str) -> str:
-        if job in self.job_shard.jobs:
-            return self.me
-        label = self.replica.accepted_by(job)
-        return self.membership.job_owner(label) if label else ""
-
-    def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
-        needed = self.graph.needed_by(job.spec.id)
-        basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
-        if job.queue_times is None or job.queue_times[0] != basis:
-            job.queue_times = (
-                basis,
-                policy.queue_times(
-                    job.spec,
-                    self.tuning,
-                    self.shared.objectives,
-                    guaranteed,
-                    job.waiting_since - job.submitted,
-                    [by - self.state.wall_offset_s - job.waiting_since for by in needed],
-                ),
-            )
-            if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
-                floor = policy.max_queue_time(job.spec, self.tuning)
-                job.queue_times = basis, [(floor, floor)]
-        return policy.due_in(now - job.waiting_since, job.queue_times[1])
-
-    def refresh_calendars(self) -> None:
-        """Texts come into force with what arrives, and with time."""
-        if "hours" in self.declared.kinds:
-            self.apply_calendars(self.declared.in_force("hours", self.state.now))
-
-    def apply_calendars(self, texts: list[Hours]) -> None:
-        """The texts of hours that hold now, all of them: the one in force, and one that is about to be."""
-        if self.calendars is not None:
-            texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
-        if texts != (self.calendars.texts if self.calendars is not None else []):
-            # The clock's offset is from the last change that was followed, within the ttl while this member acts.
-            skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
-            self.calendars = Gate(texts, lambda: self.state.wall(), skew, self.rank)
-            self.job_shard.calendars = self.machine_shard.calendars = self.calendars
-            log.info(
-                "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
-            )
-
-    def rank(self, spec: wire.JobSpec) -> int:
-        """The priority of the jobs that need it, where higher than its own; else -1."""
-        needed = self.graph.needed_rank(spec.id)
-        return needed if needed >= 0 and needed > spec.rank else -1
-
-    def run_time(self, spec: wire.JobSpec) -> float:
-        return policy.expected_run_time(spec, self.tuning)
-
-    def knows_job(self, job: str) -> bool:
-        return job in self.replica.ended or job in self.replica.active or job in self.job_shard.jobs
-
     # -- messages ------------------------------------------------------------
 
     def on_frame(self, frame: messages.Frame, now: float) -> None:
@@ -299,7 +268,7 @@
         self.machine_shard.drain(drain.machines)
 
     def on_machines_terminated(self, label: str, terminated: messages.MachinesTerminated) -> None:
-        self.machine_records_to_drop += self.machine_shard.on_terminated(terminated.machines)
+        self.machine_records.to_drop += self.machine_shard.on_terminated(terminated.machines)
 
     def on_list_machine_tasks(self, label: str, request: messages.ListMachineTasks) -> None:
         sources = self.preemption_policies()
@@ -358,11 +327,11 @@
             if self.replica.apply(change):
                 self.enter_view(now, wall)
             elif change.put is not None and change.put.startswith(JOBS):
-                self.adopt_late_record(change.put[len(JOBS) :])
+                self.submissions.adopt_late_record(change.put[len(JOBS) :])
             elif change.put is not None and change.put.startswith(MACHINES):
                 shown.append(change.put[len(MACHINES) :])
         self.observe_recorded_machines(shown)
-        self.process_dependency_events()
+        self.dependencies.process_events()
         self.process_configuration()
 
     def observe_recorded_machines(self, names: Iterable[str]) -> None:
@@ -371,29 +340,6 @@
             if name in self.replica.machines and self.membership.machine_owner(name) == self.me:
                 self.machine_shard.on_record_observed(name)
 
-    def adopt_late_record(self, name: str) -> None:
-        """A job that this process stored under this view and does not serve: its submission was given up meanwhile.
-
-        Its transaction had no answer and was carried out late, after a refusal had ended the submission, or another
-        try of the user's met its record. It was called accepted then, and nothing ran until the next view.
-        Nothing of it was granted, as it was in no home.
-        """
-        record, revision = self.replica.active.get(name, (None, 0))
-        if (
-            record is None
-            or not self.state.is_member
-            or revision <= self.membership.fencing_token
-            or name in self.job_shard.jobs
-            or name in self.submissions
-            or record.state is not JobState.ACTIVE
-            or self.membership.job_owner(record.accepted_by) != self.me
-        ):
-            return
-        job = Job(record, revision, self.state.now, max(0.0, self.state.wall() - record.at), fresh=True)
-        self.job_shard.add(job)
-        self.apply_dependencies(job)
-        log.info("job=%s state=adopted cause=stored after its submission was given up", name)
-
     def load(
         self, rows: list[wire.KeyValue], changes: list[wire.WatchEvent], revision: int, now: float, wall: float
     ) -> None:
@@ -417,9 +363,9 @@
             self.enter_view(now, wall)
         # Read anew after trouble with following: what was carried out late meanwhile is among the rows, no change.
         for name in list(self.replica.active):
-            self.adopt_late_record(name)
+            self.submissions.adopt_late_record(name)
         self.observe_recorded_machines(self.replica.machines)
-        self.process_dependency_events()
+        self.dependencies.process_events()
         self.process_configuration()
         if not self.types:
             self.set_machine_types(self.replica.types)
@@ -452,7 +398,7 @@
                         waits = self.graph.waiting(name)
                         job = Job(record, revision, now, max(0.0, wall - record.at), fresh=waits)
                         job.inherited = True
-                        self.apply_dependencies(job)
+                        self.dependencies.apply(job)
                     elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
                         # A write of its end had no answer, and was carried out: others may have told it. Taken for
                         # active until the view has settled, it was written so again, with the stamp of its end.
@@ -477,50 +423,22 @@
         self.write_rate_limit.enter(len(members), now)
         self.ledger.enter()
         self.preemption_planner.enter(members)
-        self.machine_records_to_drop = [
-            name for name in self.machine_records_to_drop if name in self.machine_shard.terminated
-        ]
-        self.drops_in_flight.clear()  # under an older view: carried out before this one, or never
+        self.machine_records.enter()
         self.messenger.pump()
 
     # -- dependencies ----------------------------------------------------------
 
-    def apply_dependencies(self, job: Job) -> None:
-        """Whether the job waits, from when its times count, or whether it is doomed."""
-        name = job.spec.id
-        if self.graph.waiting(name):
-            job.block()
-            if name in self.graph.doomed:
-                job.abort(self.state.now, "a job before it is aborted")
-            return
-        ready_at = max(job.ready_at, self.graph.ready_at(name))
-        job.unblock(min(self.state.now, ready_at - self.state.wall_offset_s) if ready_at else job.submitted, ready_at)
-
-    def process_dependency_events(self) -> None:
-        """Facts of the store have arrived: who is ready now, who is doomed."""
-        graph = self.graph
-        ready, graph.fresh_ready = graph.fresh_ready, []
-        doomed, graph.fresh_doomed = graph.fresh_doomed, []
-        for name in doomed:
-            self.doomed_at[name] = self.state.now
-        for name in ready + doomed:
-            job = self.job_shard.jobs.get(name)
-            if job is not None:
-                self.apply_dependencies(job)
-        if len(self.doomed_at) > 2 * len(graph.doomed):
-            self.doomed_at = {name: at for name, at in self.doomed_at.items() if name in graph.doomed}
-
     def process_configuration(self) -> None:
         """What operators declare has arrived, or something in the store that counts can't be read here."""
         if self.declared.changed:
             self.declared.look(self.state.now)
         if self.declared.unreadable:
             self.membership.mark_unreadable()
-        self.refresh_calendars()
+        self.calendars.refresh()
 
     def next_view(self, now: float) -> tuple[View, dict[str, int], list[str]] | None:
         """The change of view to try, with the stamps to assert and the keys of members that are removed."""
-        change = self.membership.next_view(now, self.max_changes - 1) if self.state.loaded else None
+        change = self.membership.next_view(now, self.record_writer.max_changes - 1) if self.state.loaded else None
         if change is None:
             return None
         view, revisions = (
@@ -536,322 +454,6 @@
 
     # -- records -------------------------------------------------------------------
 
-    def next_batch(self, now: float) -> WriteBatch | None:
-        """One transaction of what is due, most urgent first, within the write budget."""
-        self.state.now = now
-        if not self.may_act():
-            return None
-        # Users wait for submissions and ends: these may run ahead of an equal share of the changes. The store
-        # allows bursts of a second's worth, and what is not urgent pays it back.
-        budget = self.write_rate_limit.budget
-        available = budget.available(now)
-        room = min(self.max_changes, int(available + constants.WRITE_AHEAD_SHARE * budget.burst))
-        plain = min(room, int(max(0.0, available)))
-        self.has_new_submission = False
-        if room < 1:
-            return None
-        batch = WriteBatch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
-        # Claims in doubt meet a conflict until the replica shows them. Tried again and again before all else, they kept
-        # the leader's ends, marks and submissions waiting for as long as its watch hung.
-        waits, self.claims_deferred = self.claims_deferred, False
-        if not waits and not self.ledger.idle and self.membership.is_leader(now):
-            batch.claims = self.ledger.due(now + self.state.wall_offset_s, room, self.job_shard.value_bytes)
-            if batch.claims is not None:
-                batch.conditions |= batch.claims.conditions
-                batch.puts, batch.drops = batch.claims.puts, batch.claims.drops
-                self.write_rate_limit.spend(batch.changes, self.state.now)
-                return batch
-        if drops := self.machine_shard.due_record_drops(now):
-            self.machine_records_to_drop = list(dict.fromkeys(self.machine_records_to_drop + drops))
-            self.machine_shard.records_to_drop = [
-                name for name in self.machine_shard.records_to_drop if name not in drops
-            ]
-        due = sorted(self.job_shard.due_writes(now), key=lambda entry: entry[0])
-        queue: list[Job | Submission] = [job for rank, job in due if rank < 2.0]
-        if len(queue) + len(self.submissions) > room:
-            self.write_rate_limit.is_short = True
-            # Who has waited longest goes first. Ends before all submissions had users wait for as long as ends alone
-            # took all the changes; and small jobs end as fast as they are taken.
-            waited = [(job.dirty_since if job.dirty_since is not None else now, job) for job in queue]
-            waited += [(one.job.submitted, one) for one in self.submissions.values()]
-            queue = [entry for _, entry in sorted(waited, key=lambda entry: entry[0])]
-        else:
-            queue += self.submissions.values()
-        if (
-            not queue
-            and plain
-            and (
-                proposal := self.declared.due(
-                    self.membership, now, now + self.state.wall_offset_s, plain, self.job_shard.value_bytes
-                )
-            )
-            is not None
-        ):
-            batch.proposal, batch.puts, batch.drops = proposal, proposal.puts, proposal.drops
-            batch.conditions |= proposal.conditions
-            self.write_rate_limit.spend(batch.changes, self.state.now)
-            return batch
-        for name in [name for name in self.machine_shard.records_to_write if name not in self.machine_records_to_drop][
-            :plain
-        ]:
-            batch.machines.append(name)
-            batch.conditions[MACHINES + name] = 0
-            batch.puts[MACHINES + name] = self.machine_shard.machines[name].record
-        # Before the progress of running jobs, which alone may take all of the budget for as long as the fleet is busy:
-        # each record left behind by a machine that is gone holds up the inherited tasks of every later view.
-        urgent = len(queue)
-        left = min((plain - len(batch.machines) + 1) // 2, room - len(batch.machines) - urgent)
-        batch.dropped_machines = self.machine_records_to_drop[: max(0, left)]
-        queue += [job for rank, job in due if rank >= 2.0]
-        size = 0
-        for number, entry in enumerate(queue):
-            if batch.changes >= (room if number < urgent else plain):
-                break
-            job = entry.job if isinstance(entry, Submission) else entry
-            if isinstance(entry, Submission):
-                self._drop_known_lists(entry)
-                for key, names in entry.lists.items():
-                    if batch.changes >= room or size > constants.MAX_BODY // 2:
-                        break
-                    batch.lists.append((entry, key))
-                    batch.puts[key] = names
-                    # Carried out late, it must not come back when the job is over and its lists are dropped.
-                    batch.conditions[JOBS + job.spec.id] = 0
-                    size += self.job_shard.value_bytes
-                if entry.lists:
-                    continue  # its record follows when they are stored
-                if any(self.is_cascade_aborted(need) for need in self.dependencies_of(job)):
-                    job.abort(now, "it needs an aborted job")
-            record = job.to_record(self.job_shard.value_bytes, self.job_shard.may_end(job))
-            size += len(msgspec.json.encode(record)) + 100
-            if size > constants.MAX_BODY * 3 // 4 and batch.puts:
-                break
-            batch.conditions[JOBS + job.spec.id] = job.revision
-            batch.puts[JOBS + job.spec.id] = record
-            if isinstance(entry, Submission):
-                batch.submissions.append((entry, record))
-            else:
-                job.dirty_since = None
-                batch.jobs.append((job, record, list(job.unacknowledged_results)))
-        batch.dropped_machines = self.machine_records_to_drop[
-            : len(batch.dropped_machines) + max(0, plain - batch.changes)
-        ]
-        batch.drops = [MACHINES + name for name in batch.dropped_machines]
-        self.drops_in_flight.update(batch.dropped_machines)
-        # Carried out late, a drop must not hit a record that has been written again since.
-        batch.conditions |= {MACHINES + name: self.replica.machines.get(name, 0) for name in batch.dropped_machines}
-        if batch.changes < plain:
-            count = plain - batch.changes
-            batch.dropped_lists = self.lists_to_drop[:count]
-            batch.drops += batch.dropped_lists  # nobody reads them: to drop them twice, or late, takes nothing away
-            del self.lists_to_drop[:count]
-        if not batch.changes:
-            return None
-        self.write_rate_limit.spend(batch.changes, self.state.now)
-        return batch
-
-    def nothing_to_write(self) -> bool:
-        """Whether nothing has come since the last look that found nothing, or nothing affordable, to write."""
-        return not (
-            self.has_new_submission
-            or self.job_shard.tally.changed
-            or self.machine_shard.records_to_write
-            or self.machine_shard.due_record_drops(self.state.now)
-            or self.machine_records_to_drop
-            or self.lists_to_drop
-            or not self.ledger.idle
-        )
-
-    def next_write_in(self, now: float) -> float:
-        """How long a look for what to write can wait, in seconds, if nothing comes."""
-        budget = self.write_rate_limit.budget
-        available = budget.available(now)
-        ahead = available + constants.WRITE_AHEAD_SHARE * budget.burst
-        pause = min(constants.ROUND_S, self.job_shard.due_at - now)
-        if ahead < 1:
-            pause = min(constants.ROUND_S, (1 - ahead) / budget.rate)
-        elif available < 1:
-            pause = min(pause, (1 - available) / budget.rate)
-        return max(constants.WRITER_PAUSE_S, pause)
-
-    def on_batch_failed(self, batch: WriteBatch, now: float) -> None:
-        """Refused, in conflict, or without an answer: all of it is due again."""
-        for job, _, _ in batch.jobs:
-            job.mark_dirty(now)
-        self.lists_to_drop += batch.dropped_lists
-        batch.dropped_lists = []  # once: a conflict that can't be read fails again
-        if batch.proposal is not None:
-            self.declared.failed(batch.proposal, now)
-        if batch.claims is not None:
-            self.ledger.failed(batch.claims)
-            self.claims_deferred = True
-
-    def on_batch_too_large(self, batch: WriteBatch, now: float) -> None:
-        """The store takes less than the settings said: the same again would never be carried out."""
-        self.on_batch_failed(batch, now)
-        if batch.changes > 1:
-            self.max_changes = max(1, batch.changes // 2)
-            return
-        self.reduce_value_limit(max((len(msgspec.json.encode(value)) for value in batch.puts.values()), default=0))
-        for submission in [one for one, _ in batch.submissions] + [one for one, _ in batch.lists]:
-            if self.submissions.get(submission.job.spec.id) is submission:
-                self._decide_submission(submission, "too long")
-
-    def refuse_submissions(self) -> None:
-        """The store carries nothing out: who waits is told at once, and asks again later."""
-        for submission in list(self.submissions.values()):
-            self._decide_submission(submission, "refused")
-
-    def reduce_value_limit(self, size: int) -> None:
-        self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(constants.MIN_VALUE_BYTES, size * 3 // 4))
-        log.error(
-            "store state=limits_reduced cause=400 values=%d bytes changes=%d",
-            self.job_shard.value_bytes,
-            self.max_changes,
-        )
-
-    def on_batch_written(self, batch: WriteBatch, revision: int, now: float) -> None:
-        self.state.now = now
-        current = batch.fencing_token == self.membership.fencing_token
-        if batch.proposal is not None:
-            self.declared.done(batch.proposal, revision, now)
-        if batch.claims is not None:
-            self.ledger.done(batch.claims, revision)
-        for name in batch.dropped_machines:
-            if not self._written_since(name, batch):
-                self._dropped(name)
-        for name in batch.machines if current else ():
-            self._recorded(name, revision)
-        for job, record, cleared in batch.jobs:
-            if self.job_shard.jobs.get(job.spec.id) is job:
-                self.job_shard.on_written(job, record, revision, cleared, now)
-            self._stored(job, record, revision)
-        for submission, key in batch.lists:
-            self.replica.lists[key] = submission.lists.pop(key, [])
-        for submission, record in batch.submissions:
-            job = submission.job
-            job.revision = revision
-            self.replica.saw_job(job.spec.id, record, revision)
-            if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its home
-                self.job_shard.add(job)
-                self.apply_dependencies(job)
-            self._decide_submission(submission, "accepted")
-        self.process_dependency_events()
-        self.messenger.pump()
-
-    def _stored(self, job: Job, record: Record, revision: int) -> None:
-        self.replica.saw_job(job.spec.id, record, revision)
-        if record.state is not JobState.ACTIVE:
-            self.effects.notifications.append(JobEndStored(job.spec.id))
-        if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
-            self.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
-            job.dependency_digest = ""
-        if job.is_complete and self.job_shard.jobs.get(job.spec.id) is job:
-            self.job_shard.remove(job)
-
-    def _recorded(self, name: str, revision: int) -> None:
-        """Under the view in force: what was written under an older one the replica had when that ended.
-
-        Since then the machine's new part may have dropped the record. Kept here alone it stayed in the barrier of
-        later views, from which no part would ever strike it.
-        """
-        self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
-        self.drops_in_flight.discard(name)  # all of them are settled, or assert an older record
-        self.machine_shard.on_recorded(name)
-
-    def _written_since(self, name: str, batch: WriteBatch) -> bool:
-        """Whether the replica has a newer record than the one that the batch was to drop.
-
-        An answer may come after the next view, whose part has recorded the machine anew. Taken for unrecorded, what
-        runs on it was free under the view after that, and started elsewhere.
-        """
-        return self.replica.machines.get(name, 0) > batch.conditions[MACHINES + name]
-
-    def _dropped(self, name: str) -> None:
-        self.replica.machines.pop(name, None)
-        self.replica.records.pop(name, None)
-        self.machine_records_to_drop = [other for other in self.machine_records_to_drop if other != name]
-
-    def keep_record(self, name: str) -> bool:
-        """A machine that lapsed is back: its record stays where it is, if no drop of it was ever sent under this view.
-
-        One that was sent may be carried out late, when tasks are on the machine again. One that was answered may yet
-        have to arrive in the replica, which shows the record until then: taken for recorded by that, the machine ran
-        tasks that no later view waited for (docs/incidents/record-shown-late.md). So only a newer put is an answer.
-        """
-        if name in self.drops_in_flight or not (
-            name in self.machine_shard.records_to_drop or name in self.machine_records_to_drop
-        ):
-            return False
-        self.machine_shard.records_to_drop = [other for other in self.machine_shard.records_to_drop if other != name]
-        self.machine_records_to_drop = [other for other in self.machine_records_to_drop if other != name]
-        return True
-
-    def resolve_conflict(self, batch: WriteBatch, key: str, row: wire.KeyValue | None, now: float) -> None:
-        """What the store holds under a key whose condition failed: decide anew."""
-        self.state.now = now
-        current = batch.fencing_token == self.membership.fencing_token
-        if batch.proposal is not None:
-            return  # a head that has changed: the replica will tell
-        if key.startswith(MACHINES):
-            # An earlier write of ours had no answer.
-            name = key[len(MACHINES) :]
-            if name in batch.dropped_machines and row is None:
-                if not self._written_since(name, batch):
-                    self._dropped(name)
-            elif not current:
-                pass  # what was read may be gone again, and the replica tells
-            elif name in batch.dropped_machines and row is not None:
-                self.replica.machines[name] = row.revision
-            elif row is not None:
-                self._recorded(name, row.revision)
-            return
-        if row is None or batch.claims is not None:
-            return  # claims in conflict are given up: the replica will show them
-        record = _record.decode(row.data)
-        name = key[len(JOBS) :]
-        for submission, _ in batch.submissions + batch.lists:
-            job = submission.job
-            if job.spec.id == name and not submission.outcome:
-                self.replica.saw_job(name, record, row.revision)
-                ours = record.accepted_by == self.me and record.at == job.at and record.state is JobState.ACTIVE
-                if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
-                    job.revision = row.revision  # an earlier write of ours had no answer
-                    self.job_shard.add(job)
-                    self.apply_dependencies(job)
-                self._decide_submission(submission, "known")
-        for job, _, _ in batch.jobs:
-            if job.spec.id == name and self.job_shard.jobs.get(name) is job:
-                # Only its home writes it under this view: an earlier write of ours.
-                job.revision = row.revision
-                if record.state is not JobState.ACTIVE:
-                    job.apply_stored_end(record.state)
-                    self.job_shard.on_written(job, record, row.revision, [], now)
-                    job.mark_dirty(now)
-                self._stored(job, record, row.revision)
-        self.process_dependency_events()
-        self.messenger.pump()
-
-    def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
-        """Queue a job for the store; None where its record would not fit, whatever is put beside it."""
-        self.state.now, self.state.wall_offset_s = now, wall - now
-        if spec.id in self.submissions:
-            return self.submissions[spec.id]
-        ended = self.replica.ended
-        needs = [need for need in dict.fromkeys(spec.needs or ()) if ended.get(need) is not JobState.DONE]
-        spec = msgspec.structs.replace(spec, needs=needs or None)
-        record = Record(JobState.ACTIVE, self.me, wall, min(spec.tasks, constants.START_LIMIT_AHEAD), [], spec)
-        lists: dict[str, list[str]] = {}
-        room = self.job_shard.value_bytes - 64
-        if needs and len(msgspec.json.encode(record)) > room:
-            record, lists = beside(record, room)
-        if len(msgspec.json.encode(record)) > room:
-            return None
-        submission = Submission(Job(record, 0, now, 0.0, fresh=True), lists=lists)
-        self.submissions[spec.id] = submission
-        self.has_new_submission = True
-        return submission
-
     def observe_end(self, name: str, record: Record, revision: int) -> None:
         """A record that was read from the store ahead of the changes that bring it: an end is one under every view.
 
@@ -859,39 +461,9 @@
         that one this member may be home to the label that accepted the job. It then told of it, and could have started
         it, beside its home (docs/incidents/read-ahead.md).
         """
-        if record.state is not JobState.ACTIVE and not self.knows_job(name):
+        if record.state is not JobState.ACTIVE and not self.directory.knows_job(name):
             self.replica.saw_job(name, Record(record.state, done_at=record.done_at), revision)
-            self.process_dependency_events()
-
-    def dependencies_of(self, job: Job) -> list[str]:
-        result = list(job.spec.needs or ())
-        for key in list_keys(job.spec.id, job.dependency_digest):
-            result += self.replica.lists.get(key, ())
-        return result
-
-    def is_cascade_aborted(self, job: str) -> bool:
-        return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.doomed
-
-    def _drop_known_lists(self, submission: Submission) -> None:
-        """An earlier try, here or elsewhere, may have stored some: what is under a key never changes."""
-        for key in [key for key in submission.lists if key in self.replica.lists]:
-            del submission.lists[key]
-
-    def _decide_submission(self, submission: Submission, outcome: str) -> None:
-        spec = submission.job.spec
-        log.info(
-            "job=%s state=%s class=%s team=%s tasks=%d cpus=%g",
-            spec.id,
-            outcome,
-            spec.job_class,
-            spec.team,
-            spec.tasks,
-            spec.cpus,
-        )
-        submission.outcome = outcome
-        self.submissions.pop(submission.job.spec.id, None)
-        self.adopt_late_record(spec.id)
-        self.effects.notifications.append(submission)
+            self.dependencies.process_events()
 
     # -- workers -------------------------------------------------------------------
 
@@ -998,7 +570,7 @@
         entry = self.ledger.entries.get(machine.name)
         if entry is None or self.state.wall() >= entry.claim.until:
             return candidate
-        claim, spec = entry.claim, self.spec_of(entry.claim.job)
+        claim, spec = entry.claim, self.directory.spec_of(entry.claim.job)
         revision, used = self.claim_requests.get(machine.name, (0, 0))
         if revision != entry.revision:
             used = 0
@@ -1026,7 +598,9 @@
             return Teams(self.shared.teams, used)
 
         sources = self.preemption_policies()
-        if self.preemption_planner.round(now, now + self.state.wall_offset_s, sources, teams, self.max_changes):
+        if self.preemption_planner.round(
+            now, now + self.state.wall_offset_s, sources, teams, self.record_writer.max_changes
+        ):
             for label in self.membership.view.members:
                 self.messenger.send_unreliable(label, messages.ListMachineTasks())
         if self.lender is not None and now - self.kept_at >= constants.LEADER_ROUND_S and self.leader.ready(now):
@@ -1042,7 +616,7 @@
         """What is due every fifth of a second."""
         self.state.now = now
         self.machine_shard.set_answering(now, self.may_act())
-        self.refresh_calendars()
+        self.calendars.refresh()
         for label in list(self.messenger.deferred):
             self.messenger.flush_deferred(label)
         if self.membership.status(now) is MemberStatus.OUTSIDE:
@@ -1086,8 +660,10 @@
         used = self.job_shard.used(now)
         if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
-        rows = self.job_shard.queue_rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
-        if self.calendars is not None and self.may_act():
+        rows = self.job_shard.queue_rows(
+            now, self.queue_times.due_in, self.queue_times.run_time, self.queue_times.rank, self.guaranteed_jobs, used
+        )
+        if self.calendars.gate is not None and self.may_act():
             self.job_shard.stop_closed()
         return Snapshot(
             rows, used, self.job_shard.reserved(used), self.job_shard.demand(used), self.job_shard.allocations_received
@@ -1126,7 +702,7 @@
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
         self.messenger.send_unreliable(
-            leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.run_time))
+            leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.queue_times.run_time))
         )
         if self.ledger.entries and self.membership.all_support(constants.VERSION_WITH_CONFIGURATION):
             self.messenger.send_unreliable(
@@ -1160,7 +736,11 @@
             # what waits for others holds no part of the guarantee
             if free is None or known[0].state is not JobState.ACTIVE or (name in waiting and self.graph.waiting(name)):
                 continue
-            if self.calendars is not None and at != NEVER and not (look := self.calendars.look(spec)).may_start:
+            if (
+                self.calendars.gate is not None
+                and at != NEVER
+                and not (look := self.calendars.gate.look(spec)).may_start
+            ):
                 if look.warm:
                     warm.append((NEVER, name))
                 continue  # nor does what waits for its hours
@@ -1208,54 +788,6 @@
 
     # -- users -------------------------------------------------------------------------
 
-    def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
-        """From memory: an end that the store holds, or this home's own job."""
-        self.state.now = now
-        ended = self.replica.ended.get(job)
-        if ended is not None:
-            return ended.value, 0, 0
-        if job in self.graph.doomed:
-            return (JobState.ABORTED.value, 0, 0) if self.cascade_abort_is_settled(job) else None
-        mine = self.job_shard.jobs.get(job)
-        if mine is None or not self.may_act():
-            return None
-        if mine.stored_state is not JobState.ACTIVE:
-            return mine.stored_state.value, mine.done.count, 0
-        if mine.state is not JobState.ACTIVE:
-            # Its end may be in the store without our having heard so, and others may have told it.
-            return None
-        running = mine.running
-        return "running" if running else "pending", mine.done.count, running
-
-    def cascade_abort_is_settled(self, job: str) -> bool:
-        """Whether every member that still acts knows, too, that a job before this one is aborted.
-
-        Members act only on a view and records that are fresh to within the ttl. Told any sooner,
-        the answer could be taken back by a home that has yet to hear of it.
-        """
-        at = self.doomed_at.get(job)
-        return at is not None and self.state.now - at > self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
-
-    def is_certainly_pending(self, job: str, now: float) -> bool:
-        """Whether a record that is active in the store may be told so, a moment after it was read."""
-        self.state.now = now
-        spec = self.spec_of(job)
-        return spec is not None and job not in self.graph.doomed and self.may_act()
-
-    def cancel(self, job: str, now: float) -> str | None:
-        """The job's stored state, "" while its end is being written, None where this is not its home."""
-        self.state.now = now
-        if job in self.replica.ended:
-            return self.replica.ended[job].value
-        mine = self.job_shard.jobs.get(job)
-        if mine is None or not self.may_act():
-            return None
-        if mine.stored_state is JobState.ACTIVE:
-            mine.abort(now)
-            mine.end_awaited = True
-            return ""
-        return mine.stored_state.value
-
     # -- what the process calls, delegated to the owners -----------------------
 
     @property
@@ -1271,3 +803,63 @@
     def send_unreliable(self, label: str, body: messages.Message) -> None:
         """See ``Messenger``."""
         self.messenger.send_unreliable(label, body)
+
+    def next_batch(self, now: float) -> WriteBatch | None:
+        """See ``RecordWriter``."""
+        return self.record_writer.next_batch(now)
+
+    def nothing_to_write(self) -> bool:
+        """See ``RecordWriter``."""
+        return self.record_writer.nothing_to_write()
+
+    def next_write_in(self, now: float) -> float:
+        """See ``RecordWriter``."""
+        return self.record_writer.next_write_in(now)
+
+    def on_batch_written(self, batch: WriteBatch, revision: int, now: float) -> None:
+        """See ``BatchResults``."""
+        self.batch_results.on_written(batch, revision, now)
+
+    def on_batch_failed(self, batch: WriteBatch, now: float) -> None:
+        """See ``BatchResults``."""
+        self.batch_results.on_failed(batch, now)
+
+    def on_batch_too_large(self, batch: WriteBatch, now: float) -> None:
+        """See ``BatchResults``."""
+        self.batch_results.on_too_large(batch, now)
+
+    def reduce_value_limit(self, size: int) -> None:
+        """See ``BatchResults``."""
+        self.batch_results.reduce_value_limit(size)
+
+    def resolve_conflict(self, batch: WriteBatch, key: str, row: wire.KeyValue | None, now: float) -> None:
+        """See ``BatchResults``."""
+        self.batch_results.resolve_conflict(batch, key, row, now)
+
+    def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
+        """See ``Submissions``."""
+        return self.submissions.submit(spec, now, wall)
+
+    def refuse_submissions(self) -> None:
+        """See ``Submissions.refuse_all``."""
+        self.submissions.refuse_all()
+
+    def knows_job(self, job: str) -> bool:
+        """See ``JobDirectory``."""
+        return self.directory.knows_job(job)
+
+    def job_owner(self, job: str) -> str:
+        """See ``JobDirectory``."""
+        return self.directory.job_owner(job)
+
+    def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
+        """See ``JobQueries``."""
+        return self.job_queries.local_job_state(job, now)
+
+    def is_certainly_pending(self, job: str, now: float) -> bool:
+        """See ``JobQueries``."""
+        return self.job_queries.is_certainly_pending(job, now)
+
+    def cancel(self, job: str, now: float) -> str | None:
+        """See ``JobQueries``."""
+        return self.job_queries.cancel(job, now)
--- /dev/null
+++ b/alderbridge/controller/job_directory.py
@@ -0,0 +1,39 @@
+"""What this controller knows of any job: its own, and those that the store's replica shows. Pure."""
+
+from __future__ import annotations
+
+from alderbridge.jobs.shard import JobShard, JobState
+from alderbridge.membership.view import Membership
+from alderbridge.protocol import wire
+from alderbridge.state.replica import Replica
+
+
+class JobDirectory:
+    """Looks jobs up in the job shard, then in the replica."""
+
+    def __init__(self, membership: Membership, replica: Replica, job_shard: JobShard) -> None:
+        """``membership`` tells which member owns the jobs that a label has accepted."""
+        self.me = membership.me
+        self.membership = membership
+        self.replica = replica
+        self.job_shard = job_shard
+
+    def spec_of(self, job: str) -> wire.JobSpec | None:
+        known = self.job_shard.jobs.get(job)
+        if known is not None:
+            return known.spec
+        stored = self.replica.active.get(job)
+        return stored[0].spec if stored is not None else None
+
+    def cancelled(self, job: str) -> bool:
+        """Whether the store says so, as far as it has been read here: never taken back."""
+        return self.replica.ended.get(job) is JobState.ABORTED
+
+    def job_owner(self, job: str) -> str:
+        if job in self.job_shard.jobs:
+            return self.me
+        label = self.replica.accepted_by(job)
+        return self.membership.job_owner(label) if label else ""
+
+    def knows_job(self, job: str) -> bool:
+        return job in self.replica.ended or job in self.replica.active or job in self.job_shard.jobs
--- /dev/null
+++ b/alderbridge/controller/queue_times.py
@@ -0,0 +1,52 @@
+"""How long a waiting job may still wait, by its objectives and by the jobs that depend on it. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from alderbridge.controller.state import ControllerState
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.jobs.shard import Job
+from alderbridge.protocol import wire
+from alderbridge.scheduling import policy
+from alderbridge.settings import Objective, Tuning
+
+
+class QueueTimes:
+    """Queue times of jobs; owns the graph of dependencies, which passes deadlines and ranks on."""
+
+    def __init__(self, state: ControllerState, tuning: Tuning, objectives: Sequence[Objective]) -> None:
+        """``objectives``: queue-time objectives of the settings."""
+        self.state = state
+        self.tuning = tuning
+        self.objectives = objectives
+        stretches = [objective.times or 1.0 for objective in objectives if objective.kind == "deadline"]
+        self.graph = Graph(self.run_time, stretches)
+
+    def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
+        needed = self.graph.needed_by(job.spec.id)
+        basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
+        if job.queue_times is None or job.queue_times[0] != basis:
+            job.queue_times = (
+                basis,
+                policy.queue_times(
+                    job.spec,
+                    self.tuning,
+                    self.objectives,
+                    guaranteed,
+                    job.waiting_since - job.submitted,
+                    [by - self.state.wall_offset_s - job.waiting_since for by in needed],
+                ),
+            )
+            if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
+                floor = policy.max_queue_time(job.spec, self.tuning)
+                job.queue_times = basis, [(floor, floor)]
+        return policy.due_in(now - job.waiting_since, job.queue_times[1])
+
+    def rank(self, spec: wire.JobSpec) -> int:
+        """The priority of the jobs that need it, where higher than its own; else -1."""
+        needed = self.graph.needed_rank(spec.id)
+        return needed if needed >= 0 and needed > spec.rank else -1
+
+    def run_time(self, spec: wire.JobSpec) -> float:
+        return policy.expected_run_time(spec, self.tuning)
--- a/alderbridge/controller/write_batch.py
+++ b/alderbridge/controller/write_batch.py
@@ -25,6 +25,7 @@
     lists: list[tuple[Submission, str]] = field(default_factory=list)
     dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
     proposal: Proposal | None = None  # then nothing else
+    size: int = 0  # bytes of its body, estimated
     claims: Transaction | None = None  # then nothing else is in it
 
     @property
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -132,7 +132,7 @@
     control.store.get = get
     control.store_bad_until = 0.0
     status, text, _ = curio.run(control.submit, raw)
-    assert not control.core.submissions, "nothing of it goes to the store"
+    assert not control.core.submissions.pending, "nothing of it goes to the store"
     if status in (400, 422):
         line = msgspec.json.decode(text)["error"]
         assert 3 < len(line) < 200 and line.isprintable()
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("name", GOOD)
 def test_what_is_good_is_taken_up(control, name):
     spec = wire.parse_job(GOOD[name])
-    assert not control.never_runs(spec) and control.core.submit(spec, 0.0, 0.0) is not None
+    assert not control.never_runs(spec) and control.core.submissions.submit(spec, 0.0, 0.0) is not None
 
 
 @pytest.mark.parametrize("what", ("poll", "withdraw"))
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -150,7 +150,7 @@
 
 def test_a_text_that_can_not_be_read_stops_the_process_until_it_can():
     core = World(1, jobs=0, trouble=False).nodes["host-0"].core
-    core.refresh_calendars = lambda: None  # the text says nothing of hours
+    core.calendars.refresh = lambda: None  # the text says nothing of hours
     core.membership.record_sync(0.0)
     named = put_text(core.declared, "hours", 1, ["a"])
     gone = records.piece_keys("hours", named)[0]
@@ -234,7 +234,7 @@
         self.fell(label)
 
     def prepare(self, core):
-        core.refresh_calendars = lambda: None  # the texts of these runs say nothing of hours
+        core.calendars.refresh = lambda: None  # the texts of these runs say nothing of hours
 
     def fell(self, label):
         sim = self.nodes[label]
@@ -349,7 +349,7 @@
 
     def obeyed():
         core = World(1, jobs=0, trouble=False).nodes["host-0"].core
-        core.refresh_calendars = lambda: None
+        core.calendars.refresh = lambda: None
         first, second = (Revision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
         rows = [
             wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(piece)), 1)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -8,6 +8,7 @@
 from alderbridge import constants
 from alderbridge.controller import process
 from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.membership.view import Membership, MemberStatus
@@ -130,10 +131,10 @@
     )
     core = world.nodes[label].core
     world.specs[spec.id] = spec
-    submission = core.submit(spec, world.t, world.t)
-    batch = core.next_batch(world.t)
-    core.on_batch_failed(batch, world.t)
-    core.refuse_submissions()
+    submission = core.submissions.submit(spec, world.t, world.t)
+    batch = core.record_writer.next_batch(world.t)
+    core.batch_results.on_failed(batch, world.t)
+    core.submissions.refuse_all()
     assert submission.outcome == "refused"
     return spec, batch
 
@@ -146,7 +147,7 @@
     spec, batch = given_up(world, "host-1")
     core = world.nodes["host-1"].core
     if again:  # the user's next try comes first, and meets the record
-        core.submit(spec, world.t + 1.0, world.t + 1.0)
+        core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
     world.first_asked[spec.id] = world.t
@@ -337,7 +338,7 @@
     monkeypatch.setattr(
         Job, "abort", lambda self, now, cause="withdrawn": real(self, now, cause) if cause == "withdrawn" else None
     )
-    monkeypatch.setattr(ControllerCore, "cascade_abort_is_settled", lambda self, job: False)
+    monkeypatch.setattr(DependencyTracker, "cascade_abort_is_settled", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -10,7 +10,7 @@
 from alderbridge.calendars import Text, Timetable
 from alderbridge.calendars.declaration import Calendar, Class
 from alderbridge.calendars.timetable import DAY, NEVER
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.calendar_control import CalendarControl
 from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import TaskRequest
@@ -84,13 +84,13 @@
         for row in rows:
             if KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
-                sim.core.apply_calendars(self.texts[number - 1 : number + 1])
+                sim.core.calendars.apply(self.texts[number - 1 : number + 1])
                 self.after(TTL_S + constants.PROOF_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
-        known = sim.core is not None and sim.life == life and sim.core.calendars is not None
-        if known and sim.core.calendars.texts[-1] is self.texts[number]:
-            sim.core.apply_calendars([self.texts[number]])
+        known = sim.core is not None and sim.life == life and sim.core.calendars.gate is not None
+        if known and sim.core.calendars.gate.texts[-1] is self.texts[number]:
+            sim.core.calendars.apply([self.texts[number]])
 
     def cut(self, for_s: float) -> None:
         self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + for_s
@@ -191,7 +191,7 @@
             break
     (sim, machine), part = pending[0], f"{spec.id}/0"
     for other in world.nodes.values():
-        other.core.apply_calendars([shut])
+        other.core.calendars.apply([shut])
     assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
@@ -201,25 +201,25 @@
     assert not home.jobs[spec.id].runs
     assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
     for other in world.nodes.values():
-        assert (other.core.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
-        other.core.apply_calendars([])
+        assert (other.core.job_queries.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
+        other.core.calendars.apply([])
     world.run(world.t + 200.0)  # its team is at its limit
     assert part in world.completed
 
 
 def broken(monkeypatch, what: str) -> None:
-    declare = ControllerCore.apply_calendars
+    declare = CalendarControl.apply
     if what == "no cautious clock":
 
-        def careless(core, texts):
-            declare(core, texts)
-            core.calendars.skew_s = 0.0
+        def careless(calendars, texts):
+            declare(calendars, texts)
+            calendars.gate.skew_s = 0.0
 
-        monkeypatch.setattr(ControllerCore, "apply_calendars", careless)
+        monkeypatch.setattr(CalendarControl, "apply", careless)
     elif what == "nothing stopped":
         monkeypatch.setattr(JobShard, "stop_closed", lambda home: None)
     else:
-        monkeypatch.setattr(ControllerCore, "apply_calendars", lambda core, texts: declare(core, texts[:1]))
+        monkeypatch.setattr(CalendarControl, "apply", lambda calendars, texts: declare(calendars, texts[:1]))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,8 +6,9 @@
 import pytest
 from world import KNOWN_S, ROOM_S, ZONES, Broken, World
 
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.job_queries import JobQueries
 from alderbridge.controller.process import Controller
+from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.jobs.shard import JobShard, JobState
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import MachineShard
@@ -168,19 +169,19 @@
 
 def told_before_stored(monkeypatch):
     """``withdraw`` is answered at once, though the write may be refused, or lost."""
-    real = ControllerCore.cancel
+    real = JobQueries.cancel
     monkeypatch.setattr(
-        ControllerCore,
+        JobQueries,
         "cancel",
         lambda self, job, now: (
-            real(self, job, now) or ("aborted" if job in self.job_shard.jobs and self.may_act() else None)
+            real(self, job, now) or ("aborted" if job in self.job_shard.jobs and self.state.may_act() else None)
         ),
     )
 
 
 def stamps_not_asserted(monkeypatch):
     """A write carried out late, after newer ones of the same controller, takes their place."""
-    real = ControllerCore.next_batch
+    real = RecordWriter.next_batch
 
     def next_batch(self, now):
         batch = real(self, now)
@@ -188,19 +189,23 @@
             batch.conditions = {key: revision for key, revision in batch.conditions.items() if not key.startswith(JOBS)}
         return batch
 
-    monkeypatch.setattr(ControllerCore, "next_batch", next_batch)
+    monkeypatch.setattr(RecordWriter, "next_batch", next_batch)
 
 
 def denies_what_is_on_its_way(monkeypatch):
     """A home answers from memory while the write of an end has no answer."""
-    real = ControllerCore.local_job_state
+    real = JobQueries.local_job_state
 
     def local_job_state(self, job, now):
         mine = self.job_shard.jobs.get(job)
         ended = mine is not None and mine.state is not JobState.ACTIVE and mine.stored_state is JobState.ACTIVE
-        return ("pending", 0, 0) if ended and job not in self.replica.ended and self.may_act() else real(self, job, now)
+        return (
+            ("pending", 0, 0)
+            if ended and job not in self.replica.ended and self.state.may_act()
+            else real(self, job, now)
+        )
 
-    monkeypatch.setattr(ControllerCore, "local_job_state", local_job_state)
+    monkeypatch.setattr(JobQueries, "local_job_state", local_job_state)
 
 
 def test_a_close_look_sees_an_older_state_told_while_an_end_has_no_answer(monkeypatch):
@@ -327,11 +332,11 @@
     world.run(20.0)
     assert after in world.accepted
     world.run(60.0)
-    real = ControllerCore.local_job_state
+    real = JobQueries.local_job_state
     monkeypatch.setattr(
-        ControllerCore, "local_job_state", lambda self, job, now: None if job == after else real(self, job, now)
+        JobQueries, "local_job_state", lambda self, job, now: None if job == after else real(self, job, now)
     )
-    monkeypatch.setattr(ControllerCore, "is_certainly_pending", lambda self, job, now: False)
+    monkeypatch.setattr(JobQueries, "is_certainly_pending", lambda self, job, now: False)
     with pytest.raises(Broken, match=f"unanswered: {after}"):
         world.run(60.0 + KNOWN_S + 20.0)
     assert world.t > 60.0 + KNOWN_S - 6.0
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -14,7 +14,8 @@
 
 from alderbridge import configuration, constants
 from alderbridge.configuration import Declarations, texts
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.job_directory import JobDirectory
+from alderbridge.controller.job_queries import JobQueries
 from alderbridge.jobs.shard import JobState, Record, TaskState
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.failure_detector import FailureDetector
@@ -33,7 +34,7 @@
     if shown:
         alone.follow()
     alone.t += constants.STATE_TIMEOUT_S
-    alone.core.on_batch_failed(batch, alone.t)
+    alone.core.batch_results.on_failed(batch, alone.t)
     return batch
 
 
@@ -164,7 +165,7 @@
     job = alone.job()
     if how == "aborted":
         alone.runs(job, "n-000001", 0)
-        assert alone.core.cancel(SPEC.id, alone.t) == ""
+        assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
@@ -184,11 +185,11 @@
 
     def ask():
         for one in (alone, there):
-            answer = one.core.local_job_state(SPEC.id, one.t)
+            answer = one.core.job_queries.local_job_state(SPEC.id, one.t)
             assert answer is None or answer[0] == state, (one.me, answer)
             told.append(answer is not None)
-            if one.core.job_owner(SPEC.id) == one.me or answer is not None:
-                assert one.core.cancel(SPEC.id, one.t) in ("", None, state)
+            if one.core.directory.job_owner(SPEC.id) == one.me or answer is not None:
+                assert one.core.job_queries.cancel(SPEC.id, one.t) in ("", None, state)
 
     batch = alone.batch()
     assert not alone.carry_out(batch).failed
@@ -198,13 +199,13 @@
     ask()
     assert told == [shown, True]
     alone.t += constants.STATE_TIMEOUT_S
-    alone.core.on_batch_failed(batch, alone.t)
+    alone.core.batch_results.on_failed(batch, alone.t)
     at_same_time(alone, there)
     ask()
     if met == "not read":  # the next try meets it, and the store can't be asked for it
         again = alone.batch()
         assert alone.carry_out(again).failed == [JOBS + SPEC.id]
-        alone.core.on_batch_failed(again, alone.t)
+        alone.core.batch_results.on_failed(again, alone.t)
         ask()
     elif met != "read":
         labels = ("host-1", "host-0") if met == "same home" else ("host-1",)
@@ -223,7 +224,10 @@
         home.write()
         ask()
     assert stored(alone).state.value == state
-    assert home.core.local_job_state(SPEC.id, home.t) == (state, 0, 0) and there.core.cancel(SPEC.id, there.t) == state
+    assert (
+        home.core.job_queries.local_job_state(SPEC.id, home.t) == (state, 0, 0)
+        and there.core.job_queries.cancel(SPEC.id, there.t) == state
+    )
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -234,7 +238,7 @@
     job = end_of(alone, "done")
     at_once(alone, shown)
     assert stored(alone).spec is None and job.unacknowledged_results and not job.is_complete
-    assert alone.core.cancel(SPEC.id, alone.t) == ("done" if shown else "")
+    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ("done" if shown else "")
     if view:
         alone.view("host-1", "host-0")
         assert SPEC.id not in alone.core.job_shard.jobs
@@ -242,7 +246,7 @@
     alone.go(2.0)
     alone.write()
     assert SPEC.id not in alone.core.job_shard.jobs and not alone.core.job_shard.tally.lagging
-    assert alone.core.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
+    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -251,23 +255,23 @@
     """Refused, its user tries again at the same controller; or the view begins, which gives the job to its home."""
     alone = Alone("host-1")
     there = alone.other("host-1")
-    submission = alone.core.submit(SPEC, alone.t, alone.t)
+    submission = alone.core.submissions.submit(SPEC, alone.t, alone.t)
     at_once(alone, shown)
     at_same_time(alone, there)
-    assert there.core.knows_job(SPEC.id) and there.core.job_owner(SPEC.id) == "host-0"
-    assert alone.core.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
+    assert there.core.directory.knows_job(SPEC.id) and there.core.directory.job_owner(SPEC.id) == "host-0"
+    assert alone.core.job_queries.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
     if then == "refused":
-        alone.core.refuse_submissions()
+        alone.core.submissions.refuse_all()
         assert submission.outcome == "refused" and (SPEC.id in alone.core.job_shard.jobs) is shown
-        if not alone.core.knows_job(SPEC.id):
-            submission = alone.core.submit(SPEC, alone.t, alone.t + 1.0)
+        if not alone.core.directory.knows_job(SPEC.id):
+            submission = alone.core.submissions.submit(SPEC, alone.t, alone.t + 1.0)
     elif then == "view":
         alone.view("host-1", "host-0")
     alone.write()
-    assert not alone.core.submissions and submission.outcome in ("known", "refused")
+    assert not alone.core.submissions.pending and submission.outcome in ("known", "refused")
     job = alone.core.job_shard.jobs[SPEC.id]
     assert job.revision == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
-    assert alone.core.local_job_state(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t)[0] == "pending"
     alone.go(2.0)
     alone.write()
     assert alone.core.job_shard.jobs == {SPEC.id: job}
@@ -280,7 +284,7 @@
     need = msgspec.structs.replace(SPEC, id="wk-000100")
     alone.job(need)
     spec = msgspec.structs.replace(SPEC, needs=[f"wk-{number:06d}" for number in range(100, 250)])
-    submission = alone.core.submit(spec, alone.t, alone.t)
+    submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     lists = dict(submission.lists)
     assert len(lists) > 1
     batch = at_once(alone, shown)
@@ -310,18 +314,18 @@
         alone.follow()
     at_same_time(alone, there)
     assert there.core.membership.fencing_token > alone.core.membership.fencing_token or shown
-    assert alone.core.cancel(spec.id, alone.t) == ""
+    assert alone.core.job_queries.cancel(spec.id, alone.t) == ""
     if not shown:
         batch = alone.batch()
         assert alone.carry_out(batch).failed == [VIEW]
-        alone.core.on_batch_failed(batch, alone.t)
-    assert job.stored_state is JobState.ACTIVE and alone.core.local_job_state(spec.id, alone.t) is None
+        alone.core.batch_results.on_failed(batch, alone.t)
+    assert job.stored_state is JobState.ACTIVE and alone.core.job_queries.local_job_state(spec.id, alone.t) is None
     if not shown:
         alone.t += alone.core.membership.store_lease.ttl_s
         assert alone.batch() is None and not alone.core.may_act()
         alone.follow()
     alone.write()
-    assert alone.core.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.job_queries.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_is_held_back_for_the_view_that_gave_its_job_to_this_home_and_for_no_later_one():
@@ -336,7 +340,7 @@
     for spec in (SPEC, other):
         alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, gone, 0.0, 3, [], spec)})
     alone.view("host-0", stays)
-    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone).state is JobState.ACTIVE, "its earlier home may deny it"
     alone.view(stays, "host-0")
@@ -346,7 +350,7 @@
     tries(alone, 2)
     assert stored(alone).state is JobState.ABORTED
     alone.view("host-0", stays)
-    assert alone.core.cancel(other.id, alone.t) == ""
+    assert alone.core.job_queries.cancel(other.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone, other.id).state is JobState.ABORTED, "nobody else has been its home since a view settled"
 
@@ -687,7 +691,7 @@
 
 
 def halts_nothing_itself(monkeypatch):
-    monkeypatch.setattr(ControllerCore, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
 
 
 def needs_no_contact(monkeypatch):
@@ -698,15 +702,15 @@
 
 def tells_what_it_last_knew(monkeypatch):
     """The home, of a job whose end is on its way."""
-    real = ControllerCore.local_job_state
+    real = JobQueries.local_job_state
 
     def local_job_state(self, job, now):
         mine = self.job_shard.jobs.get(job)
-        if job not in self.replica.ended and mine is not None and self.may_act():
+        if job not in self.replica.ended and mine is not None and self.state.may_act():
             return "pending", mine.done.count, 0
         return real(self, job, now)
 
-    monkeypatch.setattr(ControllerCore, "local_job_state", local_job_state)
+    monkeypatch.setattr(JobQueries, "local_job_state", local_job_state)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -9,7 +9,7 @@
 from test_machines import heartbeat, part_with_machine
 from world import CANCEL_S, LEASE_S, Broken, SimController, World
 
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.membership.view import Membership, View
 from alderbridge.protocol import messages
 from alderbridge.protocol.messages import TaskGrant
@@ -136,7 +136,7 @@
 
 
 def knows_of_no_cancellation(monkeypatch):
-    monkeypatch.setattr(ControllerCore, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
 
 
 def fresh_for_ever(monkeypatch):
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -180,13 +180,13 @@
             self.after(1.0, self.attempt, spec)
             return
         sim = self.nodes[self.rng.choice(healthy)]
-        if sim.core.knows_job(spec.id):
+        if sim.core.directory.knows_job(spec.id):
             if self.question(sim, spec.id) is not None:
                 self.taken(spec.id)
             else:
                 self.after(2.0, self.attempt, spec)
             return
-        submission = sim.core.submit(spec, self.t, self.t + sim.ahead_s)
+        submission = sim.core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
         self.hopes[submission] = (spec, life)
         self.after(constants.SUBMIT_WAIT_S, self.given_up, submission)
@@ -273,7 +273,7 @@
 
     def backlog(self):
         nodes = [sim.core for sim in self.nodes.values() if sim.core is not None]
-        return sum(len(core.submissions) + len(core.job_shard.tally.lagging) for core in nodes)
+        return sum(len(core.submissions.pending) + len(core.job_shard.tally.lagging) for core in nodes)
 
 
 def stream(seed, users=None, alone=False, until=0.0, leader_ends=True, **more):
@@ -316,7 +316,7 @@
             or core.replica.active
             or core.replica.left
             or core.job_shard.jobs_by_machine
-            or core.submissions
+            or core.submissions.pending
         )
         assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
         assert not any(one.stop_orders or one.pending or one.reserved for one in core.machine_shard.machines.values())
@@ -337,20 +337,20 @@
     world.run(5.0)
     core = world.nodes["host-1"].core
     for number in range(40):
-        core.submit(array(number), world.t, world.t)
-    while core.submissions:
+        core.submissions.submit(array(number), world.t, world.t)
+    while core.submissions.pending:
         world.run(world.t + 0.5)
-    submission = core.submit(array(99), world.t, world.t)
+    submission = core.submissions.submit(array(99), world.t, world.t)
     for number in range(40):
         core.job_shard.jobs[f"wk-{number:06d}"].abort(world.t + 1.0 + (number > 20))
-    core.submit(array(98), world.t + 1.5, world.t + 1.5)
+    core.submissions.submit(array(98), world.t + 1.5, world.t + 1.5)
     taken = []
     core.write_rate_limit.budget.available(world.t + 2.0)
     while len(taken) < 42:
         core.write_rate_limit.budget.level = 2.0 - constants.WRITE_AHEAD_SHARE * core.write_rate_limit.budget.burst
-        batch = core.next_batch(world.t + 2.0)
+        batch = core.record_writer.next_batch(world.t + 2.0)
         taken += [job.spec.id for job, _, _ in batch.jobs] + [one.job.spec.id for one, _ in batch.submissions]
-        core.on_batch_written(batch, world.store.revision, world.t + 2.0)
+        core.batch_results.on_written(batch, world.store.revision, world.t + 2.0)
     assert submission.outcome == "accepted" and taken.index("wk-000099") < 2
     assert taken.index("wk-000098") in (22, 23), "behind the ends before it, two to a transaction"
 
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -103,7 +103,7 @@
             self.core.round(self.t)
 
     def batch(self):
-        return self.core.next_batch(self.t)
+        return self.core.record_writer.next_batch(self.t)
 
     def carry_out(self, batch) -> wire.TransactionResult:
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
@@ -112,12 +112,12 @@
         """Carried out, and answered at once; a conflict is read as ``Controller.settle_conflict`` does."""
         core, answer = self.core, self.carry_out(batch)
         if not answer.failed:
-            core.on_batch_written(batch, answer.revision, self.t)
+            core.batch_results.on_written(batch, answer.revision, self.t)
             return answer
-        core.on_batch_failed(batch, self.t)
+        core.batch_results.on_failed(batch, self.t)
         for key in answer.failed if VIEW not in answer.failed else ():
             found = self.store.data.get(key)
-            core.resolve_conflict(
+            core.batch_results.resolve_conflict(
                 batch, key, None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]), self.t
             )
         return answer
@@ -132,7 +132,7 @@
         """What is due, sent and without an answer: the test carries it out when it likes."""
         batch = self.batch()
         assert batch is not None
-        self.core.on_batch_failed(batch, self.t)
+        self.core.batch_results.on_failed(batch, self.t)
         self.t += constants.STATE_TIMEOUT_S
         self.follow()
         return batch
@@ -153,7 +153,7 @@
 
     def job(self, spec=SPEC):
         """One that this home serves."""
-        submission = self.core.submit(spec, self.t, self.t)
+        submission = self.core.submissions.submit(spec, self.t, self.t)
         self.write()
         assert submission.outcome == "accepted"
         return self.core.job_shard.jobs[spec.id]
@@ -256,7 +256,7 @@
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its part under this view
     alone.follow()
     alone.runs(job, name, 0)
-    alone.core.on_batch_written(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
+    alone.core.batch_results.on_written(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
     assert name in alone.core.replica.machines
     alone.view("host-1", "host-0")
     assert 0 in job.runs, "its machine is recorded, so only a report, its lease or its return frees it"
@@ -276,7 +276,7 @@
     alone.view("host-1", "host-0")
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})
     alone.follow()
-    alone.core.resolve_conflict(drop, MACHINES + name, None, alone.t)  # as it was when it was read
+    alone.core.batch_results.resolve_conflict(drop, MACHINES + name, None, alone.t)  # as it was when it was read
     assert name in alone.core.replica.machines
 
 
@@ -293,9 +293,9 @@
     alone.follow()
     assert name not in alone.core.replica.machines
     if how == "answer":
-        alone.core.on_batch_written(put, answer.revision, alone.t)
+        alone.core.batch_results.on_written(put, answer.revision, alone.t)
     else:
-        alone.core.resolve_conflict(
+        alone.core.batch_results.resolve_conflict(
             put, MACHINES + name, wire.KeyValue(MACHINES + name, msgspec.Raw(b"{}"), answer.revision), alone.t
         )
     assert name not in alone.core.replica.machines
@@ -339,7 +339,7 @@
     assert not [body for body in sent if isinstance(body, messages.AcknowledgeFinished)], (
         "the worker would forget what nobody has yet"
     )
-    alone.core.on_batch_failed(batch, alone.t)
+    alone.core.batch_results.on_failed(batch, alone.t)
     alone.write()
     assert [body.index for body in sent if isinstance(body, messages.AcknowledgeFinished)] == [0]
     alone.go(2.0)
@@ -351,7 +351,7 @@
     """A job whose end was sent, and had no answer."""
     job = alone.job()
     if how == "withdrawn":
-        assert alone.core.cancel(SPEC.id, alone.t) == ""
+        assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
@@ -365,15 +365,20 @@
     alone = Alone()
     job, end = late_end(alone, how)
     core = alone.core
-    assert core.local_job_state(SPEC.id, alone.t) is None, "others may have read it in the store: not pending"
-    assert core.cancel(SPEC.id, alone.t) == ""
+    assert core.job_queries.local_job_state(SPEC.id, alone.t) is None, (
+        "others may have read it in the store: not pending"
+    )
+    assert core.job_queries.cancel(SPEC.id, alone.t) == ""
     if late:  # after a newer try, which has been answered
         alone.write()
         assert alone.carry_out(end).failed
     else:  # before it: the replica shows it, and the next try meets it
         assert not alone.carry_out(end).failed
         alone.follow()
-    assert core.local_job_state(SPEC.id, alone.t)[0] == state and core.cancel(SPEC.id, alone.t) == state
+    assert (
+        core.job_queries.local_job_state(SPEC.id, alone.t)[0] == state
+        and core.job_queries.cancel(SPEC.id, alone.t) == state
+    )
     alone.write()
     alone.go(2.0)
     alone.write()
@@ -391,10 +396,10 @@
         alone.carry_out(end)
     alone.view("host-1", "host-0")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = alone.core.local_job_state(SPEC.id, alone.t)
+    told = alone.core.job_queries.local_job_state(SPEC.id, alone.t)
     assert told == (("aborted", 0, 0) if carried_out else None)
     alone.write()
-    assert alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_that_was_carried_out_is_not_written_active_again():
@@ -404,7 +409,7 @@
     job = alone.job()
     alone.runs(job, "n-000001", 0)  # something is left to stop, so that its record keeps what it asked for
     job.inherited = True
-    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
     alone.core.job_shard.settled = True
     alone.carry_out(alone.lost())
     alone.view("host-1", "host-0")
@@ -415,7 +420,7 @@
         alone.t += 1.0
         record = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
         assert record.state is JobState.ABORTED
-    assert alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
@@ -428,12 +433,12 @@
         alone.carry_out(end)
     there.view("host-1")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = there.core.local_job_state(SPEC.id, there.t)
+    told = there.core.job_queries.local_job_state(SPEC.id, there.t)
     assert told[0] == ("done" if carried_out else "pending"), "nobody was told of an end that is not stored"
     there.go(2.0)
-    state = there.core.cancel(SPEC.id, there.t)
+    state = there.core.job_queries.cancel(SPEC.id, there.t)
     there.write()
-    assert (state, there.core.local_job_state(SPEC.id, there.t)[0]) == (
+    assert (state, there.core.job_queries.local_job_state(SPEC.id, there.t)[0]) == (
         ("done", "done") if carried_out else ("", "aborted")
     )
     there.go(1.0)
@@ -462,13 +467,13 @@
 def test_a_submission_given_up_and_stored_late_is_served_though_the_store_is_read_anew():
     """The store fails: the submission is given up, following breaks off, and what is read then has its record."""
     alone = Alone()
-    alone.core.submit(SPEC, alone.t, alone.t)
+    alone.core.submissions.submit(SPEC, alone.t, alone.t)
     late = alone.lost()
-    alone.core.refuse_submissions()
+    alone.core.submissions.refuse_all()
     assert not alone.carry_out(late).failed
     alone.reload()
     assert SPEC.id in alone.core.job_shard.jobs, "its user may have been told that it is known: nobody else serves it"
-    assert alone.core.local_job_state(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t)[0] == "pending"
 
 
 def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_home():
@@ -477,17 +482,17 @@
     there = alone.other("host-1")
     late = []
     for one in (alone, there):
-        one.core.submit(SPEC, one.t, one.t)
+        one.core.submissions.submit(SPEC, one.t, one.t)
         late.append(one.lost())
-        one.core.refuse_submissions()
+        one.core.submissions.refuse_all()
     assert not there.carry_out(late[1]).failed
-    again = alone.core.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
+    again = alone.core.submissions.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
     alone.write()
     assert again.outcome == "known" and alone.carry_out(late[0]).failed
     alone.follow()
     there.follow()
     assert SPEC.id in there.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
-    assert there.core.local_job_state(SPEC.id, there.t)[0] == "pending"
+    assert there.core.job_queries.local_job_state(SPEC.id, there.t)[0] == "pending"
 
 
 def test_a_submission_stored_late_though_what_it_needs_was_aborted_meanwhile_ends():
@@ -495,7 +500,7 @@
     alone = Alone()
     need = msgspec.structs.replace(SPEC, id="wk-000002")
     alone.job(need)
-    submission = alone.core.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
+    submission = alone.core.submissions.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
     first = alone.lost()
     alone.store.commit({}, {JOBS + need.id: Record(JobState.ABORTED)})
     alone.follow()
@@ -505,7 +510,8 @@
     alone.follow()
     alone.write()
     assert (
-        alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0) and SPEC.id not in alone.core.job_shard.jobs
+        alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+        and SPEC.id not in alone.core.job_shard.jobs
     )
 
 
@@ -517,13 +523,13 @@
     keys = [f"{LISTS}wk-000009/x/{number}" for number in range(3)]
     alone.store.commit({}, dict.fromkeys(keys, ["wk-000008"]))
     alone.follow()
-    alone.core.lists_to_drop = list(keys)
+    alone.core.record_writer.lists_to_drop = list(keys)
     batch = alone.lost()
     assert batch.drops == keys
-    alone.core.on_batch_failed(batch, alone.t)  # the read that followed a conflict may fail as well
+    alone.core.batch_results.on_failed(batch, alone.t)  # the read that followed a conflict may fail as well
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
-    assert not alone.core.lists_to_drop
+    assert not alone.core.record_writer.lists_to_drop
 
 
 def test_a_list_that_is_carried_out_late_does_not_come_back_after_its_job():
@@ -532,19 +538,19 @@
     alone.core.job_shard.value_bytes = 700
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
     spec = msgspec.structs.replace(SPEC, needs=needs)
-    submission = alone.core.submit(spec, alone.t, alone.t)
+    submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     assert len(submission.lists) > 1
     late = alone.lost()
     assert all(key.startswith(LISTS) for key in late.puts)
     alone.write()
     assert submission.outcome == "accepted"
-    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
     alone.core.replica.ended.clear()  # another controller, which has yet to hear of the job
     alone.core.replica.lists.clear()
-    again = alone.core.submit(spec, alone.t, alone.t)
+    again = alone.core.submissions.submit(spec, alone.t, alone.t)
     alone.settle(alone.batch())
     assert again.outcome == "known" and not [key for key in alone.store.data if key.startswith(LISTS)]
 
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -13,6 +13,7 @@
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
 from alderbridge.membership.view import Membership, StoreLease
 from alderbridge.protocol import messages
@@ -406,7 +407,7 @@
         (job, label)
         for job in sorted(world.accepted)
         for label in world.labels
-        if world.nodes[label].core.job_owner(job) == label != world.view.leader
+        if world.nodes[label].core.directory.job_owner(job) == label != world.view.leader
     )
     sim = world.nodes[label]
     sim.still_before = JOBS + job
@@ -425,7 +426,7 @@
 
 def test_an_end_that_is_sent_after_its_home_was_replaced_is_not_written(monkeypatch):
     still_before_an_end_is_sent(33200)
-    real = ControllerCore.next_batch
+    real = RecordWriter.next_batch
 
     def next_batch(self, now):
         batch = real(self, now)
@@ -433,7 +434,7 @@
             batch.conditions.pop(VIEW)
         return batch
 
-    monkeypatch.setattr(ControllerCore, "next_batch", next_batch)
+    monkeypatch.setattr(RecordWriter, "next_batch", next_batch)
     with pytest.raises(Broken, match="went_back"):
         for seed in range(33200, 33204):
             still_before_an_end_is_sent(seed)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -214,16 +214,16 @@
         job.last_write = 0.0
         core.job_shard.add(job)
         job.mark_dirty(world.t)
-    core.machine_records_to_drop = ["n-8", "n-9"]
+    core.machine_records.to_drop = ["n-8", "n-9"]
     gone = []
     while len(gone) < 2 and world.t < 12.0:
         world.run(world.t + 0.1)
-        batch = core.next_batch(world.t)
+        batch = core.record_writer.next_batch(world.t)
         if batch is not None:
             gone += batch.dropped_machines
-            assert batch.changes <= core.max_changes
+            assert batch.changes <= core.record_writer.max_changes
             for name in batch.dropped_machines:
-                core._dropped(name)
+                core.machine_records.dropped(name)
             for job, _, _ in batch.jobs:
                 job.mark_dirty(world.t)
     assert gone == ["n-8", "n-9"]
--- a/tests/test_service_cut.py
+++ b/tests/test_service_cut.py
@@ -25,10 +25,10 @@
 FAULTY = """
 import sys
 sys.path.insert(0, ".")
-from alderbridge.controller.core import ControllerCore
-real = ControllerCore.cancel
-ControllerCore.cancel = lambda self, job, now: real(self, job, now) or (
-    "aborted" if job in self.job_shard.jobs and self.may_act() else None)
+from alderbridge.controller.job_queries import JobQueries
+real = JobQueries.cancel
+JobQueries.cancel = lambda self, job, now: real(self, job, now) or (
+    "aborted" if job in self.job_shard.jobs and self.state.may_act() else None)
 from alderbridge.cli import main
 sys.exit(main())
 """
--- a/tests/world.py
+++ b/tests/world.py
@@ -520,41 +520,41 @@
         if self.busy:
             return
         core, world = self.core, self.world
-        if world.t < self.rests_until and core.nothing_to_write():
+        if world.t < self.rests_until and core.record_writer.nothing_to_write():
             return  # as the program rests
-        batch = core.next_batch(world.t)
+        batch = core.record_writer.next_batch(world.t)
         if batch is None:
-            self.rests_until = world.t + core.next_write_in(world.t)
+            self.rests_until = world.t + core.record_writer.next_write_in(world.t)
             return
         self.busy = True
 
         def done(answer):
             self.busy = False
             if answer.failed:
-                core.on_batch_failed(batch, world.t)
+                core.batch_results.on_failed(batch, world.t)
                 if VIEW not in answer.failed:
                     for key in answer.failed:
                         self.call(
-                            lambda row, key=key: core.resolve_conflict(batch, key, row[0], world.t),
+                            lambda row, key=key: core.batch_results.resolve_conflict(batch, key, row[0], world.t),
                             lambda: None,
                             self.read,
                             key,
                         )
             else:
-                core.on_batch_written(batch, answer.revision, world.t)
+                core.batch_results.on_written(batch, answer.revision, world.t)
             self.tell_users()
 
         def failed():
             self.busy = False
-            core.on_batch_failed(batch, world.t)
+            core.batch_results.on_failed(batch, world.t)
             away = world.t < max(self.cut_store_until, self.refused_until, world.store.down_until)
             if away or world.rng.random() < 0.5:
-                core.refuse_submissions()  # the store has said 503, after an attempt that had no answer, it may be
+                core.submissions.refuse_all()  # the store has said 503, after an attempt that had no answer, it may be
             self.tell_users()
 
         def too_large():
             self.busy = False
-            core.on_batch_too_large(batch, world.t)
+            core.batch_results.on_too_large(batch, world.t)
 
         puts = batch.puts
         if self.old:
@@ -639,11 +639,11 @@
     def status(self, job: str, told) -> None:
         """As ``Controller.status_now``: from memory, else by the job's home, by messages, else from the store."""
         core, world, life = self.core, self.world, self.life
-        state = core.local_job_state(job, world.t)
+        state = core.job_queries.local_job_state(job, world.t)
         if state is not None:
             told(self.noted(job, state[0]))
             return
-        home = core.job_owner(job)
+        home = core.directory.job_owner(job)
         if not home or home == self.label:
             self.status_stored(job, told)
             return
@@ -670,13 +670,13 @@
         def read(answer) -> None:
             row, state = answer[0], None
             if row is None:
-                state = None if core.knows_job(job) else NOT_FOUND
+                state = None if core.directory.knows_job(job) else NOT_FOUND
             else:
                 record = msgspec.json.decode(row.data, type=Record)
                 waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
-                elif not waits or core.is_certainly_pending(job, world.t):
+                elif not waits or core.job_queries.is_certainly_pending(job, world.t):
                     state = "pending"
             told(self.noted(job, state))
 
@@ -717,7 +717,7 @@
             else:
                 told(None)
 
-        if core.knows_job(spec.id):
+        if core.directory.knows_job(spec.id):
             known()
         elif not core.state.loaded or not core.types:
             told(None)
@@ -726,7 +726,7 @@
         elif not core.membership.may_act(world.t) or spec.needs:
             told(None)
         else:
-            submission = core.submit(spec, world.t, world.t + self.ahead_s)
+            submission = core.submissions.submit(spec, world.t, world.t + self.ahead_s)
             if submission is None:
                 self.status(spec.id, told)
             else:
@@ -736,7 +736,7 @@
         """``told`` the job's end when the store has it; None: this is not its home, or the store is slow."""
         core, life, world = self.core, self.life, self.world
         since = world.t if since is None else since
-        state = core.cancel(job, world.t)
+        state = core.job_queries.cancel(job, world.t)
         if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
             world.after(0.1, lambda: life == self.life and self.withdraw(job, told, since))
         else:
@@ -757,7 +757,7 @@
             if ask.kind == "withdraw":
                 self.withdraw(ask.job, told)
             else:
-                told((core.local_job_state(ask.job, world.t) or (None,))[0])
+                told((core.job_queries.local_job_state(ask.job, world.t) or (None,))[0])
         while core.effects.query_replies:
             reply = core.effects.query_replies.popleft()
             label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
@@ -1277,11 +1277,11 @@
         if core is not None and core.types and core.membership.may_act(self.t) and core.state.loaded:
             ready = not spec.needs or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
-                and all(map(core.knows_job, spec.needs))
+                and all(map(core.directory.knows_job, spec.needs))
             )
-            if ready and not core.knows_job(spec.id):
-                core.submit(spec, self.t, self.t + sim.ahead_s)
-            elif core.knows_job(spec.id) and self.question(sim, spec.id) is not None:
+            if ready and not core.directory.knows_job(spec.id):
+                core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
+            elif core.directory.knows_job(spec.id) and self.question(sim, spec.id) is not None:
                 self.accept(spec.id)  # an earlier try was carried out: 200
         self.after(1.5, self.submit, spec)
 
@@ -1404,10 +1404,10 @@
         """As ``Controller.status`` answers: from memory, by the job's home, or from the store; None: 503, or nobody."""
         if sim.core is None:
             return None
-        state = sim.core.local_job_state(job, self.t)
+        state = sim.core.job_queries.local_job_state(job, self.t)
         if state is not None:
             return state[0]
-        home = self.nodes.get(sim.core.job_owner(job))
+        home = self.nodes.get(sim.core.directory.job_owner(job))
         if (
             home is not None
             and home is not sim
@@ -1416,7 +1416,7 @@
             and home.core.membership.fencing_token == sim.core.membership.fencing_token
             and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
         ):
-            state = home.core.local_job_state(job, self.t)
+            state = home.core.job_queries.local_job_state(job, self.t)
             if state is not None:
                 return state[0]
         if self.t < max(sim.cut_store_until, sim.refused_until, self.store.down_until):
@@ -1428,7 +1428,7 @@
         waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
-        return None if waits and not sim.core.is_certainly_pending(job, self.t) else "pending"
+        return None if waits and not sim.core.job_queries.is_certainly_pending(job, self.t) else "pending"
 
     def withdraw(self, job: str) -> None:
         if job in self.said:
@@ -1438,9 +1438,9 @@
             return
         for label in self.labels:
             core = self.nodes[label].core
-            if core is not None and core.job_owner(job) == label:
+            if core is not None and core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, math.inf)
-                state = core.cancel(job, self.t)
+                state = core.job_queries.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
@@ -1457,7 +1457,7 @@
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
         if core is None or not core.state.loaded:
             return
-        home, told = core.job_owner(job), self.withdrawn
+        home, told = core.directory.job_owner(job), self.withdrawn
         if home == sim.label or job in core.replica.ended:
             sim.withdraw(job, lambda state: state and told(job, state))
         elif home:
@@ -1626,7 +1626,7 @@
             if (
                 record.state is JobState.ACTIVE
                 and name not in core.job_shard.jobs
-                and name not in core.submissions
+                and name not in core.submissions.pending
                 and core.membership.job_owner(record.accepted_by) == core.me
             ):
                 raise Broken(f"unserved: {name} by {core.me}, its home, at {self.t:.2f}")
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -111,14 +111,18 @@
 
     def write(self, label: str) -> None:
         core = self.nodes[label]
-        batch = self.clock("records", core.next_batch, self.now) if core is not None and self.store_up else None
+        batch = (
+            self.clock("records", core.record_writer.next_batch, self.now)
+            if core is not None and self.store_up
+            else None
+        )
         if batch is None:
             return
         revision = self.commit(batch.conditions, batch.puts, batch.drops)
         if revision:
-            self.clock("records", core.on_batch_written, batch, revision, self.now)
+            self.clock("records", core.batch_results.on_written, batch, revision, self.now)
         else:
-            core.on_batch_failed(batch, self.now)
+            core.batch_results.on_failed(batch, self.now)
         self.carry(label)
 
     def lead(self, _label: str) -> None:
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -337,7 +337,7 @@
         """A user submits the job at that controller."""
         self.specs[spec.id], self.submitted_at[spec.id] = spec, self.now
         self.clock.owner = label
-        self.clock("submit", self.nodes[label].submit, spec, self.now, self.now)
+        self.clock("submit", self.nodes[label].submissions.submit, spec, self.now, self.now)
 
     def report(self, worker: Worker) -> None:
         owner = self.nodes[self.labels[0]].membership.machine_owner(worker.name)
@@ -450,13 +450,13 @@
 
     def write(self, label: str) -> None:
         core, self.clock.owner = self.nodes[label], label
-        batch = self.clock("records", core.next_batch, self.now)
+        batch = self.clock("records", core.record_writer.next_batch, self.now)
         if batch is not None:
             self.counts.store_changes += batch.changes
             self.counts.transactions += 1
             self.clock(
                 "records",
-                core.on_batch_written,
+                core.batch_results.on_written,
                 batch,
                 self.commit(batch.conditions, batch.puts, batch.drops),
                 self.now,
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -48,8 +48,8 @@
         # The bench's time of day: the calendar opens at a whole minute, which is second 90 here.
         self.offset = int(OPENS // 60) * 60 - OPENS
         for core in self.nodes.values():
-            core.apply_calendars([text])
-            gate = core.calendars
+            core.calendars.apply([text])
+            gate = core.calendars.gate
             gate.clock = lambda core=core: core.state.now + self.offset
         for number in range(args.jobs):
             self.at(5.0 + 50.0 * number / args.jobs, self.opening_job, number, args.tasks)
