--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.configuration import Declarations
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.effects import Effects, JobEndStored
 from alderbridge.controller.machine_records import MachineRecords
@@ -35,7 +34,6 @@
         effects: Effects,
         messenger: Messenger,
         replica: Replica,
-        declared: Declarations,
         job_shard: JobShard,
         machine_records: MachineRecords,
         submissions: Submissions,
@@ -47,7 +45,7 @@
         self.effects = effects
         self.messenger = messenger
         self.replica = replica
-        self.declared = declared
+        self.declared = replica.declared
         self.job_shard = job_shard
         self.machine_records = machine_records
         self.submissions = submissions
@@ -111,6 +109,7 @@
         self.messenger.pump()
 
     def _machines_written(self, batch: WriteBatch, revision: int, current: bool) -> None:
+        """``current``: the batch was written under the view in force."""
         for name in batch.dropped_machines:
             if not self.machine_records.written_since(name, batch):
                 self.machine_records.dropped(name)
--- a/alderbridge/controller/calendar_control.py
+++ b/alderbridge/controller/calendar_control.py
@@ -4,6 +4,7 @@
 
 import logging
 from collections.abc import Callable
+from typing import cast
 
 from alderbridge import constants
 from alderbridge.calendars.declaration import Text as Hours
@@ -39,14 +40,14 @@
         self.gate: Gate | None = None  # None: no calendar is declared
 
     def refresh(self) -> None:
-        """Texts come into force with what arrives, and with time."""
+        """Apply what is in force now: calendars come into force with what arrives, and with time."""
         if "hours" in self.declared.kinds:
-            self.apply(self.declared.in_force("hours", self.state.now))
+            self.apply(cast(list[Hours], self.declared.in_force("hours", self.state.now)))
 
     def apply(self, texts: list[Hours]) -> None:
-        """The texts of hours that hold now, all of them: the one in force, and one that is about to be."""
+        """Apply the calendars that hold now: the one in force, and one that is about to be."""
         if self.gate is not None:
-            texts = texts or [Hours()]  # taken back: nothing is closed any more, and turns are given anew
+            texts = texts or [Hours()]  # withdrawn: no class is closed any more, and turns start anew
         if texts != (self.gate.texts if self.gate is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.skew_ms / 1000 + constants.CLOCK_DRIFT * self.state.membership.store_lease.ttl_s
--- a/alderbridge/controller/job_directory.py
+++ b/alderbridge/controller/job_directory.py
@@ -19,6 +19,7 @@
         self.job_shard = job_shard
 
     def spec_of(self, job: str) -> wire.JobSpec | None:
+        """The job's spec; None where it is not known, or over."""
         known = self.job_shard.jobs.get(job)
         if known is not None:
             return known.spec
@@ -26,14 +27,16 @@
         return stored[0].spec if stored is not None else None
 
     def cancelled(self, job: str) -> bool:
-        """Whether the store says so, as far as it has been read here: never taken back."""
+        """Whether the store says that it is aborted, as far as it has been read here: never taken back."""
         return self.replica.ended.get(job) is JobState.ABORTED
 
     def job_owner(self, job: str) -> str:
+        """The label of the member that owns the job; empty where no active job is known."""
         if job in self.job_shard.jobs:
             return self.me
         label = self.replica.accepted_by(job)
         return self.membership.job_owner(label) if label else ""
 
     def knows_job(self, job: str) -> bool:
+        """Whether the job is known here, active or ended."""
         return job in self.replica.ended or job in self.replica.active or job in self.job_shard.jobs
--- a/alderbridge/controller/job_queries.py
+++ b/alderbridge/controller/job_queries.py
@@ -1,17 +1,16 @@
-"""What users are told of a job from memory, and their cancelling of it. Pure."""
+"""Answers to users about a job from memory, and cancellation. Pure."""
 
 from __future__ import annotations
 
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.controller.state import ControllerState
-from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import JobShard, JobState
 from alderbridge.state.replica import Replica
 
 
 class JobQueries:
-    """Answers that no member can contradict: a state told here is in the store, or still to change only onwards."""
+    """Answers that no member can contradict: a state given here is in the store, or changes only onwards."""
 
     def __init__(
         self,
@@ -20,7 +19,6 @@
         job_shard: JobShard,
         directory: JobDirectory,
         dependencies: DependencyTracker,
-        graph: Graph,
     ) -> None:
         """All but the job shard's jobs is looked up in the replica."""
         self.state = state
@@ -28,10 +26,10 @@
         self.job_shard = job_shard
         self.directory = directory
         self.dependencies = dependencies
-        self.graph = graph
+        self.graph = replica.graph
 
     def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
-        """From memory: an end that the store holds, or this home's own job."""
+        """State, finished and running tasks from memory: of an end that the store holds, or of this shard's own job."""
         self.state.now = now
         ended = self.replica.ended.get(job)
         if ended is not None:
@@ -44,19 +42,19 @@
         if mine.stored_state is not JobState.ACTIVE:
             return mine.stored_state.value, mine.done.count, 0
         if mine.state is not JobState.ACTIVE:
-            # Its end may be in the store without our having heard so, and others may have told it.
+            # Its end may be in the store without an answer to this member, and others may have told the user.
             return None
         running = mine.running
         return "running" if running else "pending", mine.done.count, running
 
     def is_certainly_pending(self, job: str, now: float) -> bool:
-        """Whether a record that is active in the store may be told so, a moment after it was read."""
+        """Whether a job whose record was active in the store when it was read a moment ago may be called pending."""
         self.state.now = now
         spec = self.directory.spec_of(job)
         return spec is not None and job not in self.graph.doomed and self.state.may_act()
 
     def cancel(self, job: str, now: float) -> str | None:
-        """The job's stored state, "" while its end is being written, None where this is not its home."""
+        """The job's stored state, "" while its end is being written, None where this member does not own it."""
         self.state.now = now
         if job in self.replica.ended:
             return self.replica.ended[job].value
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -35,7 +35,7 @@
             ]
 
     def keep(self, name: str) -> bool:
-        """A machine that lapsed is back: its record stays where it is, if no drop of it was ever sent under this view.
+        """A machine whose lease expired is back: its record stays, if no drop of it was ever sent under this view.
 
         One that was sent may be carried out late, when tasks are on the machine again. One that was answered may yet
         have to arrive in the replica, which shows the record until then: taken for recorded by that, the machine ran
@@ -50,8 +50,8 @@
     def recorded(self, name: str, revision: int) -> None:
         """Under the view in force: what was written under an older one the replica had when that ended.
 
-        Since then the machine's new part may have dropped the record. Kept here alone it stayed in the barrier of
-        later views, from which no part would ever strike it.
+        Since then the machine's new owner may have dropped the record. Kept here alone it stayed in the barrier of
+        later views, from which no owner would ever remove it.
         """
         self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
         self.drops_in_flight.discard(name)  # all of them are settled, or assert an older record
@@ -60,12 +60,13 @@
     def written_since(self, name: str, batch: WriteBatch) -> bool:
         """Whether the replica has a newer record than the one that the batch was to drop.
 
-        An answer may come after the next view, whose part has recorded the machine anew. Taken for unrecorded, what
+        An answer may come after the next view, whose owner has recorded the machine anew. Taken for unrecorded, what
         runs on it was free under the view after that, and started elsewhere.
         """
         return self.replica.machines.get(name, 0) > batch.conditions[MACHINES + name]
 
     def dropped(self, name: str) -> None:
+        """The store has dropped the record."""
         self.replica.machines.pop(name, None)
         self.replica.records.pop(name, None)
         self.to_drop = [other for other in self.to_drop if other != name]
--- /dev/null
+++ b/alderbridge/controller/machine_types.py
@@ -0,0 +1,46 @@
+"""The machine types that the cloud rents, and their record in the store. Pure."""
+
+from __future__ import annotations
+
+import msgspec
+
+from alderbridge.controller.state import ControllerState
+from alderbridge.jobs.shard import JobShard
+from alderbridge.leader.leader import Leader
+from alderbridge.machines.shard import MachineShard
+from alderbridge.protocol import wire
+from alderbridge.state.replica import Replica
+
+
+class MachineTypeRegistry:
+    """Tells the owners of machines of the types; the machine shard has them."""
+
+    def __init__(
+        self,
+        state: ControllerState,
+        replica: Replica,
+        leader: Leader,
+        job_shard: JobShard,
+        machine_shard: MachineShard,
+    ) -> None:
+        """``job_shard`` knows how long a value in the store may be."""
+        self.state = state
+        self.membership = state.membership
+        self.replica = replica
+        self.leader = leader
+        self.job_shard = job_shard
+        self.machine_shard = machine_shard
+
+    def update(self, types: dict[str, wire.MachineType]) -> None:
+        """Set the types, by name, as the cloud or the store tells them."""
+        self.machine_shard.types = types
+        self.leader.on_types(types)
+
+    def to_store(self) -> wire.MachineTypes | None:
+        """The machine types, where the store has none or others; spot prices alone are no news."""
+        lasting = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.types.values()]
+        known = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
+        if not lasting or lasting == known or not self.membership.is_leader(self.state.now):
+            return None
+        machine_types = wire.MachineTypes(list(self.machine_shard.types.values()))
+        return machine_types if len(msgspec.json.encode(machine_types)) < self.job_shard.value_bytes else None
--- a/alderbridge/controller/messenger.py
+++ b/alderbridge/controller/messenger.py
@@ -28,15 +28,15 @@
         self.deferred: dict[str, list[messages.Message]] = {}  # before the next message there, or in the next round
         self.local_seq = self.local_processed_seq = 0
 
-    def enter(self, fencing_token: int, lease_id: int) -> None:
+    def enter(self, fencing_token: int, lease_id: int, now: float) -> None:
         """A new view: what was on its way under the one before is dropped."""
         for channel in self.channels.values():
-            channel.reset(fencing_token, self.state.now, lease_id)
+            channel.reset(fencing_token, now, lease_id)
         self.inbox.clear()
         self.deferred.clear()
 
     def send(self, label: str, body: messages.Message) -> int:
-        """A message that must arrive; its number in the channel to that member."""
+        """Send a message that must arrive; its sequence in that member's channel, 0 if there is none."""
         if label == self.me:
             self.local_seq += 1
             self.inbox.append((self.local_seq, body))
@@ -51,7 +51,11 @@
         return frame.seq
 
     def send_deferred(self, label: str, body: messages.Message) -> int:
-        """One that must arrive, and may wait for company: a write for each wakes the peer, which costs more than it."""
+        """Send one that must arrive with the next message there, or in the next round.
+
+        A write for each wakes the peer, which costs more than the message. The result is as that of ``send``, or 0 if
+        it waits.
+        """
         if label == self.me:
             return self.send(label, body)
         if label in self.channels:
@@ -59,13 +63,14 @@
         return 0
 
     def flush_deferred(self, label: str) -> None:
+        """Send the messages to that member that wait for others."""
         channel = self.channels[label]
         self.effects.outgoing_frames += [
             (label, channel.post(body, self.state.now)) for body in self.deferred.pop(label, ())
         ]
 
     def send_unreliable(self, label: str, body: messages.Message) -> None:
-        """A message that may be lost."""
+        """Send a message that may be lost; to this controller itself it is dispatched at once."""
         if label == self.me:
             self.dispatch(label, body)
         elif label in self.channels:
@@ -85,6 +90,7 @@
             handler(label, body)
 
     def processed_seq_of(self, label: str) -> int:
+        """The sequence of the last message from that member that was processed here."""
         return self.local_processed_seq if label == self.me else self.channels[label].received
 
     def maintain_channels(self, now: float) -> None:
--- /dev/null
+++ b/alderbridge/controller/queue_inbox.py
@@ -0,0 +1,44 @@
+"""The members' queues as they arrive here. Pure."""
+
+from __future__ import annotations
+
+from alderbridge.controller.state import ControllerState
+from alderbridge.leader.leader import Leader
+from alderbridge.protocol import messages
+from alderbridge.queues import OfferBook, SenderClock
+from alderbridge.state.write_rate_limit import WriteRateLimit
+
+
+class QueueInbox:
+    """Passes queues on to the book of offers and, on the leader, to it."""
+
+    def __init__(
+        self, state: ControllerState, leader: Leader, write_rate_limit: WriteRateLimit, offer_book: OfferBook
+    ) -> None:
+        """Nothing has arrived."""
+        self.state = state
+        self.me = state.me
+        self.membership = state.membership
+        self.leader = leader
+        self.write_rate_limit = write_rate_limit
+        self.offer_book = offer_book
+        self.sender_clocks: dict[str, SenderClock] = {}
+
+    def clear(self) -> None:
+        """A new view: everybody tells the whole."""
+        self.offer_book.clear()
+        self.sender_clocks.clear()
+
+    def on_queue_snapshot(self, label: str, queue: messages.QueueSnapshot) -> None:
+        """The whole queue of a job shard that sends no deltas."""
+        self.offer_book.take_queue(label, queue, self.state.now)
+        self.leader.on_queue(label, queue, self.state.now)
+        if label != self.me:
+            self.write_rate_limit.record_peer_rate(label, queue.changes, self.state.now)
+
+    def on_queue_delta(self, label: str, changes: messages.QueueDelta) -> None:
+        """Rows of a job shard's queue that have changed."""
+        at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.state.now)
+        self.offer_book.take_changes(label, changes, at)
+        if self.membership.view.leader == self.me:
+            self.leader.on_queue_changes(label, changes, at)
--- a/alderbridge/controller/queue_times.py
+++ b/alderbridge/controller/queue_times.py
@@ -24,6 +24,7 @@
         self.graph = Graph(self.run_time, stretches)
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
+        """Seconds until the job is due, and whether it is late, as ``policy.due_in`` has them."""
         needed = self.graph.needed_by(job.spec.id)
         basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
         if job.queue_times is None or job.queue_times[0] != basis:
@@ -49,4 +50,5 @@
         return needed if needed >= 0 and needed > spec.rank else -1
 
     def run_time(self, spec: wire.JobSpec) -> float:
+        """Expected seconds of one of the job's tasks."""
         return policy.expected_run_time(spec, self.tuning)
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.configuration import Declarations
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.machine_records import MachineRecords
 from alderbridge.controller.state import ControllerState
@@ -42,7 +41,6 @@
         self,
         state: ControllerState,
         replica: Replica,
-        declared: Declarations,
         job_shard: JobShard,
         machine_shard: MachineShard,
         machine_records: MachineRecords,
@@ -56,7 +54,7 @@
         self.membership = state.membership
         self.replica = replica
         self.ledger = replica.ledger
-        self.declared = declared
+        self.declared = replica.declared
         self.job_shard = job_shard
         self.machine_shard = machine_shard
         self.machine_records = machine_records
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -19,18 +19,18 @@
 log = logging.getLogger("core")
 
 
-def beside(record: Record, room: int) -> tuple[Record, dict[str, list[str]]]:
-    """The record without what its job waits for, and that as lists that fit one value each."""
+def split_dependencies(record: Record, room: int) -> tuple[Record, dict[str, list[str]]]:
+    """The record without its dependencies, and these as lists that take ``room`` bytes each, by key."""
     assert record.spec is not None and record.spec.needs is not None
     needs = sorted(record.spec.needs)
-    each = max(1, (room - 2) // (max(map(len, needs)) + 3))
-    count = -(-len(needs) // each)
-    more = f"{hashlib.blake2b(' '.join(needs).encode(), digest_size=8).hexdigest()}/{count}"
-    parts = [needs[at : at + each] for at in range(0, len(needs), each)]
+    names_per_list = max(1, (room - 2) // (max(map(len, needs)) + 3))
+    count = -(-len(needs) // names_per_list)
+    digest = f"{hashlib.blake2b(' '.join(needs).encode(), digest_size=8).hexdigest()}/{count}"
+    parts = [needs[at : at + names_per_list] for at in range(0, len(needs), names_per_list)]
     spec = msgspec.structs.replace(record.spec, needs=None)
     return (
-        msgspec.structs.replace(record, spec=spec, dependency_digest=more),
-        dict(zip(list_keys(spec.id, more), parts, strict=True)),
+        msgspec.structs.replace(record, spec=spec, dependency_digest=digest),
+        dict(zip(list_keys(spec.id, digest), parts, strict=True)),
     )
 
 
@@ -52,14 +52,14 @@
         replica: Replica,
         job_shard: JobShard,
         dependencies: DependencyTracker,
-        decided: Callable[[Submission], None],
+        on_decided: Callable[[Submission], None],
     ) -> None:
-        """``decided`` is told of each submission whose outcome is known."""
+        """``on_decided`` is called with each submission whose outcome is known."""
         self.state = state
         self.replica = replica
         self.job_shard = job_shard
         self.dependencies = dependencies
-        self.decided = decided
+        self.on_decided = on_decided
         self.pending: dict[str, Submission] = {}
         self.has_new = False  # one has come since the last look for what to write
 
@@ -75,7 +75,7 @@
         lists: dict[str, list[str]] = {}
         room = self.job_shard.value_bytes - 64
         if needs and len(msgspec.json.encode(record)) > room:
-            record, lists = beside(record, room)
+            record, lists = split_dependencies(record, room)
         if len(msgspec.json.encode(record)) > room:
             return None
         submission = Submission(Job(record, 0, now, 0.0, fresh=True), lists=lists)
@@ -84,11 +84,12 @@
         return submission
 
     def refuse_all(self) -> None:
-        """The store carries nothing out: who waits is told at once, and asks again later."""
+        """The store carries nothing out: users are answered at once, and ask again later."""
         for submission in list(self.pending.values()):
             self.decide(submission, "refused")
 
     def decide(self, submission: Submission, outcome: str) -> None:
+        """Set the outcome, as ``Submission.outcome`` has it."""
         spec = submission.job.spec
         log.info(
             "job=%s state=%s class=%s team=%s tasks=%d cpus=%g",
@@ -102,7 +103,7 @@
         submission.outcome = outcome
         self.pending.pop(submission.job.spec.id, None)
         self.adopt_late_record(spec.id)
-        self.decided(submission)
+        self.on_decided(submission)
 
     def drop_known_lists(self, submission: Submission) -> None:
         """An earlier try, here or elsewhere, may have stored some: what is under a key never changes."""
@@ -114,7 +115,7 @@
 
         Its transaction had no answer and was carried out late, after a refusal had ended the submission, or another
         try of the user's met its record. It was called accepted then, and nothing ran until the next view.
-        Nothing of it was granted, as it was in no home.
+        Nothing of it was granted, as it was in no job shard.
         """
         record, revision = self.replica.active.get(name, (None, 0))
         if (
--- /dev/null
+++ b/alderbridge/controller/view_entry.py
@@ -0,0 +1,168 @@
+"""Changes of the view: what this controller rebuilds for a new one, and the next one that it asks for. Pure."""
+
+from __future__ import annotations
+
+import logging
+
+from alderbridge import constants
+from alderbridge.controller.dependency_tracker import DependencyTracker
+from alderbridge.controller.effects import Effects, JobEndStored
+from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.messenger import Messenger
+from alderbridge.controller.preemption_round import PreemptionRound
+from alderbridge.controller.queue_inbox import QueueInbox
+from alderbridge.controller.queue_round import QueueRound
+from alderbridge.controller.record_writer import RecordWriter
+from alderbridge.controller.state import ControllerState
+from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.leader.leader import Leader
+from alderbridge.machines.shard import MachineShard
+from alderbridge.membership.view import MemberStatus, View
+from alderbridge.state.replica import Replica
+from alderbridge.state.store import MEMBERS, VIEW
+
+log = logging.getLogger("core")
+
+
+class ViewEntry:
+    """Has all owners of state enter a new view, in order."""
+
+    def __init__(
+        self,
+        state: ControllerState,
+        effects: Effects,
+        messenger: Messenger,
+        replica: Replica,
+        job_shard: JobShard,
+        machine_shard: MachineShard,
+        machine_records: MachineRecords,
+        dependencies: DependencyTracker,
+        leader: Leader,
+        preemption: PreemptionRound,
+        queue_inbox: QueueInbox,
+        queue_round: QueueRound,
+        record_writer: RecordWriter,
+    ) -> None:
+        """The owners of state that depends on the view."""
+        self.state = state
+        self.membership = state.membership
+        self.effects = effects
+        self.messenger = messenger
+        self.replica = replica
+        self.job_shard = job_shard
+        self.machine_shard = machine_shard
+        self.machine_records = machine_records
+        self.dependencies = dependencies
+        self.leader = leader
+        self.preemption = preemption
+        self.queue_inbox = queue_inbox
+        self.queue_round = queue_round
+        self.record_writer = record_writer
+        self.write_rate_limit = record_writer.write_rate_limit
+        self.entered_lease_id = 0  # the store lease under which the shards were last built
+        self.entered_at = state.now  # when the view arrived here
+
+    def enter(self, now: float, wall: float) -> None:
+        """Rebuild job shard, machine shard and channels for the view that has just arrived."""
+        view, fencing_token = self.membership.view, self.membership.fencing_token
+        members = sorted(view.members)
+        log.info("view fencing_token=%d leader=%s members=%s", fencing_token, view.leader, members)
+        self.entered_at = now
+        inside = self.membership.status(now) is not MemberStatus.OUTSIDE
+        self.messenger.enter(fencing_token, self.membership.store_lease.lease_id if inside else 0, now)
+        self.queue_round.publisher.enter()
+        self.queue_inbox.clear()
+        continued = inside and self.state.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
+        old = self.job_shard.jobs if continued else {}
+        self.entered_lease_id = self.membership.store_lease.lease_id if inside else 0
+        self.state.is_member = inside
+        jobs = self._owned_jobs(old, now, wall) if inside else {}
+        recorded = {name: self.replica.record(name) for name in self.replica.machines} if inside else {}
+        self.job_shard.enter(fencing_token, jobs, recorded)
+        mine = {
+            name: record for name, record in recorded.items() if self.membership.machine_owner(name) == self.state.me
+        }
+        self.machine_shard.enter(
+            fencing_token,
+            members if inside else [],
+            mine,
+            now,
+            continued,
+            continued and self.membership.all_support(constants.VERSION_WITH_CARRY_OVER),
+        )
+        self.leader.enter(members, now)
+        self.write_rate_limit.enter(len(members), now)
+        self.replica.ledger.enter()
+        self.preemption.planner.enter(members)
+        self.machine_records.enter()
+        self.messenger.pump()
+
+    def _owned_jobs(self, old: dict[str, Job], now: float, wall: float) -> dict[str, Job]:
+        """The jobs that this member owns under the view; ``old`` are those that it owned before and goes on with."""
+        jobs: dict[str, Job] = {}
+        for name, (record, revision) in self.replica.active.items():
+            if self.membership.job_owner(record.accepted_by) != self.state.me:
+                continue
+            job = old.get(name)
+            if job is None:
+                job = self._inherit(name, record, revision, now, wall)
+            elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
+                # A write of its end had no answer, and was carried out: others may have told it. Taken for active until
+                # the view has settled, it was written so again, with the revision of its end.
+                job.apply_stored_end(record.state)
+                job.stored_state = record.state
+                job.mark_dirty(now)
+                self.effects.notifications.append(JobEndStored(name))
+            job.revision = max(job.revision, revision)
+            jobs[name] = job
+        return jobs
+
+    def _inherit(self, name: str, record: Record, revision: int, now: float, wall: float) -> Job:
+        """A job of an earlier owner, or of an earlier life of this process.
+
+        Every write asserts the view: what is not done here yet was not when the view changed, so nothing of a job that
+        waits for it was ever started.
+        """
+        waits = self.dependencies.graph.waiting(name)
+        job = Job(record, revision, now, max(0.0, wall - record.at), fresh=waits)
+        job.inherited = True
+        self.dependencies.apply(job)
+        return job
+
+    def lease_acquired(self, lease_id: int, sent_at: float, now: float) -> None:
+        """This process is that life of its label; its store lease counts from ``sent_at``.
+
+        The view that has it may have arrived before the store's answer. What was built for that view was an
+        outsider's: acting on it, a job shard without its jobs stopped all their tasks and served none until the next
+        view.
+        """
+        self.state.now = now
+        self.membership.store_lease.record_renewal(lease_id, sent_at, now)
+        if not self.state.is_member and self.membership.status(now) is not MemberStatus.OUTSIDE:
+            self.enter(now, now + self.state.wall_offset_s)
+
+    def refresh_settlement(self, now: float) -> None:
+        """Whether every member is known to act under this view, or not at all."""
+        fencing_token = self.membership.fencing_token
+        others = [label for label in self.membership.view.members if label != self.state.me]
+        everyone = all(self.messenger.channels[label].peer_fencing_token >= fencing_token for label in others)
+        if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
+            self.machine_shard.settle(now)
+            if not self.job_shard.settled:
+                self.job_shard.settle()
+
+    def next_view(self, now: float) -> tuple[View, dict[str, int], list[str]] | None:
+        """The change of view to try, with the revisions to assert and the keys of members that are removed."""
+        change = self.membership.next_view(now, self.record_writer.max_changes - 1) if self.state.loaded else None
+        if change is None:
+            return None
+        view, revisions = (
+            self.membership.mark_quorum_overlap(change[0], self.job_shard.settled and self.state.is_member),
+            change[1],
+        )
+        drops = [MEMBERS + label for label, revision in revisions.items() if revision and label not in view.members]
+        return (
+            view,
+            {VIEW: self.membership.fencing_token, **{MEMBERS + label: s for label, s in revisions.items()}},
+            drops,
+        )
--- a/alderbridge/controller/write_batch.py
+++ b/alderbridge/controller/write_batch.py
@@ -30,4 +30,5 @@
 
     @property
     def changes(self) -> int:
+        """How many changes of the store it makes."""
         return len(self.puts) + max(len(self.dropped_machines), len(self.drops))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -110,7 +110,7 @@
     one.core.state.loaded = True
     wide = msgspec.structs.replace(TYPES["large"], name="wide", cpus=64.0)
     only_a = msgspec.structs.replace(TYPES["large"], name="one_zone", zones=["a"])
-    one.core.set_machine_types({**TYPES, "wide": wide, "one_zone": only_a})
+    one.core.machine_types.update({**TYPES, "wide": wide, "one_zone": only_a})
     monkeypatch.setattr(one.core.membership, "may_act", lambda now: True)
     return one
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -81,7 +81,7 @@
         self.after(0.5, self.count)
 
     def prepare(self, core) -> None:
-        core.priorities = lambda now: [self.text]
+        core.preemption.priorities = lambda now: [self.text]
 
     def routine(self, number: int) -> wire.JobSpec:
         rng, saves = self.rng, self.rng.random() < 0.5
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -12,7 +12,7 @@
 from alderbridge import cli, configuration, constants
 from alderbridge.configuration import Declarations, Head, Revision, records, texts
 from alderbridge.configuration import declarations as machine
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.store_follower import StoreFollower
 from alderbridge.membership.view import Membership
 from alderbridge.protocol import wire
 from alderbridge.settings import ConfigError, NextState
@@ -152,16 +152,16 @@
     core = World(1, jobs=0, trouble=False).nodes["host-0"].core
     core.calendars.refresh = lambda: None  # the text says nothing of hours
     core.membership.record_sync(0.0)
-    named = put_text(core.declared, "hours", 1, ["a"])
+    named = put_text(core.replica.declared, "hours", 1, ["a"])
     gone = records.piece_keys("hours", named)[0]
-    piece = core.declared.kinds["hours"].pieces.pop(gone)
-    change(core.declared, 0.0, 5, hours=head_of(named))
-    core.apply_events([], 0.0, 0.0)
-    assert core.declared.unreadable and core.membership.fresh_until < 0.0
-    core.declared.apply(gone, msgspec.json.encode(piece), 6)
+    piece = core.replica.declared.kinds["hours"].pieces.pop(gone)
+    change(core.replica.declared, 0.0, 5, hours=head_of(named))
+    core.store_follower.apply_events([], 0.0, 0.0)
+    assert core.replica.declared.unreadable and core.membership.fresh_until < 0.0
+    core.replica.declared.apply(gone, msgspec.json.encode(piece), 6)
     core.membership.record_sync(0.0)
-    core.apply_events([], 0.0, 0.0)
-    assert not core.declared.unreadable and core.membership.fresh_until > 0.0
+    core.store_follower.apply_events([], 0.0, 0.0)
+    assert not core.replica.declared.unreadable and core.membership.fresh_until > 0.0
 
 
 # -- random runs
@@ -259,7 +259,7 @@
         lists = {}
         for label, sim in self.nodes.items():
             if sim.core is not None and sim.core.state.loaded:
-                lists[label] = [0] if sim.old else sim.core.declared.obeyed("hours", self.t)
+                lists[label] = [0] if sim.old else sim.core.replica.declared.obeyed("hours", self.t)
         alone = {obeyed[0] for obeyed in lists.values() if len(obeyed) == 1 and obeyed[0] > 0}
         for revision in alone:
             behind = [label for label, obeyed in lists.items() if obeyed[-1] < revision]
@@ -294,11 +294,11 @@
         expected = max([self.seen[0], *files])
         for label, sim in self.nodes.items():
             assert sim.core.membership.may_act(self.t), label
-            obeyed = sim.core.declared.obeyed("hours", self.t)
+            obeyed = sim.core.replica.declared.obeyed("hours", self.t)
             if obeyed != [expected]:
                 raise Broken(f"not_in_force: {label} obeys {obeyed}, {expected} is declared")
-            if sim.core.declared.kinds and sim.core.declared.kinds["hours"].head is not None:
-                assert sim.core.declared.kinds["hours"].head.digest == self.seen[1]
+            if sim.core.replica.declared.kinds and sim.core.replica.declared.kinds["hours"].head is not None:
+                assert sim.core.replica.declared.kinds["hours"].head.digest == self.seen[1]
         left = {key for key in self.store.data if key.startswith(DECLARED + "hours/")}
         assert len(left) <= 60, "texts that no head names are left behind"
 
@@ -333,7 +333,7 @@
 
 
 def alone_from_the_first_load(monkeypatch):
-    real = ControllerCore.load
+    real = StoreFollower.load
 
     def load(self, *args):
         real(self, *args)
@@ -341,7 +341,7 @@
             if one.head is not None:
                 one.alone_at = 0.0
 
-    monkeypatch.setattr(ControllerCore, "load", load)
+    monkeypatch.setattr(StoreFollower, "load", load)
 
 
 def test_who_starts_in_mid_change_obeys_both(monkeypatch):
@@ -361,8 +361,8 @@
         rows.append(
             wire.KeyValue(records.head_key("hours"), msgspec.Raw(msgspec.json.encode(head_of(second, first))), 2)
         )
-        core.load(rows, [], 5, 0.0, 0.0)
-        return core.declared.in_force("hours", 1.0)
+        core.store_follower.load(rows, [], 5, 0.0, 0.0)
+        return core.replica.declared.in_force("hours", 1.0)
 
     assert obeyed() == [Text(["a"]), Text(["b"])]
     alone_from_the_first_load(monkeypatch)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -112,14 +112,14 @@
     world.nodes[home].crash()
     world.restart(world.nodes[home])
     core = world.nodes[home].core
-    real, late = core.lease_acquired, []
-    core.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
+    real, late = core.view_entry.lease_acquired, []
+    core.view_entry.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
     fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
     while core.membership.fencing_token <= fencing_token or not late:
         world.run(world.t + 0.05)
     assert not core.state.is_member and not core.may_act()
-    core.lease_acquired = real
-    core.lease_acquired(*late[0])
+    core.view_entry.lease_acquired = real
+    core.view_entry.lease_acquired(*late[0])
     assert core.may_act() and core.state.is_member and core.job_shard.jobs
     world.served(core)
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -533,7 +533,7 @@
     """Tuning holds all GPUs, a load of replicas comes and goes, and controllers end in mid-claim."""
 
     def prepare(self, core):
-        core.lendings = lambda now: [LENT]
+        core.preemption.lendings = lambda now: [LENT]
 
     def routine(self, number):
         return msgspec.structs.replace(
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -290,7 +290,7 @@
     batch = at_once(alone, shown)
     revisions = {key: alone.store.data[key][1] for key in batch.puts}
     alone.write()
-    assert submission.outcome == "accepted" and alone.core.graph.waiting(SPEC.id)
+    assert submission.outcome == "accepted" and alone.core.replica.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
     assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is shown
     assert not alone.core.job_shard.jobs[SPEC.id].unknown and alone.core.job_shard.jobs[SPEC.id].is_blocked
@@ -362,7 +362,7 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_claims_in_doubt_are_planned_upon_only_when_they_have_been_read(shown):
     alone = Alone()
-    ledger = alone.core.ledger
+    ledger = alone.core.replica.ledger
     ledger.plan([{"n-000001": claim()}])
     at_once(alone, shown)
     assert ledger.busy, "nothing is planned before it is settled"
@@ -379,7 +379,7 @@
 def test_ends_are_written_though_the_drop_of_a_claim_is_in_doubt(shown):
     """Its own watch hangs: the drop met a conflict again and again, and nothing else was written for as long."""
     alone = Alone()
-    ledger = alone.core.ledger
+    ledger = alone.core.replica.ledger
     end_of(alone, "aborted")
     ledger.plan([{"n-000001": claim()}])
     alone.settle(alone.batch())
@@ -427,15 +427,15 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_machine_types_in_doubt_are_written_once(shown):
     alone = Alone()
-    machine_types = alone.core.types_to_store()
+    machine_types = alone.core.machine_types.to_store()
     conditions = {VIEW: alone.core.membership.fencing_token, TYPES: alone.core.replica.types_revision}
     revision = alone.store.commit(conditions, {TYPES: machine_types}).revision
     if shown:
         alone.follow()
-        assert alone.core.types_to_store() is None
+        assert alone.core.machine_types.to_store() is None
     else:
         assert alone.core.replica.types_revision == 0, "the next try meets it"
-        assert alone.store.commit(conditions, {TYPES: alone.core.types_to_store()}).failed == [TYPES]
+        assert alone.store.commit(conditions, {TYPES: alone.core.machine_types.to_store()}).failed == [TYPES]
     assert alone.store.data[TYPES][1] == revision
 
 
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -318,7 +318,7 @@
     core.membership.store_lease.record_renewal(1, 100.0, 100.0)
     core.membership.record_sync(100.0)
     members = {label: number for number, label in enumerate(LABELS, 1)}
-    core.load(
+    core.store_follower.load(
         [wire.KeyValue("ab/view", msgspec.Raw(msgspec.json.encode(View("host-0", members))), 7)], [], 7, 100.0, 100.0
     )
     one.clock = clock
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -42,10 +42,10 @@
     alone.write()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
-        alone.core.apply_events(changes, alone.t, alone.t)
+        alone.core.store_follower.apply_events(changes, alone.t, alone.t)
         alone.core.replica.revision = revision
     else:
-        alone.core.load(rows, [], revision, alone.t, alone.t)
+        alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
     assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     alone.follow()
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -178,8 +178,8 @@
         control.store, control.mesh = Gate(self, label), Mesh(self, label)
         control.store.slow = slow
         control.wait_for_work = control.store.rest
-        control.core.set_machine_types(TYPES)
-        control.core.lease_acquired(self.lease_ids[label], self.t, self.t)
+        control.core.machine_types.update(TYPES)
+        control.core.view_entry.lease_acquired(self.lease_ids[label], self.t, self.t)
         self.looks.pop(label, None)
         self.writers[label] = await curio.spawn(control.keep_records, daemon=True)
 
@@ -193,7 +193,7 @@
     def load(self, label: str) -> None:
         core = self.controls[label].core
         core.membership.record_sync(self.t)
-        core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def look(self, label: str) -> None:
         """Ask the store what has changed, or take in what it said."""
@@ -206,9 +206,9 @@
         core.membership.store_lease.record_renewal(self.lease_ids[label], sent)
         core.membership.record_sync(sent)
         if rows is not None:
-            core.load(rows, [], revision, self.t, self.t)
+            core.store_follower.load(rows, [], revision, self.t, self.t)
         else:
-            core.apply_events(changes, self.t, self.t)
+            core.store_follower.apply_events(changes, self.t, self.t)
             core.replica.revision = max(revision, core.replica.revision)
 
     async def deliver(self, way: tuple[str, str]) -> None:
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -77,5 +77,5 @@
     assert not core.machine_records.keep(name)
     core.batch_results.on_failed(batch, world.t)
     assert not core.machine_records.keep(name), "unanswered, it may yet be carried out"
-    core.enter_view(world.t, world.t)
+    core.view_entry.enter(world.t, world.t)
     assert name not in core.machine_records.to_drop and not core.machine_records.drops_in_flight
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -53,13 +53,13 @@
         self.store = SimStore(self)
         self.me = "host-0"
         self.core = ControllerCore(platform(self.me, LABELS[:3]), Tuning(), self.t)
-        self.core.set_machine_types(TYPES)
+        self.core.machine_types.update(TYPES)
         self.lease_ids: dict[str, int] = {}
         for label in (self.me, *others):
             self.come(label)
-        self.core.lease_acquired(self.lease_ids[self.me], self.t, self.t)
+        self.core.view_entry.lease_acquired(self.lease_ids[self.me], self.t, self.t)
         self.core.membership.record_sync(self.t)
-        self.core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
         self.view(self.me, *others)
 
     def other(self, label: str) -> "Alone":
@@ -67,8 +67,8 @@
         other = object.__new__(Alone)
         other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
         other.core = ControllerCore(platform(label, LABELS[:3]), Tuning(), self.t)
-        other.core.set_machine_types(TYPES)
-        other.core.lease_acquired(self.lease_ids[label], self.t, self.t)
+        other.core.machine_types.update(TYPES)
+        other.core.view_entry.lease_acquired(self.lease_ids[label], self.t, self.t)
         other.reload()
         return other
 
@@ -86,13 +86,13 @@
         core = self.core
         core.membership.store_lease.record_renewal(self.lease_ids[self.me], self.t)
         core.membership.record_sync(self.t)
-        core.apply_events(self.store.since(core.replica.revision), self.t, self.t)
+        core.store_follower.apply_events(self.store.since(core.replica.revision), self.t, self.t)
         core.replica.revision = self.store.revision
 
     def reload(self) -> None:
         """As after any trouble with following: all is read anew."""
         self.core.membership.record_sync(self.t)
-        self.core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def go(self, for_s: float) -> None:
         """Time passes, and the store answers what is read."""
@@ -582,12 +582,12 @@
 def test_what_was_read_before_a_claim_was_stored_does_not_have_it_forgotten():
     """Reading anew was slow, and its own transaction was answered in between: a job that was stopped asked for room."""
     alone = Alone()
-    store, ledger = alone.store, alone.core.ledger
+    store, ledger = alone.store, alone.core.replica.ledger
     rows, revision = store.rows(), store.revision
     ledger.plan([{"n-000001": Claim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}])
     alone.write()
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
-    alone.core.load(rows, [], revision, alone.t, alone.t)
+    alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
     assert ledger.spent_revision == store.data[BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
@@ -704,7 +704,7 @@
 
     core = control.core
     core.state.loaded, core.job_shard.value_bytes = True, 200
-    core.set_machine_types(TYPES)
+    core.machine_types.update(TYPES)
     monkeypatch.setattr(control.store, "get", get)
     monkeypatch.setattr(core.membership, "may_act", lambda now: True)
     body = {
@@ -820,7 +820,7 @@
         def done(answer) -> None:
             self.follow_busy = False
             core.membership.record_sync(sent)
-            core.load(*answer, world.t, world.t + self.ahead_s)
+            core.store_follower.load(*answer, world.t, world.t + self.ahead_s)
 
         def failed() -> None:
             self.follow_busy = False
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -12,8 +12,8 @@
 from world import Broken
 
 from alderbridge import constants
-from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.record_writer import RecordWriter
+from alderbridge.controller.view_entry import ViewEntry
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
 from alderbridge.membership.view import Membership, StoreLease
 from alderbridge.protocol import messages
@@ -289,7 +289,7 @@
 
 def older_view_not_asserted(monkeypatch):
     """A late view takes the place of a newer one."""
-    real = ControllerCore.next_view
+    real = ViewEntry.next_view
 
     def next_view(self, now):
         change = real(self, now)
@@ -297,7 +297,7 @@
             del change[1][VIEW]
         return change
 
-    monkeypatch.setattr(ControllerCore, "next_view", next_view)
+    monkeypatch.setattr(ViewEntry, "next_view", next_view)
 
 
 def test_a_late_view_that_takes_the_place_of_a_newer_one_is_seen(monkeypatch):
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -315,12 +315,12 @@
     world.restart(world.nodes["host-2"])
     world.run(100.0)
     assert {messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus} <= world.sent
-    assert all(sim.core.queue_publisher.form.name == "CHANGES" for sim in world.nodes.values())
+    assert all(sim.core.queue_round.publisher.form.name == "CHANGES" for sim in world.nodes.values())
     world.nodes["host-1"].crash()
     world.older.add("host-1")
     world.restart(world.nodes["host-1"])
     world.run(130.0)
-    assert all(sim.core.queue_publisher.form.name == "WHOLE_QUEUES" for sim in world.nodes.values())
+    assert all(sim.core.queue_round.publisher.form.name == "WHOLE_QUEUES" for sim in world.nodes.values())
     world.run(700.0)
     assert all(world.said.get(job) or job in world.cancelled_at for job in world.accepted)
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -131,7 +131,8 @@
     near.core.job_queries.cancel(first.id, world.t)
     world.run(8.0)
     assert (
-        near.core.job_queries.local_job_state(first.id, world.t)[0] == "aborted" and after.id in near.core.graph.doomed
+        near.core.job_queries.local_job_state(first.id, world.t)[0] == "aborted"
+        and after.id in near.core.replica.graph.doomed
     )
     answers = []
     while world.t < 33.0:
--- a/tests/world.py
+++ b/tests/world.py
@@ -316,7 +316,7 @@
             world.t,
             own={} if self.old else world.files(self.label),
         )
-        self.core.types = self.core.machine_shard.types = TYPES
+        self.core.machine_shard.types = TYPES
         self.core.leader.on_types(TYPES)
         world.prepare(self.core)
         self.busy = self.entering = False
@@ -456,7 +456,7 @@
             self.entering = False
             if answer.failed:
                 return
-            core.lease_acquired(lease_id, sent, world.t)
+            core.view_entry.lease_acquired(lease_id, sent, world.t)
             if before is not None:
                 lease_id = msgspec.json.decode(before.data, type=MemberRecord).lease_id
                 self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
@@ -485,10 +485,10 @@
             self.follow_busy = False
             core.membership.record_sync(sent)
             if rows is None:
-                core.apply_events(changes, world.t, world.t + self.ahead_s)
+                core.store_follower.apply_events(changes, world.t, world.t + self.ahead_s)
                 core.replica.revision = revision
             else:
-                core.load(rows, changes, revision, world.t, world.t + self.ahead_s)
+                core.store_follower.load(rows, changes, revision, world.t, world.t + self.ahead_s)
             world.followed(self, [*(rows or ()), *changes])
 
         def failed():
@@ -511,7 +511,7 @@
         ]
 
     def view(self) -> None:
-        change = self.core.next_view(self.world.t)
+        change = self.core.view_entry.next_view(self.world.t)
         if change is not None:
             view, conditions, drops = change
             self.call(lambda _: None, lambda: None, self.world.store.commit, conditions, {VIEW: view}, drops)
@@ -719,7 +719,7 @@
 
         if core.directory.knows_job(spec.id):
             known()
-        elif not core.state.loaded or not core.types:
+        elif not core.state.loaded or not core.machine_shard.types:
             told(None)
         elif Controller.never_runs(SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec):
             self.status(spec.id, told)
@@ -1274,7 +1274,7 @@
             if spec.service or self.rng.random() < 0.15:
                 self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
             return
-        if core is not None and core.types and core.membership.may_act(self.t) and core.state.loaded:
+        if core is not None and core.machine_shard.types and core.membership.may_act(self.t) and core.state.loaded:
             ready = not spec.needs or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
                 and all(map(core.directory.knows_job, spec.needs))
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -99,7 +99,7 @@
         if core is None:
             return
         super().round(label)
-        change = core.next_view(self.now) if self.store_up else None
+        change = core.view_entry.next_view(self.now) if self.store_up else None
         if change is not None:
             self.commit(change[1], {VIEW: change[0]}, [])
         while hasattr(core, "on_probe_answered") and core.may_act():
@@ -183,8 +183,8 @@
         self.commit({}, {MEMBERS + label: MemberRecord(self.lease_ids, base.PROTOCOL_VERSION)}, [])
         rows = [wire.KeyValue(key, msgspec.Raw(raw), revision) for key, (raw, revision) in sorted(self.data.items())]
         core.membership.record_sync(self.now)
-        self.clock("load", core.load, rows, [], self.revision, self.now, self.now)
-        core.set_machine_types({base.KIND.name: base.KIND})
+        self.clock("load", core.store_follower.load, rows, [], self.revision, self.now, self.now)
+        core.machine_types.update({base.KIND.name: base.KIND})
 
     # -- workers
 
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -234,7 +234,7 @@
         for label, core in self.nodes.items():
             core.membership.store_lease.record_renewal(self.labels.index(label) + 1, 0.0)
             core.state.loaded = True
-            core.set_machine_types({KIND.name: KIND})
+            core.machine_types.update({KIND.name: KIND})
             core.leader.on_listing([], 0.0)
         members = {label: number + 1 for number, label in enumerate(self.labels)}
         for label, lease_id in members.items():
@@ -438,7 +438,7 @@
             if change.revision <= since:
                 break
             changes.append(change)
-        self.clock("follow", core.apply_events, changes[::-1], self.now, self.now)
+        self.clock("follow", core.store_follower.apply_events, changes[::-1], self.now, self.now)
         core.replica.revision = self.revision
         self.carry(label)
         self.at(self.now + 0.1, self.follow, label)
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -92,9 +92,9 @@
 
     def prepare(self, core) -> None:
         if self.way != "without":
-            core.priorities = lambda now: [self.declared]
+            core.preemption.priorities = lambda now: [self.declared]
         if self.way == "naive":
-            core.rules = Naive([self.declared])
+            core.preemption.rules = Naive([self.declared])
 
     def come_back(self, label: str) -> None:
         super().come_back(label)
