--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -117,7 +117,7 @@
             self.machine_records.recorded(name, revision)
 
     def _job_stored(self, job: Job, record: Record, revision: int) -> None:
-        self.replica.saw_job(job.spec.id, record, revision)
+        self.replica.observe_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
             self.effects.notifications.append(JobEndStored(job.spec.id))
         if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
@@ -129,7 +129,7 @@
     def _submission_stored(self, submission: Submission, record: Record, revision: int, current: bool) -> None:
         job = submission.job
         job.revision = revision
-        self.replica.saw_job(job.spec.id, record, revision)
+        self.replica.observe_job(job.spec.id, record, revision)
         if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its owner
             self.job_shard.add(job)
             self.dependencies.apply(job)
@@ -173,7 +173,7 @@
     def _resolve_submission(self, submission: Submission, record: Record, revision: int, current: bool) -> None:
         job = submission.job
         name = job.spec.id
-        self.replica.saw_job(name, record, revision)
+        self.replica.observe_job(name, record, revision)
         ours = record.accepted_by == self.state.me and record.at == job.at and record.state is JobState.ACTIVE
         if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
             job.revision = revision  # an earlier write of this member's had no answer
--- a/alderbridge/controller/calendar_control.py
+++ b/alderbridge/controller/calendar_control.py
@@ -7,9 +7,9 @@
 from typing import cast
 
 from alderbridge import constants
-from alderbridge.calendars.declaration import Text as Hours
-from alderbridge.calendars.gate import Gate
-from alderbridge.configuration import Declarations
+from alderbridge.calendars.configuration import CalendarConfiguration
+from alderbridge.calendars.gate import CalendarGate
+from alderbridge.configuration import OperatorConfiguration
 from alderbridge.controller.state import ControllerState
 from alderbridge.jobs.shard import JobShard
 from alderbridge.machines.shard import MachineShard
@@ -24,7 +24,7 @@
     def __init__(
         self,
         state: ControllerState,
-        declared: Declarations,
+        declared: OperatorConfiguration,
         job_shard: JobShard,
         machine_shard: MachineShard,
         rank: Callable[[wire.JobSpec], int],
@@ -37,21 +37,21 @@
         self.machine_shard = machine_shard
         self.rank = rank
         self.skew_ms = skew_ms
-        self.gate: Gate | None = None  # None: no calendar is declared
+        self.gate: CalendarGate | None = None  # None: no calendar is declared
 
     def refresh(self) -> None:
         """Apply what is in force now: calendars come into force with what arrives, and with time."""
         if "hours" in self.declared.kinds:
-            self.apply(cast(list[Hours], self.declared.in_force("hours", self.state.now)))
+            self.apply(cast(list[CalendarConfiguration], self.declared.in_force("hours", self.state.now)))
 
-    def apply(self, texts: list[Hours]) -> None:
+    def apply(self, texts: list[CalendarConfiguration]) -> None:
         """Apply the calendars that hold now: the one in force, and one that is about to be."""
         if self.gate is not None:
-            texts = texts or [Hours()]  # withdrawn: no class is closed any more, and turns start anew
+            texts = texts or [CalendarConfiguration()]  # withdrawn: no class is closed any more, and turns start anew
         if texts != (self.gate.texts if self.gate is not None else []):
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.skew_ms / 1000 + constants.CLOCK_DRIFT * self.state.membership.store_lease.ttl_s
-            self.gate = Gate(texts, self.state.wall, skew, self.rank)
+            self.gate = CalendarGate(texts, self.state.wall, skew, self.rank)
             self.job_shard.calendars = self.machine_shard.calendars = self.gate
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -10,13 +10,13 @@
 from random import Random
 
 from alderbridge import constants
-from alderbridge.configuration import Declarations, Declared
+from alderbridge.configuration import OperatorConfiguration, ConfigurationRevision
 from alderbridge.controller.batch_results import BatchResults
 from alderbridge.controller.calendar_control import CalendarControl
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.effects import Effects
 from alderbridge.controller.job_directory import JobDirectory
-from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.leader_messages import LeaderMessages
 from alderbridge.controller.machine_records import MachineRecords
 from alderbridge.controller.machine_types import MachineTypeRegistry
@@ -56,7 +56,7 @@
         tuning: Tuning,
         now: float,
         rng: Random | None = None,
-        own: dict[str, Declared] | None = None,
+        own: dict[str, ConfigurationRevision] | None = None,
     ) -> None:
         """``own``: what the operators' files of this process declare, by kind; ``now``: steady clock, in seconds."""
         self.me = platform.label
@@ -67,7 +67,7 @@
         self.state = ControllerState(self.me, self.membership, now)
         self.messenger = Messenger(self.state, self.effects, peers)
         self.queue_times = QueueTimes(self.state, tuning, self.shared.objectives)
-        declared = Declarations(own, self.membership.store_lease.ttl_s, [self.me, *peers])
+        declared = OperatorConfiguration(own, self.membership.store_lease.ttl_s, [self.me, *peers])
         self.replica = Replica(self.membership, self.queue_times.graph, declared)
         self._construct_shards(rng or Random(platform.label))
         self.leader = Leader(
@@ -94,7 +94,7 @@
         return Membership(self.me, ttl_s, min(constants.STORE_LEASE_TTL_S, longest_s))
 
     def _construct_shards(self, rng: Random) -> None:
-        value_bytes = int(self.shared.state.kept.value_kb * 1024)
+        value_bytes = int(self.shared.state.effective.value_kb * 1024)
         self.job_shard = JobShard(self.shared.teams, self.messenger.send, value_bytes)
         self.job_shard.machine_owner = self.membership.machine_owner
         self.job_shard.send_deferred = self.messenger.send_deferred
@@ -126,11 +126,11 @@
         self.submissions = Submissions(
             self.state, self.replica, self.job_shard, self.dependencies, self.effects.notifications.append
         )
-        self.job_queries = JobQueries(self.state, self.replica, self.job_shard, self.directory, self.dependencies)
+        self.local_jobs = LocalJobs(self.state, self.replica, self.job_shard, self.directory, self.dependencies)
 
     def _construct_records(self, controllers: int) -> None:
         """Until a view says who else writes, all ``controllers`` share what the store takes."""
-        limits = self.shared.state.kept
+        limits = self.shared.state.effective
         self.write_rate_limit = WriteRateLimit(limits.write_rps * constants.RATE_SHARE, controllers, self.state.now)
         self.record_writer = RecordWriter(
             self.state,
@@ -317,7 +317,7 @@
         if self.may_act():
             self.machine_shard.check_leases(now)
         self.placement_round.busy = None
-        self.queue_inbox.offer_book.look()
+        self.queue_inbox.offer_book.resolve_unknown_jobs()
 
     def on_terminated(self, names: list[str], now: float) -> None:
         """The cloud has confirmed that these machines are gone: tell all members."""
@@ -437,13 +437,13 @@
         return self.directory.job_owner(job)
 
     def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
-        """See ``JobQueries``."""
-        return self.job_queries.local_job_state(job, now)
+        """See ``LocalJobs``."""
+        return self.local_jobs.local_job_state(job, now)
 
     def is_certainly_pending(self, job: str, now: float) -> bool:
-        """See ``JobQueries``."""
-        return self.job_queries.is_certainly_pending(job, now)
+        """See ``LocalJobs``."""
+        return self.local_jobs.is_certainly_pending(job, now)
 
     def cancel(self, job: str, now: float) -> str | None:
-        """See ``JobQueries``."""
-        return self.job_queries.cancel(job, now)
+        """See ``LocalJobs``."""
+        return self.local_jobs.cancel(job, now)
--- a/alderbridge/controller/job_queries.py
+++ b/alderbridge/controller/local_jobs.py
@@ -9,7 +9,7 @@
 from alderbridge.state.replica import Replica
 
 
-class JobQueries:
+class LocalJobs:
     """Answers that no member can contradict: a state given here is in the store, or changes only onwards."""
 
     def __init__(
--- a/alderbridge/controller/message_handlers.py
+++ b/alderbridge/controller/message_handlers.py
@@ -77,7 +77,7 @@
 
     def _on_task_request(self, label: str, request: messages.TaskRequest) -> None:
         self.job_shard.on_task_request(label, request, self.state.now, self.state.may_act())
-        self.queue_round.publisher.delta_tracker.tell_again(label, request.job)
+        self.queue_round.publisher.delta_tracker.resend_row(label, request.job)
 
     def _on_task_grant(self, label: str, grant: messages.TaskGrant) -> None:
         machine = self.machine_shard.on_task_grant(label, grant, self.state.now)
@@ -108,7 +108,7 @@
     def _on_list_machine_tasks(self, label: str, request: messages.ListMachineTasks) -> None:
         sources = self.preemption.policies()
         tasks = self.machine_shard.machine_tasks(
-            self.state.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
+            self.state.now, self.ledger.entries, lambda spec: any(source.is_reported(spec) for source in sources)
         )
         self.messenger.send_unreliable(label, messages.MachineTaskList(tasks, True))
 
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -38,7 +38,9 @@
         self.directory = directory
         self.preemption = preemption
         self.offers = offers
-        self.busy: placement.Busy | None = None  # room of the busy machines; made when first asked for in a round
+        self.busy: placement.BusyMachines | None = (
+            None  # room of the busy machines; made when first asked for in a round
+        )
         # The machine whose room is kept, and when it last was for something.
         self.reserved_machine: tuple[str, float] = ("", float("-inf"))
         self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> its claim's revision, tasks asked for
@@ -58,14 +60,14 @@
                 return 0
             if self.busy is None:
                 self.busy = self.machine_shard.busy(now)
-            return self.busy.room(offer.spec)
+            return self.busy.capacity_for(offer.spec)
 
         room_elsewhere: Callable[[placement.Offer], int] = room_on_busy_machines
         lender = self.preemption.lender
         if lender is not None and now < self.preemption.reserved_gpus_until:
             held = self.preemption.reserved_gpus.get(machine.name, 0.0)
             if held:
-                room_elsewhere = lender.leaving(candidate.free[2] - held, room_elsewhere)
+                room_elsewhere = lender.limit_lending(candidate.free[2] - held, room_elsewhere)
 
         def keep(offer: placement.Offer) -> bool:
             """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
@@ -105,7 +107,7 @@
         if spec is None or used >= claim.count:
             return candidate
         room = candidate.free
-        for request in placement.keep(candidate, self.offers, claim.job, claim.count - used):
+        for request in placement.fill_claimed(candidate, self.offers, claim.job, claim.count - used):
             take = self.machine_shard.reserve(machine, request.job, request.count)
             self.messenger.send(
                 request.owner, messages.TaskRequest(take, request.job, request.machine, request.zone, request.count)
--- a/alderbridge/controller/preemption_round.py
+++ b/alderbridge/controller/preemption_round.py
@@ -12,13 +12,13 @@
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import MachineShard
 from alderbridge.preemption import Teams
-from alderbridge.preemption.desk import Desk, Source
-from alderbridge.priorities import Rules
+from alderbridge.preemption.planner import PreemptionPlanner, PreemptionPolicy
+from alderbridge.priorities import PriorityPolicy
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
-    from alderbridge.lending import Lender
+    from alderbridge.lending import CapacityLender
 
 
 def _no_lending(row: messages.QueueRow, spec: wire.JobSpec) -> int:
@@ -46,11 +46,11 @@
         self.machine_shard = machine_shard
         self.record_writer = record_writer
         self.teams = teams
-        self.planner = Desk(leader, leader.replica.ledger)
+        self.planner = PreemptionPlanner(leader, leader.replica.ledger)
         self.priorities: Callable[[float], list[Any]] = lambda now: self.declared.in_force("priorities", now)
         self.lendings: Callable[[float], list[Any]] = lambda now: self.declared.in_force("lending", now)
-        self.rules = Rules([])
-        self.lender: Lender | None = None
+        self.rules = PriorityPolicy([])
+        self.lender: CapacityLender | None = None
         self.reserved_gpus: dict[str, float] = {}  # machine -> GPUs that lending leaves free, as the leader told last
         self.reserved_gpus_until = float("-inf")
         self.gpus_reserved_at = float("-inf")  # when the leader last sent a reservation
@@ -60,23 +60,23 @@
         self.reserved_gpus = reservation.gpus
         self.reserved_gpus_until = self.state.now + constants.GPU_RESERVATION_TTL_S
 
-    def policies(self) -> list[Source]:
+    def policies(self) -> list[PreemptionPolicy]:
         """Who may ask for others' room now; none while a member runs a version that knows no claims."""
         texts = (
             self.priorities(self.state.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         )
-        if texts != self.rules.texts:
-            self.rules = Rules(texts)
-        result: list[Source] = [self.rules] if texts else []
+        if texts != self.rules.configurations:
+            self.rules = PriorityPolicy(texts)
+        result: list[PreemptionPolicy] = [self.rules] if texts else []
         lendings = (
             self.lendings(self.state.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
         )
         if not lendings:
             self.lender = None
-        elif self.lender is None or self.lender.texts != lendings:
-            from alderbridge.lending import Lender  # only here: start-up is charged
+        elif self.lender is None or self.lender.configurations != lendings:
+            from alderbridge.lending import CapacityLender  # only here: start-up is charged
 
-            self.lender = Lender(lendings, self.teams, self.machine_shard.types, self.lender)
+            self.lender = CapacityLender(lendings, self.teams, self.machine_shard.types, self.lender)
         self.leader.tasks_served_by_lending = self.lender.serves_soon if self.lender is not None else _no_lending
         if self.lender is not None:
             self.lender.types = self.machine_shard.types
@@ -95,7 +95,7 @@
             return Teams(self.teams, used)
 
         sources = self.policies()
-        if self.planner.round(now, now + self.state.wall_offset_s, sources, teams, self.record_writer.max_changes):
+        if self.planner.plan(now, now + self.state.wall_offset_s, sources, teams, self.record_writer.max_changes):
             for label in self.membership.view.members:
                 self.messenger.send_unreliable(label, messages.ListMachineTasks())
         if (
@@ -104,7 +104,7 @@
             and self.leader.ready(now)
         ):
             self.gpus_reserved_at = now
-            gpus = self.lender.keep(self.planner, now)
+            gpus = self.lender.gpus_to_reserve(self.planner, now)
             if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
                     self.messenger.send_unreliable(label, messages.GpuReservation(gpus))
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -13,7 +13,7 @@
 
 from alderbridge import constants
 from alderbridge.cloud import Cloud, CloudError, NoCapacityError
-from alderbridge.configuration import Declared
+from alderbridge.configuration import ConfigurationRevision
 from alderbridge.controller.core import ControllerCore, WriteBatch
 from alderbridge.controller.effects import JobEndStored
 from alderbridge.jobs.shard import JobState, Record
@@ -53,7 +53,9 @@
 
 
 class Controller:
-    def __init__(self, platform: Platform, tuning: Tuning, poll: Poll, own: dict[str, Declared] | None = None) -> None:
+    def __init__(
+        self, platform: Platform, tuning: Tuning, poll: Poll, own: dict[str, ConfigurationRevision] | None = None
+    ) -> None:
         shared = platform.settings
         self.platform, self.poll = platform, poll
         self.core = ControllerCore(platform, tuning, now(), own=own)
--- a/alderbridge/controller/queue_inbox.py
+++ b/alderbridge/controller/queue_inbox.py
@@ -31,14 +31,14 @@
 
     def on_queue_snapshot(self, label: str, queue: messages.QueueSnapshot) -> None:
         """The whole queue of a job shard that sends no deltas."""
-        self.offer_book.take_queue(label, queue, self.state.now)
+        self.offer_book.apply_snapshot(label, queue, self.state.now)
         self.leader.on_queue(label, queue, self.state.now)
         if label != self.me:
             self.write_rate_limit.record_peer_rate(label, queue.changes, self.state.now)
 
     def on_queue_delta(self, label: str, changes: messages.QueueDelta) -> None:
         """Rows of a job shard's queue that have changed."""
-        at = self.sender_clocks.setdefault(label, SenderClock()).moment(changes.at, self.state.now)
-        self.offer_book.take_changes(label, changes, at)
+        at = self.sender_clocks.setdefault(label, SenderClock()).local_time(changes.at, self.state.now)
+        self.offer_book.apply_delta(label, changes, at)
         if self.membership.view.leader == self.me:
             self.leader.on_queue_changes(label, changes, at)
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -13,7 +13,7 @@
 from alderbridge.controller.state import ControllerState
 from alderbridge.jobs.shard import JobShard, JobState
 from alderbridge.protocol import messages
-from alderbridge.queues import Form, QueuePublisher, Round, Snapshot
+from alderbridge.queues import QueueFormat, QueuePublisher, PublishRound, QueueState
 from alderbridge.settings import Team
 from alderbridge.state.replica import Replica
 from alderbridge.state.write_rate_limit import WriteRateLimit
@@ -48,7 +48,7 @@
         self.guaranteed_at = float("-inf")  # when it was last computed which jobs are guaranteed
         self.guaranteed_jobs: set[str] = set()
 
-    def snapshot(self, now: float) -> Snapshot:
+    def snapshot(self, now: float) -> QueueState:
         """This job shard's queue and sums as they stand."""
         used = self.job_shard.used(now)
         if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
@@ -58,19 +58,19 @@
         )
         if self.calendars.gate is not None and self.state.may_act():
             self.job_shard.stop_closed()
-        return Snapshot(
+        return QueueState(
             rows, used, self.job_shard.reserved(used), self.job_shard.demand(used), self.job_shard.allocations_received
         )
 
-    def publish(self, now: float, snapshot: Snapshot) -> None:
+    def publish(self, now: float, snapshot: QueueState) -> None:
         """Publish the queue to the members, and to whoever is none that this process is alive."""
         membership, failure_detector = self.membership, self.membership.failure_detector
         links = {label: self.messenger.channels[label] for label in self._subscribers()}
         status = messages.PeerStatus(
             failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
         )
-        one = Round(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
-        for message in self.publisher.tell(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
+        one = PublishRound(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
+        for message in self.publisher.publish(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
             if message.numbered:
                 self.messenger.send(message.label, message.message)
             else:
@@ -82,7 +82,7 @@
     def _subscribers(self) -> list[str]:
         """The other members of the view; without older processes in a member's place once deltas are published."""
         others = [label for label in self.messenger.channels if label in self.membership.view.members]
-        if self.publisher.form is Form.WHOLE_QUEUES:
+        if self.publisher.form is QueueFormat.WHOLE_QUEUES:
             return others
         return [
             label
@@ -109,7 +109,7 @@
             # what waits for others holds no part of the guarantee
             if free is None or known[0].state is not JobState.ACTIVE or (name in waiting and self.graph.waiting(name)):
                 continue
-            if gate is not None and at != NEVER and not (opening := gate.look(spec)).may_start:
+            if gate is not None and at != NEVER and not (opening := gate.eligibility(spec)).may_start:
                 if opening.warm:
                     warm.append((NEVER, name))
                 continue  # nor does what waits for its calendar
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -104,7 +104,7 @@
         it, beside its owner (docs/incidents/read-ahead.md).
         """
         if record.state is not JobState.ACTIVE and not self.directory.knows_job(name):
-            self.replica.saw_job(name, Record(record.state, done_at=record.done_at), revision)
+            self.replica.observe_job(name, Record(record.state, done_at=record.done_at), revision)
             self.dependencies.process_events()
 
     def _observe_recorded_machines(self, names: Iterable[str]) -> None:
@@ -116,7 +116,7 @@
     def _process_configuration(self) -> None:
         """Operator configuration has arrived, or something in the store that counts can't be read here."""
         if self.declared.changed:
-            self.declared.look(self.state.now)
+            self.declared.refresh(self.state.now)
         if self.declared.unreadable:
             self.membership.mark_unreadable()
         self.calendars.refresh()
--- a/alderbridge/controller/write_batch.py
+++ b/alderbridge/controller/write_batch.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from alderbridge.configuration import Proposal
+from alderbridge.configuration import ConfigurationProposal
 from alderbridge.controller.submissions import Submission
 from alderbridge.jobs.shard import Job, Record
-from alderbridge.preemption import Transaction
+from alderbridge.preemption import ClaimTransaction
 
 
 @dataclass
@@ -24,9 +24,9 @@
     dropped_machines: list[str] = field(default_factory=list)
     lists: list[tuple[Submission, str]] = field(default_factory=list)
     dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
-    proposal: Proposal | None = None  # then nothing else
+    proposal: ConfigurationProposal | None = None  # then nothing else
     size: int = 0  # bytes of its body, estimated
-    claims: Transaction | None = None  # then nothing else is in it
+    claims: ClaimTransaction | None = None  # then nothing else is in it
 
     @property
     def changes(self) -> int:
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -201,7 +201,7 @@
     assert not home.jobs[spec.id].runs
     assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
     for other in world.nodes.values():
-        assert (other.core.job_queries.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
+        assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.calendars.apply([])
     world.run(world.t + 200.0)  # its team is at its limit
     assert part in world.completed
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,7 +6,7 @@
 import pytest
 from world import KNOWN_S, ROOM_S, ZONES, Broken, World
 
-from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.process import Controller
 from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.jobs.shard import JobShard, JobState
@@ -169,9 +169,9 @@
 
 def told_before_stored(monkeypatch):
     """``withdraw`` is answered at once, though the write may be refused, or lost."""
-    real = JobQueries.cancel
+    real = LocalJobs.cancel
     monkeypatch.setattr(
-        JobQueries,
+        LocalJobs,
         "cancel",
         lambda self, job, now: (
             real(self, job, now) or ("aborted" if job in self.job_shard.jobs and self.state.may_act() else None)
@@ -194,7 +194,7 @@
 
 def denies_what_is_on_its_way(monkeypatch):
     """A home answers from memory while the write of an end has no answer."""
-    real = JobQueries.local_job_state
+    real = LocalJobs.local_job_state
 
     def local_job_state(self, job, now):
         mine = self.job_shard.jobs.get(job)
@@ -205,7 +205,7 @@
             else real(self, job, now)
         )
 
-    monkeypatch.setattr(JobQueries, "local_job_state", local_job_state)
+    monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
 def test_a_close_look_sees_an_older_state_told_while_an_end_has_no_answer(monkeypatch):
@@ -332,11 +332,11 @@
     world.run(20.0)
     assert after in world.accepted
     world.run(60.0)
-    real = JobQueries.local_job_state
+    real = LocalJobs.local_job_state
     monkeypatch.setattr(
-        JobQueries, "local_job_state", lambda self, job, now: None if job == after else real(self, job, now)
+        LocalJobs, "local_job_state", lambda self, job, now: None if job == after else real(self, job, now)
     )
-    monkeypatch.setattr(JobQueries, "is_certainly_pending", lambda self, job, now: False)
+    monkeypatch.setattr(LocalJobs, "is_certainly_pending", lambda self, job, now: False)
     with pytest.raises(Broken, match=f"unanswered: {after}"):
         world.run(60.0 + KNOWN_S + 20.0)
     assert world.t > 60.0 + KNOWN_S - 6.0
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -15,7 +15,7 @@
 from alderbridge import configuration, constants
 from alderbridge.configuration import Declarations, texts
 from alderbridge.controller.job_directory import JobDirectory
-from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.jobs.shard import JobState, Record, TaskState
 from alderbridge.machines.shard import MachineState
 from alderbridge.membership.failure_detector import FailureDetector
@@ -165,7 +165,7 @@
     job = alone.job()
     if how == "aborted":
         alone.runs(job, "n-000001", 0)
-        assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
+        assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
@@ -185,11 +185,11 @@
 
     def ask():
         for one in (alone, there):
-            answer = one.core.job_queries.local_job_state(SPEC.id, one.t)
+            answer = one.core.local_jobs.local_job_state(SPEC.id, one.t)
             assert answer is None or answer[0] == state, (one.me, answer)
             told.append(answer is not None)
             if one.core.directory.job_owner(SPEC.id) == one.me or answer is not None:
-                assert one.core.job_queries.cancel(SPEC.id, one.t) in ("", None, state)
+                assert one.core.local_jobs.cancel(SPEC.id, one.t) in ("", None, state)
 
     batch = alone.batch()
     assert not alone.carry_out(batch).failed
@@ -225,8 +225,8 @@
         ask()
     assert stored(alone).state.value == state
     assert (
-        home.core.job_queries.local_job_state(SPEC.id, home.t) == (state, 0, 0)
-        and there.core.job_queries.cancel(SPEC.id, there.t) == state
+        home.core.local_jobs.local_job_state(SPEC.id, home.t) == (state, 0, 0)
+        and there.core.local_jobs.cancel(SPEC.id, there.t) == state
     )
 
 
@@ -238,7 +238,7 @@
     job = end_of(alone, "done")
     at_once(alone, shown)
     assert stored(alone).spec is None and job.unacknowledged_results and not job.is_complete
-    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ("done" if shown else "")
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ("done" if shown else "")
     if view:
         alone.view("host-1", "host-0")
         assert SPEC.id not in alone.core.job_shard.jobs
@@ -246,7 +246,7 @@
     alone.go(2.0)
     alone.write()
     assert SPEC.id not in alone.core.job_shard.jobs and not alone.core.job_shard.tally.lagging
-    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -259,7 +259,7 @@
     at_once(alone, shown)
     at_same_time(alone, there)
     assert there.core.directory.knows_job(SPEC.id) and there.core.directory.job_owner(SPEC.id) == "host-0"
-    assert alone.core.job_queries.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
     if then == "refused":
         alone.core.submissions.refuse_all()
         assert submission.outcome == "refused" and (SPEC.id in alone.core.job_shard.jobs) is shown
@@ -271,7 +271,7 @@
     assert not alone.core.submissions.pending and submission.outcome in ("known", "refused")
     job = alone.core.job_shard.jobs[SPEC.id]
     assert job.revision == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
-    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
     alone.go(2.0)
     alone.write()
     assert alone.core.job_shard.jobs == {SPEC.id: job}
@@ -314,18 +314,18 @@
         alone.follow()
     at_same_time(alone, there)
     assert there.core.membership.fencing_token > alone.core.membership.fencing_token or shown
-    assert alone.core.job_queries.cancel(spec.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(spec.id, alone.t) == ""
     if not shown:
         batch = alone.batch()
         assert alone.carry_out(batch).failed == [VIEW]
         alone.core.batch_results.on_failed(batch, alone.t)
-    assert job.stored_state is JobState.ACTIVE and alone.core.job_queries.local_job_state(spec.id, alone.t) is None
+    assert job.stored_state is JobState.ACTIVE and alone.core.local_jobs.local_job_state(spec.id, alone.t) is None
     if not shown:
         alone.t += alone.core.membership.store_lease.ttl_s
         assert alone.batch() is None and not alone.core.may_act()
         alone.follow()
     alone.write()
-    assert alone.core.job_queries.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_jobs.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_is_held_back_for_the_view_that_gave_its_job_to_this_home_and_for_no_later_one():
@@ -340,7 +340,7 @@
     for spec in (SPEC, other):
         alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, gone, 0.0, 3, [], spec)})
     alone.view("host-0", stays)
-    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone).state is JobState.ACTIVE, "its earlier home may deny it"
     alone.view(stays, "host-0")
@@ -350,7 +350,7 @@
     tries(alone, 2)
     assert stored(alone).state is JobState.ABORTED
     alone.view("host-0", stays)
-    assert alone.core.job_queries.cancel(other.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(other.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone, other.id).state is JobState.ABORTED, "nobody else has been its home since a view settled"
 
@@ -702,7 +702,7 @@
 
 def tells_what_it_last_knew(monkeypatch):
     """The home, of a job whose end is on its way."""
-    real = JobQueries.local_job_state
+    real = LocalJobs.local_job_state
 
     def local_job_state(self, job, now):
         mine = self.job_shard.jobs.get(job)
@@ -710,7 +710,7 @@
             return "pending", mine.done.count, 0
         return real(self, job, now)
 
-    monkeypatch.setattr(JobQueries, "local_job_state", local_job_state)
+    monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -9,7 +9,7 @@
 
 from alderbridge import constants
 from alderbridge.controller import process
-from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.machines.shard import Machine
@@ -149,7 +149,7 @@
         for label, sim in self.nodes.items():
             if label != self.cut and sim.core is not None and sim.core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, float("inf"))
-                state = sim.core.job_queries.cancel(job, self.t)
+                state = sim.core.local_jobs.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
@@ -277,7 +277,7 @@
 
 
 def memory_without_entitlement(monkeypatch):
-    real = JobQueries.local_job_state
+    real = LocalJobs.local_job_state
 
     def local_job_state(self, job, now):
         kept, self.state.may_act = self.state.may_act, lambda: True
@@ -286,7 +286,7 @@
         finally:
             self.state.may_act = kept
 
-    monkeypatch.setattr(JobQueries, "local_job_state", local_job_state)
+    monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
 def test_a_refused_leader_is_seen_to_act_on_when_hold_and_freshness_are_away(monkeypatch):
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -351,7 +351,7 @@
     """A job whose end was sent, and had no answer."""
     job = alone.job()
     if how == "withdrawn":
-        assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
+        assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
@@ -365,10 +365,10 @@
     alone = Alone()
     job, end = late_end(alone, how)
     core = alone.core
-    assert core.job_queries.local_job_state(SPEC.id, alone.t) is None, (
+    assert core.local_jobs.local_job_state(SPEC.id, alone.t) is None, (
         "others may have read it in the store: not pending"
     )
-    assert core.job_queries.cancel(SPEC.id, alone.t) == ""
+    assert core.local_jobs.cancel(SPEC.id, alone.t) == ""
     if late:  # after a newer try, which has been answered
         alone.write()
         assert alone.carry_out(end).failed
@@ -376,8 +376,8 @@
         assert not alone.carry_out(end).failed
         alone.follow()
     assert (
-        core.job_queries.local_job_state(SPEC.id, alone.t)[0] == state
-        and core.job_queries.cancel(SPEC.id, alone.t) == state
+        core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == state
+        and core.local_jobs.cancel(SPEC.id, alone.t) == state
     )
     alone.write()
     alone.go(2.0)
@@ -396,10 +396,10 @@
         alone.carry_out(end)
     alone.view("host-1", "host-0")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = alone.core.job_queries.local_job_state(SPEC.id, alone.t)
+    told = alone.core.local_jobs.local_job_state(SPEC.id, alone.t)
     assert told == (("aborted", 0, 0) if carried_out else None)
     alone.write()
-    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_that_was_carried_out_is_not_written_active_again():
@@ -409,7 +409,7 @@
     job = alone.job()
     alone.runs(job, "n-000001", 0)  # something is left to stop, so that its record keeps what it asked for
     job.inherited = True
-    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.core.job_shard.settled = True
     alone.carry_out(alone.lost())
     alone.view("host-1", "host-0")
@@ -420,7 +420,7 @@
         alone.t += 1.0
         record = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
         assert record.state is JobState.ABORTED
-    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
@@ -433,12 +433,12 @@
         alone.carry_out(end)
     there.view("host-1")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = there.core.job_queries.local_job_state(SPEC.id, there.t)
+    told = there.core.local_jobs.local_job_state(SPEC.id, there.t)
     assert told[0] == ("done" if carried_out else "pending"), "nobody was told of an end that is not stored"
     there.go(2.0)
-    state = there.core.job_queries.cancel(SPEC.id, there.t)
+    state = there.core.local_jobs.cancel(SPEC.id, there.t)
     there.write()
-    assert (state, there.core.job_queries.local_job_state(SPEC.id, there.t)[0]) == (
+    assert (state, there.core.local_jobs.local_job_state(SPEC.id, there.t)[0]) == (
         ("done", "done") if carried_out else ("", "aborted")
     )
     there.go(1.0)
@@ -473,7 +473,7 @@
     assert not alone.carry_out(late).failed
     alone.reload()
     assert SPEC.id in alone.core.job_shard.jobs, "its user may have been told that it is known: nobody else serves it"
-    assert alone.core.job_queries.local_job_state(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
 
 
 def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_home():
@@ -492,7 +492,7 @@
     alone.follow()
     there.follow()
     assert SPEC.id in there.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
-    assert there.core.job_queries.local_job_state(SPEC.id, there.t)[0] == "pending"
+    assert there.core.local_jobs.local_job_state(SPEC.id, there.t)[0] == "pending"
 
 
 def test_a_submission_stored_late_though_what_it_needs_was_aborted_meanwhile_ends():
@@ -510,7 +510,7 @@
     alone.follow()
     alone.write()
     assert (
-        alone.core.job_queries.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+        alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
         and SPEC.id not in alone.core.job_shard.jobs
     )
 
@@ -544,7 +544,7 @@
     assert all(key.startswith(LISTS) for key in late.puts)
     alone.write()
     assert submission.outcome == "accepted"
-    assert alone.core.job_queries.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
--- a/tests/test_service_cut.py
+++ b/tests/test_service_cut.py
@@ -25,9 +25,9 @@
 FAULTY = """
 import sys
 sys.path.insert(0, ".")
-from alderbridge.controller.job_queries import JobQueries
-real = JobQueries.cancel
-JobQueries.cancel = lambda self, job, now: real(self, job, now) or (
+from alderbridge.controller.local_jobs import LocalJobs
+real = LocalJobs.cancel
+LocalJobs.cancel = lambda self, job, now: real(self, job, now) or (
     "aborted" if job in self.job_shard.jobs and self.state.may_act() else None)
 from alderbridge.cli import main
 sys.exit(main())
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -4,7 +4,7 @@
 import pytest
 from world import Broken, World
 
-from alderbridge.controller.job_queries import JobQueries
+from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, QuotaUsage, Record
 from alderbridge.machines.shard import Machine, MachineShard
@@ -128,10 +128,10 @@
     far.core.submissions.submit(after, world.t, world.t)
     world.run(7.0)
     far.cut_store_until = 60.0  # longer than it may act
-    near.core.job_queries.cancel(first.id, world.t)
+    near.core.local_jobs.cancel(first.id, world.t)
     world.run(8.0)
     assert (
-        near.core.job_queries.local_job_state(first.id, world.t)[0] == "aborted"
+        near.core.local_jobs.local_job_state(first.id, world.t)[0] == "aborted"
         and after.id in near.core.replica.graph.doomed
     )
     answers = []
@@ -139,8 +139,8 @@
         world.run(world.t + 0.5)
         answers.append(
             (
-                near.core.job_queries.local_job_state(after.id, world.t),
-                far.core.job_queries.local_job_state(after.id, world.t),
+                near.core.local_jobs.local_job_state(after.id, world.t),
+                far.core.local_jobs.local_job_state(after.id, world.t),
             )
         )
     told = [(ours or ("",))[0] for ours, _ in answers]
@@ -155,9 +155,9 @@
     core = world.nodes["host-0"].core
     spec = world.make_job(1)
     job = core.job_shard.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
-    assert core.job_queries.local_job_state(spec.id, 5.0)[0] == "pending"
+    assert core.local_jobs.local_job_state(spec.id, 5.0)[0] == "pending"
     job.abort(5.0)
-    assert core.job_queries.local_job_state(spec.id, 5.0) is None
+    assert core.local_jobs.local_job_state(spec.id, 5.0) is None
 
 
 PIPELINE_RULES = ("too_early", "orphaned")
@@ -202,7 +202,7 @@
 
 def told_before_stored(monkeypatch):
     monkeypatch.setattr(
-        JobQueries,
+        LocalJobs,
         "local_job_state",
         lambda self, job, now: (
             (self.job_shard.jobs[job].state.value, 0, 0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -639,7 +639,7 @@
     def status(self, job: str, told) -> None:
         """As ``Controller.status_now``: from memory, else by the job's home, by messages, else from the store."""
         core, world, life = self.core, self.world, self.life
-        state = core.job_queries.local_job_state(job, world.t)
+        state = core.local_jobs.local_job_state(job, world.t)
         if state is not None:
             told(self.noted(job, state[0]))
             return
@@ -676,7 +676,7 @@
                 waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
-                elif not waits or core.job_queries.is_certainly_pending(job, world.t):
+                elif not waits or core.local_jobs.is_certainly_pending(job, world.t):
                     state = "pending"
             told(self.noted(job, state))
 
@@ -736,7 +736,7 @@
         """``told`` the job's end when the store has it; None: this is not its home, or the store is slow."""
         core, life, world = self.core, self.life, self.world
         since = world.t if since is None else since
-        state = core.job_queries.cancel(job, world.t)
+        state = core.local_jobs.cancel(job, world.t)
         if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
             world.after(0.1, lambda: life == self.life and self.withdraw(job, told, since))
         else:
@@ -757,7 +757,7 @@
             if ask.kind == "withdraw":
                 self.withdraw(ask.job, told)
             else:
-                told((core.job_queries.local_job_state(ask.job, world.t) or (None,))[0])
+                told((core.local_jobs.local_job_state(ask.job, world.t) or (None,))[0])
         while core.effects.query_replies:
             reply = core.effects.query_replies.popleft()
             label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
@@ -1404,7 +1404,7 @@
         """As ``Controller.status`` answers: from memory, by the job's home, or from the store; None: 503, or nobody."""
         if sim.core is None:
             return None
-        state = sim.core.job_queries.local_job_state(job, self.t)
+        state = sim.core.local_jobs.local_job_state(job, self.t)
         if state is not None:
             return state[0]
         home = self.nodes.get(sim.core.directory.job_owner(job))
@@ -1416,7 +1416,7 @@
             and home.core.membership.fencing_token == sim.core.membership.fencing_token
             and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
         ):
-            state = home.core.job_queries.local_job_state(job, self.t)
+            state = home.core.local_jobs.local_job_state(job, self.t)
             if state is not None:
                 return state[0]
         if self.t < max(sim.cut_store_until, sim.refused_until, self.store.down_until):
@@ -1428,7 +1428,7 @@
         waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
-        return None if waits and not sim.core.job_queries.is_certainly_pending(job, self.t) else "pending"
+        return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
 
     def withdraw(self, job: str) -> None:
         if job in self.said:
@@ -1440,7 +1440,7 @@
             core = self.nodes[label].core
             if core is not None and core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, math.inf)
-                state = core.job_queries.cancel(job, self.t)
+                state = core.local_jobs.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
