--- a/alderbridge/controller/admission.py
+++ b/alderbridge/controller/admission.py
@@ -33,11 +33,11 @@
 
 def decide(core: ControllerCore, spec: wire.JobSpec, now: float, store_failing: bool) -> AdmissionDecision:
     """What becomes of a well-formed submission; ``store_failing``: a call to the store has failed a moment ago."""
-    if core.knows_job(spec.id):
+    if core.directory.knows_job(spec.id):
         return AdmissionDecision(Admission.ALREADY_KNOWN)
-    if not core.loaded or not core.types:
+    if not core.state.loaded or not core.machine_shard.types:
         return AdmissionDecision(Admission.UNAVAILABLE, "not ready")
-    reason = rejection_reason(spec, core.shared.teams, core.types.values())
+    reason = rejection_reason(spec, core.shared.teams, core.machine_shard.types.values())
     if reason:
         return AdmissionDecision(Admission.REJECTED, reason)
     if not core.membership.may_act(now) or store_failing:
--- a/alderbridge/controller/health.py
+++ b/alderbridge/controller/health.py
@@ -27,10 +27,11 @@
         """
         status = self.membership.status(now())
         may_be_replaced = any(
-            channel.peer_fencing_token > self.membership.fencing_token for channel in self.core.channels.values()
+            channel.peer_fencing_token > self.membership.fencing_token
+            for channel in self.core.messenger.channels.values()
         ) or self.membership.failure_detector.is_isolated(now())
         if (
-            not self.core.loaded
+            not self.core.state.loaded
             or status is MemberStatus.OUTSIDE
             or (status is MemberStatus.EXPIRED and may_be_replaced)
         ):
--- a/alderbridge/controller/job_queries.py
+++ b/alderbridge/controller/job_queries.py
@@ -52,7 +52,7 @@
         self.query_count += 1
         number, pending = self.query_count, PendingQuery(curio.Event(), [])
         self.pending_queries[number] = pending
-        self.core.send_unreliable(label, messages.JobQuery(number, kind, job))
+        self.core.messenger.send_unreliable(label, messages.JobQuery(number, kind, job))
         await self.dispatch_effects()
         timeout_s = constants.QUERY_TIMEOUT_S if kind == STATUS else constants.SUBMIT_WAIT_S
         try:
@@ -68,7 +68,7 @@
         self.query_count += 1
         self.pending_polls[self.query_count] = PendingPoll(job, on_done)
         self.poll_deadlines.append((now() + constants.QUERY_TIMEOUT_S, self.query_count))
-        self.core.send_unreliable(label, messages.JobQuery(self.query_count, STATUS, job))
+        self.core.messenger.send_unreliable(label, messages.JobQuery(self.query_count, STATUS, job))
 
     async def on_poll_reply(self, number: int, reply: messages.JobQueryReply | None) -> None:
         """The owner of the job has answered a poll, or not in time (None)."""
@@ -109,12 +109,12 @@
 
     def answer_status(self, label: str, query: messages.JobQuery) -> None:
         """From memory, so nothing has to wait for it; 503 where it is not known there."""
-        state = self.core.local_job_state(query.job, now())
+        state = self.core.local_jobs.local_job_state(query.job, now())
         status, body = (503, b"") if state is None else (200, wire.job_status_body(query.job, *state))
-        self.core.send_unreliable(label, messages.JobQueryReply(query.query_id, status, body))
+        self.core.messenger.send_unreliable(label, messages.JobQueryReply(query.query_id, status, body))
 
     async def answer_cancellation(self, label: str, query: messages.JobQuery) -> None:
         """Cancel the job, and answer once that is stored."""
         status, body, _ = await self.cancellations.cancel_here(query.job)
-        self.core.send_unreliable(label, messages.JobQueryReply(query.query_id, status, body))
+        self.core.messenger.send_unreliable(label, messages.JobQueryReply(query.query_id, status, body))
         await self.dispatch_effects()
--- a/alderbridge/controller/loops/machine_types.py
+++ b/alderbridge/controller/loops/machine_types.py
@@ -43,7 +43,7 @@
             if not known or self.membership.is_leader(now()):
                 try:
                     if self.rate_limit.try_take(now()):
-                        self.core.set_machine_types(await self.cloud.machine_types())
+                        self.core.machine_types.update(await self.cloud.machine_types())
                         known = True
                         await self.store_types()
                 except (
@@ -58,10 +58,10 @@
 
     async def store_types(self) -> None:
         """Store them for a controller that starts while the cloud is out of reach."""
-        machine_types = self.core.types_to_store()
+        machine_types = self.core.machine_types.to_store()
         if machine_types is not None:
             conditions = {VIEW: self.membership.fencing_token, TYPES: self.core.replica.types_revision}
             try:
                 await self.store.commit(conditions, {TYPES: machine_types})
             except TransactionTooLargeError:
-                self.core.reduce_value_limit(len(wire.encode(machine_types)))
+                self.core.batch_results.reduce_value_limit(len(wire.encode(machine_types)))
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -47,7 +47,7 @@
         """Write what is due, for ever."""
         while True:
             await curio.sleep(constants.WRITER_PAUSE_S)
-            batch = self.core.next_batch(now())
+            batch = self.core.record_writer.next_batch(now())
             if batch is None:
                 await self.wait_for_work()
             else:
@@ -55,8 +55,8 @@
 
     async def wait_for_work(self) -> None:
         """Until there may be something to write: looking again and again costs more than all the writing."""
-        pause = self.core.next_write_in(now())
-        if pause > constants.WRITER_PAUSE_S and self.core.nothing_to_write():
+        pause = self.core.record_writer.next_write_in(now())
+        if pause > constants.WRITER_PAUSE_S and self.core.record_writer.nothing_to_write():
             self.is_waiting = True
             try:
                 await curio.timeout_after(pause - constants.WRITER_PAUSE_S, self.work.wait)
@@ -71,11 +71,11 @@
             if done.failed:
                 await self._resolve_conflicts(batch, done.failed)
             else:
-                self.core.on_batch_written(batch, done.revision, now())
+                self.core.batch_results.on_written(batch, done.revision, now())
                 self.store_backoff.record_success()
             await self.dispatch_effects()
         except TransactionTooLargeError as error:
-            self.core.on_batch_too_large(batch, now())
+            self.core.batch_results.on_too_large(batch, now())
             await self.dispatch_effects()
             log.error("records state=too_large changes=%d cause=%s", batch.changes, error)
             await curio.sleep(constants.ROUND_S)
@@ -87,21 +87,21 @@
     async def _resolve_conflicts(self, batch: WriteBatch, failed: list[str]) -> None:
         """Something else is in the store: read it and decide anew."""
         log.info("records state=conflict failed=%s", failed)
-        self.core.on_batch_failed(batch, now())
+        self.core.batch_results.on_failed(batch, now())
         if VIEW in failed:
             await curio.sleep(constants.WATCH_PAUSE_S)
             return
         for key in failed:
-            self.core.resolve_conflict(batch, key, await self.store.get(key), now())
+            self.core.batch_results.resolve_conflict(batch, key, await self.store.get(key), now())
 
     async def _on_failure(self, batch: WriteBatch, error: Exception) -> None:
         """The batch may have been written, or not: its records stay due."""
-        self.core.on_batch_failed(batch, now())
+        self.core.batch_results.on_failed(batch, now())
         if isinstance(error, RateLimitedError):
             budget = self.core.write_rate_limit.budget
             budget.spend(now(), max(0.0, budget.available(now())))
             return
         self.store_backoff.record_failure()
         if isinstance(error, StoreRefusedError):
-            self.core.refuse_submissions()
+            self.core.submissions.refuse_all()
             await self.dispatch_effects()
--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -38,7 +38,7 @@
                 await self.load_replica()
                 continue
             self.record_watch_answer(sent)
-            self.core.apply_events(changes.events, now(), time.time())
+            self.core.store_follower.apply_events(changes.events, now(), time.time())
             self.core.replica.revision = max(self.core.replica.revision, changes.revision)
             await self.prober.probe_workers()
             await curio.sleep(constants.WATCH_PAUSE_S)
@@ -53,7 +53,7 @@
         sent = now()
         changes = await self.store.watch_now(revision)
         self.record_watch_answer(sent)
-        self.core.load(rows, changes.events, changes.revision, now(), time.time())
+        self.core.store_follower.load(rows, changes.events, changes.revision, now(), time.time())
 
     def record_watch_answer(self, sent: float) -> None:
         """The store has answered what it was asked at ``sent``.
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -47,7 +47,7 @@
         self._listed_at, self._listed_under = float("-inf"), 0
         while True:
             await curio.sleep(constants.LEADER_ROUND_S)
-            if not self.membership.is_leader(now()) or not self.core.types:
+            if not self.membership.is_leader(now()) or not self.core.machine_shard.types:
                 continue
             try:
                 await self._run_round()
--- a/alderbridge/controller/loops/store_lease.py
+++ b/alderbridge/controller/loops/store_lease.py
@@ -69,7 +69,7 @@
         if done.failed:
             await self.store.revoke_lease(lease_id)
             raise StoreRefusedError("the key of this label has changed meanwhile")
-        self.core.lease_acquired(lease_id, sent, now())
+        self.core.view_entry.lease_acquired(lease_id, sent, now())
         log.info("store_lease=%d state=acquired", lease_id)
         if row is not None:
             await self._revoke_earlier(row)
--- a/alderbridge/controller/loops/view.py
+++ b/alderbridge/controller/loops/view.py
@@ -26,7 +26,7 @@
         """Look for a change each round; after a conflict wait one more, for the other's view to arrive."""
         while True:
             await curio.sleep(constants.ROUND_S)
-            change = self.core.next_view(now())
+            change = self.core.view_entry.next_view(now())
             if change is None:
                 continue
             view, conditions, drops = change
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -12,6 +12,7 @@
 from alderbridge.cloud import Cloud
 from alderbridge.configuration import ConfigurationRevision
 from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.effects import JobEndStored
 from alderbridge.controller.health import HealthCheck
 from alderbridge.controller.job_queries import JobQueries, JobQueryResponder
 from alderbridge.controller.job_records import JobRecordReader
@@ -136,31 +137,30 @@
 
     async def dispatch_effects(self) -> None:
         """Move what the core has left for others."""
-        core = self.core
-        if self.record_writer.is_waiting and not core.nothing_to_write():
+        core, effects = self.core, self.core.effects
+        if self.record_writer.is_waiting and not core.record_writer.nothing_to_write():
             await self.record_writer.work.set()
-        while core.queries:
-            label, ask = core.queries.popleft()
+        while effects.queries:
+            label, ask = effects.queries.popleft()
             if ask.kind == "status":
                 self.query_responder.answer_status(label, ask)
             else:
                 await curio.spawn(self.query_responder.answer_cancellation, label, ask, daemon=True)
-        renewals, core.channel_renewals = core.channel_renewals, []
-        for label in renewals:
+        for label in effects.take_channel_renewals():
             self.mesh.renew(label)
-        outgoing, core.outgoing_frames = core.outgoing_frames, []
-        for label, frame in outgoing:
+        for label, frame in effects.take_outgoing_frames():
             self.mesh.put(label, frame)
-        while core.query_replies:
-            reply = core.query_replies.popleft()
+        while effects.query_replies:
+            reply = effects.query_replies.popleft()
             waiting = self.queries.pending_queries.get(reply.query_id)
             if reply.query_id in self.queries.pending_polls:
                 await self.queries.on_poll_reply(reply.query_id, reply)
             elif waiting is not None:
                 waiting.replies.append(reply)
                 await waiting.answered.set()
-        while core.notifications:
-            what = core.notifications.popleft()
+        while effects.notifications:
+            notification = effects.notifications.popleft()
+            what = notification.job if isinstance(notification, JobEndStored) else notification
             for event in self.waiters.events.pop(what, ()):
                 await event.set()
             self.workers_api.answer_pending_heartbeats(what)
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -98,14 +98,14 @@
     def _status_in_memory(self, job: str) -> Response | None:
         if not wire.JOB_ID.match(job):
             return responses.error(404, responses.NO_SUCH_JOB)
-        state = self.core.local_job_state(job, now())
+        state = self.core.local_jobs.local_job_state(job, now())
         if state is None:
             return None
         return self.finalize_status(job, responses.ok(wire.job_status_body(job, *state)))
 
     def _other_owner(self, job: str) -> str:
         """The job's owner, empty where that is not known, or is this controller."""
-        owner = self.core.job_owner(job)
+        owner = self.core.directory.job_owner(job)
         return owner if owner != self.core.me else ""
 
     async def _finish_poll(self, job: str, reply: Responder, response: Response | None) -> None:
@@ -127,14 +127,14 @@
         except StoreUnreachableError:
             return responses.unavailable(responses.STORE_UNREACHABLE)
         if stored is None:
-            if self.core.knows_job(job):  # read before it was stored, and its user may have been told since
+            if self.core.directory.knows_job(job):  # read before it was stored, and its user may have been told since
                 return responses.unavailable("stored a moment ago")
             return responses.error(404, responses.NO_SUCH_JOB)
         record = stored.record
         if record.state is not JobState.ACTIVE:
             return responses.ok(wire.job_status_body(job, record.state.value, 0, 0))
         has_dependencies = record.spec is not None and (record.spec.needs or record.dependency_digest)
-        if has_dependencies and not self.core.is_certainly_pending(job, now()):
+        if has_dependencies and not self.core.local_jobs.is_certainly_pending(job, now()):
             # A job before it may be aborted, and with it this one, and others may have told so.
             return responses.unavailable("not known here yet")
         return responses.ok(wire.job_status_body(job, "pending", sum(end - begin for begin, end in record.done), 0))
@@ -199,7 +199,7 @@
         for dependency in spec.needs or ():
             if dependency == spec.id:
                 return await self.refuse_unless_accepted(spec.id, f"waits_on: {dependency} is this job")
-            if self.core.knows_job(dependency):
+            if self.core.directory.knows_job(dependency):
                 continue
             # Another controller may have accepted it a moment ago: only the store can tell.
             try:
@@ -208,12 +208,12 @@
                 return responses.unavailable(responses.STORE_UNREACHABLE)
             if stored is None:
                 return await self.refuse_unless_accepted(spec.id, f"waits_on: {dependency} was never accepted")
-            self.core.observe_end(dependency, stored.record, stored.revision)
+            self.core.store_follower.observe_end(dependency, stored.record, stored.revision)
         return None
 
     async def _store(self, spec: wire.JobSpec) -> Response:
         """Have the job stored, and answer for what has become of that."""
-        submission = self.core.submit(spec, now(), time.time())
+        submission = self.core.submissions.submit(spec, now(), time.time())
         if submission is None:
             return await self.refuse_unless_accepted(spec.id, TOO_LONG, 400)
         await self.dispatch_effects()
@@ -250,7 +250,7 @@
         """Cancel the job, here or at its owner."""
         if not wire.JOB_ID.match(job):
             return responses.error(404, responses.NO_SUCH_JOB)
-        owner = self.core.job_owner(job)
+        owner = self.core.directory.job_owner(job)
         if owner == self.core.me or job in self.core.replica.ended:
             return await self.cancel_here(job)
         if owner:
@@ -261,7 +261,7 @@
 
     async def cancel_here(self, job: str) -> Response:
         """Cancel a job of this controller's shard, and wait until the store has its end."""
-        state = self.core.cancel(job, now())
+        state = self.core.local_jobs.cancel(job, now())
         if state is None:
             return responses.unavailable("not entitled")
         if not state:
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -35,7 +35,7 @@
         except wire.MalformedBodyError as error:
             return responses.error(400, str(error))
         core = self.core
-        if not core.loaded or not self.membership.may_act(now()):
+        if not core.state.loaded or not self.membership.may_act(now()):
             return responses.unavailable("not entitled")
         owner = self.membership.report_to(heartbeat.machine)
         if heartbeat.fencing_token > self.membership.fencing_token:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -108,10 +108,10 @@
 def control(monkeypatch):
     """A controller at work; what its store holds is the test's."""
     one = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
-    one.core.loaded = True
+    one.core.state.loaded = True
     wide = msgspec.structs.replace(TYPES["large"], name="wide", cpus=64.0)
     only_a = msgspec.structs.replace(TYPES["large"], name="one_zone", zones=["a"])
-    one.core.set_machine_types({**TYPES, "wide": wide, "one_zone": only_a})
+    one.core.machine_types.update({**TYPES, "wide": wide, "one_zone": only_a})
     monkeypatch.setattr(one.core.membership, "may_act", lambda now: True)
     return one
 
@@ -133,7 +133,7 @@
     control.store.get = get
     control.store_backoff.until = 0.0
     status, text, _ = curio.run(control.users_api.submissions.submit, raw)
-    assert not control.core.submissions, "nothing of it goes to the store"
+    assert not control.core.submissions.pending, "nothing of it goes to the store"
     if status in (400, 422):
         line = msgspec.json.decode(text)["error"]
         assert 3 < len(line) < 200 and line.isprintable()
@@ -159,8 +159,8 @@
 def test_what_is_good_is_taken_up(control, name):
     spec = wire.parse_job(GOOD[name])
     core = control.core
-    assert not admission.rejection_reason(spec, core.shared.teams, core.types.values())
-    assert core.submit(spec, 0.0, 0.0) is not None
+    assert not admission.rejection_reason(spec, core.shared.teams, core.machine_shard.types.values())
+    assert core.submissions.submit(spec, 0.0, 0.0) is not None
 
 
 @pytest.mark.parametrize("what", ("poll", "withdraw"))
--- a/tests/test_controller_parts.py
+++ b/tests/test_controller_parts.py
@@ -78,7 +78,7 @@
     """It is the leader, and knows of a machine type."""
     patch_now(monkeypatch, lambda: 100.0)
     monkeypatch.setattr(control.membership, "is_leader", lambda now: True)
-    control.core.types = {"large": None}
+    control.core.machine_shard.types = {"large": None}
     return control
 
 
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -8,6 +8,7 @@
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.process import Controller
 from alderbridge.controller.responses import Response
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
@@ -85,22 +86,24 @@
     world = World(8700, trouble=False, jobs=30)
     home, part, name, index, run = a_run(world)
     owner = world.nodes[part].core
-    owner.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
+    owner.messenger.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
     world.nodes[home].crash()
     world.restart(world.nodes[home])
-    while not (core := world.nodes[home].core).loaded:
+    while not (core := world.nodes[home].core).state.loaded:
         world.run(world.t + 0.01)
-    assert not core.is_member and core.membership.fencing_token == owner.membership.fencing_token
+    assert not core.state.is_member and core.membership.fencing_token == owner.membership.fencing_token
     seen = messages.MachineTaskReport(
         run.machine, run.zone, 0, [messages.TaskStatusReport(name, index, run.attempt, "running", None)], []
     )
-    core.on_frame(owner.channels[home].post(seen, world.t), world.t)
-    assert not [body for _, body in core.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
+    core.on_frame(owner.messenger.channels[home].post(seen, world.t), world.t)
+    assert not [body for _, body in core.effects.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
         "no halt of what it ran"
     )
-    assert core.channels[part].received == 0, "nor an acknowledgement"
-    core.on_frame(owner.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
-    assert [ask.query_id for _, ask in core.queries] == [7], "questions are taken; 503 has the asker read the store"
+    assert core.messenger.channels[part].received == 0, "nor an acknowledgement"
+    core.on_frame(owner.messenger.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
+    assert [ask.query_id for _, ask in core.effects.queries] == [7], (
+        "questions are taken; 503 has the asker read the store"
+    )
 
 
 def test_the_view_may_arrive_before_the_process_knows_its_hold():
@@ -110,15 +113,15 @@
     world.nodes[home].crash()
     world.restart(world.nodes[home])
     core = world.nodes[home].core
-    real, late = core.lease_acquired, []
-    core.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
+    real, late = core.view_entry.lease_acquired, []
+    core.view_entry.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
     fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
     while core.membership.fencing_token <= fencing_token or not late:
         world.run(world.t + 0.05)
-    assert not core.is_member and not core.may_act()
-    core.lease_acquired = real
-    core.lease_acquired(*late[0])
-    assert core.may_act() and core.is_member and core.job_shard.jobs
+    assert not core.state.is_member and not core.may_act()
+    core.view_entry.lease_acquired = real
+    core.view_entry.lease_acquired(*late[0])
+    assert core.may_act() and core.state.is_member and core.job_shard.jobs
     world.served(core)
 
 
@@ -129,10 +132,10 @@
     )
     core = world.nodes[label].core
     world.specs[spec.id] = spec
-    submission = core.submit(spec, world.t, world.t)
-    batch = core.next_batch(world.t)
-    core.on_batch_failed(batch, world.t)
-    core.refuse_submissions()
+    submission = core.submissions.submit(spec, world.t, world.t)
+    batch = core.record_writer.next_batch(world.t)
+    core.batch_results.on_failed(batch, world.t)
+    core.submissions.refuse_all()
     assert submission.outcome == "refused"
     return spec, batch
 
@@ -145,7 +148,7 @@
     spec, batch = given_up(world, "host-1")
     core = world.nodes["host-1"].core
     if again:  # the user's next try comes first, and meets the record
-        core.submit(spec, world.t + 1.0, world.t + 1.0)
+        core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
     world.first_asked[spec.id] = world.t
@@ -177,7 +180,7 @@
         async def deliver():
             while not second.queries.pending_queries:
                 await curio.sleep(0)
-            second.core.query_replies.append(
+            second.core.effects.query_replies.append(
                 messages.JobQueryReply(next(iter(second.queries.pending_queries)), 200, body)
             )
             await second.dispatch_effects()
@@ -307,11 +310,11 @@
 
 def former_frames_accepted(monkeypatch):
     def on_frame(self, frame, now):
-        self.now = now
-        body = self.channels[frame.sender].receive(frame, now)
+        self.state.now = now
+        body = self.messenger.channels[frame.sender].receive(frame, now)
         if body is not None:
-            self.dispatch(frame.sender, body)
-            self.pump()
+            self.messenger.dispatch(frame.sender, body)
+            self.messenger.pump()
 
     monkeypatch.setattr(ControllerCore, "on_frame", on_frame)
 
@@ -340,7 +343,7 @@
     monkeypatch.setattr(
         Job, "abort", lambda self, now, cause="withdrawn": real(self, now, cause) if cause == "withdrawn" else None
     )
-    monkeypatch.setattr(ControllerCore, "cascade_abort_is_settled", lambda self, job: False)
+    monkeypatch.setattr(DependencyTracker, "cascade_abort_is_settled", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -9,7 +9,7 @@
 from world import Broken, World, platform
 
 from alderbridge import constants
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobState, Record
 from alderbridge.machines.shard import Machine
@@ -123,12 +123,12 @@
     world = World(15020, trouble=False, jobs=0)
     world.run(20.0)
     one, other = world.nodes["host-0"].core, world.nodes["host-1"].core
-    assert one.is_member
-    before = one.channels["host-1"].received
+    assert one.state.is_member
+    before = one.messenger.channels["host-1"].received
     one.membership.store_lease.mark_expired()
     for _ in range(2):
-        one.on_frame(other.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
-    assert one.channels["host-1"].received == before
+        one.on_frame(other.messenger.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
+    assert one.messenger.channels["host-1"].received == before
 
 
 # -- a leader that users and workers still reach, and nobody else -------------------
@@ -147,9 +147,9 @@
         if job in self.said:
             return
         for label, sim in self.nodes.items():
-            if label != self.cut and sim.core is not None and sim.core.job_owner(job) == label:
+            if label != self.cut and sim.core is not None and sim.core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, float("inf"))
-                state = sim.core.cancel(job, self.t)
+                state = sim.core.local_jobs.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
@@ -277,16 +277,16 @@
 
 
 def memory_without_entitlement(monkeypatch):
-    real = ControllerCore.local_job_state
+    real = LocalJobs.local_job_state
 
     def local_job_state(self, job, now):
-        kept, self.may_act = self.may_act, lambda: True
+        kept, self.state.may_act = self.state.may_act, lambda: True
         try:
             return real(self, job, now)
         finally:
-            self.may_act = kept
+            self.state.may_act = kept
 
-    monkeypatch.setattr(ControllerCore, "local_job_state", local_job_state)
+    monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
 def test_a_refused_leader_is_seen_to_act_on_when_hold_and_freshness_are_away(monkeypatch):
@@ -318,7 +318,7 @@
     core.membership.store_lease.record_renewal(1, 100.0, 100.0)
     core.membership.record_sync(100.0)
     members = {label: number for number, label in enumerate(LABELS, 1)}
-    core.load(
+    core.store_follower.load(
         [wire.KeyValue("ab/view", msgspec.Raw(msgspec.json.encode(View("host-0", members))), 7)], [], 7, 100.0, 100.0
     )
     one.clock = clock
@@ -354,7 +354,7 @@
         control.clock[0] += constants.QUERY_TIMEOUT_S + 0.1
         await control.dispatch_effects()
         await curio.sleep(0.05)
-        control.core.query_replies.append(
+        control.core.effects.query_replies.append(
             messages.JobQueryReply(number, 200, wire.job_status_body(job, "running", 0, 1))
         )
         await control.dispatch_effects()
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -12,7 +12,8 @@
 from world import Broken
 
 from alderbridge import constants
-from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.record_writer import RecordWriter
+from alderbridge.controller.view_entry import ViewEntry
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
 from alderbridge.membership.view import Membership, StoreLease
 from alderbridge.protocol import messages
@@ -288,7 +289,7 @@
 
 def older_view_not_asserted(monkeypatch):
     """A late view takes the place of a newer one."""
-    real = ControllerCore.next_view
+    real = ViewEntry.next_view
 
     def next_view(self, now):
         change = real(self, now)
@@ -296,7 +297,7 @@
             del change[1][VIEW]
         return change
 
-    monkeypatch.setattr(ControllerCore, "next_view", next_view)
+    monkeypatch.setattr(ViewEntry, "next_view", next_view)
 
 
 def test_a_late_view_that_takes_the_place_of_a_newer_one_is_seen(monkeypatch):
@@ -324,7 +325,7 @@
 
     def flush(self):
         if self.core is not None and any(
-            isinstance(frame.body, messages.TaskGrant) for _, frame in self.core.outgoing_frames
+            isinstance(frame.body, messages.TaskGrant) for _, frame in self.core.effects.outgoing_frames
         ):
             self.jump(0.1)
         super().flush()
@@ -406,7 +407,7 @@
         (job, label)
         for job in sorted(world.accepted)
         for label in world.labels
-        if world.nodes[label].core.job_owner(job) == label != world.view.leader
+        if world.nodes[label].core.directory.job_owner(job) == label != world.view.leader
     )
     sim = world.nodes[label]
     sim.still_before = JOBS + job
@@ -425,7 +426,7 @@
 
 def test_an_end_that_is_sent_after_its_home_was_replaced_is_not_written(monkeypatch):
     still_before_an_end_is_sent(33200)
-    real = ControllerCore.next_batch
+    real = RecordWriter.next_batch
 
     def next_batch(self, now):
         batch = real(self, now)
@@ -433,7 +434,7 @@
             batch.conditions.pop(VIEW)
         return batch
 
-    monkeypatch.setattr(ControllerCore, "next_batch", next_batch)
+    monkeypatch.setattr(RecordWriter, "next_batch", next_batch)
     with pytest.raises(Broken, match="went_back"):
         for seed in range(33200, 33204):
             still_before_an_end_is_sent(seed)
