--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -28,7 +28,7 @@
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record
 from alderbridge.leader.leader import Leader
-from alderbridge.machines.shard import Machine, MachineShard
+from alderbridge.machines.shard import JobLookups, Machine, MachineShard, Outbox
 from alderbridge.membership.view import Membership, MemberStatus, View
 from alderbridge.preemption import Teams, Transaction
 from alderbridge.preemption.desk import Desk, Source
@@ -127,11 +127,13 @@
         self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
         self.job_shard.machine_owner = self.membership.machine_owner
         self.machine_shard = MachineShard(
-            self.me, shared.workers.lease_s, self.send, self.spec_of, self.job_owner, rng or Random(platform.label)
+            shared.workers.lease_s,
+            JobLookups(self.spec_of, self.job_owner, self.cancelled),
+            Outbox(self.send, self.send_deferred, self.processed_seq_of),
+            self.keep_record,
+            rng or Random(platform.label),
         )
-        self.machine_shard.processed_seq_of = self.processed_seq_of
-        self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
-        self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
+        self.job_shard.send_deferred = self.send_deferred
         self.busy: placement.Busy | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
@@ -244,7 +246,7 @@
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
             self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
-            self.job_shard.calendars = self.machine_shard.calendars = self.calendars
+            self.job_shard.calendars = self.machine_shard.order_builder.calendars = self.calendars
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
             )
@@ -372,7 +374,7 @@
                 self.send_unreliable(
                     label,
                     messages.MachineTaskList(
-                        self.machine_shard.machine_tasks(
+                        self.machine_shard.claims.machine_tasks(
                             self.now, self.ledger.entries, lambda spec: any(source.shown(spec) for source in sources)
                         ),
                         True,
@@ -435,7 +437,7 @@
         """Records of machines that have arrived, some of them gone again."""
         for name in names:
             if name in self.replica.machines and self.membership.machine_owner(name) == self.me:
-                self.machine_shard.on_record_observed(name)
+                self.machine_shard.records.on_observed(name)
 
     def adopt_late_record(self, name: str) -> None:
         """A job that this process stored under this view and does not serve: its submission was given up meanwhile.
@@ -630,10 +632,10 @@
                 batch.puts, batch.drops = batch.claims.puts, batch.claims.drops
                 self.write_rate_limit.spend(batch.changes, self.now)
                 return batch
-        if drops := self.machine_shard.due_record_drops(now):
+        if drops := self.machine_shard.records.due_drops(now):
             self.machine_records_to_drop = list(dict.fromkeys(self.machine_records_to_drop + drops))
-            self.machine_shard.records_to_drop = [
-                name for name in self.machine_shard.records_to_drop if name not in drops
+            self.machine_shard.records.to_drop = [
+                name for name in self.machine_shard.records.to_drop if name not in drops
             ]
         due = sorted(self.job_shard.due_writes(now), key=lambda entry: entry[0])
         queue: list[Job | Submission] = [job for rank, job in due if rank < 2.0]
@@ -660,7 +662,7 @@
             batch.conditions |= proposal.conditions
             self.write_rate_limit.spend(batch.changes, self.now)
             return batch
-        for name in [name for name in self.machine_shard.records_to_write if name not in self.machine_records_to_drop][
+        for name in [name for name in self.machine_shard.records.to_write if name not in self.machine_records_to_drop][
             :plain
         ]:
             batch.machines.append(name)
@@ -724,8 +726,8 @@
         return not (
             self.has_new_submission
             or self.job_shard.tally.changed
-            or self.machine_shard.records_to_write
-            or self.machine_shard.due_record_drops(self.now)
+            or self.machine_shard.records.to_write
+            or self.machine_shard.records.due_drops(self.now)
             or self.machine_records_to_drop
             or self.lists_to_drop
             or not self.ledger.idle
@@ -826,7 +828,7 @@
         """
         self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
         self.drops_in_flight.discard(name)  # all of them are settled, or assert an older record
-        self.machine_shard.on_recorded(name)
+        self.machine_shard.records.on_recorded(name)
 
     def _written_since(self, name: str, batch: WriteBatch) -> bool:
         """Whether the replica has a newer record than the one that the batch was to drop.
@@ -849,10 +851,10 @@
         tasks that no later view waited for (docs/incidents/record-shown-late.md). So only a newer put is an answer.
         """
         if name in self.drops_in_flight or not (
-            name in self.machine_shard.records_to_drop or name in self.machine_records_to_drop
+            name in self.machine_shard.records.to_drop or name in self.machine_records_to_drop
         ):
             return False
-        self.machine_shard.records_to_drop = [other for other in self.machine_shard.records_to_drop if other != name]
+        self.machine_shard.records.to_drop = [other for other in self.machine_shard.records.to_drop if other != name]
         self.machine_records_to_drop = [other for other in self.machine_records_to_drop if other != name]
         return True
 
@@ -967,7 +969,7 @@
     def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Machine | None:
         """A report of a machine of this part; None where it must not be answered with 200."""
         self.now = now
-        machine = self.machine_shard.on_heartbeat(heartbeat, now)
+        machine = self.machine_shard.heartbeats.on_heartbeat(heartbeat, now)
         self.pump()
         if machine is not None and machine.acknowledged:
             self.execute_claim(machine)
@@ -978,12 +980,12 @@
         """What a machine of this part answered to an empty ``/commands`` under this view."""
         self.now = now
         if self.may_act():
-            self.machine_shard.on_probe_answer(heartbeat, now)
+            self.machine_shard.heartbeats.on_probe_answer(heartbeat, now)
             self.pump()
 
     def place_tasks(self, machine: Machine, now: float) -> None:
         """Ask homes for tasks that fit this machine."""
-        candidate = self.machine_shard.candidate(machine, now)
+        candidate = self.machine_shard.capacity.candidate(machine, now)
         if candidate is None:
             return
         idle = machine.idle
@@ -995,7 +997,7 @@
             if not idle or now >= offer.young_until:
                 return 0
             if self.busy is None:
-                self.busy = self.machine_shard.busy(now)
+                self.busy = self.machine_shard.capacity.busy(now)
             return self.busy.room(offer.spec)
 
         held = (
@@ -1022,7 +1024,12 @@
             return True
 
         for want in placement.fill(
-            candidate, self.offers, lambda spec: self.machine_shard.fetch_s(machine, spec), room_elsewhere, keep, now
+            candidate,
+            self.offers,
+            lambda spec: self.machine_shard.capacity.fetch_s(machine, spec),
+            room_elsewhere,
+            keep,
+            now,
         ):
             take = self.machine_shard.reserve(machine, want.job, want.count)
             self.send(want.owner, messages.TaskRequest(take, want.job, want.machine, want.zone, want.count))
@@ -1054,9 +1061,9 @@
         claim = self.ledger.claim_of(machine.name) if self.ledger.entries else None
         if claim is None:
             if machine.claim_stops:
-                self.machine_shard.drop_claim(machine)
+                self.machine_shard.claims.drop(machine)
         elif self.now + self.wall_offset_s < claim.until:
-            self.machine_shard.execute_claim(machine, claim.victims, claim.wind_down_s)
+            self.machine_shard.claims.execute(machine, claim.victims, claim.wind_down_s)
 
     def place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Ask for tasks of the job that a claim keeps room for; the machine with what is left for others."""
@@ -1106,7 +1113,7 @@
     def round(self, now: float) -> None:
         """What is due every fifth of a second."""
         self.now = now
-        self.machine_shard.set_answering(now, self.may_act())
+        self.machine_shard.view.set_answering(now, self.may_act())
         self.refresh_calendars()
         for label in list(self.deferred):
             self.flush_deferred(label)
@@ -1134,15 +1141,15 @@
         others = [label for label in self.membership.view.members if label != self.me]
         everyone = all(self.channels[label].peer_fencing_token >= fencing_token for label in others)
         if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
-            self.machine_shard.settle(now)
+            self.machine_shard.leases.settle(now)
             if not self.job_shard.settled:
                 self.job_shard.settle()
 
     def refresh_machines(self, now: float) -> None:
         """Leases that have lapsed; what is known of room and offers may have changed."""
-        self.machine_shard.no_newer_view_until = self.membership.synced_at
+        self.machine_shard.leases.no_newer_view_until = self.membership.synced_at
         if self.may_act():
-            self.machine_shard.check_leases(now)
+            self.machine_shard.leases.check(now)
         self.busy = None
         self.offer_book.look()
 
@@ -1199,11 +1206,15 @@
         """The leader is told of this part's machines, once a second."""
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
-        self.send_unreliable(leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.run_time)))
+        self.send_unreliable(
+            leader, messages.MachineSummaries(self.machine_shard.capacity.summaries(now, self.run_time))
+        )
         if self.ledger.entries and self.membership.all_support(constants.VERSION_WITH_CONFIGURATION):
             self.send_unreliable(
                 leader,
-                messages.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False),
+                messages.MachineTaskList(
+                    self.machine_shard.claims.machine_tasks(now, self.ledger.entries, None), False
+                ),
             )
 
     def send_quota_updates(self, now: float) -> None:
@@ -1257,7 +1268,7 @@
         self.pump()
 
     def set_machine_types(self, types: dict[str, wire.MachineType]) -> None:
-        self.types = self.machine_shard.types = types
+        self.types = self.machine_shard.capacity.types = types
         self.leader.on_types(types)
 
     def types_to_store(self) -> wire.MachineTypes | None:
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -549,7 +549,7 @@
     def heartbeat_response(self, machine: Machine, fencing_token: int) -> Answer:
         if fencing_token != self.membership.fencing_token or not self.membership.may_act(now()):
             return later("not entitled")
-        return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.orders(machine)), []
+        return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.order_builder.orders(machine)), []
 
     def settle(self, machine: object) -> None:
         """Answer the reports that wait for its grants."""
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -192,7 +192,7 @@
     (sim, machine), part = pending[0], f"{spec.id}/0"
     for other in world.nodes.values():
         other.core.apply_calendars([shut])
-    assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
+    assert not [order for order in sim.core.machine_shard.order_builder.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
     home.on_task_request(
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from alderbridge import constants
-from alderbridge.machines.shard import MachineShard
+from alderbridge.machines.shard import JobLookups, MachineShard, Outbox
 from alderbridge.protocol.messages import MachineTaskReport, TaskGrant
 from alderbridge.protocol.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
 
@@ -24,22 +24,25 @@
 
 def part_with_machine():
     sent = []
+
+    def send(label, body):
+        sent.append((label, body))
+        return len(sent)
+
     part = MachineShard(
-        "host-0",
         17.0,
-        lambda label, body: sent.append((label, body)) or len(sent),
-        lambda job: SPEC,
-        lambda job: "host-1",
+        JobLookups(lambda job: SPEC, lambda job: "host-1", lambda job: False),
+        Outbox(send, send, lambda label: 7),
+        lambda name: False,
         Random(1),
     )
-    part.processed_seq_of = lambda label: 7
     part.enter(5, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 0.0)
-    part.settle(0.0)
+    part.leases.settle(0.0)
     return part, sent
 
 
 def heartbeat(part, sequence, tasks=()):
-    part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, sequence, 5, "a", tasks=list(tasks)), float(sequence))
+    part.heartbeats.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, sequence, 5, "a", tasks=list(tasks)), float(sequence))
 
 
 def test_homes_hear_of_a_machine_once_and_then_only_news():
@@ -72,15 +75,15 @@
 def test_an_asked_acknowledgement_is_proof_only_before_any_order_of_this_view():
     """Later it may have been written before the worker read the response that starts a task (found in review)."""
     part, sent = part_with_machine()
-    part.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
+    part.heartbeats.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
     assert not sent, "it bears an older mandate"
-    part.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
+    part.heartbeats.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
     assert {label for label, _ in sent} == {"host-0", "host-1"}, "the first one is proof, as a report would be"
     machine = part.machines["n-1"]
     part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 77)]), 2.0)
-    assert [order["verb"] for order in part.orders(machine)] == ["run"]
+    assert [order["verb"] for order in part.order_builder.orders(machine)] == ["run"]
     told = len(sent)
-    part.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
+    part.heartbeats.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
     assert ("wk-1", 0) in machine.pending and len(sent) == told
 
 
@@ -95,7 +98,7 @@
         },
         3.0,
     )
-    part.on_probe_answer(Heartbeat("n-3", "10.0.0.3:9000", "c4", 2, 9, 6, "a"), 3.1)
+    part.heartbeats.on_probe_answer(Heartbeat("n-3", "10.0.0.3:9000", "c4", 2, 9, 6, "a"), 3.1)
     assert part.next_to_probe(3.1) == ("n-1", "10.0.0.1:9000", 1)
     assert part.next_to_probe(3.1) is None
 
@@ -107,19 +110,21 @@
     heartbeat(part, 1, [ended])
     machine = part.machines["n-1"]
     part.on_acknowledge_finished("n-1", "wk-1", 0, 70)
-    assert part.orders(machine) == []
+    assert part.order_builder.orders(machine) == []
     part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(1, 71)]), 1.5)
-    assert [order["verb"] for order in part.orders(machine)] == ["clear", "run"], "they were to be sent anyway"
+    assert [order["verb"] for order in part.order_builder.orders(machine)] == ["clear", "run"], (
+        "they were to be sent anyway"
+    )
     heartbeat(part, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
-    assert part.orders(machine) == []
+    assert part.order_builder.orders(machine) == []
     heartbeat(part, 2 + int(constants.ACKNOWLEDGE_WAIT_S), [ended, ReportedTask("wk-1/1", 71, "running")])
-    assert [order["verb"] for order in part.orders(machine)] == ["clear"]
+    assert [order["verb"] for order in part.order_builder.orders(machine)] == ["clear"]
 
 
 def test_what_frees_a_task_is_told_at_once_and_progress_with_the_next_message():
     part, sent = part_with_machine()
     later = []
-    part.send_deferred = lambda label, body: later.append(body.tasks) or 0
+    part.outbox.send_deferred = lambda label, body: later.append(body.tasks) or 0
     heartbeat(part, 1)
     del sent[:]
     for number, (status, cause) in enumerate((("fetching", None), ("running", None), ("ended", "done"))):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,6 +10,8 @@
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.shard import JobShard, JobState
 from alderbridge.leader.leader import Leader
+from alderbridge.machines.heartbeats import HeartbeatHandler
+from alderbridge.machines.orders import OrderBuilder
 from alderbridge.machines.shard import MachineShard
 from alderbridge.membership.failure_detector import FailureDetector
 from alderbridge.membership.view import Membership, StoreLease
@@ -156,14 +158,14 @@
 
 
 def copies_taken_for_new(monkeypatch):
-    real = MachineShard.on_heartbeat
+    real = HeartbeatHandler.on_heartbeat
 
     def on_heartbeat(self, heartbeat, now):
         if heartbeat.machine in self.machines:
             self.machines[heartbeat.machine].last_sequence = (0, 0)
         return real(self, heartbeat, now)
 
-    monkeypatch.setattr(MachineShard, "on_heartbeat", on_heartbeat)
+    monkeypatch.setattr(HeartbeatHandler, "on_heartbeat", on_heartbeat)
 
 
 def told_before_stored(monkeypatch):
@@ -354,8 +356,8 @@
     assert world.said[job] == "aborted" and not world.on, "the machine went on, and was halted then"
     assert [part for part, by in world.starts_after if 0.0 < by < 42.0] == [f"{job}/0"]
     never_halted(monkeypatch)
-    monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, halt: None)
-    monkeypatch.setattr(MachineShard, "_stop_orphans", lambda self, machine: None)
+    monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
+    monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
     world, job = cancelled_on_a_hanging_machine()
     with pytest.raises(Broken, match="ran_cancelled"):
         world.run(world.t + 60.0)
@@ -400,7 +402,7 @@
 def never_halted(monkeypatch):
     monkeypatch.setattr(JobShard, "stop_all", lambda self, job: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
-    monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
+    monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -65,7 +65,7 @@
     put = at_once(alone, shown)
     assert MACHINES + name in put.puts
     machine = alone.heartbeat(name, 2)
-    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.store.commit({}, {VIEW: View("host-1", alone.lease_ids)})
     at_same_time(alone, there)
     assert name in there.core.job_shard.barrier
@@ -104,7 +104,9 @@
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
     assert (
-        machine.acknowledged and not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+        machine.acknowledged
+        and not machine.recorded
+        and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     )
     at_same_time(alone, there)
     assert name not in there.core.replica.machines
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -183,12 +183,12 @@
 def part_of_a_cancelled_job(cancelled=True):
     part, sent = part_with_machine()
     heartbeat(part, 1)
-    part.cancelled = lambda job: cancelled
+    part.jobs.cancelled = lambda job: cancelled
     return part, part.machines["n-1"], sent
 
 
 def verbs(part, machine):
-    return [(order["verb"], order["part"], order["try"]) for order in part.orders(machine)]
+    return [(order["verb"], order["part"], order["try"]) for order in part.order_builder.orders(machine)]
 
 
 @pytest.mark.parametrize("cancelled", (True, False))
@@ -206,7 +206,7 @@
     )
     halts = [("halt", "wk-1/0", 70), ("halt", "wk-1/1", 71)]
     assert verbs(part, machine) == (halts if cancelled else [])
-    assert all(order["wind_down_s"] == 0.0 for order in part.orders(machine))
+    assert all(order["wind_down_s"] == 0.0 for order in part.order_builder.orders(machine))
     heartbeat(part, 3, [ReportedTask("wk-1/0", 70, "ended", "halted")])
     assert verbs(part, machine) == []
 
@@ -218,16 +218,16 @@
         part.enter(
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 2.0 * fencing_token
         )
-        part.settle(2.0 * fencing_token)
+        part.leases.settle(2.0 * fencing_token)
         told = len(sent)
         shown = [ReportedTask("wk-1/0", 70, "running")]
-        machine = part.on_heartbeat(
+        machine = part.heartbeats.on_heartbeat(
             Heartbeat("n-1", "x", "c4", 1, fencing_token, fencing_token - 1, "a", tasks=shown),
             2.0 * fencing_token + 1.0,
         )
         assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
         assert len(sent) == told and not machine.acknowledged, "and nothing is concluded from it"
-    part.cancelled = lambda job: False
+    part.jobs.cancelled = lambda job: False
     assert verbs(part, machine) == [], "other orders wait for the acknowledgement, a halt of the home's among them"
 
 
@@ -235,7 +235,7 @@
     """It may have waited here for the machine's next report while its home was cut off."""
     part, machine, sent = part_of_a_cancelled_job(False)
     part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
-    part.cancelled = lambda job: True
+    part.jobs.cancelled = lambda job: True
     assert verbs(part, machine) in ([("halt", "wk-1/0", 70)], [])
     assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
     told = len(sent)
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -80,10 +80,10 @@
     one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
-    one.machine_shard.cancelled = lambda job: True
+    one.machine_shard.jobs.cancelled = lambda job: True
     one.told_home()
     one.enter(6, 2.0, settle=False, carry=True)
-    one.machine_shard.settle(2.5)
+    one.machine_shard.leases.settle(2.5)
     ((told, held),) = one.told_home()
     assert (told, held) == ([], [("wk-1", 0, 70)])
     heir.told("n-2")
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -49,13 +49,13 @@
     """Carried out late, that would take the record away while tasks are on the machine: they would be started again."""
     part, _ = part_with_machine()
     heartbeat(part, 1)
-    part.check_leases(100.0)
+    part.leases.check(100.0)
     machine = part.machines["n-1"]
-    assert machine.state is MachineState.EXPIRED and part.records_to_drop == ["n-1"] and not machine.recorded
-    part.keep_record = lambda name: not sent
+    assert machine.state is MachineState.EXPIRED and part.records.to_drop == ["n-1"] and not machine.recorded
+    part.records.keep_record = lambda name: not sent
     heartbeat(part, 101)
     assert machine.state is MachineState.UP and machine.recorded is not sent
-    assert part.records_to_write == (["n-1"] if sent else [])
+    assert part.records.to_write == (["n-1"] if sent else [])
 
 
 def test_a_drop_that_had_no_answer_is_not_taken_back():
@@ -68,11 +68,11 @@
         if sim.core.machine_shard.machines[name].recorded
     )
     core.machine_shard.machines[name].expire()
-    core.machine_shard._drop_record(core.machine_shard.machines[name])
+    core.machine_shard.records.drop(core.machine_shard.machines[name])
     assert ControllerCore.keep_record(core, name) and not core.keep_record(name), (
         "once: nothing is to be dropped any more"
     )
-    core.machine_shard.records_to_drop.append(name)
+    core.machine_shard.records.to_drop.append(name)
     batch = core.next_batch(world.t)
     assert batch is not None and name in batch.dropped_machines
     assert not core.keep_record(name)
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -14,6 +14,7 @@
 from alderbridge import constants
 from alderbridge.controller.core import Submission
 from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
+from alderbridge.machines.capacity import MachineCapacity
 from alderbridge.machines.shard import MachineShard
 from alderbridge.membership.view import View
 from alderbridge.protocol import wire
@@ -539,9 +540,9 @@
 
 
 def no_room_in_a_zone(monkeypatch):
-    candidate = MachineShard.candidate
+    candidate = MachineCapacity.candidate
     monkeypatch.setattr(
-        MachineShard,
+        MachineCapacity,
         "candidate",
         lambda self, machine, now: None if machine.zone == "b" else candidate(self, machine, now),
     )
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -229,7 +229,7 @@
     machine = alone.heartbeat(name, 1, incarnation=2)
     assert machine.acknowledged and not machine.recorded
     alone.follow()
-    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both late, one after the other
     alone.follow()
     assert not machine.recorded, "the record may go by the drop that is repeated"
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -163,18 +163,18 @@
         grant = TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
         part.on_task_grant("host-1", grant, 1.5)
         if index == 0:
-            part.orders(machine)  # sent; the second never is
+            part.order_builder.orders(machine)  # sent; the second never is
     del sent[:]
-    part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, carry=True)
+    part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, carry_over=True)
     assert not sent
-    part.settle(2.2)
+    part.leases.settle(2.2)
     assert sent == [
         ("host-0", MachineTaskReport("n-1", "a", 7, [], [])),
         ("host-1", MachineTaskReport("n-1", "a", 7, [], [("wk-1", 0, 70)])),
     ]
-    assert part.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
-    assert part.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
-    part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
+    assert part.view.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
+    assert part.order_builder.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
+    part.heartbeats.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
     assert sent[-1] == ("host-1", MachineTaskReport("n-1", "a", 7, [], [])), "its report settles what was ordered"
 
 
@@ -182,23 +182,23 @@
     part, sent = part_with_machine()
     heartbeat(part, 1)
     del sent[:]
-    part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry=False)
-    part.settle(2.2)
-    assert not sent and part.reconciliation.states == {"n-1": MachineProgress.RECORDED}
+    part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry_over=False)
+    part.leases.settle(2.2)
+    assert not sent and part.view.reconciliation.states == {"n-1": MachineProgress.RECORDED}
 
 
 def test_a_machine_that_goes_while_its_record_is_written_leaves_none_behind():
     """A returned machine's record failed each look for what to write: its controller wrote nothing any more."""
     part, _ = part_with_machine()
     for name in ("n-2", "n-3", "n-4"):
-        part.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
-    assert part.records_to_write == ["n-2", "n-3", "n-4"]
+        part.heartbeats.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
+    assert part.records.to_write == ["n-2", "n-3", "n-4"]
     part.on_terminated(["n-2", "n-3"])
-    assert part.records_to_write == ["n-4"]
-    part.on_recorded("n-3")  # its write was on the way
-    part.check_leases(30.0)
-    part.on_recorded("n-4")
-    assert sorted(part.records_to_drop) == ["n-1", "n-3", "n-4"] and not part.records_to_write
+    assert part.records.to_write == ["n-4"]
+    part.records.on_recorded("n-3")  # its write was on the way
+    part.leases.check(30.0)
+    part.records.on_recorded("n-4")
+    assert sorted(part.records.to_drop) == ["n-1", "n-3", "n-4"] and not part.records.to_write
     assert not part.machines["n-4"].recorded
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -7,7 +7,10 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.shard import Job, JobShard, JobState, QuotaUsage, Record
-from alderbridge.machines.shard import Machine, MachineShard
+from alderbridge.machines.leases import WorkerLeases
+from alderbridge.machines.machine import Machine
+from alderbridge.machines.orders import OrderBuilder
+from alderbridge.machines.shard import MachineShard
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
 from alderbridge.settings import NextState
@@ -162,25 +165,25 @@
 def absence_without_proof(monkeypatch):
     """A part tells homes of machines that have not acknowledged the mandate."""
     monkeypatch.setattr(Machine, "is_proven", property(lambda self: True))
-    real = MachineShard.settle
+    real = WorkerLeases.settle
 
     def settle(self, now):
         for machine in self.machines.values():
-            self.report_to_job_owners(machine)
+            self.owner_reports.send(machine)
         real(self, now)
 
-    monkeypatch.setattr(MachineShard, "settle", settle)
+    monkeypatch.setattr(WorkerLeases, "settle", settle)
 
 
 def lease_cut_short(monkeypatch):
-    real = MachineShard.check_leases
+    real = WorkerLeases.check
 
     def check(self, now):
         lease, self.lease_s = self.lease_s, 2.0
         real(self, now)
         self.lease_s = lease
 
-    monkeypatch.setattr(MachineShard, "check_leases", check)
+    monkeypatch.setattr(WorkerLeases, "check", check)
 
 
 def no_allowance(monkeypatch):
@@ -216,10 +219,10 @@
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, halt: None)
-    monkeypatch.setattr(MachineShard, "_stop_orphans", lambda self, machine: None)
+    monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
+    monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
-    monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
+    monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
 
 
 def nobody_waits(monkeypatch):
@@ -249,7 +252,7 @@
         free = machine.free if machine is not None else None
         real(self, label, grant, now)
         if machine is not None:
-            machine.free = free or self.free(machine)
+            machine.free = free or self.capacity.free(machine)
             machine.pending = dict(machine.pending)
 
     monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
--- a/tests/world.py
+++ b/tests/world.py
@@ -316,7 +316,7 @@
             world.t,
             own={} if self.old else world.files(self.label),
         )
-        self.core.types = self.core.machine_shard.types = TYPES
+        self.core.types = self.core.machine_shard.capacity.types = TYPES
         self.core.leader.on_types(TYPES)
         world.prepare(self.core)
         self.busy = self.entering = False
@@ -822,7 +822,7 @@
                 return
             if fencing_token != core.membership.fencing_token or not core.membership.may_act(world.t):
                 return reply(503, b"")
-            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.orders(machine)))
+            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.order_builder.orders(machine)))
 
         world.after(0.02, finish)
         return None
@@ -1689,11 +1689,11 @@
                 else max(machine.last_heartbeat_at, machine.exclusive_since or math.inf)
             )
             if machine.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
-                if heard < part.oldest_lease_start:
+                if heard < part.leases.oldest_start:
                     raise Broken(f"books: {machine.name} was silent since {heard}, no look is due")
         for machine in part.machines.values():
             kept, machine.free = machine.free, None
-            free = part.free(machine)
+            free = part.capacity.free(machine)
             known, machine.free = machine.free is not None, kept  # a job that is over is counted no longer
             if kept is not None and known and any(abs(a - b) > 1e-6 for a, b in zip(kept, free, strict=True)):
                 raise Broken(f"books: {machine.name} has {free} free, kept was {kept}")
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -249,7 +249,7 @@
         worker.answered_at = self.now
         newer = core.membership.fencing_token > worker.fencing_token
         worker.fencing_token = core.membership.fencing_token
-        orders = self.clock("orders", core.machine_shard.orders, machine)
+        orders = self.clock("orders", core.machine_shard.order_builder.orders, machine)
         for order in orders:
             self.orders[order["verb"]][int(self.now)] += 1
             part = order["part"]
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -350,7 +350,7 @@
         machine = clock("report", core.on_heartbeat, heartbeat, self.now)
         self.carry(owner)
         assert machine is not None and not machine.reserved
-        orders = clock("orders", core.machine_shard.orders, machine)
+        orders = clock("orders", core.machine_shard.order_builder.orders, machine)
         answer = clock("http", wire.heartbeat_response, fencing_token, orders)
         clock("http", worker.wire.answer, (200, answer, []))
         self.counts.reports += 1
