--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -1060,7 +1060,7 @@
         """Halt the victims of its claim, in the answer to the report that has just come."""
         claim = self.ledger.claim_of(machine.name) if self.ledger.entries else None
         if claim is None:
-            if machine.claim_stops:
+            if machine.orders.claim_stops:
                 self.machine_shard.claims.drop(machine)
         elif self.now + self.wall_offset_s < claim.until:
             self.machine_shard.claims.execute(machine, claim.victims, claim.wind_down_s)
--- a/alderbridge/machines/capacity.py
+++ b/alderbridge/machines/capacity.py
@@ -21,6 +21,7 @@
     """Free room of machines, cached in each until something changes there."""
 
     def __init__(self, machines: dict[str, Machine], jobs: JobLookups, view: ShardView) -> None:
+        """For all machines of a shard; their types are not known yet."""
         self.machines = machines
         self.jobs = jobs
         self.view = view
@@ -33,6 +34,7 @@
 
     @types.setter
     def types(self, types: dict[str, MachineType]) -> None:
+        """New types: what is free on each machine is counted anew."""
         self._types = types
         for machine in self.machines.values():
             machine.changed()
@@ -50,7 +52,7 @@
         for (job, _), task in machine.tasks.items():
             if task.status != "ended":
                 counts[job] = counts[job] + 1 if job in counts else 1
-        for job, _ in machine.pending:
+        for job, _ in machine.orders.pending:
             counts[job] = counts.get(job, 0) + 1
         for job, count in machine.reserved.values():
             counts[job] = counts.get(job, 0) + count
@@ -125,7 +127,7 @@
             for (job, _), task in machine.tasks.items()
             if task.status != "ended"
         ]
-        tasks += [(job, None) for job, _ in machine.pending]
+        tasks += [(job, None) for job, _ in machine.orders.pending]
         found = []
         for job, since in tasks:
             if job not in loads:
--- a/alderbridge/machines/claims.py
+++ b/alderbridge/machines/claims.py
@@ -15,6 +15,7 @@
     """Carries out claims on machines, and lists to the leader what claims may stop."""
 
     def __init__(self, machines: dict[str, Machine], jobs: JobLookups, capacity: MachineCapacity) -> None:
+        """For all machines of a shard."""
         self.machines = machines
         self.jobs = jobs
         self.capacity = capacity
@@ -29,17 +30,17 @@
                 task is not None
                 and task.attempt == attempt
                 and task.status not in ("saving", "ended")
-                and key not in machine.stop_orders
+                and key not in machine.orders.stops
             ):
-                machine.stop_orders[key] = machine.claim_stops[key] = (attempt, wind_down_s)
+                machine.orders.stops[key] = machine.orders.claim_stops[key] = (attempt, wind_down_s)
 
     @staticmethod
     def drop(machine: Machine) -> None:
         """The claim is gone: its stops are not repeated."""
-        for key, stop in machine.claim_stops.items():
-            if machine.stop_orders.get(key) == stop:
-                del machine.stop_orders[key]
-        machine.claim_stops.clear()
+        for key, stop in machine.orders.claim_stops.items():
+            if machine.orders.stops.get(key) == stop:
+                del machine.orders.stops[key]
+        machine.orders.claim_stops.clear()
 
     def machine_tasks(
         self, now: float, claimed: Container[str], may_stop: Callable[[JobSpec], bool] | None
@@ -68,7 +69,7 @@
                 continue
             if may_stop is None or task.status in ("fetching", "running") and may_stop(spec):
                 ran_s = now - task.since if task.status == "running" else 0.0
-                is_all_it_ran = ran_s == 0.0 or task.since > machine.observed_since
+                is_all_it_ran = ran_s == 0.0 or task.since > machine.prior.observed_since
                 rows.append((job, index, task.attempt, ran_s, is_all_it_ran))
         return rows
 
@@ -78,7 +79,7 @@
         if kind is None or kind.gpus <= 0:
             return set()
         images = set(machine.images)
-        for job, _ in (*machine.tasks, *machine.pending):
+        for job, _ in (*machine.tasks, *machine.orders.pending):
             spec = self.jobs.spec_of(job)
             if spec is not None:
                 images.add(spec.image)
--- a/alderbridge/machines/context.py
+++ b/alderbridge/machines/context.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from alderbridge.machines.machine import Machine
 from alderbridge.protocol.messages import Message
@@ -13,28 +12,52 @@
 Send = Callable[[str, Message], int]
 
 
-@dataclass(slots=True)
 class JobLookups:
     """What a machine shard asks about jobs, by job id."""
 
-    spec_of: Callable[[str], JobSpec | None]  # None: unknown, or ended for good
-    job_owner: Callable[[str], str]  # label of the controller; "": no member
-    cancelled: Callable[[str], bool]  # whether the store says so, as far as this process has read
+    __slots__ = ("cancelled", "job_owner", "spec_of")
+
+    def __init__(
+        self,
+        spec_of: Callable[[str], JobSpec | None],
+        job_owner: Callable[[str], str],
+        cancelled: Callable[[str], bool],
+    ) -> None:
+        """All are answered from what this process has read so far."""
+        self.spec_of = spec_of  # None: unknown, or ended for good
+        self.job_owner = job_owner  # label of the controller; "": no member
+        self.cancelled = cancelled  # whether the store says so
 
 
-@dataclass(slots=True)
 class Outbox:
     """How a machine shard sends messages to members; both ways must arrive."""
 
-    send: Send
-    send_deferred: Send  # with the next message to that member, or in the next round
-    processed_seq_of: Callable[[str], int]  # number of the last message of that member that was handled here
+    __slots__ = ("processed_seq_of", "send", "send_deferred")
+
+    def __init__(self, send: Send, send_deferred: Send, processed_seq_of: Callable[[str], int]) -> None:
+        """By label of the member; the result of both ways is the number of the message, or 0."""
+        self.send = send
+        self.send_deferred = send_deferred  # with the next message to that member, or in the next round
+        self.processed_seq_of = processed_seq_of  # number of that member's last message that was handled here
+
+
+class MachineTable:
+    """The machines of a shard by name, and what is known of others."""
+
+    __slots__ = ("machines", "pending_drains", "terminated")
+
+    def __init__(self) -> None:
+        """No machines yet."""
+        self.machines: dict[str, Machine] = {}
+        self.terminated: set[str] = set()  # confirmed gone; late heartbeats mean nothing
+        self.pending_drains: set[str] = set()  # wanted back, also those that have yet to report
 
 
 class ShardView:
     """The view that the shard serves, how far it is reconciled, and since when heartbeats are answered."""
 
     def __init__(self) -> None:
+        """No view yet."""
         self.fencing_token = 0
         self.members: list[str] = []
         self.settled_at: float | None = None  # since when all members act under this view
--- a/alderbridge/machines/heartbeats.py
+++ b/alderbridge/machines/heartbeats.py
@@ -6,7 +6,7 @@
 import logging
 
 from alderbridge import constants
-from alderbridge.machines.context import Outbox, ShardView
+from alderbridge.machines.context import MachineTable, ShardView
 from alderbridge.machines.leases import WorkerLeases
 from alderbridge.machines.machine import Machine, MachineState, ObservedTask, TaskKey
 from alderbridge.machines.orders import OrderBuilder
@@ -27,22 +27,19 @@
 
     def __init__(
         self,
-        machines: dict[str, Machine],
-        terminated: set[str],
-        pending_drains: set[str],
+        table: MachineTable,
         view: ShardView,
-        outbox: Outbox,
         records: MachineRecords,
         leases: WorkerLeases,
         order_builder: OrderBuilder,
         owner_reports: OwnerReports,
         task_outcomes: TaskOutcomes,
     ) -> None:
-        self.machines = machines
-        self.terminated = terminated
-        self.pending_drains = pending_drains
+        """All parts are the shard's own."""
+        self.machines = table.machines
+        self.terminated = table.terminated
+        self.pending_drains = table.pending_drains
         self.view = view
-        self.outbox = outbox
         self.records = records
         self.leases = leases
         self.order_builder = order_builder
@@ -90,7 +87,7 @@
     def _add_machine(self, name: str, now: float) -> Machine:
         """The first heartbeat of a machine that is not recorded."""
         machine = self.machines[name] = Machine(name, now)
-        machine.exclusive_since = self.view.settled_at
+        machine.lease.exclusive_since = self.view.settled_at
         machine.lease.renewed_token = self.view.fencing_token
         log.info("machine=%s state=expected cause=first report", name)
         return machine
@@ -108,10 +105,10 @@
 
     def _acknowledge(self, machine: Machine, now: float) -> None:
         """The first heartbeat with the view's fencing token, also after the lease had expired."""
-        if not machine.carried_over:
-            machine.observed_since = now
+        if not machine.prior.complete:
+            machine.prior.observed_since = now
         machine.acknowledge()
-        machine.ordered_before.clear()  # under an older view: this heartbeat shows what came of it
+        machine.prior.ordered.clear()  # under an older view: this heartbeat shows what came of it
         self.view.reconciliation.acknowledge(machine.name)
         self.records.request_write(machine)
         log.debug("machine=%s state=up cause=acknowledged fencing_token=%d", machine.name, self.view.fencing_token)
@@ -119,11 +116,8 @@
     # -- what a heartbeat with the view's fencing token shows ----------------
 
     def _apply(self, machine: Machine, heartbeat: Heartbeat, first: bool, now: float) -> None:
-        """Take over the tasks that it shows, settle the orders that it answers, and tell job owners of changes.
-
-        ``first``: they are told at once, whatever it shows. What frees no task is told with the next other message.
-        """
-        before = machine.tasks
+        """Take over the tasks that it shows, and settle orders; ``first``: job owners are told, whatever it shows."""
+        before, orders = machine.tasks, machine.orders
         tasks: dict[TaskKey, ObservedTask] = {}
         machine.tasks = tasks
         changed = urgent = first
@@ -132,38 +126,33 @@
             key = _task_key(task.task_id)
             if not key[0]:
                 continue
-            observed = before.get(key)
-            still_there += observed is not None
-            if (
-                observed is None
-                or observed.attempt != task.attempt
-                or observed.status != task.status
-                or observed.cause != task.cause
-            ):
+            seen = before.get(key)
+            still_there += seen is not None
+            if seen is None or seen.attempt != task.attempt or seen.status != task.status or seen.cause != task.cause:
                 changed = True
                 urgent = urgent or task.status == "ended" and task.cause != "done"
-                observed = self._observe_change(machine, key, task, observed, now)
-            tasks[key] = observed
-        if still_there < len(before):
-            changed = True
-            urgent = urgent or any(task.status != "ended" for key, task in before.items() if key not in tasks)
-        if machine.pending:
+                seen = self._observe_change(machine, key, task, seen, now)
+            tasks[key] = seen
+        lost = still_there < len(before)
+        changed = changed or lost
+        urgent = urgent or lost and _lost_live_task(before, tasks)
+        if orders.pending:
             started, not_started = self._settle_pending(machine, now)
             changed = changed or started or not_started
             urgent = urgent or not_started
-        if machine.stop_orders:
+        if orders.stops:
             self._settle_stop_orders(machine)
-        if not machine.acknowledgements or self._settle_acknowledgements(machine):
-            machine.acknowledgements_since = now
+        if not orders.acknowledgements or self._settle_acknowledgements(machine):
+            orders.acknowledgements_since = now
         self.order_builder.stop_orphans(machine)
         self.order_builder.stop_cancelled(machine, {key: (task.attempt, task.status) for key, task in tasks.items()})
         if not machine.idle:
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
-        if changed:
+        if changed:  # what frees no task is not urgent
             machine.changed()
-            self.owner_reports.send(machine, self.outbox.send if urgent else self.outbox.send_deferred)
+            self.owner_reports.send(machine, urgent)
             self.view.reconciliation.mark_reconciled(machine.name)
 
     def _observe_change(
@@ -173,7 +162,7 @@
         job, index = key
         if before is not None and before.attempt == task.attempt:
             # Of a gang: started again under this attempt, and its new result is not to be acknowledged with the old.
-            machine.acknowledgements.discard((job, index, task.attempt))
+            machine.orders.acknowledgements.discard((job, index, task.attempt))
         report = TaskStatusReport(job, index, task.attempt, task.status, task.cause)
         log.debug("machine=%s task=%s status=%s cause=%s", machine.name, task.task_id, task.status, task.cause)
         self.task_outcomes.record(machine, job, task.status, task.cause, now)
@@ -181,41 +170,47 @@
 
     def _settle_pending(self, machine: Machine, now: float) -> tuple[bool, bool]:
         """Remove the granted tasks that this heartbeat settles: whether some were started, and some were not."""
-        tasks = machine.tasks
+        tasks, orders = machine.tasks, machine.orders
         orders_lost = False
-        for key, pending in machine.pending.items():
+        for key, pending in orders.pending.items():
             orders_lost = orders_lost or pending.sent >= constants.ORDER_TRIES and key not in tasks
         if orders_lost and now >= machine.health.quarantined_until:
             # What it is sent does not arrive: tasks wait elsewhere, not on it.
             machine.health.quarantined_until = now + self.leases.lease_s
             log.info("machine=%s state=quarantined cause=orders do not arrive", machine.name)
         started = not_started = False
-        for key, pending in list(machine.pending.items()):
+        for key, pending in list(orders.pending.items()):
             observed = tasks.get(key)
             if observed is not None and observed.attempt == pending.attempt:
-                del machine.pending[key]
+                del orders.pending[key]
                 started = True
-            elif machine.state is not MachineState.UP or key in machine.stop_orders or orders_lost:
+            elif machine.state is not MachineState.UP or key in orders.stops or orders_lost:
                 # Never sent, or settled by this newer heartbeat: it was not started.
-                del machine.pending[key]
+                del orders.pending[key]
                 not_started = True
         return started, not_started
 
     @staticmethod
     def _settle_stop_orders(machine: Machine) -> None:
         """Remove the stops of what has ended, or is not there."""
-        for key, (attempt, _) in list(machine.stop_orders.items()):
+        for key, (attempt, _) in list(machine.orders.stops.items()):
             observed = machine.tasks.get(key)
             if observed is None or observed.attempt != attempt or observed.status == "ended":
-                del machine.stop_orders[key]
+                del machine.orders.stops[key]
 
     @staticmethod
     def _settle_acknowledgements(machine: Machine) -> bool:
         """Remove the acknowledgements of what the worker has forgotten; True if there were any, so all were sent."""
-        tasks, waiting = machine.tasks, len(machine.acknowledgements)
-        machine.acknowledgements = {
+        tasks, orders = machine.tasks, machine.orders
+        waiting = len(orders.acknowledgements)
+        orders.acknowledgements = {
             (job, index, attempt)
-            for job, index, attempt in machine.acknowledgements
+            for job, index, attempt in orders.acknowledgements
             if (task := tasks.get((job, index))) is not None and task.attempt == attempt
         }
-        return len(machine.acknowledgements) < waiting
+        return len(orders.acknowledgements) < waiting
+
+
+def _lost_live_task(before: dict[TaskKey, ObservedTask], tasks: dict[TaskKey, ObservedTask]) -> bool:
+    """Whether a task that had not ended is no longer there."""
+    return any(task.status != "ended" for key, task in before.items() if key not in tasks)
--- a/alderbridge/machines/leases.py
+++ b/alderbridge/machines/leases.py
@@ -5,7 +5,7 @@
 * ``check``: the machine is silent for a lease, a bound for clock drift, and a margin.
 * ``check_unrenewed``: it reports, but with a fencing token that shows that no response was accepted for as long.
 
-Both count only from when this process alone could answer the machine (``Machine.exclusive_since``): in a new view
+Both count only from when this process alone could answer the machine (``LeaseEvidence.exclusive_since``): in a new view
 that is when the view has settled.
 """
 
@@ -34,6 +34,7 @@
         records: MachineRecords,
         owner_reports: OwnerReports,
     ) -> None:
+        """``lease_s``: of the workers."""
         self.lease_s = lease_s
         self.machines = machines
         self.view = view
@@ -54,9 +55,9 @@
         view.settled_at = now
         self.oldest_start = -math.inf
         for machine in self.machines.values():
-            if machine.exclusive_since is None:
-                machine.exclusive_since = now
-            if machine.carried_over and not machine.acknowledged and machine.state is not MachineState.EXPIRED:
+            if machine.lease.exclusive_since is None:
+                machine.lease.exclusive_since = now
+            if machine.prior.complete and not machine.acknowledged and machine.state is not MachineState.EXPIRED:
                 view.reconciliation.mark_reconciled(machine.name)
                 self.owner_reports.send(machine)
 
@@ -69,12 +70,12 @@
         for machine in self.machines.values():
             if machine.state is MachineState.EXPIRED or machine.state is MachineState.TERMINATED:
                 continue
-            if machine.exclusive_since is None:
+            if machine.lease.exclusive_since is None:
                 continue
             since = (
                 machine.last_heartbeat_at
                 if machine.acknowledged
-                else max(machine.last_heartbeat_at, machine.exclusive_since)
+                else max(machine.last_heartbeat_at, machine.lease.exclusive_since)
             )
             if not self._has_run_out(since, now):
                 self.oldest_start = min(self.oldest_start, since)
@@ -94,9 +95,9 @@
         elif (
             not machine.acknowledged
             and machine.state is not MachineState.EXPIRED
-            and machine.exclusive_since is not None
+            and machine.lease.exclusive_since is not None
         ):
-            since = max(lease.renewed_at, machine.exclusive_since)
+            since = max(lease.renewed_at, machine.lease.exclusive_since)
             if self._has_run_out(since, now):
                 self._expire(machine, f"no answer accepted for {now - since:.1f} s")
 
--- a/alderbridge/machines/machine.py
+++ b/alderbridge/machines/machine.py
@@ -59,17 +59,48 @@
 
 
 class LeaseEvidence:
-    """What heartbeats with an older fencing token leave open of the worker's lease.
+    """What is known of a worker's lease.
 
-    It was renewed at ``renewed_at``, or by a response whose token was at least ``renewed_token``: later heartbeats
-    bear the token of a response that was accepted.
+    Heartbeats with an older fencing token leave open that it was renewed at ``renewed_at``, or by a response whose
+    token was at least ``renewed_token``: later heartbeats bear the token of a response that was accepted.
     """
 
-    __slots__ = ("renewed_at", "renewed_token")
+    __slots__ = ("exclusive_since", "renewed_at", "renewed_token")
 
-    def __init__(self, renewed_at: float, renewed_token: int) -> None:
+    def __init__(self, renewed_at: float) -> None:
+        """Renewed by whoever served the machine until then."""
+        # Since when only this process could have answered its heartbeats; None: not yet.
+        self.exclusive_since: float | None = None
         self.renewed_at = renewed_at
-        self.renewed_token = renewed_token
+        self.renewed_token = 0
+
+
+class MachineOrders:
+    """What is to be ordered of a machine, or was ordered and has not shown in a heartbeat yet."""
+
+    __slots__ = ("acknowledgements", "acknowledgements_since", "claim_stops", "pending", "stops")
+
+    def __init__(self, now: float) -> None:
+        """Nothing is to be ordered."""
+        self.pending: dict[TaskKey, Pending] = {}
+        self.stops: dict[TaskKey, StopOrder] = {}
+        self.claim_stops: dict[TaskKey, StopOrder] = {}  # of ``stops``, those for the machine's claim
+        self.acknowledgements: set[tuple[str, int, int]] = set()  # finished tasks: job, index, attempt
+        self.acknowledgements_since = now  # since when the oldest of them may have waited unsent
+
+
+class PriorKnowledge:
+    """What this process knows of a machine from before its first heartbeat under the view."""
+
+    __slots__ = ("complete", "observed_since", "ordered")
+
+    def __init__(self, now: float) -> None:
+        """Nothing is known until ``now``."""
+        # All that may be on it is known from the view before, in which this same process served it: the tasks of the
+        # machine, and ``ordered``, what was ordered then and not yet seen in a heartbeat.
+        self.complete = False
+        self.ordered: dict[TaskKey, int] = {}  # task -> attempt
+        self.observed_since = now  # what ran here when this process first heard of it ran for longer than is known
 
 
 class ReportHistory:
@@ -78,6 +109,7 @@
     __slots__ = ("last", "due")
 
     def __init__(self) -> None:
+        """They were told nothing."""
         self.last: dict[str, JobTaskReports] = {}  # job owner -> its last report
         self.due: set[str] = set()  # job owners that granted tasks since: they get a report even if nothing changed
 
@@ -88,6 +120,7 @@
     __slots__ = ("error_jobs", "quarantined_until")
 
     def __init__(self) -> None:
+        """Not quarantined."""
         self.error_jobs: list[str] = []  # jobs of the errors in a row
         self.quarantined_until = 0.0
 
@@ -96,6 +129,7 @@
     """A machine under one view. Times are of the steady clock, in s."""
 
     def __init__(self, name: str, now: float) -> None:
+        """A machine that nothing is known of; ``now``: when this process first heard of it, or the view began."""
         self.name = name
         self.state = MachineState.EXPECTED
         self.type = self.zone = self.address = ""
@@ -104,25 +138,15 @@
         # The replica shows its record; who wrote it, and what else is on its way, is not known yet.
         self.seen_in_replica = False
         self.acknowledged = False  # a heartbeat has borne this view's fencing token
-        # All that may be on it is known from the view before, in which this same process served it: ``tasks``, and
-        # ``ordered_before``, what was ordered then and not yet seen in a heartbeat.
-        self.carried_over = False
-        self.ordered_before: dict[TaskKey, int] = {}  # task -> attempt
-        self.observed_since = now  # what ran here when this process first heard of it ran for longer than is known
+        self.prior = PriorKnowledge(now)
         self.last_heartbeat_at = now  # receipt of the newest heartbeat, or the view's start
         self.last_sequence = (0, 0)  # (incarnation, sequence) of the newest heartbeat
-        # Since when only this process could have answered its heartbeats; None: not yet.
-        self.exclusive_since: float | None = None
-        self.lease = LeaseEvidence(now, 0)
+        self.lease = LeaseEvidence(now)
         self.free: placement.Room | None = None  # cached until ``changed``
         self.busy: list[TaskLoad] | None = None  # cached until ``changed``
         self.tasks: dict[TaskKey, ObservedTask] = {}
-        self.pending: dict[TaskKey, Pending] = {}
         self.reserved: dict[int, tuple[str, int]] = {}  # task request -> job, count
-        self.stop_orders: dict[TaskKey, StopOrder] = {}
-        self.claim_stops: dict[TaskKey, StopOrder] = {}  # of ``stop_orders``, those for the machine's claim
-        self.acknowledgements: set[tuple[str, int, int]] = set()
-        self.acknowledgements_since = now  # since when the oldest of them may have waited unsent
+        self.orders = MachineOrders(now)
         self.reports = ReportHistory()
         self.images: OrderedDict[str, float] = OrderedDict()  # cached images -> GB, the least recently used first
         self.idle_since: float | None = now
@@ -153,20 +177,21 @@
 
     def inherit_exclusivity(self, before: Machine) -> None:
         """Nobody but this process has answered its heartbeats since, if that held in the view just before."""
-        if before.exclusive_since is None:
+        if before.lease.exclusive_since is None:
             return
-        self.exclusive_since = before.exclusive_since
+        self.lease.exclusive_since = before.lease.exclusive_since
         self.last_heartbeat_at = self.lease.renewed_at = before.last_heartbeat_at
         if not before.acknowledged:  # it may have heard no response for longer than that view lasted
             self.lease.renewed_at = before.lease.renewed_at
             self.lease.renewed_token = before.lease.renewed_token
 
-    def carry_over(self, before: Machine) -> None:
+    def inherit_tasks(self, before: Machine) -> None:
         """This process gave it all its orders under the view before, and knows the reports that answered them."""
-        self.carried_over = True
-        self.tasks, self.observed_since = dict(before.tasks), before.observed_since
-        sent = {key: pending.attempt for key, pending in before.pending.items() if pending.sent}
-        self.ordered_before = before.ordered_before | sent
+        self.tasks = dict(before.tasks)
+        sent = {key: pending.attempt for key, pending in before.orders.pending.items() if pending.sent}
+        self.prior.complete = True
+        self.prior.observed_since = before.prior.observed_since
+        self.prior.ordered = before.prior.ordered | sent
 
     # -- changes of state, one method each ---------------------------------
 
@@ -198,10 +223,10 @@
 
     def _clear_tasks(self) -> None:
         self.tasks.clear()
-        self.ordered_before.clear()
-        self.pending.clear()
-        self.stop_orders.clear()
-        self.acknowledgements.clear()
+        self.prior.ordered.clear()
+        self.orders.pending.clear()
+        self.orders.stops.clear()
+        self.orders.acknowledgements.clear()
         self.changed()
 
     # -- questions ---------------------------------------------------------
@@ -209,7 +234,7 @@
     @property
     def is_proven(self) -> bool:
         """Whether what is known of its tasks is complete under this view."""
-        return self.acknowledged or self.carried_over or self.state in (MachineState.EXPIRED, MachineState.TERMINATED)
+        return self.acknowledged or self.prior.complete or self.state in (MachineState.EXPIRED, MachineState.TERMINATED)
 
     @property
     def record(self) -> MachineRecord:
@@ -219,6 +244,6 @@
     @property
     def idle(self) -> bool:
         """Whether nothing runs on it, nor is on its way there."""
-        if self.pending or self.reserved:
+        if self.orders.pending or self.reserved:
             return False
         return all(task.status == "ended" for task in self.tasks.values())
--- a/alderbridge/machines/orders.py
+++ b/alderbridge/machines/orders.py
@@ -18,6 +18,7 @@
     """Decides which tasks a machine has to stop, and builds the orders of its responses."""
 
     def __init__(self, jobs: JobLookups) -> None:
+        """No hours are declared yet."""
         self.jobs = jobs
         self.calendars: Gate | None = None  # None: no hours are declared
 
@@ -29,19 +30,19 @@
         """
         if not machine.acknowledged:
             return self._cancelled_stops(machine)
+        due = machine.orders
         if (
-            not machine.stop_orders
-            and not machine.pending
-            and len(machine.acknowledgements) < constants.ACKNOWLEDGE_MAX
-            and machine.last_heartbeat_at - machine.acknowledgements_since < constants.ACKNOWLEDGE_WAIT_S
+            not due.stops
+            and not due.pending
+            and len(due.acknowledgements) < constants.ACKNOWLEDGE_MAX
+            and machine.last_heartbeat_at - due.acknowledgements_since < constants.ACKNOWLEDGE_WAIT_S
         ):
             return []
-        orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(machine.acknowledgements)]
+        orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(due.acknowledgements)]
         orders += [
-            stop_order(job, index, attempt, wind_down_s)
-            for (job, index), (attempt, wind_down_s) in machine.stop_orders.items()
+            stop_order(job, index, attempt, wind_down_s) for (job, index), (attempt, wind_down_s) in due.stops.items()
         ]
-        if machine.pending and machine.state is MachineState.UP and machine.recorded:
+        if due.pending and machine.state is MachineState.UP and machine.recorded:
             orders += self._run_orders(machine)
         return orders
 
@@ -49,20 +50,20 @@
         """Stops of what is cancelled, which nobody needs any more: nothing is concluded from its absence later."""
         return [
             stop_order(job, index, attempt, 0.0)
-            for (job, index), (attempt, _) in machine.stop_orders.items()
+            for (job, index), (attempt, _) in machine.orders.stops.items()
             if self.jobs.cancelled(job)
         ]
 
     def _run_orders(self, machine: Machine) -> list[Order]:
         orders = []
-        for (job, index), pending in machine.pending.items():
+        for (job, index), pending in machine.orders.pending.items():
             observed = machine.tasks.get((job, index))
             if observed is not None and observed.attempt != pending.attempt:
                 continue  # the old attempt must be acknowledged as finished first
             if self.jobs.cancelled(job) or (self.calendars is not None and self._is_closed(job, self.calendars)):
                 # Granted, but its job is cancelled, or its hours have closed, since. Whatever was sent of it was
                 # not carried out, as the heartbeat that this answers would show it: the next one frees it.
-                machine.stop_orders[(job, index)] = (pending.attempt, 0.0)
+                machine.orders.stops[(job, index)] = (pending.attempt, 0.0)
                 continue
             pending.sent += 1
             orders.append(run_order(job, index, pending.attempt))
@@ -84,7 +85,7 @@
         for job in {job for job, _ in reported if cancelled(job)}:
             for (other, index), (attempt, status) in reported.items():
                 if other == job and status != "ended":
-                    machine.stop_orders[(job, index)] = (attempt, 0.0)
+                    machine.orders.stops[(job, index)] = (attempt, 0.0)
 
     def stop_orphans(self, machine: Machine) -> None:
         """Tasks of jobs that are over for good have no owner to ask: stopped, or acknowledged as finished."""
@@ -95,6 +96,6 @@
         for (job, index), task in machine.tasks.items():
             if job in over:
                 if task.status == "ended":
-                    machine.acknowledgements.add((job, index, task.attempt))
+                    machine.orders.acknowledgements.add((job, index, task.attempt))
                 else:
-                    machine.stop_orders[(job, index)] = (task.attempt, 0.0)
+                    machine.orders.stops[(job, index)] = (task.attempt, 0.0)
--- a/alderbridge/machines/records.py
+++ b/alderbridge/machines/records.py
@@ -8,23 +8,17 @@
 from collections.abc import Callable
 
 from alderbridge import constants
-from alderbridge.machines.context import ShardView
+from alderbridge.machines.context import MachineTable, ShardView
 from alderbridge.machines.machine import Machine, MachineState
 
 
 class MachineRecords:
     """Records to be written and to be dropped; the controller takes them into its write batches."""
 
-    def __init__(
-        self,
-        machines: dict[str, Machine],
-        terminated: set[str],
-        view: ShardView,
-        keep_record: Callable[[str], bool],
-    ) -> None:
+    def __init__(self, table: MachineTable, view: ShardView, keep_record: Callable[[str], bool]) -> None:
         """``keep_record``: whether a dropped record is still there, as no drop of it has been sent yet."""
-        self.machines = machines
-        self.terminated = terminated
+        self.machines = table.machines
+        self.terminated = table.terminated
         self.view = view
         self.keep_record = keep_record
         self.to_write: list[str] = []
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -17,11 +17,12 @@
 import logging
 from collections.abc import Callable, Iterable, Mapping
 from random import Random
+from typing import NamedTuple
 
 from alderbridge import constants
 from alderbridge.machines.capacity import MachineCapacity
 from alderbridge.machines.claims import MachineClaims
-from alderbridge.machines.context import JobLookups, Outbox, ShardView
+from alderbridge.machines.context import JobLookups, MachineTable, Outbox, ShardView
 from alderbridge.machines.heartbeats import HeartbeatHandler
 from alderbridge.machines.leases import WorkerLeases
 from alderbridge.machines.machine import Machine, MachineState, Pending
@@ -33,11 +34,19 @@
 from alderbridge.protocol.wire import MachineRecord
 from alderbridge.reconciliation import HeartbeatProber
 
-__all__ = ["JobLookups", "Machine", "MachineShard", "MachineState", "Outbox"]
+__all__ = ["JobLookups", "Machine", "MachineShard", "MachineState", "Outbox", "ProbeTarget"]
 
 log = logging.getLogger("machines")
 
 
+class ProbeTarget(NamedTuple):
+    """Where a machine is asked for its acknowledgement."""
+
+    name: str
+    address: str
+    incarnation: int  # the likeliest one of its worker
+
+
 class MachineShard:
     """The machines that the view gives to this controller. Times are of the steady clock, in s."""
 
@@ -52,24 +61,20 @@
         """``lease_s``: of the workers; ``keep_record``: see ``MachineRecords``; ``rng``: for the pauses of probes."""
         self.outbox = outbox
         self.jobs = jobs
-        self.machines: dict[str, Machine] = {}  # shared with the parts, like the next two
-        self.terminated: set[str] = set()  # confirmed gone; late heartbeats mean nothing
-        self.pending_drains: set[str] = set()  # wanted back, also those that have yet to report
+        table = MachineTable()  # shared by the parts
+        self.machines, self.terminated, self.pending_drains = table.machines, table.terminated, table.pending_drains
         self.last_request_id = 0
         self.view = ShardView()
         self.prober = HeartbeatProber(rng)
         self.owner_reports = OwnerReports(jobs, outbox, self.view)
-        self.records = MachineRecords(self.machines, self.terminated, self.view, keep_record)
+        self.records = MachineRecords(table, self.view, keep_record)
         self.leases = WorkerLeases(lease_s, self.machines, self.view, self.records, self.owner_reports)
         self.order_builder = OrderBuilder(jobs)
         self.capacity = MachineCapacity(self.machines, jobs, self.view)
         self.claims = MachineClaims(self.machines, jobs, self.capacity)
         self.heartbeats = HeartbeatHandler(
-            self.machines,
-            self.terminated,
-            self.pending_drains,
+            table,
             self.view,
-            outbox,
             self.records,
             self.leases,
             self.order_builder,
@@ -86,14 +91,14 @@
         recorded: Mapping[str, MachineRecord],
         now: float,
         continued: bool = False,
-        carry_over: bool = False,
+        inherit_tasks: bool = False,
     ) -> None:
         """A new view: these recorded machines are ours; all must acknowledge.
 
         ``continued``: this same process took part in the view just before, so what was its own then has been answered
-        by nobody else in between. ``carry_over``: what it knew of such a machine is all that may be on it: job owners
-        are told so when the view has settled, and need not wait for the acknowledgement. Without that one dead machine
-        held up the inherited tasks of every planned restart.
+        by nobody else in between. ``inherit_tasks``: what it knew of such a machine is all that may be on it: job
+        owners are told so when the view has settled, and need not wait for the acknowledgement. Without that one dead
+        machine held up the inherited tasks of every planned restart.
         """
         before = dict(self.machines)
         self.machines.clear()
@@ -104,30 +109,30 @@
             machine = self.machines[name] = Machine.from_record(name, record, fencing_token, now)
             self.view.reconciliation.add_recorded(name)
             if name in before:
-                _inherit(machine, before[name], continued, carry_over)
+                _inherit(machine, before[name], continued, inherit_tasks)
         # Its drop was overtaken by the view, or a late put brought the record back: no job owner need wait a lease for
         # it.
         self.records.to_drop = self.on_terminated([name for name in recorded if name in self.terminated])
         self._enter_prober(before, now)
 
     def _enter_prober(self, before: Mapping[str, Machine], now: float) -> None:
-        """Probe the machines of the new view, the last ones heard by this process ``before`` first."""
-        last_heard = {name: before[name].last_heartbeat_at for name in self.machines if name in before}
+        """Probe the machines of the new view, those that this process heard from last first."""
+        last_heartbeats = {name: before[name].last_heartbeat_at for name in self.machines if name in before}
         self.prober.enter(
             sorted(
                 (name for name, machine in self.machines.items() if machine.address),
-                key=lambda name: (-last_heard.get(name, 0.0), name),
+                key=lambda name: (-last_heartbeats.get(name, 0.0), name),
             ),
             now,
         )
 
-    def next_to_probe(self, now: float) -> tuple[str, str, int] | None:
-        """Name, address and likeliest incarnation of a machine to be asked for its acknowledgement now."""
+    def next_to_probe(self, now: float) -> ProbeTarget | None:
+        """A machine to be asked for its acknowledgement now."""
         name = self.prober.next(now, self._needs_no_probe)
         if name is None:
             return None
         machine = self.machines[name]
-        return name, machine.address, max(1, machine.last_sequence[0])
+        return ProbeTarget(name, machine.address, max(1, machine.last_sequence[0]))
 
     def _needs_no_probe(self, name: str) -> bool:
         machine = self.machines.get(name)
@@ -174,7 +179,7 @@
             self.owner_reports.send(machine)  # never ordered: the job owner takes them back
             return machine
         for index, attempt in grant.tasks:
-            machine.pending[(grant.job, index)] = Pending(attempt)
+            machine.orders.pending[(grant.job, index)] = Pending(attempt)
         machine.idle_since = None
         return machine
 
@@ -184,19 +189,19 @@
         if machine is None:
             return
         key = (stop.job, stop.index)
-        pending = machine.pending.get(key)
+        pending = machine.orders.pending.get(key)
         if pending is not None and pending.attempt == stop.attempt and not pending.sent:
-            del machine.pending[key]
+            del machine.orders.pending[key]
             machine.changed()
             self.owner_reports.send(machine)
             return
-        machine.stop_orders[key] = (stop.attempt, stop.wind_down_s)
+        machine.orders.stops[key] = (stop.attempt, stop.wind_down_s)
 
     def on_acknowledge_finished(self, machine_name: str, job: str, index: int, attempt: int) -> None:
         """The result of a finished task is stored: its worker may forget it."""
         machine = self.machines.get(machine_name)
         if machine is not None:
-            machine.acknowledgements.add((job, index, attempt))
+            machine.orders.acknowledgements.add((job, index, attempt))
 
     # -- messages of the leader --------------------------------------------
 
@@ -211,9 +216,9 @@
 
     def _cancel_unsent(self, machine: Machine) -> None:
         """Granted tasks that were not ordered yet go back to their job owners."""
-        unsent = [key for key, pending in machine.pending.items() if not pending.sent]
+        unsent = [key for key, pending in machine.orders.pending.items() if not pending.sent]
         for key in unsent:
-            del machine.pending[key]
+            del machine.orders.pending[key]
         if unsent:
             machine.changed()
             self.owner_reports.send(machine)
@@ -235,10 +240,10 @@
         return result
 
 
-def _inherit(machine: Machine, before: Machine, continued: bool, carry_over: bool) -> None:
+def _inherit(machine: Machine, before: Machine, continued: bool, inherit_tasks: bool) -> None:
     """What this process knew of the machine, as far as it still holds; see ``MachineShard.enter``."""
     machine.inherit(before)
     if continued:
         machine.inherit_exclusivity(before)
-    if carry_over and before.is_proven:
-        machine.carry_over(before)
+    if inherit_tasks and before.is_proven:
+        machine.inherit_tasks(before)
--- a/alderbridge/machines/task_outcomes.py
+++ b/alderbridge/machines/task_outcomes.py
@@ -16,28 +16,25 @@
     """Keeps a machine's image cache and its errors in a row up to date."""
 
     def __init__(self, jobs: JobLookups, capacity: MachineCapacity) -> None:
+        """``capacity``: knows the types, and so the size of a machine's image cache."""
         self.jobs = jobs
         self.capacity = capacity
 
     def record(self, machine: Machine, job: str, status: str, cause: str | None, now: float) -> None:
-        """A task of the job has this status now."""
+        """A task of the job has this status now; from when it runs, the machine has its image."""
         spec = self.jobs.spec_of(job)
         if spec is not None and (status in ("running", "saving") or cause == "done"):
-            self._cache_image(machine, spec.image, spec.image_gb)
+            images = machine.images
+            images[spec.image] = spec.image_gb
+            images.move_to_end(spec.image)
+            kind = self.capacity.types.get(machine.type)
+            while kind and kind.cache_gb and len(images) > 1 and sum(images.values()) > kind.cache_gb:
+                images.popitem(last=False)  # the least recently used
         if cause == "done":
             machine.health.error_jobs.clear()
         elif cause == "error":
             self._record_error(machine, job, now)
 
-    def _cache_image(self, machine: Machine, image: str, size_gb: float) -> None:
-        """The machine has the image; those least recently used make room for it."""
-        images = machine.images
-        images[image] = size_gb
-        images.move_to_end(image)
-        kind = self.capacity.types.get(machine.type)
-        while kind and kind.cache_gb and len(images) > 1 and sum(images.values()) > kind.cache_gb:
-            images.popitem(last=False)
-
     @staticmethod
     def _record_error(machine: Machine, job: str, now: float) -> None:
         """Errors in a row of several jobs are the machine's fault: it is quarantined."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -233,7 +233,7 @@
         parts = [
             sim.core.machine_shard.machines.get(worker.name) for sim in self.nodes.values() if sim.core is not None
         ]
-        ours = any(wire.split_task_id(part) in machine.claim_stops for machine in parts if machine is not None)
+        ours = any(wire.split_task_id(part) in machine.orders.claim_stops for machine in parts if machine is not None)
         if ours and (part, task.attempt) not in self.claimed:  # homes stop tasks for other reasons, after falls
             raise Broken(f"unclaimed: {part} stopped on {worker.name} at {self.t:.2f}")
 
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -185,7 +185,7 @@
             (sim, machine)
             for sim in world.nodes.values()
             for machine in sim.core.machine_shard.machines.values()
-            if (spec.id, 0) in machine.pending
+            if (spec.id, 0) in machine.orders.pending
         ]
         if pending:
             break
@@ -199,7 +199,7 @@
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # of an older offer
     assert not home.jobs[spec.id].runs
-    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
+    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.orders.pending
     for other in world.nodes.values():
         assert (other.core.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.apply_calendars([])
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -84,7 +84,7 @@
     assert [order["verb"] for order in part.order_builder.orders(machine)] == ["run"]
     told = len(sent)
     part.heartbeats.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 3, 5, "a"), 2.1)
-    assert ("wk-1", 0) in machine.pending and len(sent) == told
+    assert ("wk-1", 0) in machine.orders.pending and len(sent) == told
 
 
 def test_machines_are_asked_once_a_view_and_only_where_their_address_is_known():
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -240,4 +240,4 @@
     assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
     told = len(sent)
     heartbeat(part, 2)
-    assert not machine.pending and len(sent) > told, "its home hears that it came to nothing"
+    assert not machine.orders.pending and len(sent) > told, "its home hears that it came to nothing"
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -388,7 +388,7 @@
         """What a part knows of its machines, and a home of its tasks."""
         return (
             {
-                name: (one.acknowledged, one.state, dict(one.tasks), dict(one.ordered_before), dict(one.pending))
+                name: (one.acknowledged, one.state, dict(one.tasks), dict(one.prior.ordered), dict(one.orders.pending))
                 for name, one in core.machine_shard.machines.items()
             },
             {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
@@ -460,9 +460,15 @@
     fencing_token = alone.core.membership.fencing_token
     machine = alone.core.machine_shard.machines[name]
     alone.core.on_probe_answered(Heartbeat(name, "x", "small", 1, 7, fencing_token, "a"), alone.t)
-    assert machine.acknowledged and machine.recorded and job.waiting and not machine.reserved and not machine.pending
+    assert (
+        machine.acknowledged
+        and machine.recorded
+        and job.waiting
+        and not machine.reserved
+        and not machine.orders.pending
+    )
     alone.heartbeat(name, 8)
-    assert machine.pending, "its next report brings it"
+    assert machine.orders.pending, "its next report brings it"
 
 
 class Many(Mute):
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -393,9 +393,9 @@
         machine.last_heartbeat_at,
         machine.last_sequence,
         dict(machine.tasks),
-        dict(machine.pending),
+        dict(machine.orders.pending),
         dict(machine.reserved),
-        dict(machine.stop_orders),
+        dict(machine.orders.stops),
     )
     assert (
         one.heartbeat(9.0, sequence, incarnation=incarnation, tasks=[ReportedTask("wk-1/5", 75, "ended", "done")])
@@ -405,9 +405,9 @@
         machine.last_heartbeat_at,
         machine.last_sequence,
         machine.tasks,
-        machine.pending,
+        machine.orders.pending,
         machine.reserved,
-        machine.stop_orders,
+        machine.orders.stops,
     )
     assert not one.told_home()
     one.machine_shard.leases.check(2.0 + OUT_S + 0.1)
@@ -421,7 +421,7 @@
     assert one.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
     assert not one.machine.tasks and not one.told_home() and not one.orders()
     one.grant(0, 71)
-    assert one.told_home() == [] and not one.machine.pending, "not up: never ordered"
+    assert one.told_home() == [] and not one.machine.orders.pending, "not up: never ordered"
     one.heartbeat(2.0, 51, tasks=[RUNNING])
     assert one.told_home() == [([0], [])]
 
@@ -487,7 +487,7 @@
     assert one.orders() == [("run", "wk-1/0", 70)]
     one.told_home()
     one.heartbeat(5.0, 3, asked=True)  # written before the worker read the answer with the order
-    assert ("wk-1", 0) in one.machine.pending and not one.told_home() and one.machine.last_sequence == (1, 2)
+    assert ("wk-1", 0) in one.machine.orders.pending and not one.told_home() and one.machine.last_sequence == (1, 2)
     one.enter(6, 6.0, carry=True)
     one.told_home()
     one.heartbeat(7.0, 4, fencing_token=5, asked=True)
@@ -508,7 +508,7 @@
     assert one.heartbeat(1.2, 1) is None, "report 1 again"
     one.grant(0, 70)
     one.heartbeat(2.0, 3, asked=True)
-    assert ("wk-1", 0) in one.machine.pending
+    assert ("wk-1", 0) in one.machine.orders.pending
 
 
 def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -320,7 +320,9 @@
             or core.submissions
         )
         assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
-        assert not any(one.stop_orders or one.pending or one.reserved for one in core.machine_shard.machines.values())
+        assert not any(
+            one.orders.stops or one.orders.pending or one.reserved for one in core.machine_shard.machines.values()
+        )
 
 
 @pytest.mark.parametrize("alone", (False, True))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -165,7 +165,7 @@
         if index == 0:
             part.order_builder.orders(machine)  # sent; the second never is
     del sent[:]
-    part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, carry_over=True)
+    part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, inherit_tasks=True)
     assert not sent
     part.leases.settle(2.2)
     assert sent == [
@@ -182,7 +182,9 @@
     part, sent = part_with_machine()
     heartbeat(part, 1)
     del sent[:]
-    part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry_over=False)
+    part.enter(
+        6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, inherit_tasks=False
+    )
     part.leases.settle(2.2)
     assert not sent and part.view.reconciliation.states == {"n-1": MachineProgress.RECORDED}
 
@@ -384,12 +386,12 @@
 def test_a_dead_machine_of_a_part_that_goes_on_holds_up_no_inherited_task(monkeypatch):
     """Its part knows all that may be on it; only what that is waits for the lease."""
     seeds = (8106, 8110, 8113, 8114)
-    carried_over = [seconds_behind_the_barrier(seed) for seed in seeds]
+    complete = [seconds_behind_the_barrier(seed) for seed in seeds]
     monkeypatch.setattr(
         Membership, "all_support", lambda self, protocol_version: protocol_version < constants.VERSION_WITH_CARRY_OVER
     )
     waited = [seconds_behind_the_barrier(seed) for seed in seeds]
-    assert max(carried_over) < 4.0 and max(waited) > 4.0
+    assert max(complete) < 4.0 and max(waited) > 4.0
 
 
 # -- random runs: all controllers fall, and much of the fleet with them --------------
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -253,7 +253,7 @@
         real(self, label, grant, now)
         if machine is not None:
             machine.free = free or self.capacity.free(machine)
-            machine.pending = dict(machine.pending)
+            machine.orders.pending = dict(machine.orders.pending)
 
     monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1686,9 +1686,9 @@
             heard = (
                 machine.last_heartbeat_at
                 if machine.acknowledged
-                else max(machine.last_heartbeat_at, machine.exclusive_since or math.inf)
+                else max(machine.last_heartbeat_at, machine.lease.exclusive_since or math.inf)
             )
-            if machine.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
+            if machine.lease.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
                 if heard < part.leases.oldest_start:
                     raise Broken(f"books: {machine.name} was silent since {heard}, no look is due")
         for machine in part.machines.values():
