--- a/alderbridge/reconciliation/prober.py
+++ b/alderbridge/reconciliation/prober.py
@@ -1,4 +1,4 @@
-"""Which machines are asked for their acknowledgement of a new mandate, and when again."""
+"""Which machines are asked for their acknowledgement of a new fencing token, and when again."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 
 class HeartbeatProber:
-    """Each machine is asked at once, the likeliest to answer first, then again with full jitter, a few times.
+    """Each machine is probed at once, the likeliest to answer first, then again with full jitter, a few times.
 
-    Who does not answer hangs, is cut off or dead: its next report, its lease or its return decides.
+    One that does not answer hangs, is cut off or dead: its next heartbeat, its lease or its return decides.
     """
 
     def __init__(self, rng: Random) -> None:
+        """``rng``: for the backoff."""
         self.rng = rng
-        self.queue: list[tuple[float, int, str]] = []  # when, order, machine
-        self.tries: dict[str, int] = {}
+        self.queue: list[tuple[float, int, str]] = []  # heap of: when, order, machine
+        self.tries: dict[str, int] = {}  # machine -> probes so far
 
     def enter(self, machines: Iterable[str], now: float) -> None:
-        """A new view: ask these, in this order; what an older view was still to ask is void."""
+        """A new view: probe these, in this order; what was queued under an older view is void."""
         self.queue = [(now, number, name) for number, name in enumerate(machines)]
         self.tries = {}
 
@@ -35,10 +36,12 @@
         return None
 
     def due(self, now: float) -> bool:
+        """Whether a machine is to be probed now."""
         return bool(self.queue) and self.queue[0][0] <= now
 
     def unanswered(self, name: str, now: float) -> None:
+        """A probe failed: the machine is queued again after a pause, unless it had its last try."""
         tries = self.tries.get(name, 0)
         if 0 < tries < constants.PROBE_TRIES:
-            pause = self.rng.uniform(0.0, min(constants.PROBE_BACKOFF_MAX_S, constants.PROBE_BACKOFF_S * 2**tries))
-            heapq.heappush(self.queue, (now + pause, len(self.queue), name))
+            pause_s = self.rng.uniform(0.0, min(constants.PROBE_BACKOFF_MAX_S, constants.PROBE_BACKOFF_S * 2**tries))
+            heapq.heappush(self.queue, (now + pause_s, len(self.queue), name))
--- a/alderbridge/reconciliation/transitions.py
+++ b/alderbridge/reconciliation/transitions.py
@@ -1,8 +1,8 @@
-"""What follows from what a home knows of a task and what a part tells of it on one machine: every case.
+"""What follows from what a job shard knows of a task and what a machine shard observes of it on one machine.
 
-The rows are what the home knows, from the store and since; the columns are what the part tells, from a
-report of the machine at the view's mandate, a lapse, or a confirmed return. Reports that are older than
-another, of an older mandate or session do not get here: the part drops them.
+The rows are what the job shard knows, from the store and since; the columns are what the machine shard observes, from
+a heartbeat with the view's fencing token, an expired lease, or a confirmed return. Heartbeats that are older than
+another, with an older fencing token or of an earlier incarnation do not get here: the machine shard drops them.
 """
 
 from __future__ import annotations
@@ -11,35 +11,41 @@
 
 
 class RecordedState(IntEnum):
-    UNKNOWN_JOB = 0  # no such job at this home
+    """What a job shard knows of a task, with respect to one machine: the rows of ``TRANSITIONS``."""
+
+    UNKNOWN_JOB = 0  # no such job in this shard
     JOB_ENDED = 1  # its job is done or aborted, and no run of the task is known
     JOB_ENDED_HERE = 2  # its job is done or aborted, and this is its run
     RESULT_STORED = 3
     RESULT_UNSTORED = 4  # counted, and the record is on its way to the store
     WAITING = 5  # on no machine
-    POSSIBLY_HERE = 6  # inherited, at or below the mark: it may be on any recorded machine
+    POSSIBLY_HERE = 6  # inherited, and below the start limit: it may be on any recorded machine
     HERE = 7  # on this machine, with this attempt
     OTHER_ATTEMPT = 8  # on this machine with another attempt, older or newer
     ELSEWHERE = 9  # on another machine
 
 
 class ObservedState(IntEnum):
-    LIVE = 0  # fetching, running or saving
+    """What a machine shard observes of a task on one machine: the columns of ``TRANSITIONS``."""
+
+    LIVE = 0  # fetching, running or checkpointing
     ORDERED = 1  # and not yet seen in a report: no proof of anything, so what may be on the machine counts there
     DONE = 2  # ended, with a result
     ERROR = 3  # ended, failed
-    STOPPED = 4  # ended: halted, or refused as full, busy or unknown; also a service that ended
+    STOPPED = 4  # ended: stopped, or refused as full, busy or unknown; also a service that ended
     ABSENT = 5  # not there
 
 
 class Action(IntEnum):
+    """What the job shard does about it."""
+
     NOTHING = 0
     ADOPT = 1  # it is there: never started again elsewhere
     ADOPT_AND_STOP = 2  # it is there and counts, and has to stop
     PROGRESS = 3
     PROGRESS_AND_STOP = 4
     STOP = 5  # what is there is of no use to anyone
-    FINISH = 6  # the result counts; cleared only when the store holds it
+    FINISH = 6  # the result counts; acknowledged only when the store holds it
     REQUEUE = 7  # it waits again
     REQUEUE_AND_ACKNOWLEDGE = 8
     FAIL_AND_ACKNOWLEDGE = 9  # it waits again, after a pause
