--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -297,7 +297,7 @@
             if not policy.block_ends(now - rented.rented_at, 2 * constants.LEADER_ROUND_S):
                 continue
             if not self.scale_in_guard.may_return:
-                self.scale_in_guard.count_kept_machine()
+                self.scale_in_guard.count_postponed_return()
             elif not policy.keep_idle(walk, resource):
                 self.begin_termination(name, now, decision, "idle at the end of its block")
         below_cap = max(0, self.tuning.max_machines - alive)
@@ -328,7 +328,7 @@
                 len(rows),
                 silent,
                 inherited,
-                self.scale_in_guard.returns,
+                self.scale_in_guard.postponed_returns,
             )
 
     def _up(
--- a/alderbridge/reconciliation/scale_in_guard.py
+++ b/alderbridge/reconciliation/scale_in_guard.py
@@ -29,7 +29,7 @@
         self.bound_s = lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S + constants.VIEW_SETTLE_S
         self.knowledge = FleetKnowledge.RECONCILED
         self.since = 0.0  # when ``knowledge`` changed to or from RECONCILED last
-        self.returns = 0  # idle machines that were not returned because of it, so far in this reconciliation
+        self.postponed_returns = 0  # idle machines that were not returned because of it, so far in this reconciliation
 
     def refresh(self, unheard: int, machines: int, inherited: int, now: float) -> FleetKnowledge:
         """``unheard`` of ``machines`` may report at any moment; ``inherited``: tasks that wait behind barriers."""
@@ -63,17 +63,17 @@
         """Whether inherited tasks ask for machines: else they may still run on some."""
         return self.knowledge is FleetKnowledge.OVERDUE
 
-    def count_kept_machine(self) -> None:
+    def count_postponed_return(self) -> None:
         """An idle machine at the end of its block stays."""
-        self.returns += 1
+        self.postponed_returns += 1
 
     # -- changes of state, one method each ---------------------------------
 
     def _set_reconciled(self, now: float) -> None:
-        self.knowledge, self.since, self.returns = FleetKnowledge.RECONCILED, now, 0
+        self.knowledge, self.since, self.postponed_returns = FleetKnowledge.RECONCILED, now, 0
 
     def _set_reconciling(self, now: float) -> None:
-        self.knowledge, self.since, self.returns = FleetKnowledge.RECONCILING, now, 0
+        self.knowledge, self.since, self.postponed_returns = FleetKnowledge.RECONCILING, now, 0
 
     def _set_overdue(self) -> None:
         self.knowledge = FleetKnowledge.OVERDUE
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -469,7 +469,7 @@
     queue = next(iter(leader.queues.values()))
     queue.told[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     began = leader.scale_in_guard.since
-    assert not leader.decide(world.t).drain and leader.scale_in_guard.returns > 0
+    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_returns > 0
     del queue.told[spec.id]
     assert leader.decide(world.t).drain, "squared, it goes"
     assert leader.scale_in_guard.since >= began
