--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -11,12 +11,21 @@
 
 from alderbridge import preemption
 from alderbridge.jobs.shard import JobState, Record
-from alderbridge.preemption import Budget, Held, Ledger, Limit, Need, Spent, Victim, choose
-from alderbridge.preemption.desk import Desk
+from alderbridge.preemption import (
+    CandidateMachine,
+    Ledger,
+    Limit,
+    PreemptionBudget,
+    PreemptionDemand,
+    PreemptionsSpent,
+    Victim,
+    choose,
+)
+from alderbridge.preemption.desk import PreemptionPlanner
 from alderbridge.priorities import Text, check_lines, needs, parse, rules
 from alderbridge.protocol import wire
 from alderbridge.scheduling.placement import allowed, fits, minus
-from alderbridge.scheduling.policy import Kind
+from alderbridge.scheduling.policy import MachineKind
 from alderbridge.settings import ConfigError
 from alderbridge.state.store import BUDGETS, CLAIMS, JOBS
 
@@ -81,7 +90,7 @@
         self.after(0.5, self.count)
 
     def prepare(self, core) -> None:
-        core.priorities = lambda now: [self.text]
+        core.preemption.priorities = lambda now: [self.text]
 
     def routine(self, number: int) -> wire.JobSpec:
         rng, saves = self.rng, self.rng.random() < 0.5
@@ -304,7 +313,7 @@
 
     def claim(self, tx, *more):
         real(self, tx, *more)
-        tx.puts[BUDGETS] = Spent()
+        tx.puts[BUDGETS] = PreemptionsSpent()
 
     monkeypatch.setattr(Ledger, "_claim", claim)
 
@@ -324,7 +333,7 @@
 
 
 def promises_not_counted(monkeypatch):
-    monkeypatch.setattr(Desk, "promised", lambda self: Counter())
+    monkeypatch.setattr(PreemptionPlanner, "promised", lambda self: Counter())
 
 
 def victims_preempt(monkeypatch):
@@ -380,12 +389,12 @@
     free = (cpus, 64.0, 0.0)
     for victim in victims:
         free = minus(free, victim.spec, 1)
-    return Held(name, Kind("m", "a", False), free, list(victims))
+    return CandidateMachine(name, MachineKind("m", "a", False), free, list(victims))
 
 
 def pick(need_spec, count, *machines, most=12, limit=ANY, may=lambda need, victim: True):
-    need = Need(need_spec, count, 5.0, "urgent")
-    budget = Budget(Spent(), 100.0, {}, 100, lambda need: limit)
+    need = PreemptionDemand(need_spec, count, 5.0, "urgent")
+    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: limit)
     return choose([need], machines, may, preemption.loss, budget, 100.0, most=most)
 
 
@@ -425,9 +434,9 @@
     """The record of stops tells only the next plan: one plan made room for a job that it stopped itself."""
     middle, routine = job("5", "standard"), job("1", "best_effort", estimate_s=50.0)
     young, old = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
-    budget = Budget(Spent(), 100.0, {}, 100, lambda need: ANY)
+    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: ANY)
     machines = [held("a", young, cpus=2.0), held("b", old, cpus=2.0)]
-    urgent_first = [Need(job("9", "high"), 1, 5.0, "urgent"), Need(middle, 1, 5.0, "urgent")]
+    urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
     for needs_in_turn, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
         groups = choose(needs_in_turn, machines, lambda need, victim: True, preemption.loss, budget, 100.0)
         assert stopped(groups) == expected
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -38,14 +38,14 @@
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
     assert machine.state is MachineState.EXPIRED
-    alone.core.on_batch_written(put, revision, alone.t)
+    alone.core.batch_results.on_written(put, revision, alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
-        alone.core.apply_events(changes, alone.t, alone.t)
+        alone.core.store_follower.apply_events(changes, alone.t, alone.t)
         alone.core.replica.revision = revision
     else:
-        alone.core.load(rows, [], revision, alone.t, alone.t)
+        alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
     assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.follow()
@@ -69,11 +69,11 @@
     )
     assert not alone.core.machine_shard.order_builder.orders(machine), "not before the store holds its record"
     if carried_out == "before the view":
-        alone.core.on_batch_written(put, alone.carry_out(put).revision, alone.t)
+        alone.core.batch_results.on_written(put, alone.carry_out(put).revision, alone.t)
         assert [order["verb"] for order in alone.core.machine_shard.order_builder.orders(machine)] == ["run"]
     elif carried_out == "before it, unanswered":
         assert not alone.carry_out(put).failed
-        alone.core.on_batch_failed(put, alone.t)
+        alone.core.batch_results.on_failed(put, alone.t)
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     if carried_out == "after the view":
         assert VIEW in alone.carry_out(put).failed
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -160,7 +160,7 @@
         spec = msgspec.structs.replace(SPEC, id=name, cpus=cpus, tasks=tasks)
         record = Record(JobState.ACTIVE, label, 0.0, tasks, [], spec)
         job = Job(record, 1, 0.0, 0.0, fresh=True)
-        self.leader.replica.saw_job(name, record, 1)
+        self.leader.replica.observe_job(name, record, 1)
         self.homes[label].add(job)
         for _ in range(running):
             index = job.next_task(0.0)
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -69,14 +69,14 @@
     )
     core.machine_shard.machines[name].expire()
     core.machine_shard.records.drop(core.machine_shard.machines[name])
-    assert ControllerCore.keep_record(core, name) and not core.keep_record(name), (
+    assert ControllerCore.keep_record(core, name) and not core.machine_records.keep(name), (
         "once: nothing is to be dropped any more"
     )
     core.machine_shard.records.to_drop.append(name)
-    batch = core.next_batch(world.t)
+    batch = core.record_writer.next_batch(world.t)
     assert batch is not None and name in batch.dropped_machines
-    assert not core.keep_record(name)
-    core.on_batch_failed(batch, world.t)
-    assert not core.keep_record(name), "unanswered, it may yet be carried out"
-    core.enter_view(world.t, world.t)
-    assert name not in core.machine_records_to_drop and not core.drops_in_flight
+    assert not core.machine_records.keep(name)
+    core.batch_results.on_failed(batch, world.t)
+    assert not core.machine_records.keep(name), "unanswered, it may yet be carried out"
+    core.view_entry.enter(world.t, world.t)
+    assert name not in core.machine_records.to_drop and not core.machine_records.drops_in_flight
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -216,11 +216,11 @@
         job.last_write = 0.0
         core.job_shard.add(job)
         job.mark_dirty(world.t)
-    core.machine_records_to_drop = ["n-8", "n-9"]
+    core.machine_records.to_drop = ["n-8", "n-9"]
     gone = []
     while len(gone) < 2 and world.t < 12.0:
         world.run(world.t + 0.1)
-        batch = core.next_batch(world.t)
+        batch = core.record_writer.next_batch(world.t)
         if batch is not None:
             gone += batch.dropped_machines
             assert batch.changes <= core.max_changes
@@ -465,7 +465,7 @@
     monkeypatch.setattr(policy, "block_ends", lambda age_s, within_s: True)
     monkeypatch.setattr(policy, "keep_idle", lambda walk, resource: False)
     spec = world.make_job(99)
-    leader.replica.saw_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
+    leader.replica.observe_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
     queue.told[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     began = leader.scale_in_guard.since
@@ -479,14 +479,16 @@
     world = World(9600, jobs=0, trouble=False)
     world.run(5.0)
     core = world.nodes["host-0"].core
-    core.outgoing_frames.clear()
+    core.effects.outgoing_frames.clear()
     clears = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
     core.send_deferred("host-1", clears[0])
     core.send_deferred("host-1", clears[1])
-    assert not core.outgoing_frames
+    assert not core.effects.outgoing_frames
     core.send("host-1", clears[2])
-    assert [frame.body for _, frame in core.outgoing_frames] == clears
-    assert [frame.seq for _, frame in core.outgoing_frames] == sorted(frame.seq for _, frame in core.outgoing_frames)
+    assert [frame.body for _, frame in core.effects.outgoing_frames] == clears
+    assert [frame.seq for _, frame in core.effects.outgoing_frames] == sorted(
+        frame.seq for _, frame in core.effects.outgoing_frames
+    )
     core.send_deferred("host-1", clears[0])
     core.round(world.t)
-    assert clears[0] in [frame.body for _, frame in core.outgoing_frames[3:]] and not core.deferred
+    assert clears[0] in [frame.body for _, frame in core.effects.outgoing_frames[3:]] and not core.deferred
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -99,7 +99,7 @@
         if core is None:
             return
         super().round(label)
-        change = core.next_view(self.now) if self.store_up else None
+        change = core.view_entry.next_view(self.now) if self.store_up else None
         if change is not None:
             self.commit(change[1], {VIEW: change[0]}, [])
         while hasattr(core, "on_probe_answered") and core.may_act():
@@ -111,14 +111,18 @@
 
     def write(self, label: str) -> None:
         core = self.nodes[label]
-        batch = self.clock("records", core.next_batch, self.now) if core is not None and self.store_up else None
+        batch = (
+            self.clock("records", core.record_writer.next_batch, self.now)
+            if core is not None and self.store_up
+            else None
+        )
         if batch is None:
             return
         revision = self.commit(batch.conditions, batch.puts, batch.drops)
         if revision:
-            self.clock("records", core.on_batch_written, batch, revision, self.now)
+            self.clock("records", core.batch_results.on_written, batch, revision, self.now)
         else:
-            core.on_batch_failed(batch, self.now)
+            core.batch_results.on_failed(batch, self.now)
         self.carry(label)
 
     def lead(self, _label: str) -> None:
@@ -157,8 +161,8 @@
             core = self.nodes[sender]
             if core is None:
                 continue
-            outgoing_frames, core.outgoing_frames = core.outgoing_frames, []
-            core.notifications.clear()
+            outgoing_frames, core.effects.outgoing_frames = core.effects.outgoing_frames, []
+            core.effects.notifications.clear()
             for peer, frame in outgoing_frames:
                 if self.nodes[peer] is not None:
                     self.clock(f"on {type(frame.body).__name__}", self.nodes[peer].on_frame, frame, self.now)
@@ -179,8 +183,8 @@
         self.commit({}, {MEMBERS + label: MemberRecord(self.lease_ids, base.PROTOCOL_VERSION)}, [])
         rows = [wire.KeyValue(key, msgspec.Raw(raw), revision) for key, (raw, revision) in sorted(self.data.items())]
         core.membership.record_sync(self.now)
-        self.clock("load", core.load, rows, [], self.revision, self.now, self.now)
-        core.set_machine_types({base.KIND.name: base.KIND})
+        self.clock("load", core.store_follower.load, rows, [], self.revision, self.now, self.now)
+        core.machine_types.update({base.KIND.name: base.KIND})
 
     # -- workers
 
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -233,8 +233,8 @@
         self.nodes = {label: ControllerCore(self.platform(label), settings.Tuning(), 0.0) for label in self.labels}
         for label, core in self.nodes.items():
             core.membership.store_lease.record_renewal(self.labels.index(label) + 1, 0.0)
-            core.loaded = True
-            core.set_machine_types({KIND.name: KIND})
+            core.state.loaded = True
+            core.machine_types.update({KIND.name: KIND})
             core.leader.on_listing([], 0.0)
         members = {label: number + 1 for number, label in enumerate(self.labels)}
         for label, lease_id in members.items():
@@ -377,8 +377,8 @@
         while waiting:
             sender = waiting.popleft()
             core = self.nodes[sender]
-            outgoing_frames, core.outgoing_frames = core.outgoing_frames, []
-            core.notifications.clear()
+            outgoing_frames, core.effects.outgoing_frames = core.effects.outgoing_frames, []
+            core.effects.notifications.clear()
             buffers: dict[str, bytearray] = {}
             self.clock.owner = sender
             for peer, frame in outgoing_frames:
@@ -438,7 +438,7 @@
             if change.revision <= since:
                 break
             changes.append(change)
-        self.clock("follow", core.apply_events, changes[::-1], self.now, self.now)
+        self.clock("follow", core.store_follower.apply_events, changes[::-1], self.now, self.now)
         core.replica.revision = self.revision
         self.carry(label)
         self.at(self.now + 0.1, self.follow, label)
@@ -450,13 +450,13 @@
 
     def write(self, label: str) -> None:
         core, self.clock.owner = self.nodes[label], label
-        batch = self.clock("records", core.next_batch, self.now)
+        batch = self.clock("records", core.record_writer.next_batch, self.now)
         if batch is not None:
             self.counts.store_changes += batch.changes
             self.counts.transactions += 1
             self.clock(
                 "records",
-                core.on_batch_written,
+                core.batch_results.on_written,
                 batch,
                 self.commit(batch.conditions, batch.puts, batch.drops),
                 self.now,
