--- a/alderbridge/controller/admission.py
+++ b/alderbridge/controller/admission.py
@@ -35,9 +35,9 @@
     """What becomes of a well-formed submission; ``store_failing``: a call to the store has failed a moment ago."""
     if core.directory.knows_job(spec.id):
         return AdmissionDecision(Admission.ALREADY_KNOWN)
-    if not core.state.loaded or not core.machine_shard.types:
+    if not core.state.loaded or not core.machine_shard.capacity.types:
         return AdmissionDecision(Admission.UNAVAILABLE, "not ready")
-    reason = rejection_reason(spec, core.shared.teams, core.machine_shard.types.values())
+    reason = rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values())
     if reason:
         return AdmissionDecision(Admission.REJECTED, reason)
     if not core.membership.may_act(now) or store_failing:
--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -9,7 +9,7 @@
 from alderbridge import constants
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.effects import Effects, JobEndStored
-from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.machine_records import MachineRecordTracker
 from alderbridge.controller.messenger import Messenger
 from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.controller.state import ControllerState
@@ -35,7 +35,7 @@
         messenger: Messenger,
         replica: Replica,
         job_shard: JobShard,
-        machine_records: MachineRecords,
+        machine_records: MachineRecordTracker,
         submissions: Submissions,
         dependencies: DependencyTracker,
         record_writer: RecordWriter,
--- a/alderbridge/controller/calendar_control.py
+++ b/alderbridge/controller/calendar_control.py
@@ -52,7 +52,7 @@
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.skew_ms / 1000 + constants.CLOCK_DRIFT * self.state.membership.store_lease.ttl_s
             self.gate = CalendarGate(texts, self.state.wall, skew, self.rank)
-            self.job_shard.calendars = self.machine_shard.calendars = self.gate
+            self.job_shard.calendars = self.machine_shard.order_builder.calendars = self.gate
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
             )
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -18,7 +18,7 @@
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.controller.leader_messages import LeaderMessages
 from alderbridge.controller.local_jobs import LocalJobs
-from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.machine_records import MachineRecordTracker
 from alderbridge.controller.machine_types import MachineTypeRegistry
 from alderbridge.controller.message_handlers import MessageHandlers
 from alderbridge.controller.messenger import Messenger
@@ -35,7 +35,7 @@
 from alderbridge.controller.write_batch import WriteBatch
 from alderbridge.jobs.shard import JobShard
 from alderbridge.leader.leader import Leader, LeaderSettings
-from alderbridge.machines.shard import Machine, MachineShard
+from alderbridge.machines.shard import JobLookups, Machine, MachineShard, Outbox
 from alderbridge.membership.view import Membership, MemberStatus
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import OfferBook
@@ -102,18 +102,13 @@
         self.job_shard.send_deferred = self.messenger.send_deferred
         self.directory = JobDirectory(self.membership, self.replica, self.job_shard)
         self.machine_shard = MachineShard(
-            self.me,
             self.shared.workers.lease_s,
-            self.messenger.send,
-            self.directory.spec_of,
-            self.directory.job_owner,
+            JobLookups(self.directory.spec_of, self.directory.job_owner, self.directory.cancelled),
+            Outbox(self.messenger.send, self.messenger.send_deferred, self.messenger.processed_seq_of),
+            lambda name: self.machine_records.keep(name),
             rng,
         )
-        self.machine_records = MachineRecords(self.replica, self.machine_shard)
-        self.machine_shard.processed_seq_of = self.messenger.processed_seq_of
-        self.machine_shard.cancelled = self.directory.cancelled
-        self.machine_shard.keep_record = self.machine_records.keep
-        self.machine_shard.send_deferred = self.messenger.send_deferred
+        self.machine_records = MachineRecordTracker(self.replica, self.machine_shard)
 
     def _construct_jobs(self) -> None:
         self.calendars = CalendarControl(
@@ -274,7 +269,7 @@
     def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Machine | None:
         """A heartbeat of a machine of this machine shard; None where it must not be answered with 200."""
         self.state.now = now
-        machine = self.machine_shard.on_heartbeat(heartbeat, now)
+        machine = self.machine_shard.heartbeats.on_heartbeat(heartbeat, now)
         self.messenger.pump()
         if machine is not None and machine.acknowledged:
             self.placement_round.execute_claim(machine)
@@ -285,7 +280,7 @@
         """What a machine of this machine shard answered to an empty ``/commands`` under this view."""
         self.state.now = now
         if self.may_act():
-            self.machine_shard.on_probe_answer(heartbeat, now)
+            self.machine_shard.heartbeats.on_probe_answer(heartbeat, now)
             self.messenger.pump()
 
     # -- rounds ----------------------------------------------------------------------
@@ -293,7 +288,7 @@
     def round(self, now: float) -> None:
         """What is due every ``constants.ROUND_S``."""
         self.state.now = now
-        self.machine_shard.set_answering(now, self.may_act())
+        self.machine_shard.view.set_answering(now, self.may_act())
         self.calendars.refresh()
         for label in list(self.messenger.deferred):
             self.messenger.flush_deferred(label)
@@ -315,9 +310,9 @@
 
     def refresh_machines(self, now: float) -> None:
         """Expire workers' leases; what is known of room and offers may have changed."""
-        self.machine_shard.no_newer_view_until = self.membership.synced_at
+        self.machine_shard.leases.no_newer_view_until = self.membership.synced_at
         if self.may_act():
-            self.machine_shard.check_leases(now)
+            self.machine_shard.leases.check(now)
         self.placement_round.busy = None
         self.queue_inbox.offer_book.resolve_unknown_jobs()
 
--- a/alderbridge/controller/leader_messages.py
+++ b/alderbridge/controller/leader_messages.py
@@ -41,12 +41,14 @@
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
         self.messenger.send_unreliable(
-            leader, messages.MachineSummaries(self.machine_shard.summaries(now, self.run_time))
+            leader, messages.MachineSummaries(self.machine_shard.capacity.summaries(now, self.run_time))
         )
         if self.ledger.entries and self.membership.all_support(constants.VERSION_WITH_CONFIGURATION):
             self.messenger.send_unreliable(
                 leader,
-                messages.MachineTaskList(self.machine_shard.machine_tasks(now, self.ledger.entries, None), False),
+                messages.MachineTaskList(
+                    self.machine_shard.claims.machine_tasks(now, self.ledger.entries, None), False
+                ),
             )
 
     def send_quota_updates(self, now: float) -> None:
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -8,7 +8,7 @@
 from alderbridge.state.store import MACHINES
 
 
-class MachineRecords:
+class MachineRecordTracker:
     """Keeps the replica and the machine shard in step with what was written of machines."""
 
     def __init__(self, replica: Replica, machine_shard: MachineShard) -> None:
@@ -28,10 +28,10 @@
 
     def collect_drops(self, now: float) -> None:
         """Add the drops that are due in the machine shard."""
-        if drops := self.machine_shard.due_record_drops(now):
+        if drops := self.machine_shard.records.due_drops(now):
             self.to_drop = list(dict.fromkeys(self.to_drop + drops))
-            self.machine_shard.records_to_drop = [
-                name for name in self.machine_shard.records_to_drop if name not in drops
+            self.machine_shard.records.to_drop = [
+                name for name in self.machine_shard.records.to_drop if name not in drops
             ]
 
     def keep(self, name: str) -> bool:
@@ -41,9 +41,9 @@
         have to arrive in the replica, which shows the record until then: taken for recorded by that, the machine ran
         tasks that no later view waited for (docs/incidents/record-shown-late.md). So only a newer put is an answer.
         """
-        if name in self.drops_in_flight or not (name in self.machine_shard.records_to_drop or name in self.to_drop):
+        if name in self.drops_in_flight or not (name in self.machine_shard.records.to_drop or name in self.to_drop):
             return False
-        self.machine_shard.records_to_drop = [other for other in self.machine_shard.records_to_drop if other != name]
+        self.machine_shard.records.to_drop = [other for other in self.machine_shard.records.to_drop if other != name]
         self.to_drop = [other for other in self.to_drop if other != name]
         return True
 
@@ -55,7 +55,7 @@
         """
         self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
         self.drops_in_flight.discard(name)  # all of them are settled, or assert an older record
-        self.machine_shard.on_recorded(name)
+        self.machine_shard.records.on_recorded(name)
 
     def written_since(self, name: str, batch: WriteBatch) -> bool:
         """Whether the replica has a newer record than the one that the batch was to drop.
--- a/alderbridge/controller/machine_types.py
+++ b/alderbridge/controller/machine_types.py
@@ -33,14 +33,16 @@
 
     def update(self, types: dict[str, wire.MachineType]) -> None:
         """Set the types, by name, as the cloud or the store tells them."""
-        self.machine_shard.types = types
+        self.machine_shard.capacity.types = types
         self.leader.on_types(types)
 
     def to_store(self) -> wire.MachineTypes | None:
         """The machine types, where the store has none or others; spot prices alone are no news."""
-        lasting = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.types.values()]
+        lasting = [
+            msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.capacity.types.values()
+        ]
         known = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
         if not lasting or lasting == known or not self.membership.is_leader(self.state.now):
             return None
-        machine_types = wire.MachineTypes(list(self.machine_shard.types.values()))
+        machine_types = wire.MachineTypes(list(self.machine_shard.capacity.types.values()))
         return machine_types if len(msgspec.json.encode(machine_types)) < self.job_shard.value_bytes else None
--- a/alderbridge/controller/message_handlers.py
+++ b/alderbridge/controller/message_handlers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from alderbridge.controller.effects import Effects
-from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.machine_records import MachineRecordTracker
 from alderbridge.controller.messenger import Handler, Messenger
 from alderbridge.controller.preemption_round import PreemptionRound
 from alderbridge.controller.queue_inbox import QueueInbox
@@ -25,7 +25,7 @@
         messenger: Messenger,
         job_shard: JobShard,
         machine_shard: MachineShard,
-        machine_records: MachineRecords,
+        machine_records: MachineRecordTracker,
         leader: Leader,
         preemption: PreemptionRound,
         queue_inbox: QueueInbox,
@@ -107,7 +107,7 @@
 
     def _on_list_machine_tasks(self, label: str, request: messages.ListMachineTasks) -> None:
         sources = self.preemption.policies()
-        tasks = self.machine_shard.machine_tasks(
+        tasks = self.machine_shard.claims.machine_tasks(
             self.state.now, self.ledger.entries, lambda spec: any(source.is_reported(spec) for source in sources)
         )
         self.messenger.send_unreliable(label, messages.MachineTaskList(tasks, True))
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -47,7 +47,7 @@
 
     def place(self, machine: Machine, now: float) -> None:
         """Ask job shards for tasks that fit this machine."""
-        candidate = self.machine_shard.candidate(machine, now)
+        candidate = self.machine_shard.capacity.candidate(machine, now)
         if candidate is None:
             return
         idle = machine.idle
@@ -59,7 +59,7 @@
             if not idle or now >= offer.young_until:
                 return 0
             if self.busy is None:
-                self.busy = self.machine_shard.busy(now)
+                self.busy = self.machine_shard.capacity.busy(now)
             return self.busy.capacity_for(offer.spec)
 
         room_elsewhere: Callable[[placement.Offer], int] = room_on_busy_machines
@@ -72,7 +72,7 @@
         def keep(offer: placement.Offer) -> bool:
             """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
             name, at = self.reserved_machine
-            kind, zone = self.machine_shard.types.get(machine.type), offer.row.zone
+            kind, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
             if (
                 (name != machine.name and now - at < constants.RESERVE_IDLE_S)
                 or kind is None
@@ -85,7 +85,12 @@
             return True
 
         for request in placement.fill(
-            candidate, self.offers, lambda spec: self.machine_shard.fetch_s(machine, spec), room_elsewhere, keep, now
+            candidate,
+            self.offers,
+            lambda spec: self.machine_shard.capacity.fetch_s(machine, spec),
+            room_elsewhere,
+            keep,
+            now,
         ):
             take = self.machine_shard.reserve(machine, request.job, request.count)
             self.messenger.send(
@@ -120,7 +125,7 @@
         """Stop the victims of its claim, in the answer to the report that has just come."""
         claim = self.ledger.claim_of(machine.name) if self.ledger.entries else None
         if claim is None:
-            if machine.claim_stops:
-                self.machine_shard.drop_claim(machine)
+            if machine.orders.claim_stops:
+                self.machine_shard.claims.drop(machine)
         elif self.state.wall() < claim.until:
-            self.machine_shard.execute_claim(machine, claim.victims, claim.wind_down_s)
+            self.machine_shard.claims.execute(machine, claim.victims, claim.wind_down_s)
--- a/alderbridge/controller/preemption_round.py
+++ b/alderbridge/controller/preemption_round.py
@@ -76,9 +76,9 @@
         elif self.lender is None or self.lender.configurations != lendings:
             from alderbridge.lending import CapacityLender  # only here: start-up is charged
 
-            self.lender = CapacityLender(lendings, self.teams, self.machine_shard.types, self.lender)
+            self.lender = CapacityLender(lendings, self.teams, self.machine_shard.capacity.types, self.lender)
         if self.lender is not None:
-            self.lender.types = self.machine_shard.types
+            self.lender.types = self.machine_shard.capacity.types
             result.append(self.lender)
         return result
 
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -8,7 +8,7 @@
 
 from alderbridge import constants
 from alderbridge.controller.dependency_tracker import DependencyTracker
-from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.machine_records import MachineRecordTracker
 from alderbridge.controller.state import ControllerState
 from alderbridge.controller.submissions import Submission, Submissions
 from alderbridge.controller.write_batch import WriteBatch
@@ -43,7 +43,7 @@
         replica: Replica,
         job_shard: JobShard,
         machine_shard: MachineShard,
-        machine_records: MachineRecords,
+        machine_records: MachineRecordTracker,
         submissions: Submissions,
         dependencies: DependencyTracker,
         write_rate_limit: WriteRateLimit,
@@ -72,8 +72,8 @@
         return not (
             self.submissions.has_new
             or self.job_shard.tally.changed
-            or self.machine_shard.records_to_write
-            or self.machine_shard.due_record_drops(self.state.now)
+            or self.machine_shard.records.to_write
+            or self.machine_shard.records.due_drops(self.state.now)
             or self.machine_records.to_drop
             or self.lists_to_drop
             or not self.ledger.idle
@@ -198,7 +198,7 @@
     def _add_machine_records(self, batch: WriteBatch, room: WriteRoom) -> None:
         """New records of machines that report here."""
         to_drop = self.machine_records.to_drop
-        for name in [name for name in self.machine_shard.records_to_write if name not in to_drop][: room.plain]:
+        for name in [name for name in self.machine_shard.records.to_write if name not in to_drop][: room.plain]:
             batch.machines.append(name)
             batch.conditions[MACHINES + name] = 0
             batch.puts[MACHINES + name] = self.machine_shard.machines[name].record
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -91,7 +91,7 @@
         self._observe_recorded_machines(self.replica.machines)
         self.dependencies.process_events()
         self._process_configuration()
-        if not self.machine_shard.types:
+        if not self.machine_shard.capacity.types:
             self.machine_types.update(self.replica.types)
         self.state.loaded = True
         log.info("replica state=loaded revision=%d jobs=%d", revision, len(self.replica.active))
@@ -111,7 +111,7 @@
         """Records of machines that have arrived, some of them gone again."""
         for name in names:
             if name in self.replica.machines and self.membership.machine_owner(name) == self.state.me:
-                self.machine_shard.on_record_observed(name)
+                self.machine_shard.records.on_observed(name)
 
     def _process_configuration(self) -> None:
         """Operator configuration has arrived, or something in the store that counts can't be read here."""
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -7,7 +7,7 @@
 from alderbridge import constants
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.effects import Effects, JobEndStored
-from alderbridge.controller.machine_records import MachineRecords
+from alderbridge.controller.machine_records import MachineRecordTracker
 from alderbridge.controller.messenger import Messenger
 from alderbridge.controller.preemption_round import PreemptionRound
 from alderbridge.controller.queue_inbox import QueueInbox
@@ -35,7 +35,7 @@
         replica: Replica,
         job_shard: JobShard,
         machine_shard: MachineShard,
-        machine_records: MachineRecords,
+        machine_records: MachineRecordTracker,
         dependencies: DependencyTracker,
         leader: Leader,
         preemption: PreemptionRound,
@@ -147,7 +147,7 @@
         others = [label for label in self.membership.view.members if label != self.state.me]
         everyone = all(self.messenger.channels[label].peer_fencing_token >= fencing_token for label in others)
         if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
-            self.machine_shard.settle(now)
+            self.machine_shard.leases.settle(now)
             if not self.job_shard.settled:
                 self.job_shard.settle()
 
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -60,7 +60,7 @@
         """
         if fencing_token != self.membership.fencing_token or not self.membership.may_act(now()):
             return responses.unavailable("not entitled")
-        return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.orders(machine)), []
+        return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.order_builder.orders(machine)), []
 
     def answer_pending_heartbeats(self, machine: Machine) -> None:
         """Answer the machine's heartbeats that wait for its grants."""
--- a/alderbridge/leader/fleet_monitor.py
+++ b/alderbridge/leader/fleet_monitor.py
@@ -46,5 +46,5 @@
                 len(rows),
                 silent,
                 inherited,
-                self.guard.returns,
+                self.guard.postponed_returns,
             )
--- a/alderbridge/leader/scaling.py
+++ b/alderbridge/leader/scaling.py
@@ -163,7 +163,7 @@
             if not policy.block_ends(age_s, 2 * constants.LEADER_ROUND_S):
                 continue
             if not self.monitor.guard.may_return:
-                self.monitor.guard.count_kept_machine()
+                self.monitor.guard.count_postponed_return()
             elif not policy.keep_idle(walk, resource):
                 self._begin_termination(scaling, name, "idle at the end of its block")
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -159,7 +159,7 @@
 def test_what_is_good_is_taken_up(control, name):
     spec = wire.parse_job(GOOD[name])
     core = control.core
-    assert not admission.rejection_reason(spec, core.shared.teams, core.machine_shard.types.values())
+    assert not admission.rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values())
     assert core.submissions.submit(spec, 0.0, 0.0) is not None
 
 
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -187,21 +187,21 @@
             (sim, machine)
             for sim in world.nodes.values()
             for machine in sim.core.machine_shard.machines.values()
-            if (spec.id, 0) in machine.pending
+            if (spec.id, 0) in machine.orders.pending
         ]
         if pending:
             break
     (sim, machine), part = pending[0], f"{spec.id}/0"
     for other in world.nodes.values():
         other.core.calendars.apply([shut])
-    assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
+    assert not [order for order in sim.core.machine_shard.order_builder.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
     home.on_task_request(
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # of an older offer
     assert not home.jobs[spec.id].runs
-    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
+    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.orders.pending
     for other in world.nodes.values():
         assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.calendars.apply([])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -163,18 +163,18 @@
         grant = TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
         part.on_task_grant("host-1", grant, 1.5)
         if index == 0:
-            part.orders(machine)  # sent; the second never is
+            part.order_builder.orders(machine)  # sent; the second never is
     del sent[:]
-    part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, carry=True)
+    part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, inherit_tasks=True)
     assert not sent
-    part.settle(2.2)
+    part.leases.settle(2.2)
     assert sent == [
         ("host-0", MachineTaskReport("n-1", "a", 7, [], [])),
         ("host-1", MachineTaskReport("n-1", "a", 7, [], [("wk-1", 0, 70)])),
     ]
-    assert part.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
-    assert part.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
-    part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
+    assert part.view.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
+    assert part.order_builder.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
+    part.heartbeats.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
     assert sent[-1] == ("host-1", MachineTaskReport("n-1", "a", 7, [], [])), "its report settles what was ordered"
 
 
@@ -182,23 +182,25 @@
     part, sent = part_with_machine()
     heartbeat(part, 1)
     del sent[:]
-    part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry=False)
-    part.settle(2.2)
-    assert not sent and part.reconciliation.states == {"n-1": MachineProgress.RECORDED}
+    part.enter(
+        6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, inherit_tasks=False
+    )
+    part.leases.settle(2.2)
+    assert not sent and part.view.reconciliation.states == {"n-1": MachineProgress.RECORDED}
 
 
 def test_a_machine_that_goes_while_its_record_is_written_leaves_none_behind():
     """A returned machine's record failed each look for what to write: its controller wrote nothing any more."""
     part, _ = part_with_machine()
     for name in ("n-2", "n-3", "n-4"):
-        part.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
-    assert part.records_to_write == ["n-2", "n-3", "n-4"]
+        part.heartbeats.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
+    assert part.records.to_write == ["n-2", "n-3", "n-4"]
     part.on_terminated(["n-2", "n-3"])
-    assert part.records_to_write == ["n-4"]
-    part.on_recorded("n-3")  # its write was on the way
-    part.check_leases(30.0)
-    part.on_recorded("n-4")
-    assert sorted(part.records_to_drop) == ["n-1", "n-3", "n-4"] and not part.records_to_write
+    assert part.records.to_write == ["n-4"]
+    part.records.on_recorded("n-3")  # its write was on the way
+    part.leases.check(30.0)
+    part.records.on_recorded("n-4")
+    assert sorted(part.records.to_drop) == ["n-1", "n-3", "n-4"] and not part.records.to_write
     assert not part.machines["n-4"].recorded
 
 
@@ -384,12 +386,12 @@
 def test_a_dead_machine_of_a_part_that_goes_on_holds_up_no_inherited_task(monkeypatch):
     """Its part knows all that may be on it; only what that is waits for the lease."""
     seeds = (8106, 8110, 8113, 8114)
-    carried_over = [seconds_behind_the_barrier(seed) for seed in seeds]
+    complete = [seconds_behind_the_barrier(seed) for seed in seeds]
     monkeypatch.setattr(
         Membership, "all_support", lambda self, protocol_version: protocol_version < constants.VERSION_WITH_CARRY_OVER
     )
     waited = [seconds_behind_the_barrier(seed) for seed in seeds]
-    assert max(carried_over) < 4.0 and max(waited) > 4.0
+    assert max(complete) < 4.0 and max(waited) > 4.0
 
 
 # -- random runs: all controllers fall, and much of the fleet with them --------------
@@ -467,7 +469,7 @@
     queue = next(iter(leader.queues.values()))
     queue.received_rows[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     began = leader.scale_in_guard.since
-    assert not leader.decide(world.t).drain and leader.scale_in_guard.returns > 0
+    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_returns > 0
     del queue.received_rows[spec.id]
     assert leader.decide(world.t).drain, "squared, it goes"
     assert leader.scale_in_guard.since >= began
--- a/tests/world.py
+++ b/tests/world.py
@@ -315,7 +315,7 @@
             world.t,
             own={} if self.old else world.files(self.label),
         )
-        self.core.machine_shard.types = TYPES
+        self.core.machine_shard.capacity.types = TYPES
         self.core.leader.on_types(TYPES)
         world.prepare(self.core)
         self.busy = self.entering = False
@@ -718,9 +718,9 @@
 
         if core.directory.knows_job(spec.id):
             known()
-        elif not core.state.loaded or not core.machine_shard.types:
+        elif not core.state.loaded or not core.machine_shard.capacity.types:
             told(None)
-        elif admission.rejection_reason(spec, core.shared.teams, core.machine_shard.types.values()):
+        elif admission.rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values()):
             self.status(spec.id, told)
         elif not core.membership.may_act(world.t) or spec.needs:
             told(None)
@@ -821,7 +821,7 @@
                 return
             if fencing_token != core.membership.fencing_token or not core.membership.may_act(world.t):
                 return reply(503, b"")
-            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.orders(machine)))
+            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.order_builder.orders(machine)))
 
         world.after(0.02, finish)
         return None
@@ -1273,7 +1273,12 @@
             if spec.service or self.rng.random() < 0.15:
                 self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
             return
-        if core is not None and core.machine_shard.types and core.membership.may_act(self.t) and core.state.loaded:
+        if (
+            core is not None
+            and core.machine_shard.capacity.types
+            and core.membership.may_act(self.t)
+            and core.state.loaded
+        ):
             ready = not spec.needs or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
                 and all(map(core.directory.knows_job, spec.needs))
@@ -1685,14 +1690,14 @@
             heard = (
                 machine.last_heartbeat_at
                 if machine.acknowledged
-                else max(machine.last_heartbeat_at, machine.exclusive_since or math.inf)
+                else max(machine.last_heartbeat_at, machine.lease.exclusive_since or math.inf)
             )
-            if machine.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
-                if heard < part.oldest_lease_start:
+            if machine.lease.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
+                if heard < part.leases.oldest_start:
                     raise Broken(f"books: {machine.name} was silent since {heard}, no look is due")
         for machine in part.machines.values():
             kept, machine.free = machine.free, None
-            free = part.free(machine)
+            free = part.capacity.free(machine)
             known, machine.free = machine.free is not None, kept  # a job that is over is counted no longer
             if kept is not None and known and any(abs(a - b) > 1e-6 for a, b in zip(kept, free, strict=True)):
                 raise Broken(f"books: {machine.name} has {free} free, kept was {kept}")
