--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -124,14 +124,19 @@
         self.declared = Declarations(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
-        self.job_shard = JobShard(shared.teams, self.send, int(self.limits.value_kb * 1024))
-        self.job_shard.machine_owner = self.membership.machine_owner
+        self.job_shard = JobShard(
+            shared.teams,
+            self.send,
+            int(self.limits.value_kb * 1024),
+            machine_owner=self.membership.machine_owner,
+            send_deferred=self.send_deferred,
+        )
         self.machine_shard = MachineShard(
             self.me, shared.workers.lease_s, self.send, self.spec_of, self.job_owner, rng or Random(platform.label)
         )
         self.machine_shard.processed_seq_of = self.processed_seq_of
         self.machine_shard.cancelled, self.machine_shard.keep_record = self.cancelled, self.keep_record
-        self.machine_shard.send_deferred = self.job_shard.send_deferred = self.send_deferred
+        self.machine_shard.send_deferred = self.send_deferred
         self.busy: placement.Busy | None = None  # made when first asked for in a round
         self.reserved_machine: tuple[str, float] = (
             "",
@@ -244,7 +249,7 @@
             # The clock's offset is from the last change that was followed, within the ttl while this member acts.
             skew = self.shared.skew_ms / 1000 + constants.CLOCK_DRIFT * self.membership.store_lease.ttl_s
             self.calendars = Gate(texts, lambda: self.now + self.wall_offset_s, skew, self.rank)
-            self.job_shard.calendars = self.machine_shard.calendars = self.calendars
+            self.job_shard.job_calendars.gate = self.machine_shard.calendars = self.calendars
             log.info(
                 "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
             )
@@ -337,11 +342,11 @@
     def dispatch(self, label: str, body: messages.Message) -> None:
         match body:
             case messages.MachineTaskReport():
-                self.job_shard.on_task_report(label, body, self.now)
+                self.job_shard.task_reports.on_task_report(label, body, self.now)
             case messages.AcknowledgeFinished():
                 self.machine_shard.on_acknowledge_finished(body.machine, body.job, body.index, body.attempt)
             case messages.TaskRequest():
-                self.job_shard.on_task_request(label, body, self.now, self.may_act())
+                self.job_shard.grants.on_task_request(label, body, self.now, self.may_act())
                 self.queue_publisher.delta_tracker.tell_again(label, body.job)
             case messages.TaskGrant():
                 machine = self.machine_shard.on_task_grant(label, body, self.now)
@@ -360,9 +365,9 @@
             case messages.StopTask():
                 self.machine_shard.on_stop_task(body)
             case messages.QuotaAllocation():
-                self.job_shard.allocate_quota(body.teams)
+                self.job_shard.usage.allocate(body.teams)
             case messages.QuotaDelta():
-                self.job_shard.allocate_quota(body.teams, whole=False)
+                self.job_shard.usage.allocate(body.teams, whole=False)
             case messages.DrainMachines():
                 self.machine_shard.drain(body.machines)
             case messages.MachinesTerminated():
@@ -635,7 +640,7 @@
             self.machine_shard.records_to_drop = [
                 name for name in self.machine_shard.records_to_drop if name not in drops
             ]
-        due = sorted(self.job_shard.due_writes(now), key=lambda entry: entry[0])
+        due = sorted(self.job_shard.record_writes.due(now), key=lambda entry: entry[0])
         queue: list[Job | Submission] = [job for rank, job in due if rank < 2.0]
         if len(queue) + len(self.submissions) > room:
             self.write_rate_limit.is_short = True
@@ -736,7 +741,7 @@
         budget = self.write_rate_limit.budget
         available = budget.available(now)
         ahead = available + constants.WRITE_AHEAD_SHARE * budget.burst
-        pause = min(constants.ROUND_S, self.job_shard.due_at - now)
+        pause = min(constants.ROUND_S, self.job_shard.record_writes.due_at - now)
         if ahead < 1:
             pause = min(constants.ROUND_S, (1 - ahead) / budget.rate)
         elif available < 1:
@@ -793,7 +798,7 @@
             self._recorded(name, revision)
         for job, record, cleared in batch.jobs:
             if self.job_shard.jobs.get(job.spec.id) is job:
-                self.job_shard.on_written(job, record, revision, cleared, now)
+                self.job_shard.record_writes.on_written(job, record, revision, cleared, now)
             self._stored(job, record, revision)
         for submission, key in batch.lists:
             self.replica.lists[key] = submission.lists.pop(key, [])
@@ -895,7 +900,7 @@
                 job.revision = row.revision
                 if record.state is not JobState.ACTIVE:
                     job.apply_stored_end(record.state)
-                    self.job_shard.on_written(job, record, row.revision, [], now)
+                    self.job_shard.record_writes.on_written(job, record, row.revision, [], now)
                     job.mark_dirty(now)
                 self._stored(job, record, row.revision)
         self.process_dependency_events()
@@ -1148,14 +1153,18 @@
 
     def queue_snapshot(self, now: float) -> Snapshot:
         """This home's queue and sums as they stand."""
-        used = self.job_shard.used(now)
+        used = self.job_shard.usage.used(now)
         if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
-        rows = self.job_shard.queue_rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
+        rows = self.job_shard.queue.rows(now, self.due_in, self.run_time, self.rank, self.guaranteed_jobs, used)
         if self.calendars is not None and self.may_act():
-            self.job_shard.stop_closed()
+            self.job_shard.job_calendars.stop_tasks()
         return Snapshot(
-            rows, used, self.job_shard.reserved(used), self.job_shard.demand(used), self.job_shard.allocations_received
+            rows,
+            used,
+            self.job_shard.usage.reserved(used),
+            self.job_shard.usage.demand(used),
+            self.job_shard.usage.allocations_received,
         )
 
     def publish_queue(self, now: float, snapshot: Snapshot) -> None:
--- a/alderbridge/jobs/job.py
+++ b/alderbridge/jobs/job.py
@@ -242,6 +242,17 @@
             self.tally.changed = True
             self.tally.lagging[self.spec.id] = self
 
+    def raise_start_limit(self, count: int, now: float) -> None:
+        """Ask the store for a limit that lets ``count`` more tasks start, and some beyond."""
+        limit = min(self.spec.tasks, self.next_index + count + constants.START_LIMIT_AHEAD)
+        if limit > self.wanted_start_limit:
+            self.wanted_start_limit = limit
+            self.mark_dirty(now)
+
+    def has_unstored_results(self) -> bool:
+        """Whether a result may be counted here and not in the store; while a write is under way nothing is dirty."""
+        return self.dirty_since is not None or bool(self.unacknowledged_results) or self.state is not self.stored_state
+
     def next_task(self, now: float) -> int | None:
         """The next task to grant: lowest first, never beyond the stored mark."""
         if self.state is not JobState.ACTIVE or now < self.paused_until:
--- /dev/null
+++ b/alderbridge/jobs/job_calendars.py
@@ -0,0 +1,63 @@
+"""What the calendars in force mean for the jobs of one shard: which are closed, which tasks stop at closing."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from alderbridge.calendars.gate import Gate
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState
+from alderbridge.protocol.messages import Message, StopTask
+from alderbridge.protocol.wire import JobSpec
+
+log = logging.getLogger("jobs")
+
+
+class JobCalendars:
+    """Applies the calendars in force to the jobs of a shard."""
+
+    def __init__(
+        self, jobs: dict[str, Job], send: Callable[[str, Message], int], machine_owner: Callable[[str], str]
+    ) -> None:
+        self.jobs = jobs
+        self.send = send
+        self.machine_owner = machine_owner
+        self.gate: Gate | None = None  # replaced with each change of the calendars in force; None: none is declared
+        self.closed: set[str] = set()  # jobs that wait for their opening, and ask for nothing yet
+        # (job, index, attempt) of tasks that were told to stop at closing, and are not proven gone yet
+        self.stopping_tasks: set[tuple[str, int, int]] = set()
+
+    def reset(self) -> None:
+        """A new view: the machines' owners have forgotten which tasks they were told to stop."""
+        self.stopping_tasks = set()
+
+    def refresh(self, now: float) -> None:
+        """Which jobs are closed now; jobs that open get the time from which they wait."""
+        if self.gate is not None:
+            self.closed = self.gate.turns(self.jobs.values(), now)
+
+    def may_start(self, spec: JobSpec) -> bool:
+        """Whether tasks of the job may start at this time of day."""
+        return self.gate is None or self.gate.may_start(spec)
+
+    def stop_tasks(self) -> None:
+        """For classes that are stopped at closing: their tasks save a checkpoint and wait for the next opening."""
+        gate = self.gate
+        if gate is None:
+            self.stopping_tasks = set()
+            return
+        stopping = set()
+        for job in self.jobs.values():
+            if not job.runs or job.state is not JobState.ACTIVE or not gate.to_stop(job.spec):
+                continue
+            newly_stopped = 0
+            for index, run in job.runs.items():
+                key = (job.spec.id, index, run.attempt)
+                stopping.add(key)
+                if key not in self.stopping_tasks:
+                    newly_stopped += 1
+                    self.send(self.machine_owner(run.machine), StopTask(run.machine, *key, job.spec.save_s))
+            if newly_stopped:
+                log.info("job=%s state=stopping cause=closing tasks=%d", job.spec.id, newly_stopped)
+        self.stopping_tasks = stopping
--- /dev/null
+++ b/alderbridge/jobs/shard_queue.py
@@ -0,0 +1,88 @@
+"""The queue rows of a job shard: its waiting jobs and how many of their tasks it would grant now."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Container
+
+from alderbridge import constants
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.job_calendars import JobCalendars
+from alderbridge.jobs.quota_usage import QuotaUsage
+from alderbridge.jobs.record import JobState
+from alderbridge.protocol.messages import QueueRow
+from alderbridge.protocol.wire import JobSpec
+
+# Priority boosts, see ``QueueRow``.
+NO_BOOST = 0
+BOOST_IN_PRIORITY = 1
+BOOST_STARVED = 2
+
+
+class ShardQueue:
+    """Builds the queue rows of a shard's jobs."""
+
+    def __init__(self, jobs: dict[str, Job], usage: QuotaUsage, job_calendars: JobCalendars) -> None:
+        self.jobs = jobs
+        self.usage = usage
+        self.job_calendars = job_calendars
+
+    def rows(
+        self,
+        now: float,
+        due_in: Callable[[Job, float, bool], tuple[float, bool]],
+        run_time: Callable[[JobSpec], float],
+        rank: Callable[[JobSpec], int],
+        guaranteed_jobs: Container[str],
+        used: dict[str, tuple[float, float]],
+    ) -> list[QueueRow]:
+        """Rows of the jobs with waiting or inherited tasks, the most urgent first, at most ``QUEUE_ROWS``.
+
+        ``due_in``: seconds until a job is late, and whether it is. ``rank``: of dependents. Times in seconds.
+        """
+        rows = []
+        self.job_calendars.refresh(now)
+        closed, room = self.job_calendars.closed, self.usage.room
+        for job in self.jobs.values():
+            if job.is_blocked or job.state is not JobState.ACTIVE or now < job.paused_until:
+                continue
+            spec, waiting, inherited = job.spec, job.waiting, len(job.unknown)
+            if not (waiting or inherited) or spec.id in closed:
+                continue
+            may_grant, zone = job.allowed_zone()
+            offer = min(waiting, room(spec.team, used.get(spec.team, (0.0, 0.0)), spec))
+            ready = len(job.requeued) + max(0, min(job.start_limit, spec.tasks) - job.next_index)
+            if ready < offer:
+                job.raise_start_limit(offer, now)
+                offer = ready
+            due, late = due_in(job, now, guaranteed := spec.id in guaranteed_jobs)
+            # No offer until its times count. Room that is reserved for it is taken until its run ends.
+            ahead = max(0.0, job.waiting_since - now)
+            offer, boost = self._priority_boost(job, now, offer if may_grant and ahead <= 0 else 0, late)
+            run_s, waited, needed_rank = run_time(spec) + ahead, now - job.waiting_since, rank(spec)
+            rows.append(
+                QueueRow(
+                    spec.id, waiting, offer, due, run_s, zone, waited, late, guaranteed, needed_rank, inherited, boost
+                )
+            )
+        rows.sort(key=lambda row: row.due_in_s)
+        return rows[: constants.QUEUE_ROWS]
+
+    @staticmethod
+    def _priority_boost(job: Job, now: float, offer: int, late: bool) -> tuple[int, int]:
+        """What is offered, and the priority boost that keeps a large job from starving (see ``QueueRow``).
+
+        A large job takes longer to start, so it is late sooner, and behind all that comes in time for as long as
+        that fills the fleet: 25 of 300 tasks waited until the stream of small jobs ended (tests/test_flapping.py).
+        """
+        if (
+            offer
+            and not job.has_started
+            and job.waiting == job.spec.tasks
+            and now - job.waiting_since >= constants.STARVED_JOB_S
+        ):
+            return offer if job.spec.gang else 1, BOOST_STARVED
+        if offer and late and now - job.last_grant_at >= constants.LATE_BOOST_S and not job.boosted_grants_left:
+            job.boosted_grants_left = max(1, job.spec.tasks // constants.LATE_BOOST_SHARE)
+        if offer and job.boosted_grants_left:
+            return min(offer, job.boosted_grants_left), BOOST_IN_PRIORITY
+        return offer, NO_BOOST
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -251,18 +251,18 @@
     home.add(job)
 
     def told(now):
-        found = home.queue_rows(
+        found = home.queue.rows(
             now, lambda job, now, guaranteed: (60.0, now > 40.0), lambda spec: 20.0, lambda spec: -1, (), {}
         )[0]
         return found.offer, found.priority_boost
 
     assert told(10.0) == (400, 0) and told(constants.STARVED_JOB_S) == (1, 2)
-    home.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
+    home.grants.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.has_started = True
     assert told(122.0) == (399, 0) and told(121.0 + constants.LATE_BOOST_S) == (50, 1)
-    home.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
+    home.grants.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
     assert told(183.0) == (30, 1), "the turn lasts until its share is granted"
-    home.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
+    home.grants.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
     assert told(185.0) == (349, 0)
     first, other = Offers(), msgspec.structs.replace(LARGE, priority="high")
     first.tell(
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -11,7 +11,7 @@
 from alderbridge.calendars.declaration import Calendar, Class
 from alderbridge.calendars.timetable import DAY, NEVER
 from alderbridge.controller.core import ControllerCore
-from alderbridge.jobs.shard import JobShard
+from alderbridge.jobs.job_calendars import JobCalendars
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import TaskRequest
 
@@ -195,7 +195,7 @@
     assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
-    home.on_task_request(
+    home.grants.on_task_request(
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # of an older offer
     assert not home.jobs[spec.id].runs
@@ -217,7 +217,7 @@
 
         monkeypatch.setattr(ControllerCore, "apply_calendars", careless)
     elif what == "nothing stopped":
-        monkeypatch.setattr(JobShard, "stop_closed", lambda home: None)
+        monkeypatch.setattr(JobCalendars, "stop_tasks", lambda home: None)
     else:
         monkeypatch.setattr(ControllerCore, "apply_calendars", lambda core, texts: declare(core, texts[:1]))
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,7 +8,8 @@
 
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
-from alderbridge.jobs.shard import JobShard, JobState
+from alderbridge.jobs.record_writes import RecordWrites
+from alderbridge.jobs.shard import JobState
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import MachineShard
 from alderbridge.membership.failure_detector import FailureDetector
@@ -398,7 +399,7 @@
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(JobShard, "stop_all", lambda self, job: None)
+    monkeypatch.setattr(RecordWrites, "stop_all", lambda self, job: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
     monkeypatch.setattr(MachineShard, "_stop_cancelled", lambda self, machine, shown: None)
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -68,7 +68,7 @@
     assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
     alone.store.commit({}, {VIEW: View("host-1", alone.lease_ids)})
     at_same_time(alone, there)
-    assert name in there.core.job_shard.barrier
+    assert name in there.core.job_shard.inherited.barrier
     alone.write()  # meets the view, and then its own record
     alone.follow()
     alone.write()
@@ -121,7 +121,7 @@
     alone.up("n-000001")
     there, mark = alone.other("host-1"), job.start_limit
     job.next_index = mark
-    alone.core.job_shard.raise_start_limit(job, 10, alone.t)
+    job.raise_start_limit(10, alone.t)
     at_once(alone, shown)
     assert stored(alone).start_limit > mark
     assert job.next_task(alone.t) is None, "it has not heard that the store has the mark"
@@ -137,12 +137,15 @@
     job = alone.job()
     alone.runs(job, "n-000001", 0)
     sent = []
-    alone.core.job_shard.send = alone.core.job_shard.send_deferred = lambda label, body: sent.append(body) or len(sent)
-    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
+    shard = alone.core.job_shard
+    shard.task_reports.send = shard.record_writes.send = shard.record_writes.send_deferred = lambda label, body: (
+        sent.append(body) or len(sent)
+    )
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     at_once(alone, shown)
-    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
     assert stored(alone).done == [(0, 1)] and not [
         body for body in sent if isinstance(body, messages.AcknowledgeFinished)
     ]
@@ -168,7 +171,7 @@
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
-            alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
+            alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
     return job
 
 
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -80,7 +80,9 @@
         assert not alone.core.machine_shard.orders(machine), "nor ever, though it acts under the older view for a while"
     other.follow()
     waits = carried_out != "after the view"
-    assert (name in other.core.machine_shard.machines) is waits and (name in other.core.job_shard.barrier) is waits
+    assert (name in other.core.machine_shard.machines) is waits and (
+        name in other.core.job_shard.inherited.barrier
+    ) is waits
     job = other.core.job_shard.jobs["wk-000001"]
     assert job.unknown == ({0, 1, 2} if waits else set())
     if waits:
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -45,8 +45,12 @@
 
     def __init__(self, machines=("n-1", "n-2"), state=JobState.ABORTED, spec=BOUND) -> None:
         self.sent: list = []
-        self.job_shard = JobShard([LIMIT], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
-        self.job_shard.machine_owner = lambda machine: "host-0"
+        self.job_shard = JobShard(
+            [LIMIT],
+            lambda label, body: self.sent.append(body) or len(self.sent),
+            4096,
+            machine_owner=lambda machine: "host-0",
+        )
         self.records = {name: MachineRecord("x", "c4", "a") for name in machines}
         self.enter(6, state, spec)
 
@@ -60,18 +64,18 @@
     def told(self, machine, live=(), held=(), now=1.0):
         tasks = [TaskStatusReport(BOUND.id, index, 70 + index, "running", None) for index in live]
         held = [(BOUND.id, index, 70 + index) for index in held]
-        self.job_shard.on_task_report("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
+        self.job_shard.task_reports.on_task_report("host-0", MachineTaskReport(machine, "a", 0, tasks, held), now)
 
     @property
     def used(self):
-        kept, counted = dict(self.job_shard.tally.teams), self.job_shard.used()
+        kept, counted = dict(self.job_shard.tally.teams), self.job_shard.usage.used()
         assert kept.get("bound", (0.0, 0.0)) == counted.get("bound", (0.0, 0.0))
         return counted.get("bound", (0.0, 0.0))[0] / CPUS
 
     @property
     def shrinks(self):
         """Whether its record loses the description now: nobody would count its tasks from then on."""
-        return any(job is self.job and rank == 3.0 for rank, job in self.job_shard.due_writes(2.0))
+        return any(job is self.job and rank == 3.0 for rank, job in self.job_shard.record_writes.due(2.0))
 
 
 def test_what_was_ordered_of_a_cancelled_job_counts_under_the_next_home_until_a_report_settles_it():
@@ -129,13 +133,13 @@
         fresh=True,
     )
     heir.job_shard.add(job)
-    heir.job_shard.allocate_quota({"bound": (2 * CPUS, 0.0)})
-    assert heir.job_shard._team_room(job) == 2
+    heir.job_shard.usage.allocate({"bound": (2 * CPUS, 0.0)})
+    assert heir.job_shard.grants.quota_room(job) == 2
     heir.job_shard.enter(7, {"wk-2": job}, {})
-    heir.job_shard.on_task_request("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.job_shard.grants.on_task_request("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
     assert heir.sent[-1] == TaskGrant(1, "wk-2", "n-1", []) and not job.runs
-    heir.job_shard.allocate_quota({"bound": (CPUS, 0.0)})
-    heir.job_shard.on_task_request("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
+    heir.job_shard.usage.allocate({"bound": (CPUS, 0.0)})
+    heir.job_shard.grants.on_task_request("host-0", TaskRequest(2, "wk-2", "n-1", "a", 2), 1.0, True)
     assert len(job.runs) == 1
 
 
@@ -172,15 +176,19 @@
         """Allowances when they are given and confirmed."""
         for _ in range(rounds):
             for label, home in self.homes.items():
-                used = home.used()
+                used = home.usage.used()
                 queue = QueueSnapshot(
-                    self.rows[label], used, home.reserved(used), home.demand(used), home.allocations_received
+                    self.rows[label],
+                    used,
+                    home.usage.reserved(used),
+                    home.usage.demand(used),
+                    home.usage.allocations_received,
                 )
                 self.leader.on_queue(label, queue, 1.0)
-            held = sum(home.reserved(home.used()).get("t", (0.0, 0.0))[0] for home in self.homes.values())
+            held = sum(home.usage.reserved(home.usage.used()).get("t", (0.0, 0.0))[0] for home in self.homes.values())
             assert held <= self.leader.teams[0].cpus_max + 1e-6
             for label, teams in self.leader.quota_updates(1.0).items():
-                self.homes[label].allocate_quota(teams)
+                self.homes[label].usage.allocate(teams)
         return {label: home.usage.allowed.get("t", (0.0, 0.0))[0] for label, home in self.homes.items()}
 
 
@@ -190,7 +198,7 @@
     shares.job("host-0", "wk-1", 4.0, 5, 2, 10.0)
     small = shares.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
     assert shares.give()["host-1"] >= 2.0
-    assert shares.homes["host-1"]._team_room(small) == 2
+    assert shares.homes["host-1"].grants.quota_room(small) == 2
 
 
 def test_room_below_a_limit_is_kept_for_a_job_of_which_nothing_began_for_long():
@@ -207,7 +215,7 @@
     shares = Shares(10.0)
     shares.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
     home = shares.homes["host-1"]
-    shares.leader.on_queue("host-1", QueueSnapshot(shares.rows["host-1"], {}, {}, home.demand({}), 0), 1.0)
+    shares.leader.on_queue("host-1", QueueSnapshot(shares.rows["host-1"], {}, {}, home.usage.demand({}), 0), 1.0)
     assert shares.leader.quota_updates(1.0) == {}
     shares.leader.on_queue("host-0", QueueSnapshot([], {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, {"t": (8.0, 0.0)}, 0), 1.0)
     assert shares.leader.quota_updates(1.0)["host-1"]["t"][0] == 2.0
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -312,7 +312,7 @@
             one = core.job_shard.jobs.get(job)
             if one is not None and (ended or one.state is JobState.ACTIVE) and core.membership.may_act(self.t):
                 self.run(one)
-                core.job_shard.on_task_report(
+                core.job_shard.task_reports.on_task_report(
                     core.me,
                     messages.MachineTaskReport(
                         MACHINE, "a", 1 << 40, [messages.TaskStatusReport(job, 0, 7, "ended", "done")], []
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -576,7 +576,7 @@
 
     def store(self, answered=True):
         """The record is written; without an answer nobody here knows."""
-        due = [job for _, job in self.job_shard.due_writes(1e9)]
+        due = [job for _, job in self.job_shard.record_writes.due(1e9)]
         if due:
             record, cleared = (
                 self.job.to_record(4096, self.job_shard.may_end(self.job)),
@@ -585,12 +585,12 @@
             self.ends += record.state is not self.record.state
             self.record, self.revision, self.job.dirty_since = record, self.revision + 1, None
             if answered:
-                self.job_shard.on_written(self.job, record, self.revision, cleared, 1.0)
+                self.job_shard.record_writes.on_written(self.job, record, self.revision, cleared, 1.0)
 
     def seen(self, machine, *tasks):
         """What a part tells: (index, attempt, status, cause) each; the clears and halts that follow."""
         self.sent.clear()
-        self.job_shard.on_task_report(
+        self.job_shard.task_reports.on_task_report(
             "host-1",
             MachineTaskReport(machine, "a", 10**6, [TaskStatusReport("wk-1", *task) for task in tasks], []),
             1.0,
@@ -598,7 +598,7 @@
         return [body for body in self.sent if isinstance(body, AcknowledgeFinished | StopTask)]
 
     def grant(self, machine):
-        self.job_shard.on_task_request("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
+        self.job_shard.grants.on_task_request("host-1", TaskRequest(1, "wk-1", machine, "a", 1), 1.0, True)
         return self.sent[-1].tasks
 
 
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -318,7 +318,7 @@
             or core.job_shard.jobs_by_machine
             or core.submissions
         )
-        assert not any(core.job_shard.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
+        assert not any(core.job_shard.usage.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
         assert not any(one.stop_orders or one.pending or one.reserved for one in core.machine_shard.machines.values())
 
 
@@ -469,8 +469,8 @@
 
     def no_barrier(self, fencing_token, jobs, machines):
         enter(self, fencing_token, jobs, machines)
-        self.barrier = Barrier({})
-        self._release_inherited()
+        self.inherited.barrier = Barrier({})
+        self.inherited.release()
 
     monkeypatch.setattr(JobShard, "enter", no_barrier)
     with pytest.raises(Broken, match="ran_twice"):
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -313,7 +313,7 @@
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
     alone.core.pump()
-    assert not alone.core.job_shard.barrier, "nothing is on it"
+    assert not alone.core.job_shard.inherited.barrier, "nothing is on it"
     alone.write()
     assert MACHINES + name not in alone.store.data
 
@@ -328,14 +328,18 @@
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
     sent = []
-    alone.core.job_shard.send = alone.core.job_shard.send_deferred = lambda label, body: sent.append(body) or len(sent)
+    shard = alone.core.job_shard
+    shard.task_reports.send = shard.record_writes.send = shard.record_writes.send_deferred = lambda label, body: (
+        sent.append(body) or len(sent)
+    )
     seen = alone.ended("n-000001", 0)
-    alone.core.job_shard.on_task_report("host-0", seen, alone.t)
+    alone.core.job_shard.task_reports.on_task_report("host-0", seen, alone.t)
     alone.t += 1.0
     alone.follow()
     batch = alone.batch()
     assert batch.jobs
-    alone.core.job_shard.on_task_report("host-0", seen, alone.t)  # told again with whatever is news on the machine
+    # Told again with whatever is news on the machine.
+    alone.core.job_shard.task_reports.on_task_report("host-0", seen, alone.t)
     assert not [body for body in sent if isinstance(body, messages.AcknowledgeFinished)], (
         "the worker would forget what nobody has yet"
     )
@@ -355,7 +359,7 @@
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
-            alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
+            alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
     return job, alone.lost()
 
 
@@ -448,11 +452,11 @@
     job = alone.job()
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
-    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     first = alone.lost()
-    alone.core.job_shard.on_task_report("host-0", alone.ended("n-000001", 1), alone.t)
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 1), alone.t)
     alone.write()
     assert alone.carry_out(first).failed
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -90,9 +90,9 @@
 def test_every_cell_of_the_table_is_what_a_home_does(known, told):
     home, job, sent = home_that_knows(known)
     if job is not None:
-        assert home.recorded_state(job, 0, HERE, ATTEMPT) is known
+        assert home.task_reports.recorded_state(job, 0, HERE, ATTEMPT) is known
     before = job.runs.get(0) if job is not None else None
-    home.on_task_report("host-1", told_as(told), 2.0)
+    home.task_reports.on_task_report("host-1", told_as(told), 2.0)
     what = TRANSITIONS[known][told]
     assert [body for body in sent if isinstance(body, AcknowledgeFinished)] == (
         [AcknowledgeFinished(HERE, SPEC.id, 0, ATTEMPT)]
@@ -118,7 +118,7 @@
         assert run is before
         if what is Action.REMOVE_FROM_BARRIER and known is RecordedState.POSSIBLY_HERE:
             assert 0 in job.unknown, "the other machine may hold it"
-            home.on_task_report("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
+            home.task_reports.on_task_report("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
             assert 0 in job.requeued and not job.unknown
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,7 +6,8 @@
 
 from alderbridge.controller.core import ControllerCore
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import Job, JobShard, JobState, QuotaUsage, Record
+from alderbridge.jobs.shard import Job, JobState, QuotaUsage, Record
+from alderbridge.jobs.task_reports import TaskReportHandler
 from alderbridge.machines.shard import Machine, MachineShard
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
@@ -256,13 +257,13 @@
 
 
 def machines_not_indexed(monkeypatch):
-    real = JobShard.on_task_report
+    real = TaskReportHandler.on_task_report
 
     def on_task_report(self, label, seen, now):
         self.jobs_by_machine.pop(seen.machine, None)
         real(self, label, seen, now)
 
-    monkeypatch.setattr(JobShard, "on_task_report", on_task_report)
+    monkeypatch.setattr(TaskReportHandler, "on_task_report", on_task_report)
 
 
 @pytest.mark.parametrize(
--- a/tests/world.py
+++ b/tests/world.py
@@ -1665,7 +1665,7 @@
         """What is kept with each change, in place of counting anew for each event, is what a count would give."""
         home, part = core.job_shard, core.machine_shard
         kept, there = dict(home.tally.teams), home.jobs_by_machine
-        used = home.used()
+        used = home.usage.used()
         for team in {*kept, *used}:
             if any(abs(a - b) > 1e-6 for a, b in zip(kept.get(team, (0, 0)), used.get(team, (0, 0)), strict=True)):
                 raise Broken(f"books: {team} uses {used.get(team)}, kept was {kept.get(team)}")
