--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -119,8 +119,8 @@
         most = shared.workers.cancel_s - lease - constants.CANCEL_SLACK_S
         ttl = min(max(constants.STORE_LEASE_TTL_S, constants.TOTAL_LEASE_S - lease), most)
         self.membership = Membership(self.me, ttl, min(constants.STORE_LEASE_TTL_S, most))
-        stretches = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
-        self.graph = Graph(self.run_time, stretches)
+        deadline_multiples = [objective.times or 1.0 for objective in shared.objectives if objective.kind == "deadline"]
+        self.graph = Graph(self.run_time, deadline_multiples)
         self.declared = Declarations(own, ttl, self.labels)
         self.replica = Replica(self.membership, self.graph, self.declared)
         self.limits = shared.state.kept
@@ -171,7 +171,7 @@
         self.claims_deferred = False  # the last transaction of claims failed: what else is due goes first, once
         self.drops_in_flight: set[str] = set()  # machines whose drop was sent, and that were not recorded since
         self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
-        self.doomed_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
+        self.cascade_aborted_at: dict[str, float] = {}  # since when this node knows that a job before it is aborted
         self.wall_offset_s = 0.0  # time of day less ``now``
         self.calendars: Gate | None = None  # None: nothing is declared
         self.max_changes = self.limits.txn_ops  # in one transaction; less once the store has refused that many
@@ -217,7 +217,7 @@
         return self.local_processed_seq if label == self.me else self.channels[label].received
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
-        needed = self.graph.needed_by(job.spec.id)
+        needed = self.graph.dependents_due(job.spec.id)
         basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
         if job.queue_times is None or job.queue_times[0] != basis:
             job.queue_times = (
@@ -256,7 +256,7 @@
 
     def rank(self, spec: wire.JobSpec) -> int:
         """The priority of the jobs that need it, where higher than its own; else -1."""
-        needed = self.graph.needed_rank(spec.id)
+        needed = self.graph.dependents_rank(spec.id)
         return needed if needed >= 0 and needed > spec.rank else -1
 
     def run_time(self, spec: wire.JobSpec) -> float:
@@ -560,29 +560,31 @@
     # -- dependencies ----------------------------------------------------------
 
     def apply_dependencies(self, job: Job) -> None:
-        """Whether the job waits, from when its times count, or whether it is doomed."""
+        """Whether the job waits, from when its times count, or whether it is cascade-aborted."""
         name = job.spec.id
         if self.graph.waiting(name):
             job.block()
-            if name in self.graph.doomed:
+            if name in self.graph.cascade_aborted:
                 job.abort(self.now, "a job before it is aborted")
             return
         ready_at = max(job.ready_at, self.graph.ready_at(name))
         job.unblock(min(self.now, ready_at - self.wall_offset_s) if ready_at else job.submitted, ready_at)
 
     def process_dependency_events(self) -> None:
-        """Facts of the store have arrived: who is ready now, who is doomed."""
+        """Facts of the store have arrived: which jobs are ready now, which are cascade-aborted."""
         graph = self.graph
-        ready, graph.fresh_ready = graph.fresh_ready, []
-        doomed, graph.fresh_doomed = graph.fresh_doomed, []
-        for name in doomed:
-            self.doomed_at[name] = self.now
-        for name in ready + doomed:
+        ready, graph.newly_ready = graph.newly_ready, []
+        cascade_aborted, graph.newly_cascade_aborted = graph.newly_cascade_aborted, []
+        for name in cascade_aborted:
+            self.cascade_aborted_at[name] = self.now
+        for name in ready + cascade_aborted:
             job = self.job_shard.jobs.get(name)
             if job is not None:
                 self.apply_dependencies(job)
-        if len(self.doomed_at) > 2 * len(graph.doomed):
-            self.doomed_at = {name: at for name, at in self.doomed_at.items() if name in graph.doomed}
+        if len(self.cascade_aborted_at) > 2 * len(graph.cascade_aborted):
+            self.cascade_aborted_at = {
+                name: at for name, at in self.cascade_aborted_at.items() if name in graph.cascade_aborted
+            }
 
     def process_configuration(self) -> None:
         """What operators declare has arrived, or something in the store that counts can't be read here."""
@@ -944,7 +946,7 @@
         return result
 
     def is_cascade_aborted(self, job: str) -> bool:
-        return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.doomed
+        return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.cascade_aborted
 
     def _drop_known_lists(self, submission: Submission) -> None:
         """An earlier try, here or elsewhere, may have stored some: what is under a key never changes."""
@@ -1295,7 +1297,7 @@
         ended = self.replica.ended.get(job)
         if ended is not None:
             return ended.value, 0, 0
-        if job in self.graph.doomed:
+        if job in self.graph.cascade_aborted:
             return (JobState.ABORTED.value, 0, 0) if self.cascade_abort_is_settled(job) else None
         mine = self.job_shard.jobs.get(job)
         if mine is None or not self.may_act():
@@ -1314,14 +1316,14 @@
         Members act only on a view and records that are fresh to within the ttl. Told any sooner,
         the answer could be taken back by a home that has yet to hear of it.
         """
-        at = self.doomed_at.get(job)
+        at = self.cascade_aborted_at.get(job)
         return at is not None and self.now - at > self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
 
     def is_certainly_pending(self, job: str, now: float) -> bool:
         """Whether a record that is active in the store may be told so, a moment after it was read."""
         self.now = now
         spec = self.spec_of(job)
-        return spec is not None and job not in self.graph.doomed and self.may_act()
+        return spec is not None and job not in self.graph.cascade_aborted and self.may_act()
 
     def cancel(self, job: str, now: float) -> str | None:
         """The job's stored state, "" while its end is being written, None where this is not its home."""
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Who is ready, who is doomed, who is in a hurry: against the plain definitions, over random histories."""
+"""Which jobs are ready, which are cascade-aborted, how urgent: against the plain definitions, over random histories."""
 
 import random
 
@@ -43,9 +43,9 @@
     def waiting(self, job):
         return any(self.ends.get(need, ("",))[0] != "done" for need in self.needs[job])
 
-    def doomed(self, job):
+    def cascade_aborted(self, job):
         return any(
-            self.ends.get(need, ("",))[0] == "aborted" or need in self.needs and self.doomed(need)
+            self.ends.get(need, ("",))[0] == "aborted" or need in self.needs and self.cascade_aborted(need)
             for need in self.needs[job]
         )
 
@@ -97,14 +97,14 @@
         for job in [one for one in past.needs if one not in past.ends and one not in late]:
             assert graph.waiting(job) == past.waiting(job), job
             if not late:
-                assert (job in graph.doomed) == past.doomed(job), job
+                assert (job in graph.cascade_aborted) == past.cascade_aborted(job), job
             if not late and seed % 2:  # an aborted job's haste is not taken back
                 rank, due = past.asked(job)
-                assert graph.needed_rank(job) == rank
-                assert graph.needed_by(job) == ((pytest.approx(due),) if due < NEVER else ())
+                assert graph.dependents_rank(job) == rank
+                assert graph.dependents_due(job) == ((pytest.approx(due),) if due < NEVER else ())
             if past.needs[job] and not past.waiting(job):
                 assert graph.ready_at(job) == past.ready_at(job)
-    told = set(graph.fresh_ready)
+    told = set(graph.newly_ready)
     assert told == {job for job in told if not past.needs[job] or not past.waiting(job)}
 
 
@@ -114,13 +114,13 @@
     for number in range(1, 20_000):
         graph.add(spec(f"wk-{number}"), 1.0, [f"wk-{number - 1}"], over)
     graph.add(spec("wk-20000", "high", due_s=900.0), 1.0, ["wk-19999"], over)
-    assert graph.needed_rank("wk-0") == 2
+    assert graph.dependents_rank("wk-0") == 2
     graph.aborted("wk-0")
-    assert len(graph.doomed) == 20_000
+    assert len(graph.cascade_aborted) == 20_000
     for number in range(20_000):
         graph.add(spec(f"wk-fan-{number}"), 1.0, ["wk-hub"], over)
     graph.done("wk-hub", 2.0)
-    assert len(graph.fresh_ready) == 20_000
+    assert len(graph.newly_ready) == 20_000
 
 
 def test_ended_jobs_leave_nothing_behind():
@@ -130,7 +130,7 @@
     graph.aborted("wk-1")
     for job in ("wk-2", "wk-3"):
         graph.aborted(job)
-    assert not graph.doomed and not graph.waiting("wk-3") and set(graph.nodes) <= {"wk-9"}
+    assert not graph.cascade_aborted and not graph.waiting("wk-3") and set(graph.nodes) <= {"wk-9"}
 
 
 def test_times_count_from_readiness_and_the_deadline_from_submission():
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -131,7 +131,7 @@
     far.cut_store_until = 60.0  # longer than it may act
     near.core.cancel(first.id, world.t)
     world.run(8.0)
-    assert near.core.local_job_state(first.id, world.t)[0] == "aborted" and after.id in near.core.graph.doomed
+    assert near.core.local_job_state(first.id, world.t)[0] == "aborted" and after.id in near.core.graph.cascade_aborted
     answers = []
     while world.t < 33.0:
         world.run(world.t + 0.5)
@@ -228,7 +228,7 @@
 
 
 def nobody_is_doomed(monkeypatch):
-    monkeypatch.setattr(Graph, "_doom", lambda self, jobs: None)
+    monkeypatch.setattr(Graph, "_cascade_abort", lambda self, jobs: None)
 
 
 def uncounted_grants(monkeypatch):
