--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -84,7 +84,7 @@
                 if opening == job.opened_at or (not was_closed and look.opened_at == 0.0):
                     continue
                 if opening <= wall - now + job.ready_since:
-                    job.start_turn(opening, job.ready_since)  # it came while it was open
+                    job.schedule_after_opening(opening, job.ready_since)  # it came while it was open
                     continue
             spread = look.rule.spread_s if look.rule is not None else constants.OPENING_SPREAD_S
             waits.setdefault((opening, spread), []).append(job)
@@ -106,7 +106,7 @@
         pace = max(total / spread_s, constants.OPENING_PACE) if spread_s else math.inf
         before = 0
         for job in sorted(group, key=need):
-            job.start_turn(opening, max(since, job.ready_since) + before / pace)
+            job.schedule_after_opening(opening, max(since, job.ready_since) + before / pace)
             before += job.waiting
 
     @staticmethod
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -460,7 +460,7 @@
             or self.membership.job_owner(record.accepted_by) != self.me
         ):
             return
-        job = Job(record, revision, self.now, max(0.0, self.now + self.wall_offset_s - record.at), fresh=True)
+        job = Job(record, revision, self.now, max(0.0, self.now + self.wall_offset_s - record.at), never_started=True)
         self.job_shard.add(job)
         self.apply_dependencies(job)
         log.info("job=%s state=adopted cause=stored after its submission was given up", name)
@@ -524,7 +524,7 @@
                         # Every write asserts the view: what is not done here yet was not when the view changed,
                         # so nothing of a job that waits for it was ever started.
                         waits = self.graph.waiting(name)
-                        job = Job(record, revision, now, max(0.0, wall - record.at), fresh=waits)
+                        job = Job(record, revision, now, max(0.0, wall - record.at), never_started=waits)
                         job.inherited = True
                         self.apply_dependencies(job)
                     elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
@@ -923,7 +923,7 @@
             record, lists = beside(record, room)
         if len(msgspec.json.encode(record)) > room:
             return None
-        submission = Submission(Job(record, 0, now, 0.0, fresh=True), lists=lists)
+        submission = Submission(Job(record, 0, now, 0.0, never_started=True), lists=lists)
         self.submissions[spec.id] = submission
         self.has_new_submission = True
         return submission
--- a/alderbridge/jobs/record_writes.py
+++ b/alderbridge/jobs/record_writes.py
@@ -52,7 +52,7 @@
                 if job.state is not job.stored_state and self.may_end(job):
                     # Nobody waits for the end of a cascade-aborted job: it goes behind submissions.
                     yield (PROGRESS_RANK if job.is_blocked and not job.end_awaited else END_RANK, job)
-                elif job.wanted_start_limit > job.start_limit:
+                elif job.requested_start_limit > job.start_limit:
                     yield (START_LIMIT_RANK, job)
                 elif now - job.last_write >= constants.PROGRESS_WRITE_S:
                     yield (PROGRESS_RANK + job.last_write * PROGRESS_AGE_WEIGHT, job)
@@ -77,7 +77,7 @@
         job.dirty_since = now if job.unacknowledged_results or job.state is not job.stored_state else None
         if job.dirty_since is not None or job.stored_state is not JobState.ACTIVE:
             self.tally.lagging[job.spec.id] = job
-        if job.wanted_start_limit > job.start_limit:
+        if job.requested_start_limit > job.start_limit:
             job.mark_dirty(now)
 
     def _acknowledge(self, job: Job, results: list[tuple[str, int, int]]) -> None:
--- a/alderbridge/jobs/shard_queue.py
+++ b/alderbridge/jobs/shard_queue.py
@@ -58,21 +58,10 @@
             # No offer until its times count. Room that is reserved for it is taken until its run ends.
             ahead = max(0.0, job.waiting_since - now)
             offer, boost = self._priority_boost(job, now, offer if may_grant and ahead <= 0 else 0, late)
-            run_s, waited, dependents_rank = run_time(spec) + ahead, now - job.waiting_since, rank(spec)
+            run_s, waited, raised_rank = run_time(spec) + ahead, now - job.waiting_since, rank(spec)
             rows.append(
                 QueueRow(
-                    spec.id,
-                    waiting,
-                    offer,
-                    due,
-                    run_s,
-                    zone,
-                    waited,
-                    late,
-                    guaranteed,
-                    dependents_rank,
-                    inherited,
-                    boost,
+                    spec.id, waiting, offer, due, run_s, zone, waited, late, guaranteed, raised_rank, inherited, boost
                 )
             )
         rows.sort(key=lambda row: row.due_in_s)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -247,7 +247,7 @@
     """The first task of what has not begun goes first; what is late and passed over, an eighth of it at a time."""
     home = JobShard([], lambda label, body: 1, 4096)
     home.enter(1, {}, {})
-    job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 400, [], SMALL), 1, 0.0, 0.0, fresh=True)
+    job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 400, [], SMALL), 1, 0.0, 0.0, never_started=True)
     home.add(job)
 
     def told(now):
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -130,7 +130,7 @@
         1,
         0.0,
         0.0,
-        fresh=True,
+        never_started=True,
     )
     heir.job_shard.add(job)
     heir.job_shard.usage.allocate({"bound": (2 * CPUS, 0.0)})
@@ -163,7 +163,7 @@
     def job(self, label: str, name: str, cpus: float, tasks: int, running: int, due_s: float) -> Job:
         spec = msgspec.structs.replace(SPEC, id=name, cpus=cpus, tasks=tasks)
         record = Record(JobState.ACTIVE, label, 0.0, tasks, [], spec)
-        job = Job(record, 1, 0.0, 0.0, fresh=True)
+        job = Job(record, 1, 0.0, 0.0, never_started=True)
         self.leader.replica.saw_job(name, record, 1)
         self.homes[label].add(job)
         for _ in range(running):
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -563,13 +563,13 @@
         self.record = Record(JobState.ACTIVE, "host-0", 0.0, LONG.tasks, [], LONG)  # marked ahead, to its last task
         self.revision, self.fencing_token, self.ends = 1, 5, 0
         self.sent: list = []
-        self.change(fresh=True)
+        self.change(never_started=True)
 
-    def change(self, fresh=False, settled=True):
+    def change(self, never_started=False, settled=True):
         self.fencing_token += 1
         self.job_shard = JobShard([], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
-        self.job = Job(self.record, self.revision, 0.0, 0.0, fresh=fresh)
-        self.job.inherited = not fresh
+        self.job = Job(self.record, self.revision, 0.0, 0.0, never_started=never_started)
+        self.job.inherited = not never_started
         self.job_shard.enter(self.fencing_token, {"wk-1": self.job}, MACHINES)
         self.job_shard.settled = settled
         self.sent.clear()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -46,7 +46,11 @@
     if known is RecordedState.UNKNOWN_JOB:
         return home, None, sent
     job = Job(
-        Record(JobState.ACTIVE, "host-0", 0.0, 9, [], SPEC), 1, 0.0, 0.0, fresh=known is not RecordedState.POSSIBLY_HERE
+        Record(JobState.ACTIVE, "host-0", 0.0, 9, [], SPEC),
+        1,
+        0.0,
+        0.0,
+        never_started=known is not RecordedState.POSSIBLY_HERE,
     )
     home.add(job)
     runs = {
