--- a/alderbridge/jobs/grants.py
+++ b/alderbridge/jobs/grants.py
@@ -44,8 +44,9 @@
         """Answer with a grant, which is empty if nothing may start; ``entitled``: this controller may act."""
         job = self.jobs.get(request.job)
         tasks: list[tuple[int, int]] = []
-        # The request follows an offer made some moments ago: the calendar may have closed since.
-        if job is None or not entitled or job.is_blocked or not self.job_calendars.may_start(job.spec):
+        gate = self.job_calendars.gate  # the offer was made some moments ago: the calendar may have closed since
+        is_closed = job is not None and gate is not None and not gate.may_start(job.spec)
+        if job is None or not entitled or job.is_blocked or is_closed:
             self.send(label, TaskGrant(request.request_id, request.job, request.machine, tasks))
             return
         runs = []
--- a/alderbridge/jobs/job_calendars.py
+++ b/alderbridge/jobs/job_calendars.py
@@ -9,7 +9,6 @@
 from alderbridge.jobs.job import Job
 from alderbridge.jobs.record import JobState
 from alderbridge.protocol.messages import Message, StopTask
-from alderbridge.protocol.wire import JobSpec
 
 log = logging.getLogger("jobs")
 
@@ -25,11 +24,11 @@
         self.machine_owner = machine_owner
         self.gate: Gate | None = None  # replaced with each change of the calendars in force; None: none is declared
         self.closed: set[str] = set()  # jobs that wait for their opening, and ask for nothing yet
-        # (job, index, attempt) of tasks that were told to stop at closing, and are not proven gone yet
+        # (job, index, attempt) of tasks that were ordered to stop at closing, and are not proven gone yet
         self.stopping_tasks: set[tuple[str, int, int]] = set()
 
     def reset(self) -> None:
-        """A new view: the machines' owners have forgotten which tasks they were told to stop."""
+        """A new view: the machines' owners have forgotten which tasks they were ordered to stop."""
         self.stopping_tasks = set()
 
     def refresh(self, now: float) -> None:
@@ -37,10 +36,6 @@
         if self.gate is not None:
             self.closed = self.gate.turns(self.jobs.values(), now)
 
-    def may_start(self, spec: JobSpec) -> bool:
-        """Whether tasks of the job may start at this time of day."""
-        return self.gate is None or self.gate.may_start(spec)
-
     def stop_tasks(self) -> None:
         """For classes that are stopped at closing: their tasks save a checkpoint and wait for the next opening."""
         gate = self.gate
--- a/alderbridge/jobs/task_reports.py
+++ b/alderbridge/jobs/task_reports.py
@@ -40,7 +40,7 @@
         self.send = send
 
     def on_task_report(self, label: str, report: MachineTaskReport, now: float) -> None:
-        """The owner of a machine, ``label``, tells all tasks on it: proof also of what is not on it."""
+        """The owner of a machine, ``label``, reports all tasks on it, which proves also what is not on it."""
         present = self._apply_statuses(label, report, now)
         if report.pending:
             self._apply_pending_grants(label, report, present, now)
@@ -83,12 +83,12 @@
 
     def _requeue_absent_tasks(self, report: MachineTaskReport, present: set[tuple[str, int]]) -> None:
         """Tasks that are not on the machine, unless their grant is newer than the report."""
-        machine = report.machine
+        jobs, machine = self.jobs, report.machine
         machine_jobs = self.jobs_by_machine.get(machine)
         if machine_jobs is None:
             return
         for name in list(machine_jobs):
-            job = self.jobs.get(name)
+            job = jobs.get(name)
             indexes = job.tasks_by_machine.get(machine) if job is not None else None
             if job is None or indexes is None:
                 machine_jobs.discard(name)
