--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -89,17 +89,19 @@
     world.restart(world.nodes[home])
     while not (core := world.nodes[home].core).loaded:
         world.run(world.t + 0.01)
-    assert not core.is_member and core.membership.fencing_token == owner.membership.fencing_token
+    assert not core.state.is_member and core.membership.fencing_token == owner.membership.fencing_token
     seen = messages.MachineTaskReport(
         run.machine, run.zone, 0, [messages.TaskStatusReport(name, index, run.attempt, "running", None)], []
     )
     core.on_frame(owner.channels[home].post(seen, world.t), world.t)
-    assert not [body for _, body in core.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
+    assert not [body for _, body in core.effects.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
         "no halt of what it ran"
     )
-    assert core.channels[part].received == 0, "nor an acknowledgement"
+    assert core.messenger.channels[part].received == 0, "nor an acknowledgement"
     core.on_frame(owner.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
-    assert [ask.query_id for _, ask in core.queries] == [7], "questions are taken; 503 has the asker read the store"
+    assert [ask.query_id for _, ask in core.effects.queries] == [7], (
+        "questions are taken; 503 has the asker read the store"
+    )
 
 
 def test_the_view_may_arrive_before_the_process_knows_its_hold():
@@ -109,15 +111,15 @@
     world.nodes[home].crash()
     world.restart(world.nodes[home])
     core = world.nodes[home].core
-    real, late = core.lease_acquired, []
-    core.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
+    real, late = core.view_entry.lease_acquired, []
+    core.view_entry.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
     fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
     while core.membership.fencing_token <= fencing_token or not late:
         world.run(world.t + 0.05)
-    assert not core.is_member and not core.may_act()
-    core.lease_acquired = real
-    core.lease_acquired(*late[0])
-    assert core.may_act() and core.is_member and core.job_shard.jobs
+    assert not core.state.is_member and not core.may_act()
+    core.view_entry.lease_acquired = real
+    core.view_entry.lease_acquired(*late[0])
+    assert core.may_act() and core.state.is_member and core.job_shard.jobs
     world.served(core)
 
 
@@ -128,10 +130,10 @@
     )
     core = world.nodes[label].core
     world.specs[spec.id] = spec
-    submission = core.submit(spec, world.t, world.t)
-    batch = core.next_batch(world.t)
-    core.on_batch_failed(batch, world.t)
-    core.refuse_submissions()
+    submission = core.submissions.submit(spec, world.t, world.t)
+    batch = core.record_writer.next_batch(world.t)
+    core.batch_results.on_failed(batch, world.t)
+    core.submissions.refuse_all()
     assert submission.outcome == "refused"
     return spec, batch
 
@@ -144,7 +146,7 @@
     spec, batch = given_up(world, "host-1")
     core = world.nodes["host-1"].core
     if again:  # the user's next try comes first, and meets the record
-        core.submit(spec, world.t + 1.0, world.t + 1.0)
+        core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
     world.first_asked[spec.id] = world.t
@@ -174,7 +176,7 @@
         async def deliver():
             while not second.asks:
                 await curio.sleep(0)
-            second.core.query_replies.append(messages.JobQueryReply(next(iter(second.asks)), 200, body))
+            second.core.effects.query_replies.append(messages.JobQueryReply(next(iter(second.asks)), 200, body))
             await second.after()
 
         task = await curio.spawn(deliver)
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -84,13 +84,13 @@
         for row in rows:
             if KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
-                sim.core.apply_calendars(self.texts[number - 1 : number + 1])
+                sim.core.calendars.apply(self.texts[number - 1 : number + 1])
                 self.after(TTL_S + constants.PROOF_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
         known = sim.core is not None and sim.life == life and sim.core.calendars is not None
         if known and sim.core.calendars.texts[-1] is self.texts[number]:
-            sim.core.apply_calendars([self.texts[number]])
+            sim.core.calendars.apply([self.texts[number]])
 
     def cut(self, for_s: float) -> None:
         self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + for_s
@@ -185,24 +185,24 @@
             (sim, machine)
             for sim in world.nodes.values()
             for machine in sim.core.machine_shard.machines.values()
-            if (spec.id, 0) in machine.pending
+            if (spec.id, 0) in machine.orders.pending
         ]
         if pending:
             break
     (sim, machine), part = pending[0], f"{spec.id}/0"
     for other in world.nodes.values():
-        other.core.apply_calendars([shut])
-    assert not [order for order in sim.core.machine_shard.orders(machine) if order["verb"] == "run"]
+        other.core.calendars.apply([shut])
+    assert not [order for order in sim.core.machine_shard.order_builder.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
     home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
     home.grants.on_task_request(
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # of an older offer
     assert not home.jobs[spec.id].runs
-    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.pending
+    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.orders.pending
     for other in world.nodes.values():
-        assert (other.core.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
-        other.core.apply_calendars([])
+        assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
+        other.core.calendars.apply([])
     world.run(world.t + 200.0)  # its team is at its limit
     assert part in world.completed
 
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -13,7 +13,7 @@
 from world import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
 
 from alderbridge import configuration, constants
-from alderbridge.configuration import Declarations, texts
+from alderbridge.configuration import OperatorConfiguration, texts
 from alderbridge.controller.core import ControllerCore
 from alderbridge.jobs.shard import JobState, Record, TaskState
 from alderbridge.machines.shard import MachineState
@@ -33,7 +33,7 @@
     if shown:
         alone.follow()
     alone.t += constants.STATE_TIMEOUT_S
-    alone.core.on_batch_failed(batch, alone.t)
+    alone.core.batch_results.on_failed(batch, alone.t)
     return batch
 
 
@@ -65,7 +65,7 @@
     put = at_once(alone, shown)
     assert MACHINES + name in put.puts
     machine = alone.heartbeat(name, 2)
-    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.store.commit({}, {VIEW: View("host-1", alone.lease_ids)})
     at_same_time(alone, there)
     assert name in there.core.job_shard.inherited.barrier
@@ -104,7 +104,9 @@
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
     assert (
-        machine.acknowledged and not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+        machine.acknowledged
+        and not machine.recorded
+        and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     )
     at_same_time(alone, there)
     assert name not in there.core.replica.machines
@@ -167,7 +169,7 @@
     job = alone.job()
     if how == "aborted":
         alone.runs(job, "n-000001", 0)
-        assert alone.core.cancel(SPEC.id, alone.t) == ""
+        assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
@@ -187,11 +189,11 @@
 
     def ask():
         for one in (alone, there):
-            answer = one.core.local_job_state(SPEC.id, one.t)
+            answer = one.core.local_jobs.local_job_state(SPEC.id, one.t)
             assert answer is None or answer[0] == state, (one.me, answer)
             told.append(answer is not None)
-            if one.core.job_owner(SPEC.id) == one.me or answer is not None:
-                assert one.core.cancel(SPEC.id, one.t) in ("", None, state)
+            if one.core.directory.job_owner(SPEC.id) == one.me or answer is not None:
+                assert one.core.local_jobs.cancel(SPEC.id, one.t) in ("", None, state)
 
     batch = alone.batch()
     assert not alone.carry_out(batch).failed
@@ -201,13 +203,13 @@
     ask()
     assert told == [shown, True]
     alone.t += constants.STATE_TIMEOUT_S
-    alone.core.on_batch_failed(batch, alone.t)
+    alone.core.batch_results.on_failed(batch, alone.t)
     at_same_time(alone, there)
     ask()
     if met == "not read":  # the next try meets it, and the store can't be asked for it
         again = alone.batch()
         assert alone.carry_out(again).failed == [JOBS + SPEC.id]
-        alone.core.on_batch_failed(again, alone.t)
+        alone.core.batch_results.on_failed(again, alone.t)
         ask()
     elif met != "read":
         labels = ("host-1", "host-0") if met == "same home" else ("host-1",)
@@ -226,7 +228,10 @@
         home.write()
         ask()
     assert stored(alone).state.value == state
-    assert home.core.local_job_state(SPEC.id, home.t) == (state, 0, 0) and there.core.cancel(SPEC.id, there.t) == state
+    assert (
+        home.core.local_jobs.local_job_state(SPEC.id, home.t) == (state, 0, 0)
+        and there.core.local_jobs.cancel(SPEC.id, there.t) == state
+    )
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -237,7 +242,7 @@
     job = end_of(alone, "done")
     at_once(alone, shown)
     assert stored(alone).spec is None and job.unacknowledged_results and not job.is_complete
-    assert alone.core.cancel(SPEC.id, alone.t) == ("done" if shown else "")
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ("done" if shown else "")
     if view:
         alone.view("host-1", "host-0")
         assert SPEC.id not in alone.core.job_shard.jobs
@@ -245,7 +250,7 @@
     alone.go(2.0)
     alone.write()
     assert SPEC.id not in alone.core.job_shard.jobs and not alone.core.job_shard.tally.lagging
-    assert alone.core.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
 
 
 @pytest.mark.parametrize("shown", (True, False))
@@ -254,23 +259,23 @@
     """Refused, its user tries again at the same controller; or the view begins, which gives the job to its home."""
     alone = Alone("host-1")
     there = alone.other("host-1")
-    submission = alone.core.submit(SPEC, alone.t, alone.t)
+    submission = alone.core.submissions.submit(SPEC, alone.t, alone.t)
     at_once(alone, shown)
     at_same_time(alone, there)
-    assert there.core.knows_job(SPEC.id) and there.core.job_owner(SPEC.id) == "host-0"
-    assert alone.core.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
+    assert there.core.directory.knows_job(SPEC.id) and there.core.directory.job_owner(SPEC.id) == "host-0"
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) is None, "decided by the home, when it has the job"
     if then == "refused":
-        alone.core.refuse_submissions()
+        alone.core.submissions.refuse_all()
         assert submission.outcome == "refused" and (SPEC.id in alone.core.job_shard.jobs) is shown
-        if not alone.core.knows_job(SPEC.id):
-            submission = alone.core.submit(SPEC, alone.t, alone.t + 1.0)
+        if not alone.core.directory.knows_job(SPEC.id):
+            submission = alone.core.submissions.submit(SPEC, alone.t, alone.t + 1.0)
     elif then == "view":
         alone.view("host-1", "host-0")
     alone.write()
     assert not alone.core.submissions and submission.outcome in ("known", "refused")
     job = alone.core.job_shard.jobs[SPEC.id]
     assert job.revision == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
-    assert alone.core.local_job_state(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
     alone.go(2.0)
     alone.write()
     assert alone.core.job_shard.jobs == {SPEC.id: job}
@@ -283,13 +288,13 @@
     need = msgspec.structs.replace(SPEC, id="wk-000100")
     alone.job(need)
     spec = msgspec.structs.replace(SPEC, needs=[f"wk-{number:06d}" for number in range(100, 250)])
-    submission = alone.core.submit(spec, alone.t, alone.t)
+    submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     lists = dict(submission.lists)
     assert len(lists) > 1
     batch = at_once(alone, shown)
     revisions = {key: alone.store.data[key][1] for key in batch.puts}
     alone.write()
-    assert submission.outcome == "accepted" and alone.core.graph.waiting(SPEC.id)
+    assert submission.outcome == "accepted" and alone.core.replica.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
     assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is shown
     assert not alone.core.job_shard.jobs[SPEC.id].unknown and alone.core.job_shard.jobs[SPEC.id].is_blocked
@@ -313,18 +318,18 @@
         alone.follow()
     at_same_time(alone, there)
     assert there.core.membership.fencing_token > alone.core.membership.fencing_token or shown
-    assert alone.core.cancel(spec.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(spec.id, alone.t) == ""
     if not shown:
         batch = alone.batch()
         assert alone.carry_out(batch).failed == [VIEW]
-        alone.core.on_batch_failed(batch, alone.t)
-    assert job.stored_state is JobState.ACTIVE and alone.core.local_job_state(spec.id, alone.t) is None
+        alone.core.batch_results.on_failed(batch, alone.t)
+    assert job.stored_state is JobState.ACTIVE and alone.core.local_jobs.local_job_state(spec.id, alone.t) is None
     if not shown:
         alone.t += alone.core.membership.store_lease.ttl_s
         assert alone.batch() is None and not alone.core.may_act()
         alone.follow()
     alone.write()
-    assert alone.core.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_jobs.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_is_held_back_for_the_view_that_gave_its_job_to_this_home_and_for_no_later_one():
@@ -339,7 +344,7 @@
     for spec in (SPEC, other):
         alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, gone, 0.0, 3, [], spec)})
     alone.view("host-0", stays)
-    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone).state is JobState.ACTIVE, "its earlier home may deny it"
     alone.view(stays, "host-0")
@@ -349,7 +354,7 @@
     tries(alone, 2)
     assert stored(alone).state is JobState.ABORTED
     alone.view("host-0", stays)
-    assert alone.core.cancel(other.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(other.id, alone.t) == ""
     tries(alone, 2)
     assert stored(alone, other.id).state is JobState.ABORTED, "nobody else has been its home since a view settled"
 
@@ -361,7 +366,7 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_claims_in_doubt_are_planned_upon_only_when_they_have_been_read(shown):
     alone = Alone()
-    ledger = alone.core.ledger
+    ledger = alone.core.replica.ledger
     ledger.plan([{"n-000001": claim()}])
     at_once(alone, shown)
     assert ledger.busy, "nothing is planned before it is settled"
@@ -378,7 +383,7 @@
 def test_ends_are_written_though_the_drop_of_a_claim_is_in_doubt(shown):
     """Its own watch hangs: the drop met a conflict again and again, and nothing else was written for as long."""
     alone = Alone()
-    ledger = alone.core.ledger
+    ledger = alone.core.replica.ledger
     end_of(alone, "aborted")
     ledger.plan([{"n-000001": claim()}])
     alone.settle(alone.batch())
@@ -395,8 +400,8 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_a_head_in_doubt_is_obeyed_beside_the_one_before_by_whoever_has_read_it(shown):
     raw = msgspec.json.encode({"words": ["a"]})
-    own = configuration.Declared("hours", 3, texts.digest_of(raw), raw)
-    one, other = (Declarations(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
+    own = configuration.ConfigurationRevision("hours", 3, texts.digest_of(raw), raw)
+    one, other = (OperatorConfiguration(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
     membership = SimpleNamespace(
         registered={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
     )
@@ -426,15 +431,15 @@
 @pytest.mark.parametrize("shown", (True, False))
 def test_machine_types_in_doubt_are_written_once(shown):
     alone = Alone()
-    machine_types = alone.core.types_to_store()
+    machine_types = alone.core.machine_types.to_store()
     conditions = {VIEW: alone.core.membership.fencing_token, TYPES: alone.core.replica.types_revision}
     revision = alone.store.commit(conditions, {TYPES: machine_types}).revision
     if shown:
         alone.follow()
-        assert alone.core.types_to_store() is None
+        assert alone.core.machine_types.to_store() is None
     else:
         assert alone.core.replica.types_revision == 0, "the next try meets it"
-        assert alone.store.commit(conditions, {TYPES: alone.core.types_to_store()}).failed == [TYPES]
+        assert alone.store.commit(conditions, {TYPES: alone.core.machine_types.to_store()}).failed == [TYPES]
     assert alone.store.data[TYPES][1] == revision
 
 
@@ -553,7 +558,7 @@
         if sim.core.may_act():
             acted.append(world.t - began)
             assert lease_id == named and lease_id in store.holds
-    assert world.answers_lost and sim.core.may_act() and sim.core.is_member
+    assert world.answers_lost and sim.core.may_act() and sim.core.state.is_member
     assert strange is (step == "key"), "a life that nobody knows was in the view"
     if step == "extend":
         assert not [at for at in acted if sim.core.membership.store_lease.ttl_s < at < lost_s], (
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -38,16 +38,16 @@
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
     assert machine.state is MachineState.EXPIRED
-    alone.core.on_batch_written(put, revision, alone.t)
+    alone.core.batch_results.on_written(put, revision, alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
-        alone.core.apply_events(changes, alone.t, alone.t)
+        alone.core.store_follower.apply_events(changes, alone.t, alone.t)
         alone.core.replica.revision = revision
     else:
-        alone.core.load(rows, [], revision, alone.t, alone.t)
+        alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
-    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.follow()
     alone.write()
     assert machine.recorded and MACHINES + name in alone.store.data, "put anew"
@@ -67,17 +67,19 @@
         messages.TaskGrant(alone.core.machine_shard.reserve(machine, "wk-000001", 1), "wk-000001", name, [(0, 70)]),
         alone.t,
     )
-    assert not alone.core.machine_shard.orders(machine), "not before the store holds its record"
+    assert not alone.core.machine_shard.order_builder.orders(machine), "not before the store holds its record"
     if carried_out == "before the view":
-        alone.core.on_batch_written(put, alone.carry_out(put).revision, alone.t)
-        assert [order["verb"] for order in alone.core.machine_shard.orders(machine)] == ["run"]
+        alone.core.batch_results.on_written(put, alone.carry_out(put).revision, alone.t)
+        assert [order["verb"] for order in alone.core.machine_shard.order_builder.orders(machine)] == ["run"]
     elif carried_out == "before it, unanswered":
         assert not alone.carry_out(put).failed
-        alone.core.on_batch_failed(put, alone.t)
+        alone.core.batch_results.on_failed(put, alone.t)
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     if carried_out == "after the view":
         assert VIEW in alone.carry_out(put).failed
-        assert not alone.core.machine_shard.orders(machine), "nor ever, though it acts under the older view for a while"
+        assert not alone.core.machine_shard.order_builder.orders(machine), (
+            "nor ever, though it acts under the older view for a while"
+        )
     other.follow()
     waits = carried_out != "after the view"
     assert (name in other.core.machine_shard.machines) is waits and (
@@ -270,7 +272,7 @@
     one.told_home()
     one.heartbeat(2.1, 2, fencing_token=5, tasks=shows)
     assert not one.told_home()
-    one.machine_shard.settle(3.0)
+    one.machine_shard.leases.settle(3.0)
     assert one.told_home() == [([0], [("wk-1", 3, 73)])]
     assert (
         one.heartbeat(3.1, 2, fencing_token=5, tasks=shows) is None and one.heartbeat(3.2, 1, tasks=[RUNNING]) is None
@@ -426,9 +428,9 @@
         one.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
         assert one.machine.state is MachineState.UP and one.told_home() == [([], [])], "its lease is out, by itself"
         return
-    one.machine_shard.check_leases(9.0 + OUT_S - 0.1)
+    one.machine_shard.leases.check(9.0 + OUT_S - 0.1)
     assert one.machine.state is MachineState.EXPECTED and not one.told_home()
-    one.machine_shard.check_leases(9.0 + OUT_S + 0.1)
+    one.machine_shard.leases.check(9.0 + OUT_S + 0.1)
     assert one.machine.state is MachineState.EXPIRED and one.told_home() == [([], [])], "16 s is no beginning"
     for incarnation, sequence in ((1, 5), (2, 1)):
         one.heartbeat(
@@ -441,11 +443,11 @@
         )
         assert one.machine.state is MachineState.EXPIRED and not one.told_home() and not one.orders()
     one.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
-    assert one.machine.state is MachineState.UP and one.machine_shard.candidate(one.machine, 40.0) is None, (
+    assert one.machine.state is MachineState.UP and one.machine_shard.capacity.candidate(one.machine, 40.0) is None, (
         "put anew first"
     )
-    one.machine_shard.on_recorded("n-1")
-    assert one.machine_shard.candidate(one.machine, 40.0) is not None
+    one.machine_shard.records.on_recorded("n-1")
+    assert one.machine_shard.capacity.candidate(one.machine, 40.0) is not None
 
 
 def test_a_machine_that_is_heard_by_command_alone_is_given_no_task():
@@ -460,9 +462,15 @@
     fencing_token = alone.core.membership.fencing_token
     machine = alone.core.machine_shard.machines[name]
     alone.core.on_probe_answered(Heartbeat(name, "x", "small", 1, 7, fencing_token, "a"), alone.t)
-    assert machine.acknowledged and machine.recorded and job.waiting and not machine.reserved and not machine.pending
+    assert (
+        machine.acknowledged
+        and machine.recorded
+        and job.waiting
+        and not machine.reserved
+        and not machine.orders.pending
+    )
     alone.heartbeat(name, 8)
-    assert machine.pending, "its next report brings it"
+    assert machine.orders.pending, "its next report brings it"
 
 
 class Many(Mute):
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -84,10 +84,10 @@
     one.heartbeat(1.0, 1)
     one.grant(0, 70)
     assert one.orders() == [("run", "wk-1/0", 70)]
-    one.machine_shard.cancelled = lambda job: True
+    one.machine_shard.jobs.cancelled = lambda job: True
     one.told_home()
     one.enter(6, 2.0, settle=False, carry=True)
-    one.machine_shard.settle(2.5)
+    one.machine_shard.leases.settle(2.5)
     ((told, held),) = one.told_home()
     assert (told, held) == ([], [("wk-1", 0, 70)])
     heir.told("n-2")
@@ -164,7 +164,7 @@
         spec = msgspec.structs.replace(SPEC, id=name, cpus=cpus, tasks=tasks)
         record = Record(JobState.ACTIVE, label, 0.0, tasks, [], spec)
         job = Job(record, 1, 0.0, 0.0, never_started=True)
-        self.leader.replica.saw_job(name, record, 1)
+        self.leader.replica.observe_job(name, record, 1)
         self.homes[label].add(job)
         for _ in range(running):
             index = job.next_task(0.0)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -59,7 +59,7 @@
     """An answer older than one that was told before its question arrived."""
 
 
-class Gate:
+class CalendarGate:
     """One controller's store. ``slow``: what is asked is carried out, and then answered, when the test says so."""
 
     def __init__(self, service: "Service", label: str) -> None:
@@ -175,11 +175,11 @@
         if label in self.writers:
             await self.writers[label].cancel()
         control = self.controls[label] = Controller(platform(label, LABELS), Tuning(), Poll())
-        control.store, control.mesh = Gate(self, label), Mesh(self, label)
+        control.store, control.mesh = CalendarGate(self, label), Mesh(self, label)
         control.store.slow = slow
         control.wait_for_work = control.store.rest
-        control.core.set_machine_types(TYPES)
-        control.core.lease_acquired(self.lease_ids[label], self.t, self.t)
+        control.core.machine_types.update(TYPES)
+        control.core.view_entry.lease_acquired(self.lease_ids[label], self.t, self.t)
         self.looks.pop(label, None)
         self.writers[label] = await curio.spawn(control.keep_records, daemon=True)
 
@@ -193,22 +193,22 @@
     def load(self, label: str) -> None:
         core = self.controls[label].core
         core.membership.record_sync(self.t)
-        core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def look(self, label: str) -> None:
         """Ask the store what has changed, or take in what it said."""
         core, look = self.controls[label].core, self.looks.pop(label, None)
         if look is None:
-            rows = None if core.loaded else self.store.rows()
+            rows = None if core.state.loaded else self.store.rows()
             self.looks[label] = self.t, rows, self.store.since(core.replica.revision), self.store.revision
             return
         sent, rows, changes, revision = look
         core.membership.store_lease.record_renewal(self.lease_ids[label], sent)
         core.membership.record_sync(sent)
         if rows is not None:
-            core.load(rows, [], revision, self.t, self.t)
+            core.store_follower.load(rows, [], revision, self.t, self.t)
         else:
-            core.apply_events(changes, self.t, self.t)
+            core.store_follower.apply_events(changes, self.t, self.t)
             core.replica.revision = max(revision, core.replica.revision)
 
     async def deliver(self, way: tuple[str, str]) -> None:
@@ -668,7 +668,9 @@
         self.asked: list[curio.Task] = []
         self.names: list[str] = []
         self.heard: set[tuple[str, str]] = set()
-        self.gone: list[Gate] = []  # of processes that have ended: what they had asked for may be carried out late
+        self.gone: list[
+            CalendarGate
+        ] = []  # of processes that have ended: what they had asked for may be carried out late
 
     async def step(self) -> None:
         service, rng = self.service, self.rng
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -41,7 +41,7 @@
             lambda job: "host-1",
             Random(1),
         )
-        self.machine_shard.processed_seq_of = lambda label: 7
+        self.machine_shard.outbox.processed_seq_of = lambda label: 7
         self.enter(5, 0.0, continued=False)
 
     def enter(self, fencing_token, now, continued=True, settle=True, carry=False):
@@ -49,7 +49,7 @@
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, carry
         )
         if settle:
-            self.machine_shard.settle(now)
+            self.machine_shard.leases.settle(now)
 
     @property
     def machine(self):
@@ -57,7 +57,9 @@
 
     def heartbeat(self, now, sequence, fencing_token=5, incarnation=1, tasks=(), asked=False):
         heartbeat = Heartbeat("n-1", "x", "c4", incarnation, sequence, fencing_token, "a", tasks=list(tasks))
-        return (self.machine_shard.on_probe_answer if asked else self.machine_shard.on_heartbeat)(heartbeat, now)
+        return (self.machine_shard.heartbeats.on_probe_answer if asked else self.machine_shard.heartbeats.on_heartbeat)(
+            heartbeat, now
+        )
 
     def grant(self, index, attempt, now=0.0):
         self.machine_shard.on_task_grant(
@@ -67,7 +69,10 @@
         )
 
     def orders(self):
-        return [(order["verb"], order["part"], order["try"]) for order in self.machine_shard.orders(self.machine)]
+        return [
+            (order["verb"], order["part"], order["try"])
+            for order in self.machine_shard.order_builder.orders(self.machine)
+        ]
 
     def told_home(self):
         """What its home was told since the last look."""
@@ -85,22 +90,22 @@
         assert one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING]) is not None, (
             "its answer may be the one that it hears"
         )
-        one.machine_shard.check_leases(now)
+        one.machine_shard.leases.check(now)
         assert one.machine.state is MachineState.EXPECTED and not one.told_home()
     assert one.heartbeat(OUT_S + 0.1, 4, fencing_token=4) is one.machine, "answered: else it could never acknowledge"
     assert (
         one.machine.state is MachineState.EXPIRED
-        and one.machine_shard.reconciliation.states["n-1"] is MachineProgress.EXPIRED
+        and one.machine_shard.view.reconciliation.states["n-1"] is MachineProgress.EXPIRED
     )
-    assert one.told_home() == [([], [])] and one.machine_shard.records_to_drop == ["n-1"]
+    assert one.told_home() == [([], [])] and one.machine_shard.records.to_drop == ["n-1"]
     assert one.orders() == []
     one.heartbeat(OUT_S + 1.0, 5, fencing_token=4)
-    assert one.machine_shard.records_to_drop == ["n-1"] and not one.told_home(), "said once"
+    assert one.machine_shard.records.to_drop == ["n-1"] and not one.told_home(), "said once"
     one.heartbeat(OUT_S + 2.0, 1, incarnation=2)
     assert (
         one.machine.state is MachineState.UP
         and one.machine.acknowledged
-        and one.machine_shard.records_to_write == ["n-1"]
+        and one.machine_shard.records.to_write == ["n-1"]
     )
 
 
@@ -119,7 +124,7 @@
     one.enter(6, 100.0, continued=False, settle=False)
     one.heartbeat(100.0 + 2 * OUT_S, 1, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED, "whoever acts under the older view may answer it"
-    one.machine_shard.settle(100.0 + 2 * OUT_S)
+    one.machine_shard.leases.settle(100.0 + 2 * OUT_S)
     one.heartbeat(100.0 + 3 * OUT_S - 0.1, 2, fencing_token=5)
     assert one.machine.state is MachineState.EXPECTED
     one.heartbeat(100.0 + 3 * OUT_S + 0.1, 3, fencing_token=5)
@@ -201,7 +206,7 @@
     while one.machine.state is not MachineState.EXPIRED and now < 3 * OUT_S:
         sequence += 1
         one.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING])
-        one.machine_shard.check_leases(now)
+        one.machine_shard.leases.check(now)
         now += 2.0
     assert one.machine.state is MachineState.EXPIRED and now < OUT_S + 5.0
     assert one.told_home() == [([], [])]
@@ -211,15 +216,15 @@
     """Cut off from the store at 5 s, it still acted: the newer view's owner may have renewed the lease since."""
     for deaf in (False, True):
         one = Reports()
-        one.machine_shard.no_newer_view_until = 5.0
+        one.machine_shard.leases.no_newer_view_until = 5.0
         if not deaf:
             one.heartbeat(1.0, 1, tasks=[RUNNING])
-        one.heartbeat(1.0 + OUT_S + 0.2, 2, fencing_token=4) if deaf else one.machine_shard.check_leases(
+        one.heartbeat(1.0 + OUT_S + 0.2, 2, fencing_token=4) if deaf else one.machine_shard.leases.check(
             1.0 + OUT_S + 0.2
         )
         assert one.machine.state is not MachineState.EXPIRED
-        one.machine_shard.no_newer_view_until = 1.0 + OUT_S
-        one.heartbeat(1.0 + OUT_S + 0.4, 3, fencing_token=4) if deaf else one.machine_shard.check_leases(
+        one.machine_shard.leases.no_newer_view_until = 1.0 + OUT_S
+        one.heartbeat(1.0 + OUT_S + 0.4, 3, fencing_token=4) if deaf else one.machine_shard.leases.check(
             1.0 + OUT_S + 0.4
         )
         assert one.machine.state is MachineState.EXPIRED, "it stays due"
@@ -353,8 +358,8 @@
     one.told_home()
     one.heartbeat(11.0, 7)
     assert one.told_home() == [([], [])] and not one.orders(), "neither, as both are settled by this report"
-    assert one.machine_shard.candidate(one.machine, 11.0) is None, "nor is anything placed there for a while"
-    assert one.machine_shard.candidate(one.machine, 11.0 + LEASE_S) is not None
+    assert one.machine_shard.capacity.candidate(one.machine, 11.0) is None, "nor is anything placed there for a while"
+    assert one.machine_shard.capacity.candidate(one.machine, 11.0 + LEASE_S) is not None
     other = Reports()
     other.heartbeat(1.0, 1)
     other.grant(0, 70)
@@ -362,7 +367,7 @@
     other.heartbeat(6.0, 4)
     other.orders()
     other.heartbeat(7.0, 5, tasks=[RUNNING])
-    assert other.told_home()[-1] == ([0], []) and other.machine_shard.candidate(other.machine, 7.0) is not None
+    assert other.told_home()[-1] == ([0], []) and other.machine_shard.capacity.candidate(other.machine, 7.0) is not None
 
 
 # -- old reports ------------------------------------------------------------------
@@ -386,9 +391,9 @@
         machine.last_heartbeat_at,
         machine.last_sequence,
         dict(machine.tasks),
-        dict(machine.pending),
+        dict(machine.orders.pending),
         dict(machine.reserved),
-        dict(machine.stop_orders),
+        dict(machine.orders.stops),
     )
     assert (
         one.heartbeat(9.0, sequence, incarnation=incarnation, tasks=[ReportedTask("wk-1/5", 75, "ended", "done")])
@@ -398,12 +403,12 @@
         machine.last_heartbeat_at,
         machine.last_sequence,
         machine.tasks,
-        machine.pending,
+        machine.orders.pending,
         machine.reserved,
-        machine.stop_orders,
+        machine.orders.stops,
     )
     assert not one.told_home()
-    one.machine_shard.check_leases(2.0 + OUT_S + 0.1)
+    one.machine_shard.leases.check(2.0 + OUT_S + 0.1)
     assert machine.state is MachineState.EXPIRED, "its lease counts from the newest"
 
 
@@ -414,7 +419,7 @@
     assert one.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
     assert not one.machine.tasks and not one.told_home() and not one.orders()
     one.grant(0, 71)
-    assert one.told_home() == [] and not one.machine.pending, "not up: never ordered"
+    assert one.told_home() == [] and not one.machine.orders.pending, "not up: never ordered"
     one.heartbeat(2.0, 51, tasks=[RUNNING])
     assert one.told_home() == [([0], [])]
 
@@ -428,7 +433,7 @@
         assert one.heartbeat(2.0, 9, fencing_token=fencing_token, incarnation=3, tasks=[RUNNING]) is None
     assert "n-1" not in one.machine_shard.machines and not one.told_home()
     one.enter(6, 3.0)  # its record has yet to go
-    assert one.machine_shard.records_to_drop == ["n-1"]
+    assert one.machine_shard.records.to_drop == ["n-1"]
     assert one.told_home() == [([], [])], "what others inherit did wait for the lease of a machine that was returned"
     assert one.heartbeat(4.0, 10, fencing_token=5) is None and not one.told_home()
 
@@ -438,7 +443,7 @@
     one.heartbeat(1.0, 8, tasks=[RUNNING])
     one.grant(3, 73)
     one.orders()
-    one.machine_shard.check_leases(1.0 + OUT_S + 0.1)
+    one.machine_shard.leases.check(1.0 + OUT_S + 0.1)
     assert one.machine.state is MachineState.EXPIRED
     one.told_home()
     one.heartbeat(20.0, 1, incarnation=2)
@@ -480,7 +485,7 @@
     assert one.orders() == [("run", "wk-1/0", 70)]
     one.told_home()
     one.heartbeat(5.0, 3, asked=True)  # written before the worker read the answer with the order
-    assert ("wk-1", 0) in one.machine.pending and not one.told_home() and one.machine.last_sequence == (1, 2)
+    assert ("wk-1", 0) in one.machine.orders.pending and not one.told_home() and one.machine.last_sequence == (1, 2)
     one.enter(6, 6.0, carry=True)
     one.told_home()
     one.heartbeat(7.0, 4, fencing_token=5, asked=True)
@@ -501,7 +506,7 @@
     assert one.heartbeat(1.2, 1) is None, "report 1 again"
     one.grant(0, 70)
     one.heartbeat(2.0, 3, asked=True)
-    assert ("wk-1", 0) in one.machine.pending
+    assert ("wk-1", 0) in one.machine.orders.pending
 
 
 def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -35,16 +35,16 @@
         self.waiting: dict[str, float] = {}  # job -> since when it waits beside room
         self.started: dict[str, int] = {}  # job -> how many starts of it were counted then
         self.longest = 0.0
-        self.rooms: dict[str, deque[placement.Room]] = {}  # what each machine had free at the last looks
+        self.rooms: dict[str, deque[placement.Resources]] = {}  # what each machine had free at the last looks
         world.after(max(0.0, since - world.t), self.look)
 
-    def status(self, worker) -> placement.Room:
+    def status(self, worker) -> placement.Resources:
         """What it has had free for ``STANDING_S``: what ended a moment ago is told, and given, with its reports."""
         seen = self.rooms.setdefault(worker.name, deque(maxlen=STANDING_S))
         seen.append(self.free(worker))
         return tuple(map(min, zip(*seen, strict=True))) if len(seen) == STANDING_S else (0.0, 0.0, 0.0)
 
-    def free(self, worker) -> placement.Room:
+    def free(self, worker) -> placement.Resources:
         kind = TYPES[worker.kind.type]
         room = (kind.cpus, kind.memory_gb, kind.gpus)
         for part, task in worker.tasks.items():
@@ -123,7 +123,7 @@
         super().call(answered, fail, method, *args, too_large=too_large)
 
     def tell_users(self) -> None:
-        for item in self.core.notifications:
+        for item in self.core.effects.notifications:
             if isinstance(item, Submission):
                 self.world.decided(item)
         super().tell_users()
@@ -180,13 +180,13 @@
             self.after(1.0, self.attempt, spec)
             return
         sim = self.nodes[self.rng.choice(healthy)]
-        if sim.core.knows_job(spec.id):
+        if sim.core.directory.knows_job(spec.id):
             if self.question(sim, spec.id) is not None:
                 self.taken(spec.id)
             else:
                 self.after(2.0, self.attempt, spec)
             return
-        submission = sim.core.submit(spec, self.t, self.t + sim.ahead_s)
+        submission = sim.core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
         self.hopes[submission] = (spec, life)
         self.after(constants.SUBMIT_WAIT_S, self.given_up, submission)
@@ -337,20 +337,20 @@
     world.run(5.0)
     core = world.nodes["host-1"].core
     for number in range(40):
-        core.submit(array(number), world.t, world.t)
+        core.submissions.submit(array(number), world.t, world.t)
     while core.submissions:
         world.run(world.t + 0.5)
-    submission = core.submit(array(99), world.t, world.t)
+    submission = core.submissions.submit(array(99), world.t, world.t)
     for number in range(40):
         core.job_shard.jobs[f"wk-{number:06d}"].abort(world.t + 1.0 + (number > 20))
-    core.submit(array(98), world.t + 1.5, world.t + 1.5)
+    core.submissions.submit(array(98), world.t + 1.5, world.t + 1.5)
     taken = []
     core.write_rate_limit.budget.available(world.t + 2.0)
     while len(taken) < 42:
         core.write_rate_limit.budget.level = 2.0 - constants.WRITE_AHEAD_SHARE * core.write_rate_limit.budget.burst
-        batch = core.next_batch(world.t + 2.0)
+        batch = core.record_writer.next_batch(world.t + 2.0)
         taken += [job.spec.id for job, _, _ in batch.jobs] + [one.job.spec.id for one, _ in batch.submissions]
-        core.on_batch_written(batch, world.store.revision, world.t + 2.0)
+        core.batch_results.on_written(batch, world.store.revision, world.t + 2.0)
     assert submission.outcome == "accepted" and taken.index("wk-000099") < 2
     assert taken.index("wk-000098") in (22, 23), "behind the ends before it, two to a transaction"
 
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -13,7 +13,7 @@
 from world import LABELS, TYPES, SimController, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
 
 from alderbridge import configuration, constants
-from alderbridge.configuration import Declarations, Head, Revision, records, texts
+from alderbridge.configuration import Head, OperatorConfiguration, Revision, records, texts
 from alderbridge.controller import process
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
@@ -53,13 +53,13 @@
         self.store = SimStore(self)
         self.me = "host-0"
         self.core = ControllerCore(platform(self.me, LABELS[:3]), Tuning(), self.t)
-        self.core.set_machine_types(TYPES)
+        self.core.machine_types.update(TYPES)
         self.lease_ids: dict[str, int] = {}
         for label in (self.me, *others):
             self.come(label)
-        self.core.lease_acquired(self.lease_ids[self.me], self.t, self.t)
+        self.core.view_entry.lease_acquired(self.lease_ids[self.me], self.t, self.t)
         self.core.membership.record_sync(self.t)
-        self.core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
         self.view(self.me, *others)
 
     def other(self, label: str) -> "Alone":
@@ -67,8 +67,8 @@
         other = object.__new__(Alone)
         other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
         other.core = ControllerCore(platform(label, LABELS[:3]), Tuning(), self.t)
-        other.core.set_machine_types(TYPES)
-        other.core.lease_acquired(self.lease_ids[label], self.t, self.t)
+        other.core.machine_types.update(TYPES)
+        other.core.view_entry.lease_acquired(self.lease_ids[label], self.t, self.t)
         other.reload()
         return other
 
@@ -86,13 +86,13 @@
         core = self.core
         core.membership.store_lease.record_renewal(self.lease_ids[self.me], self.t)
         core.membership.record_sync(self.t)
-        core.apply_events(self.store.since(core.replica.revision), self.t, self.t)
+        core.store_follower.apply_events(self.store.since(core.replica.revision), self.t, self.t)
         core.replica.revision = self.store.revision
 
     def reload(self) -> None:
         """As after any trouble with following: all is read anew."""
         self.core.membership.record_sync(self.t)
-        self.core.load(self.store.rows(), [], self.store.revision, self.t, self.t)
+        self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def go(self, for_s: float) -> None:
         """Time passes, and the store answers what is read."""
@@ -103,7 +103,7 @@
             self.core.round(self.t)
 
     def batch(self):
-        return self.core.next_batch(self.t)
+        return self.core.record_writer.next_batch(self.t)
 
     def carry_out(self, batch) -> wire.TransactionResult:
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
@@ -112,12 +112,12 @@
         """Carried out, and answered at once; a conflict is read as ``Controller.settle_conflict`` does."""
         core, answer = self.core, self.carry_out(batch)
         if not answer.failed:
-            core.on_batch_written(batch, answer.revision, self.t)
+            core.batch_results.on_written(batch, answer.revision, self.t)
             return answer
-        core.on_batch_failed(batch, self.t)
+        core.batch_results.on_failed(batch, self.t)
         for key in answer.failed if VIEW not in answer.failed else ():
             found = self.store.data.get(key)
-            core.resolve_conflict(
+            core.batch_results.resolve_conflict(
                 batch, key, None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]), self.t
             )
         return answer
@@ -132,7 +132,7 @@
         """What is due, sent and without an answer: the test carries it out when it likes."""
         batch = self.batch()
         assert batch is not None
-        self.core.on_batch_failed(batch, self.t)
+        self.core.batch_results.on_failed(batch, self.t)
         self.t += constants.STATE_TIMEOUT_S
         self.follow()
         return batch
@@ -153,7 +153,7 @@
 
     def job(self, spec=SPEC):
         """One that this home serves."""
-        submission = self.core.submit(spec, self.t, self.t)
+        submission = self.core.submissions.submit(spec, self.t, self.t)
         self.write()
         assert submission.outcome == "accepted"
         return self.core.job_shard.jobs[spec.id]
@@ -229,7 +229,7 @@
     machine = alone.heartbeat(name, 1, incarnation=2)
     assert machine.acknowledged and not machine.recorded
     alone.follow()
-    assert not machine.recorded and alone.core.machine_shard.candidate(machine, alone.t) is None
+    assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both late, one after the other
     alone.follow()
     assert not machine.recorded, "the record may go by the drop that is repeated"
@@ -256,7 +256,7 @@
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its part under this view
     alone.follow()
     alone.runs(job, name, 0)
-    alone.core.on_batch_written(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
+    alone.core.batch_results.on_written(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
     assert name in alone.core.replica.machines
     alone.view("host-1", "host-0")
     assert 0 in job.runs, "its machine is recorded, so only a report, its lease or its return frees it"
@@ -276,7 +276,7 @@
     alone.view("host-1", "host-0")
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})
     alone.follow()
-    alone.core.resolve_conflict(drop, MACHINES + name, None, alone.t)  # as it was when it was read
+    alone.core.batch_results.resolve_conflict(drop, MACHINES + name, None, alone.t)  # as it was when it was read
     assert name in alone.core.replica.machines
 
 
@@ -293,9 +293,9 @@
     alone.follow()
     assert name not in alone.core.replica.machines
     if how == "answer":
-        alone.core.on_batch_written(put, answer.revision, alone.t)
+        alone.core.batch_results.on_written(put, answer.revision, alone.t)
     else:
-        alone.core.resolve_conflict(
+        alone.core.batch_results.resolve_conflict(
             put, MACHINES + name, wire.KeyValue(MACHINES + name, msgspec.Raw(b"{}"), answer.revision), alone.t
         )
     assert name not in alone.core.replica.machines
@@ -312,7 +312,7 @@
     assert not alone.carry_out(put).failed
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
-    alone.core.pump()
+    alone.core.messenger.pump()
     assert not alone.core.job_shard.inherited.barrier, "nothing is on it"
     alone.write()
     assert MACHINES + name not in alone.store.data
@@ -343,7 +343,7 @@
     assert not [body for body in sent if isinstance(body, messages.AcknowledgeFinished)], (
         "the worker would forget what nobody has yet"
     )
-    alone.core.on_batch_failed(batch, alone.t)
+    alone.core.batch_results.on_failed(batch, alone.t)
     alone.write()
     assert [body.index for body in sent if isinstance(body, messages.AcknowledgeFinished)] == [0]
     alone.go(2.0)
@@ -355,7 +355,7 @@
     """A job whose end was sent, and had no answer."""
     job = alone.job()
     if how == "withdrawn":
-        assert alone.core.cancel(SPEC.id, alone.t) == ""
+        assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
             alone.runs(job, "n-000001", index)
@@ -369,15 +369,20 @@
     alone = Alone()
     job, end = late_end(alone, how)
     core = alone.core
-    assert core.local_job_state(SPEC.id, alone.t) is None, "others may have read it in the store: not pending"
-    assert core.cancel(SPEC.id, alone.t) == ""
+    assert core.local_jobs.local_job_state(SPEC.id, alone.t) is None, (
+        "others may have read it in the store: not pending"
+    )
+    assert core.local_jobs.cancel(SPEC.id, alone.t) == ""
     if late:  # after a newer try, which has been answered
         alone.write()
         assert alone.carry_out(end).failed
     else:  # before it: the replica shows it, and the next try meets it
         assert not alone.carry_out(end).failed
         alone.follow()
-    assert core.local_job_state(SPEC.id, alone.t)[0] == state and core.cancel(SPEC.id, alone.t) == state
+    assert (
+        core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == state
+        and core.local_jobs.cancel(SPEC.id, alone.t) == state
+    )
     alone.write()
     alone.go(2.0)
     alone.write()
@@ -395,10 +400,10 @@
         alone.carry_out(end)
     alone.view("host-1", "host-0")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = alone.core.local_job_state(SPEC.id, alone.t)
+    told = alone.core.local_jobs.local_job_state(SPEC.id, alone.t)
     assert told == (("aborted", 0, 0) if carried_out else None)
     alone.write()
-    assert alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_an_end_that_was_carried_out_is_not_written_active_again():
@@ -408,7 +413,7 @@
     job = alone.job()
     alone.runs(job, "n-000001", 0)  # something is left to stop, so that its record keeps what it asked for
     job.inherited = True
-    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.core.job_shard.settled = True
     alone.carry_out(alone.lost())
     alone.view("host-1", "host-0")
@@ -419,7 +424,7 @@
         alone.t += 1.0
         record = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
         assert record.state is JobState.ABORTED
-    assert alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
@@ -432,12 +437,12 @@
         alone.carry_out(end)
     there.view("host-1")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = there.core.local_job_state(SPEC.id, there.t)
+    told = there.core.local_jobs.local_job_state(SPEC.id, there.t)
     assert told[0] == ("done" if carried_out else "pending"), "nobody was told of an end that is not stored"
     there.go(2.0)
-    state = there.core.cancel(SPEC.id, there.t)
+    state = there.core.local_jobs.cancel(SPEC.id, there.t)
     there.write()
-    assert (state, there.core.local_job_state(SPEC.id, there.t)[0]) == (
+    assert (state, there.core.local_jobs.local_job_state(SPEC.id, there.t)[0]) == (
         ("done", "done") if carried_out else ("", "aborted")
     )
     there.go(1.0)
@@ -466,13 +471,13 @@
 def test_a_submission_given_up_and_stored_late_is_served_though_the_store_is_read_anew():
     """The store fails: the submission is given up, following breaks off, and what is read then has its record."""
     alone = Alone()
-    alone.core.submit(SPEC, alone.t, alone.t)
+    alone.core.submissions.submit(SPEC, alone.t, alone.t)
     late = alone.lost()
-    alone.core.refuse_submissions()
+    alone.core.submissions.refuse_all()
     assert not alone.carry_out(late).failed
     alone.reload()
     assert SPEC.id in alone.core.job_shard.jobs, "its user may have been told that it is known: nobody else serves it"
-    assert alone.core.local_job_state(SPEC.id, alone.t)[0] == "pending"
+    assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
 
 
 def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_home():
@@ -481,17 +486,17 @@
     there = alone.other("host-1")
     late = []
     for one in (alone, there):
-        one.core.submit(SPEC, one.t, one.t)
+        one.core.submissions.submit(SPEC, one.t, one.t)
         late.append(one.lost())
-        one.core.refuse_submissions()
+        one.core.submissions.refuse_all()
     assert not there.carry_out(late[1]).failed
-    again = alone.core.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
+    again = alone.core.submissions.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
     alone.write()
     assert again.outcome == "known" and alone.carry_out(late[0]).failed
     alone.follow()
     there.follow()
     assert SPEC.id in there.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
-    assert there.core.local_job_state(SPEC.id, there.t)[0] == "pending"
+    assert there.core.local_jobs.local_job_state(SPEC.id, there.t)[0] == "pending"
 
 
 def test_a_submission_stored_late_though_what_it_needs_was_aborted_meanwhile_ends():
@@ -499,7 +504,7 @@
     alone = Alone()
     need = msgspec.structs.replace(SPEC, id="wk-000002")
     alone.job(need)
-    submission = alone.core.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
+    submission = alone.core.submissions.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
     first = alone.lost()
     alone.store.commit({}, {JOBS + need.id: Record(JobState.ABORTED)})
     alone.follow()
@@ -509,7 +514,8 @@
     alone.follow()
     alone.write()
     assert (
-        alone.core.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0) and SPEC.id not in alone.core.job_shard.jobs
+        alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
+        and SPEC.id not in alone.core.job_shard.jobs
     )
 
 
@@ -524,7 +530,7 @@
     alone.core.lists_to_drop = list(keys)
     batch = alone.lost()
     assert batch.drops == keys
-    alone.core.on_batch_failed(batch, alone.t)  # the read that followed a conflict may fail as well
+    alone.core.batch_results.on_failed(batch, alone.t)  # the read that followed a conflict may fail as well
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert not alone.core.lists_to_drop
@@ -536,19 +542,19 @@
     alone.core.job_shard.value_bytes = 700
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
     spec = msgspec.structs.replace(SPEC, needs=needs)
-    submission = alone.core.submit(spec, alone.t, alone.t)
+    submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     assert len(submission.lists) > 1
     late = alone.lost()
     assert all(key.startswith(LISTS) for key in late.puts)
     alone.write()
     assert submission.outcome == "accepted"
-    assert alone.core.cancel(SPEC.id, alone.t) == ""
+    assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
     alone.core.replica.ended.clear()  # another controller, which has yet to hear of the job
     alone.core.replica.lists.clear()
-    again = alone.core.submit(spec, alone.t, alone.t)
+    again = alone.core.submissions.submit(spec, alone.t, alone.t)
     alone.settle(alone.batch())
     assert again.outcome == "known" and not [key for key in alone.store.data if key.startswith(LISTS)]
 
@@ -580,12 +586,12 @@
 def test_what_was_read_before_a_claim_was_stored_does_not_have_it_forgotten():
     """Reading anew was slow, and its own transaction was answered in between: a job that was stopped asked for room."""
     alone = Alone()
-    store, ledger = alone.store, alone.core.ledger
+    store, ledger = alone.store, alone.core.replica.ledger
     rows, revision = store.rows(), store.revision
     ledger.plan([{"n-000001": Claim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}])
     alone.write()
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
-    alone.core.load(rows, [], revision, alone.t, alone.t)
+    alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
     assert ledger.spent_revision == store.data[BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
@@ -599,8 +605,8 @@
 def test_the_answer_to_a_text_does_not_bring_it_back_when_another_head_has_dropped_it():
     """Counted on as stored, it was named by this file's head: nobody could read that, and all stopped acting."""
     raw = msgspec.json.encode({"words": ["a" * 900]})
-    own = configuration.Declared("hours", 3, texts.digest_of(raw), raw)
-    one = Declarations({"hours": own}, 20.0, ["host-0"])
+    own = configuration.ConfigurationRevision("hours", 3, texts.digest_of(raw), raw)
+    one = OperatorConfiguration({"hours": own}, 20.0, ["host-0"])
     other = Revision(2, "other", 0)
     membership = SimpleNamespace(
         present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: False
@@ -628,7 +634,7 @@
     control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
     core = control.core
     record = Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC)
-    core.replica.saw_job(SPEC.id, record, 5)
+    core.replica.observe_job(SPEC.id, record, 5)
     core.membership.observe_view(View("host-1", {"host-0": 1, "host-1": 2}), 4)
     return control, record
 
@@ -640,7 +646,7 @@
 
     async def slow(key):
         row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
-        control.core.replica.saw_job(SPEC.id, Record(ended), 6)
+        control.core.replica.observe_job(SPEC.id, Record(ended), 6)
         assert (await control.withdraw(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
@@ -655,7 +661,7 @@
     control.core.replica.active.clear()
 
     async def slow(key):
-        control.core.replica.saw_job(SPEC.id, record, 6)
+        control.core.replica.observe_job(SPEC.id, record, 6)
 
     monkeypatch.setattr(control.store, "get", slow)
     assert curio.run(control.status_stored, SPEC.id)[0] == 503
@@ -671,12 +677,12 @@
 
     async def poll():
         assert control.status_now(SPEC.id, answers.append) is None
-        control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
+        control.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
         await control.told(control.ask_count, messages.JobQueryReply(control.ask_count, 200, body))
 
     async def known():
         async def ask(label, what, job):
-            control.core.replica.saw_job(SPEC.id, Record(JobState.ABORTED), 6)
+            control.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
             return 200, body, []
 
         control.ask = ask
@@ -701,8 +707,8 @@
         )
 
     core = control.core
-    core.loaded, core.job_shard.value_bytes = True, 200
-    core.set_machine_types(TYPES)
+    core.state.loaded, core.job_shard.value_bytes = True, 200
+    core.machine_types.update(TYPES)
     monkeypatch.setattr(control.store, "get", get)
     monkeypatch.setattr(core.membership, "may_act", lambda now: True)
     body = {
@@ -811,14 +817,14 @@
 
     def follow(self) -> None:
         core, store, world = self.core, self.world.store, self.world
-        if self.follow_busy or not core.loaded or not self.troubled() or world.rng.random() >= 0.05:
+        if self.follow_busy or not core.state.loaded or not self.troubled() or world.rng.random() >= 0.05:
             return super().follow()
         self.follow_busy, sent = True, world.t
 
         def done(answer) -> None:
             self.follow_busy = False
             core.membership.record_sync(sent)
-            core.load(*answer, world.t, world.t + self.ahead_s)
+            core.store_follower.load(*answer, world.t, world.t + self.ahead_s)
 
         def failed() -> None:
             self.follow_busy = False
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -167,18 +167,18 @@
         grant = TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(index, attempt)])
         part.on_task_grant("host-1", grant, 1.5)
         if index == 0:
-            part.orders(machine)  # sent; the second never is
+            part.order_builder.orders(machine)  # sent; the second never is
     del sent[:]
     part.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, carry=True)
     assert not sent
-    part.settle(2.2)
+    part.leases.settle(2.2)
     assert sent == [
         ("host-0", MachineTaskReport("n-1", "a", 7, [], [])),
         ("host-1", MachineTaskReport("n-1", "a", 7, [], [("wk-1", 0, 70)])),
     ]
-    assert part.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
-    assert part.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
-    part.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
+    assert part.view.reconciliation.states == {"n-1": MachineProgress.RECONCILED}
+    assert part.order_builder.orders(part.machines["n-1"]) == [], "nothing is ordered before it has acknowledged"
+    part.heartbeats.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, 2, 6, "a"), 3.0)
     assert sent[-1] == ("host-1", MachineTaskReport("n-1", "a", 7, [], [])), "its report settles what was ordered"
 
 
@@ -187,22 +187,22 @@
     heartbeat(part, 1)
     del sent[:]
     part.enter(6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, carry=False)
-    part.settle(2.2)
-    assert not sent and part.reconciliation.states == {"n-1": MachineProgress.RECORDED}
+    part.leases.settle(2.2)
+    assert not sent and part.view.reconciliation.states == {"n-1": MachineProgress.RECORDED}
 
 
 def test_a_machine_that_goes_while_its_record_is_written_leaves_none_behind():
     """A returned machine's record failed each look for what to write: its controller wrote nothing any more."""
     part, _ = part_with_machine()
     for name in ("n-2", "n-3", "n-4"):
-        part.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
-    assert part.records_to_write == ["n-2", "n-3", "n-4"]
+        part.heartbeats.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
+    assert part.records.to_write == ["n-2", "n-3", "n-4"]
     part.on_terminated(["n-2", "n-3"])
-    assert part.records_to_write == ["n-4"]
-    part.on_recorded("n-3")  # its write was on the way
-    part.check_leases(30.0)
-    part.on_recorded("n-4")
-    assert sorted(part.records_to_drop) == ["n-1", "n-3", "n-4"] and not part.records_to_write
+    assert part.records.to_write == ["n-4"]
+    part.records.on_recorded("n-3")  # its write was on the way
+    part.leases.check(30.0)
+    part.records.on_recorded("n-4")
+    assert sorted(part.records.to_drop) == ["n-1", "n-3", "n-4"] and not part.records.to_write
     assert not part.machines["n-4"].recorded
 
 
@@ -218,11 +218,11 @@
         job.last_write = 0.0
         core.job_shard.add(job)
         job.mark_dirty(world.t)
-    core.machine_records_to_drop = ["n-8", "n-9"]
+    core.machine_records.to_drop = ["n-8", "n-9"]
     gone = []
     while len(gone) < 2 and world.t < 12.0:
         world.run(world.t + 0.1)
-        batch = core.next_batch(world.t)
+        batch = core.record_writer.next_batch(world.t)
         if batch is not None:
             gone += batch.dropped_machines
             assert batch.changes <= core.max_changes
@@ -467,11 +467,11 @@
     monkeypatch.setattr(policy, "block_ends", lambda age_s, within_s: True)
     monkeypatch.setattr(policy, "keep_idle", lambda walk, resource: False)
     spec = world.make_job(99)
-    leader.replica.saw_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
+    leader.replica.observe_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
     queue.told[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     began = leader.scale_in_guard.since
-    assert not leader.decide(world.t).drain and leader.scale_in_guard.returns > 0
+    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_returns > 0
     del queue.told[spec.id]
     assert leader.decide(world.t).drain, "squared, it goes"
     assert leader.scale_in_guard.since >= began
@@ -481,14 +481,16 @@
     world = World(9600, jobs=0, trouble=False)
     world.run(5.0)
     core = world.nodes["host-0"].core
-    core.outgoing_frames.clear()
+    core.effects.outgoing_frames.clear()
     clears = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
     core.send_deferred("host-1", clears[0])
     core.send_deferred("host-1", clears[1])
-    assert not core.outgoing_frames
+    assert not core.effects.outgoing_frames
     core.send("host-1", clears[2])
-    assert [frame.body for _, frame in core.outgoing_frames] == clears
-    assert [frame.seq for _, frame in core.outgoing_frames] == sorted(frame.seq for _, frame in core.outgoing_frames)
+    assert [frame.body for _, frame in core.effects.outgoing_frames] == clears
+    assert [frame.seq for _, frame in core.effects.outgoing_frames] == sorted(
+        frame.seq for _, frame in core.effects.outgoing_frames
+    )
     core.send_deferred("host-1", clears[0])
     core.round(world.t)
-    assert clears[0] in [frame.body for _, frame in core.outgoing_frames[3:]] and not core.deferred
+    assert clears[0] in [frame.body for _, frame in core.effects.outgoing_frames[3:]] and not core.deferred
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -91,7 +91,7 @@
     world.submit(tail)
     world.run(33.0)
     core.replica.ended.clear()  # as if none of them were over yet: the list is long
-    submission = core.submit(after, world.t, world.t)
+    submission = core.submissions.submit(after, world.t, world.t)
     assert len(submission.lists) > 3 and submission.job.spec.needs is None
     world.run(60.0)
     assert submission.outcome == "accepted" and len([key for key in world.store.data if key.startswith(LISTS)]) > 3
@@ -124,18 +124,26 @@
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
     after = msgspec.structs.replace(after, needs=[first.id])
     near, far = world.nodes["host-0"], world.nodes["host-1"]
-    near.core.submit(first, world.t, world.t)
+    near.core.submissions.submit(first, world.t, world.t)
     world.run(6.0)
-    far.core.submit(after, world.t, world.t)
+    far.core.submissions.submit(after, world.t, world.t)
     world.run(7.0)
     far.cut_store_until = 60.0  # longer than it may act
-    near.core.cancel(first.id, world.t)
+    near.core.local_jobs.cancel(first.id, world.t)
     world.run(8.0)
-    assert near.core.local_job_state(first.id, world.t)[0] == "aborted" and after.id in near.core.graph.cascade_aborted
+    assert (
+        near.core.local_jobs.local_job_state(first.id, world.t)[0] == "aborted"
+        and after.id in near.core.replica.graph.cascade_aborted
+    )
     answers = []
     while world.t < 33.0:
         world.run(world.t + 0.5)
-        answers.append((near.core.local_job_state(after.id, world.t), far.core.local_job_state(after.id, world.t)))
+        answers.append(
+            (
+                near.core.local_jobs.local_job_state(after.id, world.t),
+                far.core.local_jobs.local_job_state(after.id, world.t),
+            )
+        )
     told = [(ours or ("",))[0] for ours, _ in answers]
     assert told[0] == "" and told[-1] == "aborted"
     assert all(theirs is None for ours, theirs in answers if ours is not None)
@@ -148,9 +156,9 @@
     core = world.nodes["host-0"].core
     spec = world.make_job(1)
     job = core.job_shard.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
-    assert core.local_job_state(spec.id, 5.0)[0] == "pending"
+    assert core.local_jobs.local_job_state(spec.id, 5.0)[0] == "pending"
     job.abort(5.0)
-    assert core.local_job_state(spec.id, 5.0) is None
+    assert core.local_jobs.local_job_state(spec.id, 5.0) is None
 
 
 PIPELINE_RULES = ("too_early", "orphaned")
@@ -251,7 +259,7 @@
         real(self, label, grant, now)
         if machine is not None:
             machine.free = free or self.free(machine)
-            machine.pending = dict(machine.pending)
+            machine.orders.pending = dict(machine.orders.pending)
 
     monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -316,7 +316,7 @@
             world.t,
             own={} if self.old else world.files(self.label),
         )
-        self.core.types = self.core.machine_shard.types = TYPES
+        self.core.machine_shard.capacity.types = self.core.machine_shard.capacity.types = TYPES
         self.core.leader.on_types(TYPES)
         world.prepare(self.core)
         self.busy = self.entering = False
@@ -456,7 +456,7 @@
             self.entering = False
             if answer.failed:
                 return
-            core.lease_acquired(lease_id, sent, world.t)
+            core.view_entry.lease_acquired(lease_id, sent, world.t)
             if before is not None:
                 lease_id = msgspec.json.decode(before.data, type=MemberRecord).lease_id
                 self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
@@ -472,28 +472,28 @@
 
         def read(since: int | None = None):
             store.check()
-            if since is None and (self.reads_all or not core.loaded):
+            if since is None and (self.reads_all or not core.state.loaded):
                 return self.seen(store.rows()), [], store.revision
             return None, self.seen(store.since(core.replica.revision if since is None else since)), store.revision
 
         def done(answer, rows=None, sent=sent):
             rows, changes, revision = answer if rows is None else (rows, *answer[1:])
-            if rows is not None and core.loaded and self.reads_all:  # then what has changed since the first row
+            if rows is not None and core.state.loaded and self.reads_all:  # then what has changed since the first row
                 self.reads_all = False
                 self.call(lambda answer, sent=world.t: done(answer, rows, sent), failed, read, revision)
                 return
             self.follow_busy = False
             core.membership.record_sync(sent)
             if rows is None:
-                core.apply_events(changes, world.t, world.t + self.ahead_s)
+                core.store_follower.apply_events(changes, world.t, world.t + self.ahead_s)
                 core.replica.revision = revision
             else:
-                core.load(rows, changes, revision, world.t, world.t + self.ahead_s)
+                core.store_follower.load(rows, changes, revision, world.t, world.t + self.ahead_s)
             world.followed(self, [*(rows or ()), *changes])
 
         def failed():
             self.follow_busy = False
-            self.reads_all = world.reloads and core.loaded  # as the program does after any trouble with following
+            self.reads_all = world.reloads and core.state.loaded  # as the program does after any trouble with following
 
         self.call(done, failed, read)
 
@@ -511,7 +511,7 @@
         ]
 
     def view(self) -> None:
-        change = self.core.next_view(self.world.t)
+        change = self.core.view_entry.next_view(self.world.t)
         if change is not None:
             view, conditions, drops = change
             self.call(lambda _: None, lambda: None, self.world.store.commit, conditions, {VIEW: view}, drops)
@@ -520,41 +520,41 @@
         if self.busy:
             return
         core, world = self.core, self.world
-        if world.t < self.rests_until and core.nothing_to_write():
+        if world.t < self.rests_until and core.record_writer.nothing_to_write():
             return  # as the program rests
-        batch = core.next_batch(world.t)
+        batch = core.record_writer.next_batch(world.t)
         if batch is None:
-            self.rests_until = world.t + core.next_write_in(world.t)
+            self.rests_until = world.t + core.record_writer.next_write_in(world.t)
             return
         self.busy = True
 
         def done(answer):
             self.busy = False
             if answer.failed:
-                core.on_batch_failed(batch, world.t)
+                core.batch_results.on_failed(batch, world.t)
                 if VIEW not in answer.failed:
                     for key in answer.failed:
                         self.call(
-                            lambda row, key=key: core.resolve_conflict(batch, key, row[0], world.t),
+                            lambda row, key=key: core.batch_results.resolve_conflict(batch, key, row[0], world.t),
                             lambda: None,
                             self.read,
                             key,
                         )
             else:
-                core.on_batch_written(batch, answer.revision, world.t)
+                core.batch_results.on_written(batch, answer.revision, world.t)
             self.tell_users()
 
         def failed():
             self.busy = False
-            core.on_batch_failed(batch, world.t)
+            core.batch_results.on_failed(batch, world.t)
             away = world.t < max(self.cut_store_until, self.refused_until, world.store.down_until)
             if away or world.rng.random() < 0.5:
-                core.refuse_submissions()  # the store has said 503, after an attempt that had no answer, it may be
+                core.submissions.refuse_all()  # the store has said 503, after an attempt that had no answer, it may be
             self.tell_users()
 
         def too_large():
             self.busy = False
-            core.on_batch_too_large(batch, world.t)
+            core.batch_results.on_too_large(batch, world.t)
 
         puts = batch.puts
         if self.old:
@@ -570,8 +570,8 @@
         return self.seen([wire.KeyValue(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
 
     def tell_users(self) -> None:
-        while self.core.notifications:
-            item = self.core.notifications.popleft()
+        while self.core.effects.notifications:
+            item = self.core.effects.notifications.popleft()
             if isinstance(item, Submission) and item.outcome == "accepted":
                 self.world.accept(item.job.spec.id)
 
@@ -639,11 +639,11 @@
     def status(self, job: str, told) -> None:
         """As ``Controller.status_now``: from memory, else by the job's home, by messages, else from the store."""
         core, world, life = self.core, self.world, self.life
-        state = core.local_job_state(job, world.t)
+        state = core.local_jobs.local_job_state(job, world.t)
         if state is not None:
             told(self.noted(job, state[0]))
             return
-        home = core.job_owner(job)
+        home = core.directory.job_owner(job)
         if not home or home == self.label:
             self.status_stored(job, told)
             return
@@ -661,7 +661,7 @@
 
         world.asking[number] = (self.label, life, world.t + constants.QUERY_TIMEOUT_S, answered)
         world.after(constants.QUERY_TIMEOUT_S, given_up)
-        core.send_unreliable(home, messages.JobQuery(number, "status", job))
+        core.messenger.send_unreliable(home, messages.JobQuery(number, "status", job))
         self.flush()
 
     def status_stored(self, job: str, told) -> None:
@@ -670,13 +670,13 @@
         def read(answer) -> None:
             row, state = answer[0], None
             if row is None:
-                state = None if core.knows_job(job) else NOT_FOUND
+                state = None if core.directory.knows_job(job) else NOT_FOUND
             else:
                 record = msgspec.json.decode(row.data, type=Record)
                 waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
-                elif not waits or core.is_certainly_pending(job, world.t):
+                elif not waits or core.local_jobs.is_certainly_pending(job, world.t):
                     state = "pending"
             told(self.noted(job, state))
 
@@ -717,16 +717,16 @@
             else:
                 told(None)
 
-        if core.knows_job(spec.id):
+        if core.directory.knows_job(spec.id):
             known()
-        elif not core.loaded or not core.types:
+        elif not core.state.loaded or not core.machine_shard.capacity.types:
             told(None)
         elif Controller.never_runs(SimpleNamespace(platform=SimpleNamespace(settings=core.shared), core=core), spec):
             self.status(spec.id, told)
         elif not core.membership.may_act(world.t) or spec.needs:
             told(None)
         else:
-            submission = core.submit(spec, world.t, world.t + self.ahead_s)
+            submission = core.submissions.submit(spec, world.t, world.t + self.ahead_s)
             if submission is None:
                 self.status(spec.id, told)
             else:
@@ -736,7 +736,7 @@
         """``told`` the job's end when the store has it; None: this is not its home, or the store is slow."""
         core, life, world = self.core, self.life, self.world
         since = world.t if since is None else since
-        state = core.cancel(job, world.t)
+        state = core.local_jobs.cancel(job, world.t)
         if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
             world.after(0.1, lambda: life == self.life and self.withdraw(job, told, since))
         else:
@@ -746,20 +746,20 @@
     def questions(self) -> None:
         """What others ask this one to withdraw, and their answers."""
         core, world = self.core, self.world
-        while core.queries:
-            label, ask = core.queries.popleft()
+        while core.effects.queries:
+            label, ask = core.effects.queries.popleft()
 
             def told(state: str | None, label: str = label, ask: messages.JobQuery = ask) -> None:
-                core.send_unreliable(
+                core.messenger.send_unreliable(
                     label, messages.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode())
                 )
 
             if ask.kind == "withdraw":
                 self.withdraw(ask.job, told)
             else:
-                told((core.local_job_state(ask.job, world.t) or (None,))[0])
-        while core.query_replies:
-            reply = core.query_replies.popleft()
+                told((core.local_jobs.local_job_state(ask.job, world.t) or (None,))[0])
+        while core.effects.query_replies:
+            reply = core.effects.query_replies.popleft()
             label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
             if label == self.label and life == self.life and world.t <= until:
                 told(reply.body.decode() if reply.status == 200 else None)
@@ -768,11 +768,11 @@
         if self.core is None:
             return
         world = self.world
-        if self.core.queries or self.core.query_replies:
+        if self.core.effects.queries or self.core.effects.query_replies:
             self.questions()
-        self.dead_links -= set(self.core.channel_renewals)
-        self.core.channel_renewals.clear()
-        outgoing, self.core.outgoing_frames = self.core.outgoing_frames, []
+        self.dead_links -= set(self.core.effects.channel_renewals)
+        self.core.effects.channel_renewals.clear()
+        outgoing, self.core.effects.outgoing_frames = self.core.effects.outgoing_frames, []
         for label, frame in outgoing:
             other = world.nodes[label]
             cut = max(self.cut_mesh_until, other.cut_mesh_until)
@@ -804,7 +804,7 @@
             return
         core = self.core
         heartbeat = wire.parse_heartbeat(raw)
-        if not core.loaded or not core.membership.may_act(world.t):
+        if not core.state.loaded or not core.membership.may_act(world.t):
             return reply(503, b"")
         owner = core.membership.report_to(heartbeat.machine)
         if owner != self.label:
@@ -822,7 +822,7 @@
                 return
             if fencing_token != core.membership.fencing_token or not core.membership.may_act(world.t):
                 return reply(503, b"")
-            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.orders(machine)))
+            reply(200, wire.heartbeat_response(fencing_token, core.machine_shard.order_builder.orders(machine)))
 
         world.after(0.02, finish)
         return None
@@ -1274,14 +1274,19 @@
             if spec.service or self.rng.random() < 0.15:
                 self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
             return
-        if core is not None and core.types and core.membership.may_act(self.t) and core.loaded:
+        if (
+            core is not None
+            and core.machine_shard.capacity.types
+            and core.membership.may_act(self.t)
+            and core.state.loaded
+        ):
             ready = not spec.needs or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
-                and all(map(core.knows_job, spec.needs))
+                and all(map(core.directory.knows_job, spec.needs))
             )
-            if ready and not core.knows_job(spec.id):
-                core.submit(spec, self.t, self.t + sim.ahead_s)
-            elif core.knows_job(spec.id) and self.question(sim, spec.id) is not None:
+            if ready and not core.directory.knows_job(spec.id):
+                core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
+            elif core.directory.knows_job(spec.id) and self.question(sim, spec.id) is not None:
                 self.accept(spec.id)  # an earlier try was carried out: 200
         self.after(1.5, self.submit, spec)
 
@@ -1404,10 +1409,10 @@
         """As ``Controller.status`` answers: from memory, by the job's home, or from the store; None: 503, or nobody."""
         if sim.core is None:
             return None
-        state = sim.core.local_job_state(job, self.t)
+        state = sim.core.local_jobs.local_job_state(job, self.t)
         if state is not None:
             return state[0]
-        home = self.nodes.get(sim.core.job_owner(job))
+        home = self.nodes.get(sim.core.directory.job_owner(job))
         if (
             home is not None
             and home is not sim
@@ -1416,7 +1421,7 @@
             and home.core.membership.fencing_token == sim.core.membership.fencing_token
             and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
         ):
-            state = home.core.local_job_state(job, self.t)
+            state = home.core.local_jobs.local_job_state(job, self.t)
             if state is not None:
                 return state[0]
         if self.t < max(sim.cut_store_until, sim.refused_until, self.store.down_until):
@@ -1428,7 +1433,7 @@
         waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
-        return None if waits and not sim.core.is_certainly_pending(job, self.t) else "pending"
+        return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
 
     def withdraw(self, job: str) -> None:
         if job in self.said:
@@ -1438,9 +1443,9 @@
             return
         for label in self.labels:
             core = self.nodes[label].core
-            if core is not None and core.job_owner(job) == label:
+            if core is not None and core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, math.inf)
-                state = core.cancel(job, self.t)
+                state = core.local_jobs.cancel(job, self.t)
                 if state:
                     self.answer(job, state)
                     if state == "aborted":
@@ -1455,9 +1460,9 @@
             self.cancelled_at.setdefault(job, math.inf)
         if again:
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
-        if core is None or not core.loaded:
+        if core is None or not core.state.loaded:
             return
-        home, told = core.job_owner(job), self.withdrawn
+        home, told = core.directory.job_owner(job), self.withdrawn
         if home == sim.label or job in core.replica.ended:
             sim.withdraw(job, lambda state: state and told(job, state))
         elif home:
@@ -1468,7 +1473,7 @@
                 self.t + constants.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
-            core.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
+            core.messenger.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
             sim.flush()
         else:
             sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
@@ -1686,14 +1691,14 @@
             heard = (
                 machine.last_heartbeat_at
                 if machine.acknowledged
-                else max(machine.last_heartbeat_at, machine.exclusive_since or math.inf)
+                else max(machine.last_heartbeat_at, machine.lease.exclusive_since or math.inf)
             )
-            if machine.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
-                if heard < part.oldest_lease_start:
+            if machine.lease.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
+                if heard < part.leases.oldest_start:
                     raise Broken(f"books: {machine.name} was silent since {heard}, no look is due")
         for machine in part.machines.values():
             kept, machine.free = machine.free, None
-            free = part.free(machine)
+            free = part.capacity.free(machine)
             known, machine.free = machine.free is not None, kept  # a job that is over is counted no longer
             if kept is not None and known and any(abs(a - b) > 1e-6 for a, b in zip(kept, free, strict=True)):
                 raise Broken(f"books: {machine.name} has {free} free, kept was {kept}")
