--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -45,7 +45,7 @@
     def reopen(self) -> None:
         """End to wait for one."""
 
-    def start_turn(self, opened_at: float, since: float) -> None:
+    def schedule_after_opening(self, opened_at: float, since: float) -> None:
         """Count its times from ``since``, after an opening."""
 
 
@@ -114,7 +114,7 @@
                 if opening == job.opened_at or (not was_closed and answer.opened_at == 0.0):
                     continue
                 if opening <= wall - now + job.ready_since:
-                    job.start_turn(opening, job.ready_since)  # it came while it was open
+                    job.schedule_after_opening(opening, job.ready_since)  # it came while it was open
                     continue
             spread = answer.rule.spread_s if answer.rule is not None else constants.OPENING_SPREAD_S
             waits.setdefault((opening, spread), []).append(job)
@@ -140,7 +140,7 @@
         pace = max(total / spread_s, constants.OPENING_PACE) if spread_s else math.inf
         before = 0
         for job in sorted(group, key=by_need):
-            job.start_turn(opening, max(since, job.ready_since) + before / pace)
+            job.schedule_after_opening(opening, max(since, job.ready_since) + before / pace)
             before += job.waiting
 
     @staticmethod
--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -99,7 +99,7 @@
         self._machines_written(batch, revision, current)
         for job, record, cleared in batch.jobs:
             if self.job_shard.jobs.get(job.spec.id) is job:
-                self.job_shard.on_written(job, record, revision, cleared, now)
+                self.job_shard.record_writes.on_written(job, record, revision, cleared, now)
             self._job_stored(job, record, revision)
         for submission, key in batch.lists:
             self.replica.lists[key] = submission.lists.pop(key, [])
@@ -186,6 +186,6 @@
         job.revision = revision
         if record.state is not JobState.ACTIVE:
             job.apply_stored_end(record.state)
-            self.job_shard.on_written(job, record, revision, [], self.state.now)
+            self.job_shard.record_writes.on_written(job, record, revision, [], self.state.now)
             job.mark_dirty(self.state.now)
         self._job_stored(job, record, revision)
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -97,9 +97,13 @@
 
     def _construct_shards(self, rng: Random) -> None:
         value_bytes = int(self.shared.state.effective.value_kb * 1024)
-        self.job_shard = JobShard(self.shared.teams, self.messenger.send, value_bytes)
-        self.job_shard.machine_owner = self.membership.machine_owner
-        self.job_shard.send_deferred = self.messenger.send_deferred
+        self.job_shard = JobShard(
+            self.shared.teams,
+            self.messenger.send,
+            value_bytes,
+            machine_owner=self.membership.machine_owner,
+            send_deferred=self.messenger.send_deferred,
+        )
         self.directory = JobDirectory(self.membership, self.replica, self.job_shard)
         self.machine_shard = MachineShard(
             self.shared.workers.lease_s,
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -24,7 +24,7 @@
         name = job.spec.id
         if self.graph.waiting(name):
             job.block()
-            if name in self.graph.doomed:
+            if name in self.graph.cascade_aborted:
                 job.abort(self.state.now, "a job before it is aborted")
             return
         ready_at = max(job.ready_at, self.graph.ready_at(name))
@@ -33,16 +33,18 @@
     def process_events(self) -> None:
         """Facts of the store have arrived: apply them to the jobs that are ready now, or aborted in a cascade."""
         graph = self.graph
-        ready, graph.fresh_ready = graph.fresh_ready, []
-        doomed, graph.fresh_doomed = graph.fresh_doomed, []
-        for name in doomed:
+        ready, graph.newly_ready = graph.newly_ready, []
+        cascade_aborted, graph.newly_cascade_aborted = graph.newly_cascade_aborted, []
+        for name in cascade_aborted:
             self.cascade_aborted_at[name] = self.state.now
-        for name in ready + doomed:
+        for name in ready + cascade_aborted:
             job = self.job_shard.jobs.get(name)
             if job is not None:
                 self.apply(job)
-        if len(self.cascade_aborted_at) > 2 * len(graph.doomed):
-            self.cascade_aborted_at = {name: at for name, at in self.cascade_aborted_at.items() if name in graph.doomed}
+        if len(self.cascade_aborted_at) > 2 * len(graph.cascade_aborted):
+            self.cascade_aborted_at = {
+                name: at for name, at in self.cascade_aborted_at.items() if name in graph.cascade_aborted
+            }
 
     def needs_of(self, job: Job) -> list[str]:
         """The jobs that it depends on, from its record and the lists beside it."""
@@ -53,7 +55,7 @@
 
     def is_cascade_aborted(self, job: str) -> bool:
         """Whether the job is aborted, or a job before it is."""
-        return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.doomed
+        return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.cascade_aborted
 
     def cascade_abort_is_settled(self, job: str) -> bool:
         """Whether every member that still acts knows, too, that a job before this one is aborted.
--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -34,7 +34,7 @@
         ended = self.replica.ended.get(job)
         if ended is not None:
             return ended.value, 0, 0
-        if job in self.graph.doomed:
+        if job in self.graph.cascade_aborted:
             return (JobState.ABORTED.value, 0, 0) if self.dependencies.cascade_abort_is_settled(job) else None
         mine = self.job_shard.jobs.get(job)
         if mine is None or not self.state.may_act():
@@ -51,7 +51,7 @@
         """Whether a job whose record was active in the store when it was read a moment ago may be called pending."""
         self.state.now = now
         spec = self.directory.spec_of(job)
-        return spec is not None and job not in self.graph.doomed and self.state.may_act()
+        return spec is not None and job not in self.graph.cascade_aborted and self.state.may_act()
 
     def cancel(self, job: str, now: float) -> str | None:
         """The job's stored state, "" while its end is being written, None where this member does not own it."""
--- a/alderbridge/controller/message_handlers.py
+++ b/alderbridge/controller/message_handlers.py
@@ -70,13 +70,13 @@
         }
 
     def _on_task_report(self, label: str, report: messages.MachineTaskReport) -> None:
-        self.job_shard.on_task_report(label, report, self.state.now)
+        self.job_shard.task_reports.on_task_report(label, report, self.state.now)
 
     def _on_acknowledge_finished(self, label: str, finished: messages.AcknowledgeFinished) -> None:
         self.machine_shard.on_acknowledge_finished(finished.machine, finished.job, finished.index, finished.attempt)
 
     def _on_task_request(self, label: str, request: messages.TaskRequest) -> None:
-        self.job_shard.on_task_request(label, request, self.state.now, self.state.may_act())
+        self.job_shard.grants.on_task_request(label, request, self.state.now, self.state.may_act())
         self.queue_round.publisher.delta_tracker.resend_row(label, request.job)
 
     def _on_task_grant(self, label: str, grant: messages.TaskGrant) -> None:
@@ -94,10 +94,10 @@
         self.machine_shard.on_stop_task(stop)
 
     def _on_quota_allocation(self, label: str, allocation: messages.QuotaAllocation) -> None:
-        self.job_shard.allocate_quota(allocation.teams)
+        self.job_shard.usage.allocate(allocation.teams)
 
     def _on_quota_delta(self, label: str, delta: messages.QuotaDelta) -> None:
-        self.job_shard.allocate_quota(delta.teams, whole=False)
+        self.job_shard.usage.allocate(delta.teams, whole=False)
 
     def _on_drain_machines(self, label: str, drain: messages.DrainMachines) -> None:
         self.machine_shard.drain(drain.machines)
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -50,16 +50,20 @@
 
     def snapshot(self, now: float) -> QueueState:
         """This job shard's queue and sums as they stand."""
-        used = self.job_shard.used(now)
+        used = self.job_shard.usage.used(now)
         if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
-        rows = self.job_shard.queue_rows(
+        rows = self.job_shard.queue.rows(
             now, self.queue_times.due_in, self.queue_times.run_time, self.queue_times.rank, self.guaranteed_jobs, used
         )
         if self.calendars.gate is not None and self.state.may_act():
-            self.job_shard.stop_closed()
+            self.job_shard.job_calendars.stop_tasks()
         return QueueState(
-            rows, used, self.job_shard.reserved(used), self.job_shard.demand(used), self.job_shard.allocations_received
+            rows,
+            used,
+            self.job_shard.usage.reserved(used),
+            self.job_shard.usage.demand(used),
+            self.job_shard.usage.allocations_received,
         )
 
     def publish(self, now: float, snapshot: QueueState) -> None:
--- a/alderbridge/controller/queue_times.py
+++ b/alderbridge/controller/queue_times.py
@@ -20,12 +20,12 @@
         self.state = state
         self.tuning = tuning
         self.objectives = objectives
-        stretches = [objective.times or 1.0 for objective in objectives if objective.kind == "deadline"]
-        self.graph = Graph(self.run_time, stretches)
+        deadline_multiples = [objective.times or 1.0 for objective in objectives if objective.kind == "deadline"]
+        self.graph = Graph(self.run_time, deadline_multiples)
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
         """Seconds until the job is due, and whether it is late, as ``policy.due_in`` has them."""
-        needed = self.graph.needed_by(job.spec.id)
+        needed = self.graph.dependents_due(job.spec.id)
         basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
         if job.queue_times is None or job.queue_times[0] != basis:
             job.queue_times = (
@@ -46,7 +46,7 @@
 
     def rank(self, spec: wire.JobSpec) -> int:
         """The priority of the jobs that need it, where higher than its own; else -1."""
-        needed = self.graph.needed_rank(spec.id)
+        needed = self.graph.dependents_rank(spec.id)
         return needed if needed >= 0 and needed > spec.rank else -1
 
     def run_time(self, spec: wire.JobSpec) -> float:
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -84,7 +84,7 @@
         budget = self.write_rate_limit.budget
         available = budget.available(now)
         ahead = available + constants.WRITE_AHEAD_SHARE * budget.burst
-        pause = min(constants.ROUND_S, self.job_shard.due_at - now)
+        pause = min(constants.ROUND_S, self.job_shard.record_writes.due_at - now)
         if ahead < 1:
             pause = min(constants.ROUND_S, (1 - ahead) / budget.rate)
         elif available < 1:
@@ -114,7 +114,7 @@
             return True
         now = self.state.now
         self.machine_records.collect_drops(now)
-        due = sorted(self.job_shard.due_writes(now), key=lambda entry: entry[0])
+        due = sorted(self.job_shard.record_writes.due(now), key=lambda entry: entry[0])
         urgent = self._urgent_entries([job for rank, job in due if rank < URGENT_BELOW], room)
         if not urgent and self._add_configuration(batch, room):
             return True
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -78,7 +78,7 @@
             record, lists = split_dependencies(record, room)
         if len(msgspec.json.encode(record)) > room:
             return None
-        submission = Submission(Job(record, 0, now, 0.0, fresh=True), lists=lists)
+        submission = Submission(Job(record, 0, now, 0.0, never_started=True), lists=lists)
         self.pending[spec.id] = submission
         self.has_new = True
         return submission
@@ -128,7 +128,7 @@
             or self.state.membership.job_owner(record.accepted_by) != self.state.me
         ):
             return
-        job = Job(record, revision, self.state.now, max(0.0, self.state.wall() - record.at), fresh=True)
+        job = Job(record, revision, self.state.now, max(0.0, self.state.wall() - record.at), never_started=True)
         self.job_shard.add(job)
         self.dependencies.apply(job)
         log.info("job=%s state=adopted cause=stored after its submission was given up", name)
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -124,7 +124,7 @@
         waits for it was ever started.
         """
         waits = self.dependencies.graph.waiting(name)
-        job = Job(record, revision, now, max(0.0, wall - record.at), fresh=waits)
+        job = Job(record, revision, now, max(0.0, wall - record.at), never_started=waits)
         job.inherited = True
         self.dependencies.apply(job)
         return job
--- a/alderbridge/jobs/record.py
+++ b/alderbridge/jobs/record.py
@@ -8,6 +8,10 @@
 
 from alderbridge.protocol.wire import JobSpec
 
+# Time of day of an end that has not come. ``omit_defaults`` goes by identity: only this very object is left out of the
+# record, so whoever makes one uses it.
+NOT_ENDED = 0.0
+
 
 class JobState(str, Enum):
     """State of a job as stored; DONE and ABORTED are final."""
@@ -29,4 +33,4 @@
     # Digest and count of the lists of dependencies beside this record, see ``replica.list_keys``.
     dependency_digest: str = msgspec.field(name="more", default="")
     ready_at: float = 0.0  # time of day when the last dependency was done; the record then leaves them out
-    done_at: float = 0.0  # time of day of its last task's end
+    done_at: float = NOT_ENDED  # time of day of its last task's end
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -12,11 +12,14 @@
 import curio
 import encoded_examples as examples
 import msgspec
+import production
 import pytest
 
 from alderbridge import settings
 from alderbridge.cloud import Cloud
 from alderbridge.configuration import compiler
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import Record
 from alderbridge.protocol import messages, wire
 from alderbridge.state.store import Store
 from alderbridge.transport import mesh
@@ -222,3 +225,10 @@
         if default is not msgspec.NODEFAULT and getattr(value, field.name) == default:
             found.append(field.name)
     return found
+
+
+def test_a_record_that_a_job_writes_leaves_out_what_has_its_default():
+    """The structure leaves out the very object that is its default, not whatever equals it."""
+    stored = production.RECORDS[0]
+    job = Job(msgspec.json.decode(stored, type=Record), 1, 10.0, 0.0)
+    assert msgspec.json.encode(job.to_record(4096)) == stored
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,7 +9,8 @@
 from alderbridge.controller import admission
 from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.record_writer import RecordWriter
-from alderbridge.jobs.shard import JobShard, JobState
+from alderbridge.jobs.record_writes import RecordWrites
+from alderbridge.jobs.shard import JobState
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.heartbeats import HeartbeatHandler
 from alderbridge.machines.orders import OrderBuilder
@@ -405,7 +406,7 @@
 
 
 def never_halted(monkeypatch):
-    monkeypatch.setattr(JobShard, "stop_all", lambda self, job: None)
+    monkeypatch.setattr(RecordWrites, "stop_all", lambda self, job: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
     monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,7 +6,8 @@
 
 from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import Job, JobShard, JobState, QuotaUsage, Record
+from alderbridge.jobs.shard import Job, JobState, QuotaUsage, Record
+from alderbridge.jobs.task_reports import TaskReportHandler
 from alderbridge.machines.leases import WorkerLeases
 from alderbridge.machines.machine import Machine
 from alderbridge.machines.orders import OrderBuilder
@@ -135,7 +136,7 @@
     world.run(8.0)
     assert (
         near.core.local_jobs.local_job_state(first.id, world.t)[0] == "aborted"
-        and after.id in near.core.replica.graph.doomed
+        and after.id in near.core.replica.graph.cascade_aborted
     )
     answers = []
     while world.t < 33.0:
@@ -238,7 +239,7 @@
 
 
 def nobody_is_doomed(monkeypatch):
-    monkeypatch.setattr(Graph, "_doom", lambda self, jobs: None)
+    monkeypatch.setattr(Graph, "_cascade_abort", lambda self, jobs: None)
 
 
 def uncounted_grants(monkeypatch):
@@ -267,13 +268,13 @@
 
 
 def machines_not_indexed(monkeypatch):
-    real = JobShard.on_task_report
+    real = TaskReportHandler.on_task_report
 
     def on_task_report(self, label, seen, now):
         self.jobs_by_machine.pop(seen.machine, None)
         real(self, label, seen, now)
 
-    monkeypatch.setattr(JobShard, "on_task_report", on_task_report)
+    monkeypatch.setattr(TaskReportHandler, "on_task_report", on_task_report)
 
 
 @pytest.mark.parametrize(
