--- a/alderbridge/settings.py
+++ b/alderbridge/settings.py
@@ -65,7 +65,7 @@
     cancel_s: float
 
 
-class NextState(msgspec.Struct, frozen=True):
+class NextStateLimits(msgspec.Struct, frozen=True):
     """Limits that the state service will have from some moment on; what is missing stays as it is."""
 
     rps: float | None = None
@@ -81,20 +81,20 @@
     return now if later is None else min(now, later)
 
 
-class State(msgspec.Struct, frozen=True):
+class StateLimits(msgspec.Struct, frozen=True):
     """Limits of the state service; ``next``: those that it will have."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: NextState | None = None
+    next: NextStateLimits | None = None
 
     @property
-    def effective(self) -> State:
+    def effective(self) -> StateLimits:
         """Return the tighter of both limits, each: nobody says when the change comes."""
-        later = self.next or NextState()
-        return State(
+        later = self.next or NextStateLimits()
+        return StateLimits(
             rps=_tighter(self.rps, later.rps),
             write_rps=_tighter(self.write_rps, later.write_rps),
             value_kb=_tighter(self.value_kb, later.value_kb),
@@ -123,7 +123,7 @@
     zones: list[str]
     teams: list[Team]
     workers: Workers
-    state: State
+    state: StateLimits
     cloud: Cloud
     limits: Limits
     objectives: list[Objective] = []
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -450,12 +450,12 @@
             zones=["north-1", "south-2"],
             teams=[settings.Team(name="forecasts", cpus=10.5, cpus_max=20.5, gpus=1.5, gpus_max=2.5)],
             workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
-            state=settings.State(
+            state=settings.StateLimits(
                 rps=50.5,
                 write_rps=20.5,
                 value_kb=64.5,
                 txn_ops=32,
-                next=settings.NextState(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
+                next=settings.NextStateLimits(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
             ),
             cloud=settings.Cloud(rps=5.5, list_lag_s=3.5),
             limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
@@ -474,7 +474,7 @@
             zones=["north-1"],
             teams=[settings.Team(name="forecasts", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
             workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
-            state=settings.State(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
+            state=settings.StateLimits(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
             cloud=settings.Cloud(rps=5.5, list_lag_s=3.5),
             limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
             objectives=[settings.Objective(kind="wait", job_class=None, within_s=None, share=0.0, times=None)],
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -21,7 +21,7 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.membership.view import Membership
 from alderbridge.protocol import wire
-from alderbridge.settings import ConfigError, NextState
+from alderbridge.settings import ConfigError, NextStateLimits
 from alderbridge.state.store import DECLARED
 
 
@@ -174,7 +174,7 @@
 
 # -- random runs
 
-COMING = NextState(write_rps=30.0, value_kb=700 / 1024, txn_ops=4)
+COMING = NextStateLimits(write_rps=30.0, value_kb=700 / 1024, txn_ops=4)
 
 
 class Declaring(World):
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -19,7 +19,7 @@
 from alderbridge.protocol import wire
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
-from alderbridge.settings import NextState
+from alderbridge.settings import NextStateLimits
 from alderbridge.state.store import VIEW
 
 STANDING_S = 8  # s; more than two reports and the answers to them
@@ -142,7 +142,7 @@
         self.hopes: dict[Submission, tuple] = {}
         self.takes_users = list(LABELS)
         super().__init__(
-            seed, jobs=0, trouble=False, nodes=5, machines=machines, coming=NextState(write_rps=write_rps), **more
+            seed, jobs=0, trouble=False, nodes=5, machines=machines, coming=NextStateLimits(write_rps=write_rps), **more
         )
         self.meets = True  # users cancel through any controller
         self.calm_at = math.inf  # when troubles are over each test says to its own judge
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 from alderbridge.membership.view import MemberRecord, Membership, View
 from alderbridge.protocol import messages
 from alderbridge.protocol.wire import JobSpec, WatchEvent
-from alderbridge.settings import NextState, State
+from alderbridge.settings import NextStateLimits, StateLimits
 from alderbridge.state.replica import Replica
 from alderbridge.state.store import (
     BUDGETS,
@@ -133,9 +133,9 @@
 
 
 def test_the_tighter_limits_hold_from_the_start():
-    state = State(100.0, 20.0, 4.0, 12, NextState(value_kb=2.0, txn_ops=40))
-    assert state.effective == State(100.0, 20.0, 2.0, 12)
-    assert State(100.0, 20.0, 4.0, 12).effective == State(100.0, 20.0, 4.0, 12)
+    state = StateLimits(100.0, 20.0, 4.0, 12, NextStateLimits(value_kb=2.0, txn_ops=40))
+    assert state.effective == StateLimits(100.0, 20.0, 2.0, 12)
+    assert StateLimits(100.0, 20.0, 4.0, 12).effective == StateLimits(100.0, 20.0, 4.0, 12)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -10,7 +10,7 @@
 from alderbridge.machines.shard import Machine, MachineShard
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
-from alderbridge.settings import NextState
+from alderbridge.settings import NextStateLimits
 from alderbridge.state.store import JOBS, LISTS
 
 
@@ -46,7 +46,7 @@
     assert not lacking
 
 
-COMING = NextState(write_rps=30.0, value_kb=700 / 1024, txn_ops=4)
+COMING = NextStateLimits(write_rps=30.0, value_kb=700 / 1024, txn_ops=4)
 
 
 @pytest.mark.parametrize("seed", range(3000, 3008))
--- a/tests/world.py
+++ b/tests/world.py
@@ -38,12 +38,12 @@
 from alderbridge.settings import (
     Endpoints,
     Limits,
-    NextState,
+    NextStateLimits,
     Objective,
     Peer,
     Platform,
     Shared,
-    State,
+    StateLimits,
     Team,
     Tuning,
     Workers,
@@ -174,13 +174,13 @@
     """A rule of the protocol was broken."""
 
 
-def platform(label: str, labels: list[str], coming: NextState | None = None) -> Platform:
+def platform(label: str, labels: list[str], coming: NextStateLimits | None = None) -> Platform:
     peers = [Peer(other, "a", "127.0.0.1:1") for other in labels if other != label]
     shared = Shared(
         ZONES,
         TEAMS,
         Workers(REPORT_S, LEASE_S, CANCEL_S),
-        State(100.0, 60.0, 4.0, 12, coming),
+        StateLimits(100.0, 60.0, 4.0, 12, coming),
         CloudSettings(6.0, 4.0),
         Limits(0.75, 186.0, 1000),
         OBJECTIVES,
@@ -1036,7 +1036,7 @@
         nodes: int = 3,
         pipelines: int = 0,
         upgrade: bool = False,
-        coming: NextState | None = None,
+        coming: NextStateLimits | None = None,
         tight_at: float = math.inf,
         groups: bool = False,
         falls: int = 0,
