--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -35,16 +35,16 @@
         self.waiting: dict[str, float] = {}  # job -> since when it waits beside room
         self.started: dict[str, int] = {}  # job -> how many starts of it were counted then
         self.longest = 0.0
-        self.rooms: dict[str, deque[placement.Room]] = {}  # what each machine had free at the last looks
+        self.rooms: dict[str, deque[placement.Resources]] = {}  # what each machine had free at the last looks
         world.after(max(0.0, since - world.t), self.look)
 
-    def status(self, worker) -> placement.Room:
+    def status(self, worker) -> placement.Resources:
         """What it has had free for ``STANDING_S``: what ended a moment ago is told, and given, with its reports."""
         seen = self.rooms.setdefault(worker.name, deque(maxlen=STANDING_S))
         seen.append(self.free(worker))
         return tuple(map(min, zip(*seen, strict=True))) if len(seen) == STANDING_S else (0.0, 0.0, 0.0)
 
-    def free(self, worker) -> placement.Room:
+    def free(self, worker) -> placement.Resources:
         kind = TYPES[worker.kind.type]
         room = (kind.cpus, kind.memory_gb, kind.gpus)
         for part, task in worker.tasks.items():
