--- a/alderbridge/jobs/grants.py
+++ b/alderbridge/jobs/grants.py
@@ -27,6 +27,7 @@
         job_calendars: JobCalendars,
         send: Callable[[str, Message], int],
     ) -> None:
+        """``send`` takes a member's label and a message, and returns the message's number in its channel."""
         self.jobs = jobs
         self.jobs_by_machine = jobs_by_machine
         self.usage = usage
--- a/alderbridge/jobs/index_ranges.py
+++ b/alderbridge/jobs/index_ranges.py
@@ -13,10 +13,12 @@
     """A set of whole numbers as sorted half-open ranges."""
 
     def __init__(self, ranges: Iterable[tuple[int, int]] = ()) -> None:
+        """``ranges``: sorted, half-open and not adjacent."""
         self.ranges = [(low, high) for low, high in ranges]
         self.count = sum(high - low for low, high in self.ranges)
 
     def __contains__(self, number: int) -> bool:
+        """Whether the number is in one of the ranges."""
         position = bisect_right(self.ranges, (number, math.inf)) - 1
         return position >= 0 and self.ranges[position][0] <= number < self.ranges[position][1]
 
--- a/alderbridge/jobs/inherited_tasks.py
+++ b/alderbridge/jobs/inherited_tasks.py
@@ -16,6 +16,7 @@
     """Keeps inherited tasks from starting again while a machine that is not reconciled may still run them."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
+        """``jobs``: of the shard, kept by it."""
         self.jobs = jobs
         self.barrier = Barrier({})  # machines that inherited tasks may still be on
         self.fencing_token = 0
--- a/alderbridge/jobs/job_calendars.py
+++ b/alderbridge/jobs/job_calendars.py
@@ -19,6 +19,7 @@
     def __init__(
         self, jobs: dict[str, Job], send: Callable[[str, Message], int], machine_owner: Callable[[str], str]
     ) -> None:
+        """``send`` takes a member's label and a message; ``machine_owner`` gives the label of a machine's owner."""
         self.jobs = jobs
         self.send = send
         self.machine_owner = machine_owner
--- a/alderbridge/jobs/job_timing.py
+++ b/alderbridge/jobs/job_timing.py
@@ -16,6 +16,7 @@
     """
 
     def __init__(self, record: Record, submitted: float) -> None:
+        """``submitted``: when the job was submitted, by the steady clock."""
         assert record.spec is not None
         self.spec = record.spec
         self.at = record.at  # time of day of the submission
--- a/alderbridge/jobs/quota_usage.py
+++ b/alderbridge/jobs/quota_usage.py
@@ -22,6 +22,7 @@
     def __init__(
         self, teams: Iterable[Team], jobs: dict[str, Job], tally: UsageTally, job_calendars: JobCalendars
     ) -> None:
+        """``jobs`` and ``tally``: of the shard, kept by it."""
         self.teams = {team.name: team for team in teams}
         self.bound = {team.name for team in self.teams.values() if team.cpus_max > 0 or team.gpus_max > 0}
         self.jobs = jobs
--- a/alderbridge/jobs/record_writes.py
+++ b/alderbridge/jobs/record_writes.py
@@ -30,6 +30,7 @@
         machine_owner: Callable[[str], str],
         may_end: Callable[[Job], bool],
     ) -> None:
+        """``send_deferred``: for messages that may wait for others; ``may_end``: whether a job's end may be stored."""
         self.tally = tally
         self.send = send
         self.send_deferred = send_deferred
--- a/alderbridge/jobs/shard_queue.py
+++ b/alderbridge/jobs/shard_queue.py
@@ -22,6 +22,7 @@
     """Builds the queue rows of a shard's jobs."""
 
     def __init__(self, jobs: dict[str, Job], usage: QuotaUsage, job_calendars: JobCalendars) -> None:
+        """``jobs``: of the shard, kept by it."""
         self.jobs = jobs
         self.usage = usage
         self.job_calendars = job_calendars
--- a/alderbridge/jobs/task_reports.py
+++ b/alderbridge/jobs/task_reports.py
@@ -34,6 +34,7 @@
         inherited: InheritedTasks,
         send: Callable[[str, Message], int],
     ) -> None:
+        """``jobs`` and ``jobs_by_machine``: of the shard, kept by it."""
         self.jobs = jobs
         self.jobs_by_machine = jobs_by_machine
         self.inherited = inherited
--- a/alderbridge/jobs/usage_tally.py
+++ b/alderbridge/jobs/usage_tally.py
@@ -17,6 +17,7 @@
     """
 
     def __init__(self) -> None:
+        """No job is counted yet."""
         self.teams: dict[str, tuple[float, float]] = {}
         self.changed = False  # a job has changed since the last look at the records that are due
         self.lagging: dict[str, Job] = {}  # jobs whose records may have to be written
