--- a/alderbridge/calendars/configuration.py
+++ b/alderbridge/calendars/configuration.py
@@ -33,8 +33,6 @@
 from alderbridge.configuration.ini import ExpectationError, NumberSetting, Section, sections
 from alderbridge.settings import ConfigError
 
-__all__ = ["Calendar", "CalendarConfiguration", "CalendarRule", "check_lines", "day_number", "parse"]
-
 T = TypeVar("T")
 _RUN_FACTOR = NumberSetting(constants.RUN_SAFETY, 0.1, 100.0)
 _WARM_UP_S = NumberSetting(0.0, 0.0, 3600.0)
--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -7,7 +7,7 @@
 from alderbridge import constants
 from alderbridge.protocol import wire
 from alderbridge.settings import address
-from alderbridge.transport.http import Client
+from alderbridge.transport.http_client import Client
 
 _machine_types = msgspec.json.Decoder(wire.MachineTypes)
 _listing = msgspec.json.Decoder(wire.MachineListing)
--- a/alderbridge/configuration/__init__.py
+++ b/alderbridge/configuration/__init__.py
@@ -10,9 +10,10 @@
 * ``OperatorConfiguration``: the states unread, read, proposed, stored, in force and refused; what to write next.
 """
 
-from alderbridge.configuration.compiler import KINDS, READERS, ConfigurationRevision, check_lines, load
+from alderbridge.configuration.compiler import READERS, ConfigurationRevision, check_lines, load
 from alderbridge.configuration.operator_configuration import ConfigurationProposal, OperatorConfiguration, RevisionState
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision
+from alderbridge.settings import KINDS
 
 __all__ = [
     "KINDS",
--- a/alderbridge/configuration/compiler.py
+++ b/alderbridge/configuration/compiler.py
@@ -15,18 +15,6 @@
 from alderbridge import constants
 from alderbridge.settings import KINDS, ConfigError, read_ini
 
-__all__ = [
-    "KINDS",
-    "READERS",
-    "ConfigurationReader",
-    "ConfigurationRevision",
-    "check_lines",
-    "compiled",
-    "digest_of",
-    "load",
-    "reader",
-]
-
 
 class ConfigurationReader(Protocol):
     """The module that reads one kind."""
--- a/alderbridge/configuration/operator_configuration.py
+++ b/alderbridge/configuration/operator_configuration.py
@@ -9,10 +9,11 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.configuration.compiler import KINDS, ConfigurationRevision, compiled, digest_of
+from alderbridge.configuration.compiler import ConfigurationRevision, compiled, digest_of
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, parts_of, piece_keys, pieces
-from alderbridge.membership.view import Membership
-from alderbridge.state.store import DECLARED
+from alderbridge.membership.membership import Membership
+from alderbridge.settings import KINDS
+from alderbridge.state.keys import DECLARED
 
 log = logging.getLogger("configuration")
 _head = msgspec.json.Decoder(ConfigurationHead)
--- a/alderbridge/configuration/records.py
+++ b/alderbridge/configuration/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from alderbridge.state.store import DECLARED
+from alderbridge.state.keys import DECLARED
 
 
 class StoredRevision(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -15,10 +15,12 @@
 from alderbridge.controller.state import ControllerState
 from alderbridge.controller.submissions import Submission, Submissions
 from alderbridge.controller.write_batch import WriteBatch
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.state.replica import Replica, list_keys
-from alderbridge.state.store import JOBS, MACHINES
+from alderbridge.state.keys import JOBS, MACHINES, list_keys
+from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
 
--- a/alderbridge/controller/calendar_control.py
+++ b/alderbridge/controller/calendar_control.py
@@ -7,8 +7,8 @@
 from typing import cast
 
 from alderbridge import constants
-from alderbridge.calendars.configuration import CalendarConfiguration
 from alderbridge.calendars.gate import CalendarGate
+from alderbridge.calendars.model import CalendarConfiguration
 from alderbridge.configuration import OperatorConfiguration
 from alderbridge.controller.state import ControllerState
 from alderbridge.jobs.shard import JobShard
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -30,21 +30,20 @@
 from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.controller.state import ControllerState
 from alderbridge.controller.store_follower import StoreFollower
-from alderbridge.controller.submissions import Submission, Submissions
+from alderbridge.controller.submissions import Submissions
 from alderbridge.controller.view_entry import ViewEntry
-from alderbridge.controller.write_batch import WriteBatch
 from alderbridge.jobs.shard import JobShard
 from alderbridge.leader.leader import Leader, LeaderSettings
-from alderbridge.machines.shard import JobLookups, Machine, MachineShard, Outbox
-from alderbridge.membership.view import Membership, MemberStatus
+from alderbridge.machines.context import JobLookups, Outbox
+from alderbridge.machines.machine import Machine
+from alderbridge.machines.shard import MachineShard
+from alderbridge.membership.membership import Membership, MemberStatus
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import OfferBook
 from alderbridge.settings import Platform, Tuning
 from alderbridge.state.replica import Replica
 from alderbridge.state.write_rate_limit import WriteRateLimit
 
-__all__ = ["ControllerCore", "Submission", "WriteBatch"]
-
 
 class ControllerCore:
     """Frames, heartbeats and rounds come in here; all else goes to the owner of what it is about."""
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -4,8 +4,11 @@
 
 from alderbridge import constants
 from alderbridge.controller.state import ControllerState
-from alderbridge.jobs.shard import Job, JobShard, JobState
-from alderbridge.state.replica import Replica, list_keys
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState
+from alderbridge.jobs.shard import JobShard
+from alderbridge.state.keys import list_keys
+from alderbridge.state.replica import Replica
 
 
 class DependencyTracker:
--- a/alderbridge/controller/effects.py
+++ b/alderbridge/controller/effects.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from alderbridge.controller.submissions import Submission
-from alderbridge.machines.shard import Machine
+from alderbridge.machines.machine import Machine
 from alderbridge.protocol import messages
 
 
--- a/alderbridge/controller/health.py
+++ b/alderbridge/controller/health.py
@@ -7,7 +7,7 @@
 from alderbridge.controller import responses
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.responses import Response
-from alderbridge.membership.view import MemberStatus
+from alderbridge.membership.membership import MemberStatus
 
 now = time.monotonic
 
--- a/alderbridge/controller/job_directory.py
+++ b/alderbridge/controller/job_directory.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from alderbridge.jobs.shard import JobShard, JobState
-from alderbridge.membership.view import Membership
+from alderbridge.jobs.record import JobState
+from alderbridge.jobs.shard import JobShard
+from alderbridge.membership.membership import Membership
 from alderbridge.protocol import wire
 from alderbridge.state.replica import Replica
 
--- a/alderbridge/controller/job_records.py
+++ b/alderbridge/controller/job_records.py
@@ -7,9 +7,11 @@
 import msgspec
 
 from alderbridge.controller.store_backoff import StoreBackoff
-from alderbridge.jobs.shard import Record
-from alderbridge.state.store import JOBS, Store, StoreRefusedError
-from alderbridge.transport.http import UnansweredError
+from alderbridge.jobs.record import Record
+from alderbridge.state.errors import StoreRefusedError
+from alderbridge.state.keys import JOBS
+from alderbridge.state.store import Store
+from alderbridge.transport.errors import UnansweredError
 
 _record = msgspec.json.Decoder(Record)
 
--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -5,7 +5,8 @@
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.controller.state import ControllerState
-from alderbridge.jobs.shard import JobShard, JobState
+from alderbridge.jobs.record import JobState
+from alderbridge.jobs.shard import JobShard
 from alderbridge.state.replica import Replica
 
 
--- a/alderbridge/controller/loops/machine_types.py
+++ b/alderbridge/controller/loops/machine_types.py
@@ -12,15 +12,11 @@
 from alderbridge.cloud import Cloud, CloudError
 from alderbridge.controller.core import ControllerCore
 from alderbridge.protocol import wire
-from alderbridge.state.store import (
-    TYPES,
-    VIEW,
-    LeaseExpiredError,
-    Store,
-    StoreRefusedError,
-    TransactionTooLargeError,
-)
-from alderbridge.transport.http import TokenBucket, UnansweredError
+from alderbridge.state.errors import LeaseExpiredError, StoreRefusedError, TransactionTooLargeError
+from alderbridge.state.keys import TYPES, VIEW
+from alderbridge.state.store import Store
+from alderbridge.transport.errors import UnansweredError
+from alderbridge.transport.token_bucket import TokenBucket
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -10,17 +10,13 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.controller.core import ControllerCore, WriteBatch
+from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.store_backoff import StoreBackoff
-from alderbridge.state.store import (
-    VIEW,
-    LeaseExpiredError,
-    RateLimitedError,
-    Store,
-    StoreRefusedError,
-    TransactionTooLargeError,
-)
-from alderbridge.transport.http import UnansweredError
+from alderbridge.controller.write_batch import WriteBatch
+from alderbridge.state.errors import LeaseExpiredError, RateLimitedError, StoreRefusedError, TransactionTooLargeError
+from alderbridge.state.keys import VIEW
+from alderbridge.state.store import Store
+from alderbridge.transport.errors import UnansweredError
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -10,7 +10,9 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.unanswered_jobs import UnansweredJobs
 from alderbridge.controller.worker_prober import WorkerProber
-from alderbridge.state.store import ROOT, Store, WatchCompactedError
+from alderbridge.state.errors import WatchCompactedError
+from alderbridge.state.keys import ROOT
+from alderbridge.state.store import Store
 
 now = time.monotonic
 
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -12,10 +12,11 @@
 from alderbridge import constants
 from alderbridge.cloud import Cloud, CloudError, NoCapacityError
 from alderbridge.controller.core import ControllerCore
-from alderbridge.leader.leader import ScalingDecision
+from alderbridge.leader.scaling import ScalingDecision
 from alderbridge.protocol import wire
-from alderbridge.scheduling.policy import MachineKind
-from alderbridge.transport.http import TokenBucket, UnansweredError
+from alderbridge.scheduling.demand import MachineKind
+from alderbridge.transport.errors import UnansweredError
+from alderbridge.transport.token_bucket import TokenBucket
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/loops/store_lease.py
+++ b/alderbridge/controller/loops/store_lease.py
@@ -11,10 +11,12 @@
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.store_backoff import StoreBackoff
-from alderbridge.membership.view import MemberRecord
+from alderbridge.membership.records import MemberRecord
 from alderbridge.protocol import wire
-from alderbridge.state.store import MEMBERS, LeaseExpiredError, Store, StoreRefusedError
-from alderbridge.transport.http import UnansweredError
+from alderbridge.state.errors import LeaseExpiredError, StoreRefusedError
+from alderbridge.state.keys import MEMBERS
+from alderbridge.state.store import Store
+from alderbridge.transport.errors import UnansweredError
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/loops/supervisor.py
+++ b/alderbridge/controller/loops/supervisor.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.state.store import StoreRefusedError, TransactionTooLargeError
-from alderbridge.transport.http import UnansweredError
+from alderbridge.state.errors import StoreRefusedError, TransactionTooLargeError
+from alderbridge.transport.errors import UnansweredError
 
 log = logging.getLogger("controller")
 
--- a/alderbridge/controller/loops/view.py
+++ b/alderbridge/controller/loops/view.py
@@ -9,7 +9,8 @@
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
-from alderbridge.state.store import VIEW, Store
+from alderbridge.state.keys import VIEW
+from alderbridge.state.store import Store
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -4,8 +4,8 @@
 
 from alderbridge.controller.write_batch import WriteBatch
 from alderbridge.machines.shard import MachineShard
+from alderbridge.state.keys import MACHINES
 from alderbridge.state.replica import Replica
-from alderbridge.state.store import MACHINES
 
 
 class MachineRecordTracker:
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -11,7 +11,8 @@
 from alderbridge.controller.messenger import Messenger
 from alderbridge.controller.preemption_round import PreemptionRound
 from alderbridge.controller.state import ControllerState
-from alderbridge.machines.shard import Machine, MachineShard
+from alderbridge.machines.machine import Machine
+from alderbridge.machines.shard import MachineShard
 from alderbridge.preemption.ledger import Ledger
 from alderbridge.protocol import messages
 from alderbridge.scheduling import placement
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -35,8 +35,9 @@
 from alderbridge.settings import Platform, Tuning, address
 from alderbridge.state.store import Store
 from alderbridge.transport import mesh
-from alderbridge.transport.http import Server, TokenBucket
+from alderbridge.transport.http_server import Server
 from alderbridge.transport.selector import Poll
+from alderbridge.transport.token_bucket import TokenBucket
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -11,7 +11,8 @@
 from alderbridge.controller.messenger import Messenger
 from alderbridge.controller.queue_times import QueueTimes
 from alderbridge.controller.state import ControllerState
-from alderbridge.jobs.shard import JobShard, JobState
+from alderbridge.jobs.record import JobState
+from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import messages
 from alderbridge.queues import PublishRound, QueueFormat, QueuePublisher, QueueState
 from alderbridge.settings import Team
--- a/alderbridge/controller/queue_times.py
+++ b/alderbridge/controller/queue_times.py
@@ -6,9 +6,9 @@
 
 from alderbridge.controller.state import ControllerState
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import Job
+from alderbridge.jobs.job import Job
 from alderbridge.protocol import wire
-from alderbridge.scheduling import policy
+from alderbridge.scheduling import queue_times
 from alderbridge.settings import Objective, Tuning
 
 
@@ -30,7 +30,7 @@
         if job.queue_times is None or job.queue_times[0] != basis:
             job.queue_times = (
                 basis,
-                policy.queue_times(
+                queue_times.queue_times(
                     job.spec,
                     self.tuning,
                     self.objectives,
@@ -40,9 +40,9 @@
                 ),
             )
             if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
-                floor = policy.max_queue_time(job.spec, self.tuning)
+                floor = queue_times.max_queue_time(job.spec, self.tuning)
                 job.queue_times = basis, [(floor, floor)]
-        return policy.due_in(now - job.waiting_since, job.queue_times[1])
+        return queue_times.due_in(now - job.waiting_since, job.queue_times[1])
 
     def rank(self, spec: wire.JobSpec) -> int:
         """The priority of the jobs that need it, where higher than its own; else -1."""
@@ -51,4 +51,4 @@
 
     def run_time(self, spec: wire.JobSpec) -> float:
         """Expected seconds of one of the job's tasks."""
-        return policy.expected_run_time(spec, self.tuning)
+        return queue_times.expected_run_time(spec, self.tuning)
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -12,10 +12,12 @@
 from alderbridge.controller.state import ControllerState
 from alderbridge.controller.submissions import Submission, Submissions
 from alderbridge.controller.write_batch import WriteBatch
-from alderbridge.jobs.shard import Job, JobShard, Record
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import Record
+from alderbridge.jobs.shard import JobShard
 from alderbridge.machines.shard import MachineShard
+from alderbridge.state.keys import JOBS, MACHINES, VIEW
 from alderbridge.state.replica import Replica
-from alderbridge.state.store import JOBS, MACHINES, VIEW
 from alderbridge.state.write_rate_limit import WriteRateLimit
 
 URGENT_BELOW = 2.0  # ranks of due writes below this are ends, for which users wait
--- a/alderbridge/controller/responses.py
+++ b/alderbridge/controller/responses.py
@@ -7,7 +7,7 @@
 
 from alderbridge import constants
 from alderbridge.protocol import wire
-from alderbridge.transport.http import Answer
+from alderbridge.transport.http_server import Answer
 
 Responder: TypeAlias = Callable[[Answer], None]
 """Sends the response to a request whose handler has returned without one."""
--- a/alderbridge/controller/state.py
+++ b/alderbridge/controller/state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from alderbridge.membership.view import Membership
+from alderbridge.membership.membership import Membership
 
 
 class ControllerState:
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -12,11 +12,11 @@
 from alderbridge.controller.state import ControllerState
 from alderbridge.controller.submissions import Submissions
 from alderbridge.controller.view_entry import ViewEntry
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.machines.shard import MachineShard
 from alderbridge.protocol import wire
+from alderbridge.state.keys import JOBS, LISTS, MACHINES
 from alderbridge.state.replica import Replica
-from alderbridge.state.store import JOBS, LISTS, MACHINES
 
 log = logging.getLogger("core")
 
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -12,9 +12,12 @@
 from alderbridge import constants
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.state import ControllerState
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.state.replica import Replica, list_keys
+from alderbridge.state.keys import list_keys
+from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
 
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -23,7 +23,7 @@
 from alderbridge.controller.responses import Handled, Responder, Response
 from alderbridge.controller.unanswered_jobs import UnansweredJobs
 from alderbridge.controller.waiters import Waiters
-from alderbridge.jobs.shard import JobState
+from alderbridge.jobs.record import JobState
 from alderbridge.protocol import wire
 
 log = logging.getLogger("controller")
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -14,12 +14,15 @@
 from alderbridge.controller.queue_round import QueueRound
 from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.controller.state import ControllerState
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import MachineShard
-from alderbridge.membership.view import MemberStatus, View
+from alderbridge.membership.membership import MemberStatus
+from alderbridge.membership.records import View
+from alderbridge.state.keys import MEMBERS, VIEW
 from alderbridge.state.replica import Replica
-from alderbridge.state.store import MEMBERS, VIEW
 
 log = logging.getLogger("core")
 
--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -16,7 +16,8 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.protocol import wire
 from alderbridge.settings import address
-from alderbridge.transport.http import Exchange, ResponseReader
+from alderbridge.transport.http_client import Exchange
+from alderbridge.transport.http_response import ResponseReader
 from alderbridge.transport.selector import Poll
 
 log = logging.getLogger("controller")
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -10,9 +10,9 @@
 from alderbridge.controller import responses
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.responses import Responder
-from alderbridge.machines.shard import Machine
+from alderbridge.machines.machine import Machine
 from alderbridge.protocol import wire
-from alderbridge.transport.http import Answer
+from alderbridge.transport.http_server import Answer
 
 log = logging.getLogger("controller")
 now = time.monotonic
--- a/alderbridge/controller/write_batch.py
+++ b/alderbridge/controller/write_batch.py
@@ -6,7 +6,8 @@
 
 from alderbridge.configuration import ConfigurationProposal
 from alderbridge.controller.submissions import Submission
-from alderbridge.jobs.shard import Job, Record
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import Record
 from alderbridge.preemption import ClaimTransaction
 
 
--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -8,23 +8,18 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from alderbridge.jobs.grants import TaskGranter
-from alderbridge.jobs.index_ranges import IndexRanges
 from alderbridge.jobs.inherited_tasks import InheritedTasks
 from alderbridge.jobs.job import Job
 from alderbridge.jobs.job_calendars import JobCalendars
 from alderbridge.jobs.quota_usage import QuotaUsage
-from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.record_writes import RecordWrites
 from alderbridge.jobs.shard_queue import ShardQueue
 from alderbridge.jobs.task_reports import TaskReportHandler
-from alderbridge.jobs.task_states import TaskRun, TaskState
 from alderbridge.jobs.usage_tally import UsageTally
 from alderbridge.protocol.messages import Message
 from alderbridge.protocol.wire import MachineRecord
 from alderbridge.settings import Team
 
-__all__ = ["IndexRanges", "Job", "JobShard", "JobState", "QuotaUsage", "Record", "TaskRun", "TaskState", "UsageTally"]
-
 Send = Callable[[str, Message], int]  # (member's label, message) -> number of the message in its channel
 
 
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -15,7 +15,7 @@
 from alderbridge.leader.fleet_monitor import FleetMonitor, SummaryRows
 from alderbridge.leader.quota import QuotaAllocator
 from alderbridge.leader.reachable_order import ReachableOrder
-from alderbridge.leader.rented_machines import RentedMachine, RentedMachines, RentedMachineState
+from alderbridge.leader.rented_machines import RentedMachines
 from alderbridge.leader.scaling import Autoscaler, ScalingDecision
 from alderbridge.protocol.messages import MachineSummaries, QueueDelta, QueueSnapshot, TeamUsageDelta
 from alderbridge.protocol.wire import ListedMachine, MachineType
@@ -27,14 +27,6 @@
 from alderbridge.settings import Team, Tuning
 from alderbridge.state.replica import Replica
 
-__all__ = [
-    "Leader",
-    "LeaderSettings",
-    "RentedMachine",
-    "RentedMachineState",
-    "ScalingDecision",
-]
-
 
 class LeaderSettings(NamedTuple):
     """What the settings say to a leader."""
--- a/alderbridge/leader/reachable_order.py
+++ b/alderbridge/leader/reachable_order.py
@@ -8,7 +8,7 @@
 from alderbridge.leader.rented_machines import RentedMachines
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling import placement
+from alderbridge.scheduling import offers, placement
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.market import Market
 from alderbridge.scheduling.resources import fits
@@ -48,7 +48,7 @@
             and fits(spec, self.market.room(kind))
             for kind in kinds
         )
-        return out_of_reach, placement.order(row, spec, row.due_in_s)
+        return out_of_reach, offers.order(row, spec, row.due_in_s)
 
     def at(self, now: float) -> RowOrder:
         """The order as it stands at that time."""
--- a/alderbridge/lending/demands.py
+++ b/alderbridge/lending/demands.py
@@ -12,8 +12,9 @@
 from alderbridge.lending.rules import LendingRules
 from alderbridge.preemption import PreemptionDemand
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import Resources, allowed, fits
-from alderbridge.scheduling.policy import MachineKind, MachineResource
+from alderbridge.scheduling.demand import MachineKind, MachineResource
+from alderbridge.scheduling.placement import allowed
+from alderbridge.scheduling.resources import Resources, fits
 
 REASON = "serving"
 
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from alderbridge import constants
-from alderbridge.jobs.shard import JobState
+from alderbridge.jobs.record import JobState
 from alderbridge.lending.configuration import LendingConfiguration
 from alderbridge.lending.demands import REASON, ServingDemands, ServingJob, gpus_in_use
 from alderbridge.lending.fleet import MachineContents, ServingFleet
@@ -32,15 +32,13 @@
 )
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling.placement import Offer, order
-from alderbridge.scheduling.policy import MachineKind, MachineResource
+from alderbridge.scheduling.demand import MachineKind, MachineResource
+from alderbridge.scheduling.offers import Offer, order
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
     from alderbridge.preemption.planner import PreemptionPlanner
 
-__all__ = ["REASON", "CapacityLender", "MachineContents", "ServingJob"]
-
 
 class CapacityLender:
     """The policy of lending: replicas of services get lent GPUs back."""
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -34,8 +34,6 @@
 from alderbridge.protocol.wire import MachineRecord
 from alderbridge.reconciliation import HeartbeatProber
 
-__all__ = ["JobLookups", "Machine", "MachineShard", "MachineState", "Outbox", "ProbeTarget"]
-
 log = logging.getLogger("machines")
 
 
--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/preemption/ledger.py
@@ -24,7 +24,7 @@
 from alderbridge import constants
 from alderbridge.preemption.model import ClaimGroup
 from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
-from alderbridge.state.store import BUDGETS, CLAIMS, STOPS
+from alderbridge.state.keys import BUDGETS, CLAIMS, STOPS
 
 log = logging.getLogger("preemption")
 _claim = msgspec.json.Decoder(PreemptionClaim)
--- a/alderbridge/preemption/model.py
+++ b/alderbridge/preemption/model.py
@@ -6,8 +6,8 @@
 
 from alderbridge.preemption.records import PreemptionClaim
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import Resources
-from alderbridge.scheduling.policy import MachineKind
+from alderbridge.scheduling.demand import MachineKind
+from alderbridge.scheduling.resources import Resources
 
 ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction
 
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -22,8 +22,8 @@
 from alderbridge.protocol.messages import MachineSummary, MachineTaskList, MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
-from alderbridge.scheduling.placement import fits
-from alderbridge.scheduling.policy import MachineKind
+from alderbridge.scheduling.demand import MachineKind
+from alderbridge.scheduling.resources import fits
 
 log = logging.getLogger("preemption")
 
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -11,7 +11,8 @@
 from alderbridge.preemption.budget import PreemptionBudget
 from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
 from alderbridge.preemption.records import PreemptionClaim
-from alderbridge.scheduling.placement import Resources, allowed, fits, minus
+from alderbridge.scheduling.placement import allowed
+from alderbridge.scheduling.resources import Resources, fits, minus
 
 _OTHER_RECORDS = 2  # of one transaction: the budgets, and one claim beside jobs, or one job beside claims
 
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -9,8 +9,9 @@
 from alderbridge.preemption.model import PreemptionDemand
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.placement import order
-from alderbridge.scheduling.policy import Demand, MachineResource, Walk
+from alderbridge.scheduling.demand import Demand, MachineResource
+from alderbridge.scheduling.offers import order
+from alderbridge.scheduling.walk import Walk
 
 
 class UrgentClasses(Protocol):
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -16,7 +16,7 @@
 from alderbridge.priorities.demands import unserved_demands
 from alderbridge.protocol.messages import MachineTasks
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.policy import MachineKind
+from alderbridge.scheduling.demand import MachineKind
 
 if TYPE_CHECKING:
     from alderbridge.preemption.planner import PreemptionPlanner
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -17,27 +17,9 @@
 import msgspec
 
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling.offers import Entry, Offer, Offers, order
+from alderbridge.scheduling.offers import Entry, Offer, Offers
 from alderbridge.scheduling.resources import Resources, fits, minus
 
-__all__ = [
-    "BusyMachines",
-    "Candidate",
-    "Entry",
-    "Offer",
-    "Offers",
-    "PlacementRequest",
-    "Resources",
-    "allowed",
-    "fill",
-    "fill_claimed",
-    "fits",
-    "minus",
-    "order",
-    "runnable",
-]
-
-
 # How many of an offer's tasks are left to other machines.
 RoomElsewhere = Callable[[Offer], int]
 # Whether the room that is left stays free for an offer whose tasks it does not hold yet. Smaller tasks took each slot
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -24,31 +24,9 @@
 from alderbridge import constants
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource, may_use
 from alderbridge.scheduling.market import Market, cheapest
-from alderbridge.scheduling.queue_times import due_in, expected_run_time, max_queue_time, queue_times
-from alderbridge.scheduling.quota_division import QuotaDemand, divide_quota
 from alderbridge.scheduling.resources import fits
 from alderbridge.scheduling.walk import Walk
 
-__all__ = [
-    "Demand",
-    "MachineKind",
-    "MachineResource",
-    "Market",
-    "QuotaDemand",
-    "Walk",
-    "block_ends",
-    "cheapest",
-    "divide_quota",
-    "due_in",
-    "expected_run_time",
-    "hard_check",
-    "keep_idle",
-    "machines_to_rent",
-    "max_queue_time",
-    "may_use",
-    "queue_times",
-]
-
 
 class _RentalSearch:
     """Finds the machines to be rented; the walk counts each as free already."""
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -14,7 +14,7 @@
 from alderbridge import constants
 from alderbridge.configuration import OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.preemption import Ledger
@@ -36,8 +36,6 @@
     prefix_of,
 )
 
-__all__ = ["Replica", "list_keys"]
-
 _Handler = Callable[[str, msgspec.Raw | None, int], None]  # key, value (None: dropped), revision
 
 _record = msgspec.json.Decoder(Record)
--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -25,47 +25,15 @@
 from alderbridge.state.errors import (
     LeaseExpiredError,
     RateLimitedError,
-    StoreError,
     StoreRefusedError,
     TransactionTooLargeError,
     WatchCompactedError,
 )
 from alderbridge.state.keys import (
-    BUDGETS,
-    CLAIMS,
-    DECLARED,
-    JOBS,
-    LISTS,
-    MACHINES,
-    MEMBERS,
     ROOT,
-    STOPS,
-    TYPES,
-    VIEW,
 )
 from alderbridge.transport.http_client import Client
 
-__all__ = [  # beside Store, the names of keys.py and errors.py under the path they had
-    "BUDGETS",
-    "CLAIMS",
-    "DECLARED",
-    "JOBS",
-    "LISTS",
-    "MACHINES",
-    "MEMBERS",
-    "ROOT",
-    "STOPS",
-    "TYPES",
-    "VIEW",
-    "LeaseExpiredError",
-    "RateLimitedError",
-    "Store",
-    "StoreError",
-    "StoreRefusedError",
-    "TransactionTooLargeError",
-    "WatchCompactedError",
-]
-
 _page = msgspec.json.Decoder(KeyValuePage)
 _key_value = msgspec.json.Decoder(KeyValue)
 _watch_response = msgspec.json.Decoder(WatchResponse)
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -18,8 +18,6 @@
 from alderbridge.transport.selector import Listener, Poll, listening
 from alderbridge.transport.sockets import connect
 
-__all__ = ["Encoder", "IncomingConnection", "Mesh", "split_frames"]
-
 log = logging.getLogger("mesh")
 now = time.monotonic
 
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -9,17 +9,30 @@
 from alderbridge import settings
 from alderbridge.calendars import configuration as hours
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, piece_keys
-from alderbridge.jobs.shard import JobState, Record, TaskState
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.task_states import TaskState
 from alderbridge.lending import configuration as lending
 from alderbridge.lending import lender
-from alderbridge.machines.shard import MachineState
-from alderbridge.membership.view import MemberRecord, View
+from alderbridge.machines.machine import MachineState
+from alderbridge.membership.records import MemberRecord, View
 from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent
 from alderbridge.priorities import configuration as priorities
 from alderbridge.priorities import policy
 from alderbridge.protocol import messages, wire
-from alderbridge.state.replica import list_keys
-from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, ROOT, STOPS, TYPES, VIEW
+from alderbridge.state.keys import (
+    BUDGETS,
+    CLAIMS,
+    DECLARED,
+    JOBS,
+    LISTS,
+    MACHINES,
+    MEMBERS,
+    ROOT,
+    STOPS,
+    TYPES,
+    VIEW,
+    list_keys,
+)
 
 JOB = wire.JobSpec(
     id="wk-000017",
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -7,7 +7,7 @@
 import pytest
 
 from alderbridge.state import store
-from alderbridge.state.store import ROOT as ROOT_KEY
+from alderbridge.state.keys import ROOT as ROOT_KEY
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -7,11 +7,11 @@
 
 from alderbridge.controller import admission
 from alderbridge.controller.process import Controller
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.protocol import wire
 from alderbridge.settings import Tuning
-from alderbridge.state.store import JOBS
-from alderbridge.transport.http import UnansweredError
+from alderbridge.state.keys import JOBS
+from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
 
 JOB = {
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from world import TEAMS, TYPES, Broken, World
 
 from alderbridge import preemption
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.preemption import (
     CandidateMachine,
     Ledger,
@@ -25,10 +25,11 @@
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.priorities import PriorityConfiguration, check_lines, demands, parse, policy
 from alderbridge.protocol import wire
-from alderbridge.scheduling.placement import allowed, fits, minus
-from alderbridge.scheduling.policy import MachineKind
+from alderbridge.scheduling.demand import MachineKind
+from alderbridge.scheduling.placement import allowed
+from alderbridge.scheduling.resources import fits, minus
 from alderbridge.settings import ConfigError
-from alderbridge.state.store import BUDGETS, CLAIMS, JOBS
+from alderbridge.state.keys import BUDGETS, CLAIMS, JOBS
 
 INI = """
 [class */urgent]
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -10,8 +10,9 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.state import ControllerState
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
-from alderbridge.membership.view import MemberRecord, Membership, View
-from alderbridge.state.store import VIEW
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.records import MemberRecord, View
+from alderbridge.state.keys import VIEW
 
 
 class Tied(SimController):
--- a/tests/test_controller_parts.py
+++ b/tests/test_controller_parts.py
@@ -10,8 +10,9 @@
 from alderbridge.controller.loops.scaling import ScalingLoop
 from alderbridge.controller.process import Controller
 from alderbridge.settings import Tuning
-from alderbridge.transport.http import TokenBucket, UnansweredError
+from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
+from alderbridge.transport.token_bucket import TokenBucket
 
 
 @pytest.fixture
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -19,10 +19,10 @@
     records,
 )
 from alderbridge.controller.store_follower import StoreFollower
-from alderbridge.membership.view import Membership
+from alderbridge.membership.membership import Membership
 from alderbridge.protocol import wire
 from alderbridge.settings import ConfigError, NextStateLimits
-from alderbridge.state.store import DECLARED
+from alderbridge.state.keys import DECLARED
 
 
 class Text(msgspec.Struct):
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -8,8 +8,8 @@
 from alderbridge.jobs.dependencies import NEVER, Graph
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec, MalformedBodyError, parse_job
-from alderbridge.scheduling import policy
-from alderbridge.scheduling.placement import order
+from alderbridge.scheduling import queue_times
+from alderbridge.scheduling.offers import order
 from alderbridge.settings import Objective, Tuning
 
 
@@ -135,14 +135,14 @@
 
 def test_times_count_from_readiness_and_the_deadline_from_submission():
     objectives = [Objective("wait", "x", within_s=40.0), Objective("deadline", "x", times=1.0)]
-    times = policy.queue_times(spec("wk-1", due_s=100.0), Tuning(), objectives, False, waited_s=30.0)
+    times = queue_times.queue_times(spec("wk-1", due_s=100.0), Tuning(), objectives, False, waited_s=30.0)
     assert times == sorted(
         [
             (40.0 * constants.WAIT_SHARE, 40.0),
             (100.0 - 10.0 * constants.RUN_SAFETY - 30.0, 100.0 - 10.0 * constants.RUN_OPTIMISM - 30.0),
         ]
     )
-    asked = policy.queue_times(spec("wk-1"), Tuning(), [], False, needed_s=[60.0])
+    asked = queue_times.queue_times(spec("wk-1"), Tuning(), [], False, needed_s=[60.0])
     assert asked == [(60.0 - 10.0 * constants.RUN_SAFETY, 60.0 - 10.0 * constants.RUN_OPTIMISM)]
 
 
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -11,10 +11,13 @@
 from alderbridge.controller.dependency_tracker import DependencyTracker
 from alderbridge.controller.process import Controller
 from alderbridge.controller.responses import Response
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record
-from alderbridge.membership.view import Membership, MemberStatus
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
+from alderbridge.membership.membership import Membership, MemberStatus
 from alderbridge.protocol import messages, wire
-from alderbridge.scheduling.placement import Candidate, Offer, Offers, fill
+from alderbridge.scheduling.offers import Offer, Offers
+from alderbridge.scheduling.placement import Candidate, fill
 from alderbridge.settings import Tuning
 from alderbridge.transport.selector import Poll
 
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from alderbridge.calendars import CalendarConfiguration, Timetable, Timetables, check_lines, parse
-from alderbridge.calendars.configuration import Calendar, CalendarRule, day_number
-from alderbridge.calendars.timetable import DAY, NEVER, load_zone
+from alderbridge.calendars.model import Calendar, CalendarRule, day_number
+from alderbridge.calendars.timetable import DAY, NEVER
+from alderbridge.calendars.zones import load_zone
 from alderbridge.protocol import wire
 from alderbridge.settings import ConfigError
 
--- a/tests/test_hours_world.py
+++ b/tests/test_hours_world.py
@@ -8,7 +8,7 @@
 
 from alderbridge import constants
 from alderbridge.calendars import CalendarConfiguration, Timetable
-from alderbridge.calendars.configuration import Calendar, CalendarRule
+from alderbridge.calendars.model import Calendar, CalendarRule
 from alderbridge.calendars.timetable import DAY, NEVER
 from alderbridge.controller.calendar_control import CalendarControl
 from alderbridge.jobs.job_calendars import JobCalendars
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -13,7 +13,7 @@
 
 from alderbridge import constants, preemption
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.leader.leader import Leader, LeaderSettings
 from alderbridge.lending import (
     CapacityLender,
@@ -30,7 +30,7 @@
 from alderbridge.lending.reserve import FreeGpus
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
-from alderbridge.membership.view import Membership
+from alderbridge.membership.membership import Membership
 from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.protocol import wire
@@ -43,8 +43,9 @@
     QueueSnapshot,
 )
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling.placement import Offer, fits
-from alderbridge.scheduling.policy import MachineKind, MachineResource
+from alderbridge.scheduling.demand import MachineKind, MachineResource
+from alderbridge.scheduling.offers import Offer
+from alderbridge.scheduling.resources import fits
 from alderbridge.settings import ConfigError, Team, Tuning
 from alderbridge.state.replica import Replica
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -3,7 +3,8 @@
 from random import Random
 
 from alderbridge import constants
-from alderbridge.machines.shard import JobLookups, MachineShard, Outbox
+from alderbridge.machines.context import JobLookups, Outbox
+from alderbridge.machines.shard import MachineShard
 from alderbridge.protocol.messages import MachineTaskReport, TaskGrant
 from alderbridge.protocol.wire import Heartbeat, JobSpec, MachineRecord, ReportedTask
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,17 +9,18 @@
 from alderbridge.controller import admission
 from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.record_writer import RecordWriter
+from alderbridge.jobs.record import JobState
 from alderbridge.jobs.record_writes import RecordWrites
-from alderbridge.jobs.shard import JobState
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.heartbeats import HeartbeatHandler
 from alderbridge.machines.orders import OrderBuilder
 from alderbridge.machines.shard import MachineShard
 from alderbridge.membership.failure_detector import FailureDetector
-from alderbridge.membership.view import Membership, StoreLease
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import wire
 from alderbridge.scheduling import placement
-from alderbridge.state.store import JOBS, VIEW
+from alderbridge.state.keys import JOBS, VIEW
 
 
 def meetings(seed, nodes, times=2, jobs=18, **more):
--- a/tests/test_meetings_answers.py
+++ b/tests/test_meetings_answers.py
@@ -16,13 +16,15 @@
 from alderbridge.configuration import OperatorConfiguration, compiler
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.controller.local_jobs import LocalJobs
-from alderbridge.jobs.shard import JobState, Record, TaskState
-from alderbridge.machines.shard import MachineState
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.task_states import TaskState
+from alderbridge.machines.machine import MachineState
 from alderbridge.membership.failure_detector import FailureDetector
-from alderbridge.membership.view import View, rendezvous_owner
+from alderbridge.membership.records import View
+from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.preemption import PreemptionClaim
 from alderbridge.protocol import messages, wire
-from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
+from alderbridge.state.keys import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
 
 # -- one node, one store: what is written is read by others at once ------------------
 
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_meetings_controllers.py
@@ -11,10 +11,12 @@
 from alderbridge import constants
 from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.controller.process import Controller
-from alderbridge.jobs.shard import JobState, Record
-from alderbridge.machines.shard import Machine
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.machines.machine import Machine
 from alderbridge.membership.failure_detector import FailureDetector
-from alderbridge.membership.view import Membership, MemberStatus, StoreLease, View
+from alderbridge.membership.membership import Membership, MemberStatus
+from alderbridge.membership.records import View
+from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Tuning
 from alderbridge.transport.selector import Poll
--- a/tests/test_meetings_gap.py
+++ b/tests/test_meetings_gap.py
@@ -10,11 +10,12 @@
 from world import CANCEL_S, LEASE_S, Broken, SimController, World
 
 from alderbridge.controller.job_directory import JobDirectory
-from alderbridge.membership.view import Membership, View
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.records import View
 from alderbridge.protocol import messages
 from alderbridge.protocol.messages import TaskGrant
 from alderbridge.protocol.wire import Heartbeat, MachineRecord, ReportedTask
-from alderbridge.state.store import VIEW
+from alderbridge.state.keys import VIEW
 
 REFUSED_AT, REFUSED_S = 60.0, 14.0
 OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # longer than ``CANCEL_S``
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_meetings_hosts.py
@@ -9,12 +9,12 @@
 from world import Broken, SimWorker, World
 
 from alderbridge import constants
-from alderbridge.jobs.shard import JobState
-from alderbridge.machines.shard import MachineState
-from alderbridge.membership.view import View
+from alderbridge.jobs.record import JobState
+from alderbridge.machines.machine import MachineState
+from alderbridge.membership.records import View
 from alderbridge.protocol import messages
 from alderbridge.protocol.wire import Heartbeat, ReportedTask
-from alderbridge.state.store import MACHINES, VIEW
+from alderbridge.state.keys import MACHINES, VIEW
 
 RUNNING_1 = ReportedTask("wk-000001/0", 70, "running")
 
--- a/tests/test_meetings_limits.py
+++ b/tests/test_meetings_limits.py
@@ -16,9 +16,13 @@
 
 from alderbridge import constants
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
+from alderbridge.jobs.task_states import TaskRun, TaskState
 from alderbridge.leader.leader import Leader, LeaderSettings
-from alderbridge.membership.view import Membership, View
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.records import View
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import (
     MachineTaskReport,
@@ -32,8 +36,8 @@
 from alderbridge.reconciliation import TRANSITIONS, Action, Barrier, ObservedState, RecordedState
 from alderbridge.scheduling import placement
 from alderbridge.settings import Team, Tuning
+from alderbridge.state.keys import VIEW
 from alderbridge.state.replica import Replica
-from alderbridge.state.store import VIEW
 
 CPUS = 4.0
 BOUND = msgspec.structs.replace(SPEC, tasks=2, cpus=CPUS, team="bound", spot=True)
--- a/tests/test_meetings_looks.py
+++ b/tests/test_meetings_looks.py
@@ -18,12 +18,16 @@
 
 from alderbridge import constants
 from alderbridge.controller.process import Controller
-from alderbridge.jobs.shard import Job, JobState, TaskRun, TaskState
-from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState
+from alderbridge.jobs.task_states import TaskRun, TaskState
+from alderbridge.membership.records import MemberRecord, View
+from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Tuning
-from alderbridge.state.store import JOBS, MEMBERS, VIEW, StoreRefusedError
-from alderbridge.transport.http import UnansweredError
+from alderbridge.state.errors import StoreRefusedError
+from alderbridge.state.keys import JOBS, MEMBERS, VIEW
+from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
 
 BODY = {
--- a/tests/test_meetings_machines.py
+++ b/tests/test_meetings_machines.py
@@ -8,8 +8,13 @@
 from world import LEASE_S, SimWorker, World
 
 from alderbridge import constants
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskState
-from alderbridge.machines.shard import JobLookups, MachineShard, MachineState, Outbox
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
+from alderbridge.jobs.task_states import TaskState
+from alderbridge.machines.context import JobLookups, Outbox
+from alderbridge.machines.machine import MachineState
+from alderbridge.machines.shard import MachineShard
 from alderbridge.protocol.messages import (
     AcknowledgeFinished,
     MachineTaskReport,
--- a/tests/test_meetings_outage.py
+++ b/tests/test_meetings_outage.py
@@ -5,8 +5,8 @@
 from world import World
 
 from alderbridge import constants
-from alderbridge.machines.shard import MachineState
-from alderbridge.state.store import MACHINES
+from alderbridge.machines.machine import MachineState
+from alderbridge.state.keys import MACHINES
 
 # hold and lease are over, and a silence of ``LOST_S`` after them
 DOWN_S = constants.TOTAL_LEASE_S + constants.LOST_MACHINE_S
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_meetings_rooms.py
@@ -12,16 +12,19 @@
 from world import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimController, SimWorker, World
 
 from alderbridge import constants
-from alderbridge.controller.core import Submission
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
+from alderbridge.controller.submissions import Submission
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
+from alderbridge.jobs.task_states import TaskRun, TaskState
 from alderbridge.machines.capacity import MachineCapacity
 from alderbridge.machines.shard import MachineShard
-from alderbridge.membership.view import View
+from alderbridge.membership.records import View
 from alderbridge.protocol import wire
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
 from alderbridge.settings import NextStateLimits
-from alderbridge.state.store import VIEW
+from alderbridge.state.keys import VIEW
 
 STANDING_S = 8  # s; more than two reports and the answers to them
 AWAY = "a"  # the zone that is cut off
--- a/tests/test_meetings_store.py
+++ b/tests/test_meetings_store.py
@@ -17,15 +17,17 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
 from alderbridge.controller.responses import Response
-from alderbridge.jobs.shard import JobState, Record, TaskRun, TaskState
-from alderbridge.machines.shard import MachineState
-from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.task_states import TaskRun, TaskState
+from alderbridge.machines.machine import MachineState
+from alderbridge.membership.records import MemberRecord, View
+from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.preemption import Ledger, PreemptionClaim
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Tuning
 from alderbridge.state import store
-from alderbridge.state.store import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
-from alderbridge.transport.http import UnansweredError
+from alderbridge.state.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
+from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
 
 SPEC = wire.JobSpec(
--- a/tests/test_meetings_terms.py
+++ b/tests/test_meetings_terms.py
@@ -15,9 +15,10 @@
 from alderbridge.controller.record_writer import RecordWriter
 from alderbridge.controller.view_entry import ViewEntry
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
-from alderbridge.membership.view import Membership, StoreLease
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import messages
-from alderbridge.state.store import JOBS, VIEW
+from alderbridge.state.keys import JOBS, VIEW
 
 
 class Dark(Tied):
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_meetings_upgrade.py
@@ -11,8 +11,9 @@
 from world import KNOWN_S, Broken, SimController, World
 
 from alderbridge import constants
-from alderbridge.membership.view import MemberRecord, Membership, View
-from alderbridge.state.store import MEMBERS, VIEW
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.records import MemberRecord, View
+from alderbridge.state.keys import MEMBERS, VIEW
 
 
 class Versioned(SimController):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 
 from alderbridge import constants
 from alderbridge.protocol import messages
-from alderbridge.transport import http, http_client, http_response, http_server, mesh
+from alderbridge.transport import errors, http_client, http_response, http_server, mesh
 from alderbridge.transport.selector import OUT, Poll
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -56,7 +56,7 @@
     monkeypatch.setattr(http_server, "now", lambda: clock[0])
 
     poll = Poll()
-    server = http.Server(lambda *_request: (200, b"{}", []), 2, poll)
+    server = http_server.Server(lambda *_request: (200, b"{}", []), 2, poll)
 
     async def play():
         serving = [await curio.spawn(poll.serve, nothing), await curio.spawn(server.serve, "127.0.0.1", PORT)]
@@ -138,9 +138,9 @@
         replies.append((reply, answer))
         return None
 
-    server = http.Server(handler, 1, poll)
+    server = http_server.Server(handler, 1, poll)
     sock = Sock([*pieces, b""], most)
-    connection = http.Connection(server, sock)
+    connection = http_server.Connection(server, sock)
     for _ in range(100_000):
         if not known:
             server.known_post_head = server.known_get_head = connection.known_head = None
@@ -259,11 +259,11 @@
             if not known:
                 http_response._known_heads.clear()
             there, body = There(), b"q" * rng.choice((0, 3))
-            there.pieces, client = list(pieces), http.Client("h", 1)
+            there.pieces, client = list(pieces), http_client.Client("h", 1)
             client.idle.append(there)
             try:
                 answer = await client.request("POST", "/holds/107/extend", body)
-            except http.UnansweredError:
+            except errors.UnansweredError:
                 answer = None
             head = b"POST /holds/107/extend HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
             assert there.sent == head % len(body) + body
@@ -281,8 +281,8 @@
         await curio.sleep(60.0)
 
     monkeypatch.setattr(http_client, "connect", hang)
-    with pytest.raises(http.UnansweredError):
-        curio.run(http.Client("127.0.0.1", 1).request, "GET", "/kv")
+    with pytest.raises(errors.UnansweredError):
+        curio.run(http_client.Client("127.0.0.1", 1).request, "GET", "/kv")
 
 
 def test_a_body_for_several_peers_is_encoded_once_into_the_same_bytes():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,9 @@
 
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import PRIORITIES, JobSpec
-from alderbridge.scheduling.placement import BusyMachines, Candidate, Offer, Offers, allowed, fill, fits, minus
+from alderbridge.scheduling.offers import Offer, Offers
+from alderbridge.scheduling.placement import BusyMachines, Candidate, allowed, fill
+from alderbridge.scheduling.resources import fits, minus
 
 
 def spec(spot=True, **more):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,13 +7,14 @@
 import pytest
 
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import JobState, Record
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.leader.leader import Leader, LeaderSettings
-from alderbridge.membership.view import Membership
+from alderbridge.membership.membership import Membership
 from alderbridge.protocol.messages import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling import placement, policy
-from alderbridge.scheduling.policy import Demand, MachineKind, MachineResource, Market
+from alderbridge.scheduling import placement, policy, queue_times, quota_division
+from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
+from alderbridge.scheduling.market import Market
 from alderbridge.settings import Objective, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -178,19 +179,19 @@
 
 def test_maximum_queue_time_has_a_floor():
     tuning = Tuning(target_ratio=0.5, queue_time_floor_s=120.0)
-    assert policy.max_queue_time(spec(estimate_s=60.0), tuning) == 120.0
-    assert policy.max_queue_time(spec(estimate_s=600.0), tuning) == 300.0
+    assert queue_times.max_queue_time(spec(estimate_s=60.0), tuning) == 120.0
+    assert queue_times.max_queue_time(spec(estimate_s=600.0), tuning) == 300.0
 
 
 def test_objectives_set_the_queue_times_and_missed_ones_go_behind():
     objectives = [Objective("wait", "x", 20.0), Objective("finished", "x", 200.0), Objective("wait", "other", 1.0)]
-    times = policy.queue_times(spec(estimate_s=10.0), Tuning(), objectives, False)
+    times = queue_times.queue_times(spec(estimate_s=10.0), Tuning(), objectives, False)
     assert times == [(12.0, 20.0), (186.0, 192.0)]
-    assert policy.due_in(5.0, times) == (7.0, False)
-    assert policy.due_in(13.0, times) == (-1.0, False)
-    assert policy.due_in(21.0, times) == (165.0, False)
-    assert policy.due_in(500.0, times) == (186.0, True)
-    assert policy.queue_times(spec(), Tuning(), [], False) == [(120.0, 120.0)]
+    assert queue_times.due_in(5.0, times) == (7.0, False)
+    assert queue_times.due_in(13.0, times) == (-1.0, False)
+    assert queue_times.due_in(21.0, times) == (165.0, False)
+    assert queue_times.due_in(500.0, times) == (186.0, True)
+    assert queue_times.queue_times(spec(), Tuning(), [], False) == [(120.0, 120.0)]
 
 
 def test_idle_machine_stays_only_if_its_removal_predicts_a_breach():
@@ -217,10 +218,10 @@
     used = dict.fromkeys(homes, 0.0)
     for _ in range(500):
         needs = [
-            policy.QuotaDemand(rng.choice(homes), rng.uniform(0.0, 80.0), rng.choice([0.0, 1.0, 40.0]), kept)
+            quota_division.QuotaDemand(rng.choice(homes), rng.uniform(0.0, 80.0), rng.choice([0.0, 1.0, 40.0]), kept)
             for kept in rng.choices([False, True], k=rng.randint(0, 4))
         ]
-        shares = policy.divide_quota(100.0, used, held, given, needs)
+        shares = quota_division.divide_quota(100.0, used, held, given, needs)
         assert sum(max(held[h], shares.get(h, 0.0)) for h in homes) <= 100.0 + 1e-6
         given = shares
         for h in homes:  # the home confirms, and uses what it may
@@ -230,8 +231,8 @@
 
 def test_what_is_not_used_goes_to_the_soonest_need():
     homes = {"a": 60.0, "b": 0.0}
-    needs = [policy.QuotaDemand("b", 30.0), policy.QuotaDemand("a", 50.0)]
-    shares = policy.divide_quota(100.0, dict(homes), dict(homes), {"a": 60.0, "b": 0.0}, needs)
+    needs = [quota_division.QuotaDemand("b", 30.0), quota_division.QuotaDemand("a", 50.0)]
+    shares = quota_division.divide_quota(100.0, dict(homes), dict(homes), {"a": 60.0, "b": 0.0}, needs)
     assert shares == {"a": 70.0, "b": 30.0}
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -7,7 +7,7 @@
 from world import Broken, SimController, World
 
 from alderbridge import constants
-from alderbridge.membership.view import MemberRecord
+from alderbridge.membership.records import MemberRecord
 from alderbridge.protocol import messages
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import (
@@ -336,7 +336,7 @@
 
 
 def test_an_older_controller_that_is_told_changes_is_seen(monkeypatch):
-    from alderbridge.membership.view import Membership
+    from alderbridge.membership.membership import Membership
 
     real = Membership.all_support
     monkeypatch.setattr(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,8 +8,12 @@
 from world import Broken, World
 
 from alderbridge import constants, reconciliation
-from alderbridge.jobs.shard import Job, JobShard, JobState, Record, TaskRun, TaskState
-from alderbridge.membership.view import MemberRecord, Membership
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.jobs.shard import JobShard
+from alderbridge.jobs.task_states import TaskRun, TaskState
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.records import MemberRecord
 from alderbridge.protocol.messages import (
     AcknowledgeFinished,
     MachineTaskReport,
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -6,23 +6,16 @@
 
 from alderbridge import constants
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import JobState, Record
-from alderbridge.membership.view import MemberRecord, Membership, View
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.membership.membership import Membership
+from alderbridge.membership.records import MemberRecord, View
 from alderbridge.protocol import messages
 from alderbridge.protocol.wire import JobSpec, WatchEvent
 from alderbridge.settings import NextStateLimits, StateLimits
+from alderbridge.state.errors import LeaseExpiredError, TransactionTooLargeError
+from alderbridge.state.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, STOPS
 from alderbridge.state.replica import Replica
-from alderbridge.state.store import (
-    BUDGETS,
-    CLAIMS,
-    DECLARED,
-    JOBS,
-    LISTS,
-    STOPS,
-    LeaseExpiredError,
-    Store,
-    TransactionTooLargeError,
-)
+from alderbridge.state.store import Store
 
 SPEC = JobSpec(
     id="wk-000002",
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,7 +6,9 @@
 
 from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.jobs.dependencies import Graph
-from alderbridge.jobs.shard import Job, JobState, QuotaUsage, Record
+from alderbridge.jobs.job import Job
+from alderbridge.jobs.quota_usage import QuotaUsage
+from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.task_reports import TaskReportHandler
 from alderbridge.machines.leases import WorkerLeases
 from alderbridge.machines.machine import Machine
@@ -15,7 +17,7 @@
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
 from alderbridge.settings import NextStateLimits
-from alderbridge.state.store import JOBS, LISTS
+from alderbridge.state.keys import JOBS, LISTS
 
 
 def play(seed, until=200.0, **more):
--- a/tests/world.py
+++ b/tests/world.py
@@ -28,10 +28,12 @@
 
 from alderbridge import constants
 from alderbridge.controller import admission
-from alderbridge.controller.core import ControllerCore, Submission
-from alderbridge.jobs.shard import JobState, Record
-from alderbridge.machines.shard import MachineState
-from alderbridge.membership.view import MemberRecord, View, rendezvous_owner
+from alderbridge.controller.core import ControllerCore
+from alderbridge.controller.submissions import Submission
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.machines.machine import MachineState
+from alderbridge.membership.records import MemberRecord, View
+from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Cloud as CloudSettings
 from alderbridge.settings import (
@@ -47,7 +49,7 @@
     Tuning,
     Workers,
 )
-from alderbridge.state.store import JOBS, MEMBERS, ROOT, VIEW
+from alderbridge.state.keys import JOBS, MEMBERS, ROOT, VIEW
 
 LABELS = ["host-0", "host-1", "host-2", "host-3", "host-4"]
 LEASE_S, CANCEL_S, REPORT_S = 17.0, 42.0, 3.0
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -31,11 +31,11 @@
     ServingJob,
     allocate_reserve,
 )
-from alderbridge.lending.lender import MachineContents  # noqa: E402
+from alderbridge.lending.fleet import MachineContents  # noqa: E402
 from alderbridge.lending.reserve import FreeGpus  # noqa: E402
 from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim  # noqa: E402
 from alderbridge.protocol.wire import JobSpec, MachineType  # noqa: E402
-from alderbridge.scheduling.policy import MachineKind, MachineResource  # noqa: E402
+from alderbridge.scheduling.demand import MachineKind, MachineResource  # noqa: E402
 from alderbridge.settings import Team  # noqa: E402
 
 ZONES, GPUS, REPORT_S, QUIET_S = ["a", "b", "c"], 8, 3.0, 120.0
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -35,10 +35,13 @@
 
 from alderbridge import constants, settings
 from alderbridge.controller.core import ControllerCore  # noqa: E402
-from alderbridge.membership.view import MemberRecord  # noqa: E402
+from alderbridge.membership.records import MemberRecord  # noqa: E402
 from alderbridge.protocol import messages, wire
-from alderbridge.state.store import MEMBERS, VIEW  # noqa: E402
-from alderbridge.transport import http, mesh
+from alderbridge.state.keys import MEMBERS, VIEW  # noqa: E402
+from alderbridge.transport import (
+    http_server,  # noqa: E402
+    mesh,
+)
 
 PROTOCOL_VERSION = getattr(
     constants, "PROTOCOL_VERSION", constants.VERSION_WITH_DEPENDENCIES
@@ -110,9 +113,9 @@
 class Wire:
     """A client's connection in memory: what the server reads and writes, without a socket."""
 
-    def __init__(self, server: http.Server) -> None:
+    def __init__(self, server: http_server.Server) -> None:
         self.incoming = self.body = b""
-        self.server = http.Connection(server, self)
+        self.server = http_server.Connection(server, self)
 
     def fileno(self) -> int:
         return -1
@@ -131,7 +134,7 @@
         self.server.ready(1)
         return HANDED.pop()
 
-    def answer(self, answer: http.Answer) -> None:
+    def answer(self, answer: http_server.Answer) -> None:
         self.server.respond(answer)
 
 
@@ -143,7 +146,7 @@
         pass
 
 
-SERVER = http.Server(lambda _method, _target, body, _reply: HANDED.append(body), 1, NoPoll())
+SERVER = http_server.Server(lambda _method, _target, body, _reply: HANDED.append(body), 1, NoPoll())
 
 
 class Worker:
--- a/tools/bench_opening.py
+++ b/tools/bench_opening.py
@@ -27,7 +27,7 @@
 from alderbridge.protocol import wire  # noqa: E402
 from alderbridge import constants  # noqa: E402
 from alderbridge.calendars import CalendarConfiguration  # noqa: E402
-from alderbridge.calendars.configuration import Calendar, CalendarRule  # noqa: E402
+from alderbridge.calendars.model import Calendar, CalendarRule  # noqa: E402
 
 OPENS, CALM, UNTIL = 90.0, 60.0, 240.0
 base.OBJECTIVES.append(settings.Objective("finished", "opening", 200.0))
--- a/tools/bench_replica.py
+++ b/tools/bench_replica.py
@@ -22,10 +22,10 @@
 import psutil  # noqa: E402
 
 from alderbridge.jobs.dependencies import Graph  # noqa: E402
-from alderbridge.membership.view import Membership  # noqa: E402
+from alderbridge.membership.membership import Membership  # noqa: E402
 from alderbridge.protocol.wire import WatchEvent  # noqa: E402
+from alderbridge.state.keys import JOBS  # noqa: E402
 from alderbridge.state.replica import Replica  # noqa: E402
-from alderbridge.state.store import JOBS  # noqa: E402
 
 RECORD = msgspec.Raw(b'{"state":"done","done_at":1764650000.5}')
 
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -29,7 +29,7 @@
 from alderbridge.preemption import PreemptionDemand, PreemptionLimit  # noqa: E402
 from alderbridge.priorities import PriorityPolicy, parse  # noqa: E402
 from alderbridge.protocol import wire
-from alderbridge.state.store import CLAIMS  # noqa: E402
+from alderbridge.state.keys import CLAIMS  # noqa: E402
 
 AIM_S, BURSTS, LAST_S = 12.0, (60.0, 90.0, 120.0, 150.0), 900.0
 INI = """
