--- /dev/null
+++ b/tests/simulation/faults.py
@@ -0,0 +1,331 @@
+"""The faults that are injected, one by one and several at a time."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from alderbridge import constants
+from alderbridge.membership.records import View
+from alderbridge.state.keys import VIEW
+from simulation.deployment import CANCEL_S, LEASE_S, ZONES
+from simulation.users import LEADERS, LEADERS_S, STREAM_S
+
+if TYPE_CHECKING:
+    from simulation.controller import SimController
+    from simulation.worker import SimWorker
+
+TROUBLES = [
+    "crash",
+    "crash",
+    "crash_all",
+    "flap",
+    "cut",
+    "cut_store",
+    "cut_workers",
+    "cut_mesh",
+    "outage",
+    "die",
+    "hang",
+    "cut_machine",
+    "faulty",
+    "recall",
+    "deaf",
+    "late_reports",
+    "late_writes",
+    "cut_alone",
+    "refused",
+    "held_up",
+]
+# A meeting has one of the first at least; see ``World.meeting``.
+MEETING = [
+    "deaf",
+    "late_reports",
+    "late_writes",
+    "cut_alone",
+    "refused",
+    "held_up",
+    "slow_store",
+    "mute",
+    "looks",
+    "lost_answers",
+    "reports_kept",
+    "cancel_now",
+    "cancel_at_end",
+    "odd_requests",
+    "quick_boots",
+    "zone_away",
+    "limits",
+    "stream",
+    "ten_leaders",
+]
+MEETING_OLD = ["crash", "crash_all", "one_returns", "flap", "end_leaders", "hang", "cut_machine"]
+ON_MACHINES = ("deaf", "held_up", "hang", "cut_machine", "mute")
+
+
+class Faults:
+    """What goes wrong, and when; a part of ``World``."""
+
+    def trouble(self) -> None:
+        sim = self.nodes[self.rng.choice(self.labels)]
+        self.bring(self.rng.choice(TROUBLES), sim, self.rng.uniform(2.0, 40.0))
+
+    def bring(self, kind: str, sim: SimController, length: float) -> None:
+        """One trouble, of that controller, of one machine or of all."""
+        rng = self.rng
+        workers = [worker for worker in self.machines.values() if worker is not None]
+        if kind.startswith("crash"):
+            for victim in self.nodes.values() if kind == "crash_all" else [sim]:
+                self.end(victim)
+        elif kind == "flap":
+            self.flap()
+        elif kind == "one_returns":
+            for victim in self.nodes.values():
+                self.end(victim, rng.uniform(0.1, 1.0) if victim is sim else rng.uniform(0.1, 35.0))
+        elif kind == "end_leaders":
+            self.end_leaders(rng.randint(1, 4), rng.uniform(0.2, 6.0))
+        elif kind == "outage":
+            self.store.outage(min(length, 25.0))
+        elif kind == "late_reports":
+            self.copied_share, self.copies_until = rng.uniform(0.1, 0.9), self.t + length
+        elif kind == "late_writes":
+            self.store.late_share, self.store.late_until = rng.uniform(0.1, 0.6), self.t + length
+        elif kind == "slow_store":
+            self.store.slow_by, self.store.slow_until = rng.choice([25.0, 100.0, 400.0]), self.t + length
+        elif kind == "lost_answers":
+            self.store.lost_share, self.store.lost_until = rng.uniform(0.2, 0.9), self.t + length
+        elif kind == "reports_kept":
+            self.kept_share, self.kept_until = rng.uniform(0.1, 0.6), self.t + length
+            self.after(rng.uniform(0.3, 1.0) * length, self.end_leaders, rng.randint(1, 3), rng.uniform(1.0, 8.0))
+        elif kind == "looks":
+            self.looks_until = self.t + length
+        elif kind == "quick_boots":
+            self.quick_until = self.t + length
+            if rng.random() < 0.5:
+                self.after(rng.uniform(1.0, length), self.end_leaders, 1, 1.0)
+        elif kind == "cancel_now":
+            self.cancel_now(rng.randint(4, 12), rng.choice([0.0, rng.uniform(2.0, 60.0)]))
+        elif kind == "cancel_at_end":
+            self.at_end_share, self.at_end_until = rng.uniform(0.3, 0.9), self.t + length
+        elif kind == "odd_requests":
+            for _ in range(int(length)):
+                self.after(rng.uniform(0.0, length), self.odd_request)
+        elif kind == "limits":
+            self.fill_team(length)
+        elif kind == "stream":
+            for number in range(int(length / STREAM_S)):
+                self.after(number * STREAM_S, self.send_one)
+        elif kind == "ten_leaders":
+            for number in range(LEADERS):
+                self.after((number + 0.5 * rng.random()) * LEADERS_S / LEADERS, self.replace_leader)
+        elif kind == "zone_away":
+            self.cut_zone(rng.choice(ZONES), sim, length)
+        elif kind == "cut_alone":  # not from workers and users
+            sim.cut_store_until = sim.cut_mesh_until = self.t + max(10.0, length)
+            if rng.random() < 0.5:
+                sim.mesh_held_until = self.t + constants.MESH_STALL_S
+        elif kind == "refused":
+            if rng.random() < 0.5:  # at first it carries things out, and the answers are lost
+                self.store.late_share, self.store.late_until = 0.8, self.t + 3.0
+            self.after(rng.uniform(0.0, 3.0), self.refuse, sim, length)
+        elif kind.startswith("cut") and kind != "cut_machine":
+            if kind in ("cut", "cut_store"):
+                sim.cut_store_until = self.t + length
+            if kind in ("cut", "cut_mesh"):
+                sim.cut_mesh_until = self.t + length
+            if kind in ("cut", "cut_workers"):
+                sim.cut_workers_until = self.t + length
+        elif workers:
+            worker = rng.choice(workers)
+            if kind == "die":
+                worker.die()
+            elif kind == "hang":
+                worker.hangs_until = self.t + length
+            elif kind == "cut_machine":
+                worker.cut_until = self.t + length
+            elif kind == "deaf":
+                worker.deaf_until = self.t + length
+            elif kind == "held_up":
+                worker.held_up_until = self.t + length
+            elif kind == "mute":
+                worker.mute_until = self.t + length
+            elif kind == "faulty":
+                worker.faulty = not worker.faulty
+            else:
+                worker.recall_at = self.t + rng.uniform(2.0, 15.0)
+
+    def refuse(self, sim: SimController, for_s: float) -> None:
+        """The store refuses one, and while that lasts it is down for all, maybe for longer than ``cancel_s``."""
+        rng = self.rng
+        sim.refused_until, sim.follow_hangs = self.t + for_s, True
+        if rng.random() < 0.6:
+            self.after(
+                rng.uniform(0.0, min(for_s, 20.0)),
+                self.store.outage,
+                CANCEL_S + rng.uniform(1.0, 10.0) if rng.random() < 0.5 else rng.uniform(2.0, 25.0),
+            )
+
+    def meeting(self, at: float) -> None:
+        """Two troubles or three that overlap, and users who cancel a moment before them and while they last."""
+        rng = self.rng
+        kinds = [rng.choice(MEETING)]
+        kinds += rng.sample([kind for kind in MEETING + MEETING_OLD if kind not in kinds], rng.choice([1, 1, 2]))
+        for kind in kinds:
+            begin = at + rng.uniform(0.0, 8.0)
+            length = rng.uniform(10.0, 45.0)
+            if kind in ("deaf", "mute"):
+                length = rng.choice([rng.uniform(5.0, 40.0), rng.uniform(20.0, 200.0)])
+            elif kind == "ten_leaders":
+                length = LEADERS_S
+            elif kind == "cancel_now":
+                length = 60.0
+            elif kind == "zone_away":
+                length += LEASE_S
+            elif kind == "stream":
+                length = min(length, 25.0)
+            elif kind == "limits":
+                length += 20.0
+            self.after(begin, self.meet, kind, length)
+            self.calm_at = max(self.calm_at, begin + length + 60.0 * (kind == "refused"))
+        for _ in range(rng.randint(2, 5)):
+            self.after(at + rng.uniform(-3.0, 30.0), self.cancel_any)
+
+    def meet(self, kind: str, length: float) -> None:
+        """On a share of the machines, where it is theirs; of controllers the leader mostly."""
+        rng = self.rng
+        leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader if VIEW in self.store.data else ""
+        sim = self.nodes[leader if leader and rng.random() < 0.6 else rng.choice(self.labels)]
+        if kind in ("refused", "cut_alone", "late_writes"):
+            for _ in range(rng.randint(0, 3)):
+                self.after(rng.uniform(0.0, 4.0), self.cancel_any)
+        for _ in range(rng.choice([1, 2, 4, 8]) if kind in ON_MACHINES else 1):
+            self.bring(kind, sim, length)
+
+    def reaches(self, worker: SimWorker, label: str) -> bool:
+        """Whether a zone that is away lies between them."""
+        zone, inside, until = self.zone_away
+        return self.t >= until or (worker.kind.zone == zone) == (label == inside)
+
+    def cut_zone(self, zone: str, sim: SimController, for_s: float) -> None:
+        """Its workers and one controller reach each other, and users it, and nothing else; jobs are bound to it."""
+        rng = self.rng
+        self.zone_away = (zone, sim.label, self.t + for_s)
+        sim.cut_store_until = sim.cut_mesh_until = self.t + for_s
+        for _ in range(rng.randint(2, 4)):
+            spec = msgspec.structs.replace(
+                self.make_long(next(self.numbers)),
+                types=None,
+                spread=False,
+                zone=rng.choice([None, zone]),
+                one_zone=True,
+                tasks=rng.randint(2, 6),
+            )
+            self.after(rng.uniform(0.0, for_s), self.submit, spec)
+
+    def group_trouble(self) -> None:
+        """A good part of the machines at once, and with them one controller, all of them, or none."""
+        rng = self.rng
+        workers = [worker for worker in self.machines.values() if worker is not None]
+        kind, length = rng.choice(["die", "hang", "cut", "hang_in_turn"]), rng.uniform(5.0, 45.0)
+        for number, worker in enumerate(rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.3, 0.9)))):
+            if kind == "die":
+                worker.die()
+            elif kind == "cut":
+                worker.cut_until = self.t + length
+            else:
+                worker.hangs_until = self.t + length + (number if kind == "hang_in_turn" else 0.0)
+        victims = rng.choice([[], rng.sample(list(self.nodes.values()), 1), list(self.nodes.values())])
+        for victim in victims:
+            self.end(victim)
+        if rng.random() < 0.3:
+            self.store.outage(rng.uniform(2.0, 25.0))
+
+    def fall(self) -> None:
+        """All controllers end within 5 s and return within a minute in any order, some end again at once.
+
+        With them a third to nine tenths of the machines die, hang, are cut off, cut off for longer than
+        their lease (they come back with a raised tenure) or fail what they run; the store is down, or slow.
+        """
+        rng = self.rng
+        for sim in rng.sample(list(self.nodes.values()), len(self.nodes)):
+            at = rng.uniform(0.0, 5.0)
+            back = at + self.away()
+            self.after(at, sim.crash)
+            self.after(back, self.restart, sim)
+            if rng.random() < 0.3:
+                again = back + rng.uniform(0.3, 8.0)
+                self.after(again, sim.crash)
+                self.after(again + rng.uniform(0.5, 8.0), self.restart, sim)
+        workers = [worker for worker in self.machines.values() if worker is not None]
+        kind, length = rng.choice(["die", "hang", "cut", "raise", "sick"]), rng.uniform(5.0, 45.0)
+        for worker in rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.33, 0.9))):
+            if kind == "die":
+                worker.die()
+            elif kind == "hang":
+                worker.hangs_until = self.t + length
+            elif kind == "sick":
+                worker.faulty = True
+                self.after(length, setattr, worker, "faulty", False)
+            else:
+                worker.cut_until = self.t + (length if kind == "cut" else LEASE_S + length)
+        store = rng.choice(["up", "down", "slow"])
+        if store == "down":
+            self.store.outage(rng.uniform(2.0, 25.0))
+        elif store == "slow":
+            self.store.slow_until = self.t + rng.uniform(10.0, 40.0)
+
+    def away(self) -> float:
+        """How long a process is gone, in s: mostly a fraction of a second, seldom up to a minute."""
+        rng = self.rng
+        if self.slow:
+            return rng.uniform(1.0, 60.0) if rng.random() < 0.1 else rng.uniform(1.0, 8.0)
+        return rng.choice(
+            [
+                rng.uniform(0.1, 0.5),
+                rng.uniform(0.1, 0.5),
+                rng.uniform(0.5, 6.0),
+                rng.uniform(1.0, 8.0),
+                0.1 + 59.9 * rng.random() ** 3,
+            ]
+        )
+
+    def end(self, sim: SimController, back_s: float | None = None) -> None:
+        sim.crash()
+        self.after(self.away() if back_s is None else back_s, self.restart, sim)
+
+    def flap(self) -> None:
+        """One twice within a second, one after the other round all, or the leader and then whoever follows."""
+        rng = self.rng
+        sims = rng.sample(list(self.nodes.values()), len(self.nodes))
+        kind = rng.choice(["twice", "roll", "leaders"])
+        if kind == "twice":
+            for number in range(rng.randint(2, 4)):
+                self.after(number * rng.uniform(0.3, 0.6), self.end, sims[0], rng.uniform(0.1, 0.25))
+        elif kind == "roll":
+            pause = rng.uniform(0.2, 4.0)
+            for number, sim in enumerate(sims * rng.randint(1, 3)):
+                self.after(number * pause, self.end, sim, rng.uniform(0.1, 0.6))
+        else:
+            self.end_leaders(rng.randint(3, 8), rng.uniform(0.2, 3.0))
+
+    def end_leaders(self, times: int, pause: float) -> None:
+        """Whoever leads, by what the store says."""
+        if VIEW in self.store.data:
+            self.end(
+                self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader], self.rng.uniform(0.1, 0.6)
+            )
+        if times > 1:
+            self.after(pause, self.end_leaders, times - 1, pause)
+
+    def replace_leader(self) -> None:
+        """It is gone until another leads: one that is back at once leads again."""
+        if VIEW in self.store.data:
+            sim = self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
+            if sim.core is not None:
+                self.end(sim, self.rng.uniform(6.0, 20.0))
+
+    def restart(self, sim: SimController) -> None:
+        if sim.core is None:
+            sim.start()
--- /dev/null
+++ b/tests/simulation/users.py
@@ -0,0 +1,450 @@
+"""The simulated users: they submit, ask, repeat and cancel, also what is flawed."""
+
+from __future__ import annotations
+
+import json
+import math
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from alderbridge import constants
+from alderbridge.jobs.record import JobState, Record
+from alderbridge.protocol import messages, wire
+from alderbridge.state.keys import JOBS
+from simulation.deployment import CANCEL_S
+from simulation.errors import Broken
+
+if TYPE_CHECKING:
+    from simulation.controller import SimController
+
+NOT_FOUND = "404"  # told to a user, or 400 or 422, in place of a state
+STREAM_S, STREAM_CANCELLED = 0.25, 0.25  # s between one-task jobs; the share of them that users cancel
+LEADERS, LEADERS_S = 10, 120.0
+# What a submission says though a record leaves it out where it has its default.
+GIVEN = {
+    "accelerators": 0.0,
+    "snapshot_every_s": 0.0,
+    "snapshot_s": 0.0,
+    "together": False,
+    "apart": False,
+    "standby": False,
+}
+# What is put in a submission's place of a field, None: left out. No field: all of these.
+FLAWS = [
+    (name, None)
+    for name in (
+        "id",
+        "workload",
+        "owner",
+        "shape",
+        "urgency",
+        "parts",
+        "vcpus",
+        "mem_gb",
+        "bundle",
+        "image_gb",
+        "expected_s",
+        *GIVEN,
+    )
+]
+FLAWS += [
+    ("parts", 0),
+    ("parts", 100_001),
+    ("parts", 1.5),
+    ("parts", True),
+    ("vcpus", math.nan),
+    ("vcpus", -1.0),
+    ("vcpus", 0.0),
+    ("vcpus", "2"),
+    ("mem_gb", -1.0),
+    ("mem_gb", 65.0),
+    ("owner", "nobody"),
+    ("site", "z"),
+    ("shape", "round"),
+    ("urgency", 1),
+    ("flavours", ["none"]),
+    ("flavours", "small"),
+    ("accelerators", 1.0),
+    ("id", "job-1"),
+    ("", {"flavours": ["small"], "vcpus": 8.0}),
+    ("", {"shape": "standing", "parts": 9, "vcpus": 2.0, "owner": "bound"}),
+]
+
+
+def submission_of(spec: wire.JobSpec) -> dict:
+    """The body that a user sends for it."""
+    return GIVEN | json.loads(msgspec.json.encode(spec))
+
+
+class Users:
+    """What the simulated users do; a part of ``World``."""
+
+    def make_job(self, number: int) -> wire.JobSpec:
+        rng = self.rng
+        array = rng.random() < 0.9
+        return wire.JobSpec(
+            id=f"wk-{rng.randrange(10**6):06d}{number:02d}",
+            job_class="x",
+            team=rng.choice(["free", "bound"]),
+            kind="sweep" if array else "standing",
+            priority=rng.choice(wire.PRIORITIES),
+            tasks=rng.randint(1, 14) if array else 2,
+            cpus=rng.choice([1.0, 2.0, 4.0]),
+            memory_gb=2.0,
+            image=rng.choice("pqr"),
+            image_gb=1.0,
+            estimate_s=rng.uniform(2.0, 20.0) if array else 0.0,
+            types=rng.choice([None, None, ["large"]]),
+            zone=rng.choice([None, None, "a"]),
+            one_zone=rng.random() < 0.15,
+            spread=rng.random() < 0.15,
+            spot=rng.random() < 0.7,
+        )
+
+    def make_rush(self, number: int) -> wire.JobSpec:
+        return msgspec.structs.replace(
+            self.make_job(number),
+            kind="sweep",
+            job_class="soon",
+            team="free",
+            spot=True,
+            tasks=self.rng.randint(30, 90),
+            estimate_s=self.rng.uniform(10.0, 30.0),
+        )
+
+    def make_long(self, number: int) -> wire.JobSpec:
+        return msgspec.structs.replace(
+            self.make_job(number),
+            kind="sweep",
+            job_class="long",
+            estimate_s=60.0,
+            tasks=self.rng.randint(2, 3),
+            spot=True,
+        )
+
+    def pipeline(self, number: int) -> None:
+        """Steps as users send them, each as soon as those that it needs are accepted; some hang on an earlier job."""
+        rng = self.rng
+        if any(sim.old for sim in self.nodes.values()):
+            self.after(1.0, self.pipeline, number)
+            return
+
+        def step(index: int, needs: list[str], **more) -> str:
+            spec = msgspec.structs.replace(
+                self.make_job(number + index),
+                kind="sweep",
+                tasks=rng.randint(1, 5),
+                cpus=1.0,
+                estimate_s=rng.uniform(1.0, 6.0),
+                types=None,
+                zone=None,
+                one_zone=False,
+                spread=False,
+                needs=needs or None,
+                **more,
+            )
+            self.specs[spec.id] = spec
+            self.when_accepted(needs, spec)
+            return spec.id
+
+        earlier = sorted(job for job in self.accepted if not self.specs[job].service)
+        first = step(0, [rng.choice(earlier)] if earlier and rng.random() < 0.4 else [])
+        middle = [step(1 + i, [first]) for i in range(rng.randint(1, 3))]
+        other = step(5, [first, first])
+        step(6, [*middle, other], job_class="last", priority="high", due_s=40.0)
+        if rng.random() < 0.4:
+            victim = rng.choice([first, *middle, other])
+            self.after(rng.uniform(3.0, 25.0), self.withdraw, victim)
+
+    def when_accepted(self, needs: list[str], spec: wire.JobSpec) -> None:
+        if all(need in self.accepted for need in needs):
+            self.submit(spec)
+        else:
+            self.after(0.1, self.when_accepted, needs, spec)
+
+    def before(self, job: str) -> set[str]:
+        """All jobs that it needs, directly or through others."""
+        result, todo = set(), [job]
+        while todo:
+            for need in self.specs[todo.pop()].needs or ():
+                if need not in result:
+                    result.add(need)
+                    todo.append(need)
+        return result
+
+    def submit(self, spec: wire.JobSpec) -> None:
+        self.specs[spec.id] = spec
+        self.first_asked.setdefault(spec.id, self.t)
+        sim = self.nodes[self.rng.choice(self.labels)]
+        core = sim.core
+        if spec.id in self.accepted:
+            self.after(self.rng.uniform(1.0, 5.0), self.poll, spec.id)
+            if spec.service or self.rng.random() < 0.15:
+                self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
+            return
+        if (
+            core is not None
+            and core.machine_shard.capacity.types
+            and core.membership.may_act(self.t)
+            and core.state.loaded
+        ):
+            ready = not spec.needs or (
+                core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
+                and all(map(core.directory.knows_job, spec.needs))
+            )
+            if ready and not core.directory.knows_job(spec.id):
+                core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
+            elif core.directory.knows_job(spec.id) and self.question(sim, spec.id) is not None:
+                self.accept(spec.id)  # an earlier try was carried out: 200
+        self.after(1.5, self.submit, spec)
+
+    def accept(self, job: str) -> None:
+        if job in self.flawed:
+            raise Broken(f"took_flawed: {job}")
+        self.accepted.add(job)
+        if job not in self.accepted_at:
+            self.accepted_at[job] = self.t
+            self.look_closely(job)
+
+    def answer(self, job: str, state: str, asked: float | None = None) -> None:
+        """``asked``: when, for an answer that has taken time; another may have been told in the meantime."""
+        before, ends = self.said.get(job), state in ("done", "aborted")
+        if before is not None and state != before:
+            if asked is None or ends or asked >= self.told_at[job]:
+                raise Broken(f"went_back: {job} {before} -> {state}")
+            return  # true when it was asked
+        if ends and before is None:
+            self.told_at[job] = self.t
+            self.look_closely(job)
+        if state == "done":
+            missing = [i for i in range(self.specs[job].tasks) if f"{job}/{i}" not in self.completed]
+            if missing:
+                raise Broken(f"not_done: {job} lacks {missing}")
+            self.said[job] = state
+        elif state == "aborted":
+            if job not in self.cancelled_at and not any(one in self.cancelled_at for one in self.before(job)):
+                raise Broken(f"went_back: {job} was never cancelled")
+            self.said[job] = state
+            if job in self.cancelled_at:  # whoever says so first, a question's answer included
+                self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
+        elif any(
+            (self.t if asked is None else asked) > self.cancelled_at.get(one, math.inf) + CANCEL_S
+            for one in self.before(job)
+        ):
+            raise Broken(f"orphaned: {job} is called {state}")
+
+    def poll(self, job: str) -> None:
+        """Round robin, as users ask."""
+        sim = self.nodes[self.labels[next(self.turn) % len(self.labels)]]
+        if self.meets:
+            self.ask(sim, job)
+        else:
+            state = self.question(sim, job)
+            if state is not None:
+                self.answered_at[job] = self.t
+                self.answer(job, state)
+        self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
+
+    def ask(self, sim: SimController, job: str) -> None:
+        """By the program's way, which takes time: what counts is what had been told when it was asked."""
+        if sim.core is not None:
+            sim.status(job, lambda state, asked=self.t: self.told(job, state, asked))
+
+    def told(self, job: str, state: str | None, asked: float) -> None:
+        if state == NOT_FOUND:
+            if self.accepted_at.get(job, math.inf) <= asked:
+                raise Broken(f"forgotten: {job} at {self.t:.2f}, accepted at {self.accepted_at[job]:.2f}")
+        elif state is not None:
+            self.answered_at[job] = self.t
+            self.answer(job, state, asked)
+
+    def repeat(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
+        """The submission once more, maybe with another body."""
+        if sim.core is not None:
+            body = submission_of(self.specs[job]) | (flaw or {})
+            sim.send_job(json.dumps(body).encode(), lambda state, asked=self.t: self.told(job, state, asked))
+
+    def look_closely(self, job: str) -> None:
+        """Users ask at all nodes within milliseconds, by question, repeated submission and withdraw."""
+        if self.t >= self.looks_until:
+            return
+        rng = self.rng
+        asks_end = rng.random() < (0.5 if job in self.said else 0.1)
+        for label in self.labels:
+            for _ in range(rng.randint(1, 3)):
+                self.after(
+                    rng.uniform(0.0001, rng.choice([0.004, 0.04, 0.4])),
+                    self.look,
+                    self.nodes[label],
+                    job,
+                    rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if asks_end else "ask"]),
+                )
+
+    def look(self, sim: SimController, job: str, kind: str) -> None:
+        self.looks += 1
+        if kind == "ask":
+            self.ask(sim, job)
+        elif kind == "withdraw":
+            self.withdraw_through(sim, job, again=False)
+        else:
+            self.repeat(sim, job, {"owner": "nobody"} if kind == "other body" else None)
+
+    def odd_request(self) -> None:
+        """A repeated submission, a withdraw of a job that is over, or a job that can't run or lacks a field."""
+        rng = self.rng
+        sim = self.nodes[rng.choice(self.labels)]
+        kind = rng.choice(["repeat", "withdraw", "flawed", "flawed"])
+        over, going = sorted(self.said), sorted(self.accepted - self.said.keys())
+        if kind == "repeat" and going:
+            self.repeat(sim, rng.choice(going))
+        elif kind == "withdraw" and over:
+            self.withdraw_through(sim, rng.choice(over), again=False)
+        elif kind == "flawed" and sim.core is not None:
+            body = submission_of(self.make_job(next(self.numbers)))
+            field, value = rng.choice(FLAWS)
+            if value is None:
+                del body[field]
+            else:
+                body |= {field: value} if field else value
+            self.flawed.add(body.get("id", ""))
+            sim.send_job(json.dumps(body).encode(), lambda state: self.refused_flawed(body, state))
+
+    def refused_flawed(self, body: dict, state: str | None) -> None:
+        if state not in (None, NOT_FOUND):
+            raise Broken(f"took_flawed: {body} is {state}")
+
+    def question(self, sim: SimController, job: str) -> str | None:
+        """As ``StatusHandler.status``: from memory, by the job's home, or from the store; None: 503, or nobody."""
+        if sim.core is None:
+            return None
+        state = sim.core.local_jobs.local_job_state(job, self.t)
+        if state is not None:
+            return state[0]
+        home = self.nodes.get(sim.core.directory.job_owner(job))
+        if (
+            home is not None
+            and home is not sim
+            and home.core is not None
+            and home.label not in sim.dead_links
+            and home.core.membership.fencing_token == sim.core.membership.fencing_token
+            and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
+        ):
+            state = home.core.local_jobs.local_job_state(job, self.t)
+            if state is not None:
+                return state[0]
+        if self.t < max(sim.cut_store_until, sim.refused_until, self.store.down_until):
+            return None
+        found = self.store.data.get(JOBS + job)
+        if found is None:
+            raise Broken(f"forgotten: {job}")
+        record = msgspec.json.decode(found[0], type=Record)
+        waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
+        if record.state is not JobState.ACTIVE:
+            return record.state.value
+        return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
+
+    def withdraw(self, job: str) -> None:
+        if job in self.said:
+            return
+        if self.meets:
+            self.withdraw_through(self.nodes[self.rng.choice(self.labels)], job)
+            return
+        for label in self.labels:
+            core = self.nodes[label].core
+            if core is not None and core.directory.job_owner(job) == label:
+                self.cancelled_at.setdefault(job, math.inf)
+                state = core.local_jobs.cancel(job, self.t)
+                if state:
+                    self.answer(job, state)
+                    if state == "aborted":
+                        self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
+                        return
+        self.after(1.0, self.withdraw, job)
+
+    def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
+        """As ``CancellationHandler.cancel``: decided here, or asked of the job's home by message; again if need be."""
+        core, asked = sim.core, self.t
+        if job not in self.said:
+            self.cancelled_at.setdefault(job, math.inf)
+        if again:
+            self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
+        if core is None or not core.state.loaded:
+            return
+        home, told = core.directory.job_owner(job), self.withdrawn
+        if home == sim.label or job in core.replica.ended:
+            sim.withdraw(job, lambda state: state and told(job, state))
+        elif home:
+            number = next(self.ask_numbers)
+            self.asking[number] = (
+                sim.label,
+                sim.life,
+                self.t + constants.SUBMIT_WAIT_S,
+                lambda state: state and told(job, state),
+            )
+            core.messenger.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
+            sim.flush()
+        else:
+            sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
+
+    def withdrawn(self, job: str, state: str) -> None:
+        self.answer(job, state)
+
+    def cancel_now(self, count: int, hang_s: float) -> None:
+        """Jobs that run, within a fifth of a second; with ``hang_s`` up to eight of their machines hang so long."""
+        rng = self.rng
+        running = sorted({wire.split_task_id(part)[0] for part in self.on})
+        running = [job for job in running if job not in self.said and job not in self.cancelled_at]
+        jobs = rng.sample(running, min(count, len(running)))
+        machines = sorted({name for part, name in self.on.items() if wire.split_task_id(part)[0] in jobs})
+        for name in rng.sample(machines, min(8, len(machines))) if hang_s else ():
+            self.machines[name].hangs_until = self.t + hang_s
+        for job in jobs:
+            self.after(rng.uniform(0.0, 0.2), self.withdraw, job)
+
+    def fill_team(self, length: float) -> None:
+        """More of the limited team's work than its limit, long tasks; some of it is cancelled while that lasts."""
+        rng = self.rng
+        for _ in range(6):
+            spec = msgspec.structs.replace(
+                self.make_long(next(self.numbers)),
+                team="bound",
+                tasks=rng.randint(2, 4),
+                cpus=rng.choice([1.0, 2.0]),
+                types=None,
+                zone=None,
+                one_zone=False,
+            )
+            self.after(rng.uniform(0.0, 3.0), self.submit, spec)
+            if rng.random() < 0.5:
+                self.after(rng.uniform(15.0, length), self.withdraw_accepted, spec.id)
+
+    def send_one(self) -> None:
+        spec = msgspec.structs.replace(
+            self.make_job(next(self.numbers)),
+            kind="sweep",
+            job_class="stream",
+            tasks=1,
+            cpus=1.0,
+            team="free",
+            estimate_s=self.rng.uniform(1.0, 6.0),
+            types=None,
+            zone=None,
+            one_zone=False,
+            spread=False,
+            spot=True,
+        )
+        self.submit(spec)
+        if self.rng.random() < STREAM_CANCELLED:
+            self.after(self.rng.uniform(0.0, 8.0), self.withdraw_accepted, spec.id)
+
+    def withdraw_accepted(self, job: str) -> None:
+        if job in self.accepted:
+            self.withdraw(job)
+        else:
+            self.after(1.0, self.withdraw_accepted, job)
+
+    def cancel_any(self) -> None:
+        jobs = sorted(job for job in self.accepted if job not in self.said and job not in self.cancelled_at)
+        if jobs:
+            self.withdraw(self.rng.choice(jobs))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -3,7 +3,7 @@
 import curio
 import msgspec
 import pytest
-from world import LABELS, TYPES, platform
+from simulation import LABELS, TYPES, platform
 
 from alderbridge.controller import admission
 from alderbridge.controller.process import Controller
--- a/tests/test_hours_world.py
+++ b/tests/test_calendars_simulated.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-import world as w
+import simulation as w
 
 from alderbridge import constants
 from alderbridge.calendars import CalendarConfiguration, Timetable
@@ -150,7 +150,7 @@
         made = plain(*args)
         return msgspec.structs.replace(made, settings=msgspec.structs.replace(made.settings, skew_ms=SKEW_S * 1000))
 
-    monkeypatch.setattr(w, "platform", platform)
+    monkeypatch.setattr(w.deployment, "platform", platform)
 
 
 def play(seed: int, until: float = 600.0, **more) -> HoursWorld:
--- a/tests/test_meetings_rooms.py
+++ b/tests/test_capacity_under_faults.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from world import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimController, SimWorker, World
+from simulation import BEGIN_S, LABELS, LEASE_S, TEAMS, TYPES, Broken, SimController, SimWorker, World
 
 from alderbridge import constants
 from alderbridge.controller.submissions import Submission
--- a/tests/test_meetings.py
+++ b/tests/test_concurrent_faults.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from world import KNOWN_S, ROOM_S, ZONES, Broken, World
+from simulation import KNOWN_S, ROOM_S, ZONES, Broken, World
 
 from alderbridge.controller import admission
 from alderbridge.controller.local_jobs import LocalJobs
--- a/tests/test_meetings_terms.py
+++ b/tests/test_conditions_to_act.py
@@ -8,8 +8,8 @@
 
 import msgspec
 import pytest
-from test_contact import Tied, Ties
-from world import Broken
+from simulation import Broken
+from test_failure_detector import Tied, Ties
 
 from alderbridge import constants
 from alderbridge.controller.record_writer import RecordWriter
--- a/tests/test_declared.py
+++ b/tests/test_configuration.py
@@ -6,8 +6,8 @@
 
 import msgspec
 import pytest
-import world
-from world import Broken, World
+import simulation
+from simulation import Broken, World
 
 from alderbridge import cli, configuration, constants
 from alderbridge.configuration import (
@@ -86,7 +86,7 @@
 
 def test_check_prints_what_each_file_would_put_in_force(tmp_path, capsys):
     platform = tmp_path / "settings.json"
-    platform.write_bytes(msgspec.json.encode(world.platform("host-0", ["host-0", "host-1"])))
+    platform.write_bytes(msgspec.json.encode(simulation.platform("host-0", ["host-0", "host-1"])))
     (tmp_path / "rules").mkdir()
     (tmp_path / "rules" / "hours.ini").write_text(GOOD)
     (tmp_path / "empty.ini").write_text("[declaration]\nrevision = 4\n")
@@ -203,7 +203,7 @@
             try:
                 real(conditions, puts, drops)
             except Exception as error:
-                assert type(error).__module__ == "world"
+                assert type(error).__module__ == "simulation.errors"
 
         self.store.commit = commit
         for _ in range(self.rng.randint(4, 8)):
--- a/tests/test_controller_parts.py
+++ b/tests/test_controller_parts.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 from controller_clock import patch_now
-from world import LABELS, platform
+from simulation import LABELS, platform
 
 from alderbridge.cloud import CloudError, NoCapacityError
 from alderbridge.controller.loops.machine_types import MachineTypesLoop
--- a/tests/test_contact.py
+++ b/tests/test_failure_detector.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from world import Broken, SimController, World
+from simulation import Broken, SimController, World
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 from controller_clock import patch_now
-from world import Broken, World, platform
+from simulation import Broken, World, platform
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
--- a/tests/test_meetings_store.py
+++ b/tests/test_late_transactions.py
@@ -10,7 +10,16 @@
 import curio
 import msgspec
 import pytest
-from world import LABELS, TYPES, SimController, SimStore, StoreRefusedError, TransactionTooLargeError, World, platform
+from simulation import (
+    LABELS,
+    TYPES,
+    SimController,
+    SimStore,
+    StoreRefusedError,
+    TransactionTooLargeError,
+    World,
+    platform,
+)
 
 from alderbridge import configuration, constants
 from alderbridge.configuration import ConfigurationHead, OperatorConfiguration, StoredRevision, compiler, records
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -7,9 +7,9 @@
 
 import msgspec
 import pytest
-import world
-from test_claims import ClaimsWorld
-from world import Broken
+import simulation
+from simulation import Broken
+from test_preemption import ClaimsWorld
 
 from alderbridge import constants, preemption
 from alderbridge.jobs.dependencies import Graph
@@ -603,7 +603,7 @@
         self.uses = [*getattr(self, "uses", [])[-16:], used]  # of 4 s: what the leader knows is that old at most
         for machine, room in ((name, self.kinds[name][0]) for name in self.machines if name in self.kinds):
             gpus = sum(self.specs[wire.split_task_id(part)[0]].gpus for part, on in self.on.items() if on == machine)
-            if gpus > world.TYPES[room.type].gpus:
+            if gpus > simulation.TYPES[room.type].gpus:
                 raise Broken(f"gpus: {machine} has {gpus} in use")
 
     def may_claim(self, machine, claim):
@@ -643,9 +643,9 @@
 
 @pytest.fixture
 def gpus(monkeypatch):
-    monkeypatch.setitem(world.TYPES, "large", msgspec.structs.replace(world.TYPES["large"], gpus=4.0))
+    monkeypatch.setitem(simulation.TYPES, "large", msgspec.structs.replace(simulation.TYPES["large"], gpus=4.0))
     monkeypatch.setattr(
-        world,
+        simulation.deployment,
         "TEAMS",
         [Team("free", *GUARANTEED["free"][:1], 0.0, GUARANTEED["free"][1]), Team("bound", 4.0, 16.0, 2.0, 8.0)],
     )
--- a/tests/test_meetings_answers.py
+++ b/tests/test_lost_answers.py
@@ -1,7 +1,7 @@
 """Transactions carried out at once whose answer alone is lost; jobs cancelled while work changes hands; ten leaders.
 
 What a transaction wrote is read by all others at once, and told to users, while its writer is in doubt from the
-sending until it has read. ``tests/test_meetings_store.py`` has the transactions that are carried out late.
+sending until it has read. ``tests/test_late_transactions.py`` has the transactions that are carried out late.
 """
 
 import math
@@ -9,8 +9,8 @@
 
 import msgspec
 import pytest
-from test_meetings_store import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
-from world import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
+from simulation import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
+from test_late_transactions import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
 
 from alderbridge import configuration, constants
 from alderbridge.configuration import OperatorConfiguration, compiler
--- a/tests/test_meetings_hosts.py
+++ b/tests/test_machine_handover.py
@@ -4,9 +4,9 @@
 
 import msgspec
 import pytest
-from test_meetings_machines import OUT_S, RUNNING, Meetings, Reports
-from test_meetings_store import LEASE_S, SETTLED_S, Alone, machine_of
-from world import Broken, SimWorker, World
+from simulation import Broken, SimWorker, World
+from test_late_transactions import LEASE_S, SETTLED_S, Alone, machine_of
+from test_machine_proofs import OUT_S, RUNNING, Meetings, Reports
 
 from alderbridge import constants
 from alderbridge.jobs.record import JobState
--- a/tests/test_meetings_machines.py
+++ b/tests/test_machine_proofs.py
@@ -4,8 +4,8 @@
 
 import msgspec
 import pytest
+from simulation import LEASE_S, SimWorker, World
 from test_machines import SPEC
-from world import LEASE_S, SimWorker, World
 
 from alderbridge import constants
 from alderbridge.jobs.job import Job
--- a/tests/test_meetings_looks.py
+++ b/tests/test_monotonic_reads.py
@@ -13,8 +13,8 @@
 import msgspec
 import pytest
 from controller_clock import patch_now
-from world import LABELS, TYPES, SimStore, platform
-from world import StoreRefusedError as StoreRefused
+from simulation import LABELS, TYPES, SimStore, platform
+from simulation import StoreRefusedError as StoreRefused
 
 from alderbridge import constants
 from alderbridge.controller.process import Controller
--- a/tests/test_meetings_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -4,9 +4,9 @@
 import msgspec
 import pytest
 from controller_clock import patch_now
-from test_contact import Ties
+from simulation import Broken, World, platform
+from test_failure_detector import Ties
 from test_flapping import takes_itself_for_the_one_before
-from world import Broken, World, platform
 
 from alderbridge import constants
 from alderbridge.controller.local_jobs import LocalJobs
--- a/tests/test_claims.py
+++ b/tests/test_preemption.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from world import TEAMS, TYPES, Broken, World
+from simulation import TEAMS, TYPES, Broken, World
 
 from alderbridge import preemption
 from alderbridge.jobs.record import JobState, Record
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from world import Broken, SimController, World
+from simulation import Broken, SimController, World
 
 from alderbridge import constants
 from alderbridge.membership.records import MemberRecord
--- a/tests/test_meetings_limits.py
+++ b/tests/test_quota_under_faults.py
@@ -9,10 +9,10 @@
 
 import msgspec
 import pytest
-import world
+import simulation
+from simulation import LEASE_S, TYPES, Broken, World
+from test_machine_proofs import Reports
 from test_machines import SPEC
-from test_meetings_machines import Reports
-from world import LEASE_S, TYPES, Broken, World
 
 from alderbridge import constants
 from alderbridge.jobs.dependencies import Graph
@@ -406,7 +406,7 @@
 
 def limits(seed, nodes):
     """``TEAMS`` of the world: what its controllers are told, and what its rules count by."""
-    with patch.object(world, "TEAMS", TIGHT):
+    with patch.object(simulation.deployment, "TEAMS", TIGHT):
         return LimitsWorld(seed, nodes).play()
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_reconciliation.py
@@ -4,8 +4,8 @@
 
 import msgspec
 import pytest
+from simulation import Broken, World
 from test_machines import SPEC, heartbeat, part_with_machine
-from world import Broken, World
 
 from alderbridge import constants, reconciliation
 from alderbridge.jobs.job import Job
--- a/tests/test_world.py
+++ b/tests/test_simulation.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from world import Broken, World
+from simulation import Broken, World
 
 from alderbridge.controller.local_jobs import LocalJobs
 from alderbridge.jobs.dependencies import Graph
--- a/tests/test_meetings_gap.py
+++ b/tests/test_store_gap.py
@@ -6,8 +6,8 @@
 
 import msgspec
 import pytest
+from simulation import CANCEL_S, LEASE_S, Broken, SimController, World
 from test_machines import heartbeat, part_with_machine
-from world import CANCEL_S, LEASE_S, Broken, SimController, World
 
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.membership.membership import Membership
--- a/tests/test_meetings_outage.py
+++ b/tests/test_store_outage.py
@@ -1,8 +1,8 @@
 """The store is away for longer than any lease, and comes back: the fleet is where it was, and goes on at once."""
 
 import pytest
+from simulation import World
 from test_machines import heartbeat, part_with_machine
-from world import World
 
 from alderbridge import constants
 from alderbridge.machines.machine import MachineState
--- a/tests/test_meetings_unanswered.py
+++ b/tests/test_unanswered_jobs.py
@@ -2,7 +2,7 @@
 
 import pytest
 from controller_clock import patch_now
-from world import LABELS, platform
+from simulation import LABELS, platform
 
 from alderbridge import constants
 from alderbridge.controller.process import Controller
--- a/tests/test_meetings_upgrade.py
+++ b/tests/test_upgrade_under_faults.py
@@ -7,8 +7,8 @@
 import msgspec
 import production
 import pytest
-from test_meetings_terms import Dark, Terms
-from world import KNOWN_S, Broken, SimController, World
+from simulation import KNOWN_S, Broken, SimController, World
+from test_conditions_to_act import Dark, Terms
 
 from alderbridge import constants
 from alderbridge.membership.membership import Membership
--- a/tools/service.py
+++ b/tools/service.py
@@ -16,7 +16,7 @@
   after it, are counted. The log says when the end was decided, a moment before its user was told, and of a job's
   first start alone, when its home heard of it.
 
-Who waits beside room that fits is judged in ``tests/world.py``: the log does not tell of room.
+Who waits beside room that fits is judged in ``tests/simulation/``: the log does not tell of room.
 
 Exit status: 0 no day failed, 1 one did, 2 an output could not be read. The calm day itself is held to the same.
 """
