--- a/alderbridge/preemption/ledger.py
+++ b/alderbridge/claims/ledger.py
@@ -22,9 +22,8 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.preemption.model import ClaimGroup
-from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
-from alderbridge.state.keys import BUDGETS, CLAIMS, STOPS
+from alderbridge.claims.records import ClaimGroup, JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
+from alderbridge.protocol.keys import BUDGETS, CLAIMS, STOPS
 
 log = logging.getLogger("preemption")
 _claim = msgspec.json.Decoder(PreemptionClaim)
--- a/alderbridge/preemption/records.py
+++ b/alderbridge/claims/records.py
@@ -58,3 +58,6 @@
 def budget_key(team: str, reason: str) -> str:
     """Return the budget that a stop for a team and a reason is taken from."""
     return f"{team}/{reason}"
+
+
+ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction
--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -30,6 +30,7 @@
     """
 
     def __init__(self, endpoint: str) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.client = Client(*address(endpoint), keep=2)
 
     async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
--- a/alderbridge/configuration/operator_configuration.py
+++ b/alderbridge/configuration/operator_configuration.py
@@ -12,8 +12,8 @@
 from alderbridge.configuration.compiler import ConfigurationRevision, compiled, digest_of
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, parts_of, piece_keys, pieces
 from alderbridge.membership.membership import Membership
+from alderbridge.protocol.keys import DECLARED
 from alderbridge.settings import KINDS
-from alderbridge.state.keys import DECLARED
 
 log = logging.getLogger("configuration")
 _head = msgspec.json.Decoder(ConfigurationHead)
--- a/alderbridge/configuration/records.py
+++ b/alderbridge/configuration/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from alderbridge.state.keys import DECLARED
+from alderbridge.protocol.keys import DECLARED
 
 
 class StoredRevision(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -7,7 +7,7 @@
 from alderbridge.jobs.job import Job
 from alderbridge.jobs.record import JobState
 from alderbridge.jobs.shard import JobShard
-from alderbridge.state.keys import list_keys
+from alderbridge.protocol.keys import list_keys
 from alderbridge.state.replica import Replica
 
 
--- a/alderbridge/controller/health.py
+++ b/alderbridge/controller/health.py
@@ -16,6 +16,7 @@
     """Answers ``/healthz``."""
 
     def __init__(self, core: ControllerCore) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.membership = core.membership
 
--- a/alderbridge/controller/job_queries.py
+++ b/alderbridge/controller/job_queries.py
@@ -38,6 +38,7 @@
     """Sends queries to the owners of jobs and matches the replies."""
 
     def __init__(self, core: ControllerCore, dispatch_effects: Callable[[], Awaitable[None]]) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.dispatch_effects = dispatch_effects
         self.pending_queries: dict[int, PendingQuery] = {}
@@ -103,6 +104,7 @@
     def __init__(
         self, core: ControllerCore, cancellations: LocalCancellation, dispatch_effects: Callable[[], Awaitable[None]]
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.cancellations = cancellations
         self.dispatch_effects = dispatch_effects
--- a/alderbridge/controller/job_records.py
+++ b/alderbridge/controller/job_records.py
@@ -8,8 +8,8 @@
 
 from alderbridge.controller.store_backoff import StoreBackoff
 from alderbridge.jobs.record import Record
+from alderbridge.protocol.keys import JOBS
 from alderbridge.state.errors import StoreRefusedError
-from alderbridge.state.keys import JOBS
 from alderbridge.state.store import Store
 from alderbridge.transport.errors import UnansweredError
 
@@ -31,6 +31,7 @@
     """Reads one record after the other; a read that fails starts the backoff."""
 
     def __init__(self, store: Store, store_backoff: StoreBackoff) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.store = store
         self.store_backoff = store_backoff
 
--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -41,7 +41,8 @@
         if mine is None or not self.state.may_act():
             return None
         if mine.stored_state is not JobState.ACTIVE:
-            return mine.stored_state.value, mine.done.count, 0
+            state: JobState = mine.stored_state
+        return state.value, mine.done.count, 0
         if mine.state is not JobState.ACTIVE:
             # Its end may be in the store without an answer to this member, and others may have told the user.
             return None
@@ -66,4 +67,5 @@
             mine.abort(now)
             mine.end_awaited = True
             return ""
-        return mine.stored_state.value
+        state: JobState = mine.stored_state
+        return state.value
--- a/alderbridge/controller/loops/machine_types.py
+++ b/alderbridge/controller/loops/machine_types.py
@@ -12,8 +12,8 @@
 from alderbridge.cloud import Cloud, CloudError
 from alderbridge.controller.core import ControllerCore
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import TYPES, VIEW
 from alderbridge.state.errors import LeaseExpiredError, StoreRefusedError, TransactionTooLargeError
-from alderbridge.state.keys import TYPES, VIEW
 from alderbridge.state.store import Store
 from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.token_bucket import TokenBucket
@@ -26,6 +26,7 @@
     """Reads the machine types: the leader again and again, for the prices, others until they know them."""
 
     def __init__(self, core: ControllerCore, store: Store, cloud: Cloud, rate_limit: TokenBucket) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.membership = core.membership
         self.store = store
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -13,8 +13,8 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.store_backoff import StoreBackoff
 from alderbridge.controller.write_batch import WriteBatch
+from alderbridge.protocol.keys import VIEW
 from alderbridge.state.errors import LeaseExpiredError, RateLimitedError, StoreRefusedError, TransactionTooLargeError
-from alderbridge.state.keys import VIEW
 from alderbridge.state.store import Store
 from alderbridge.transport.errors import UnansweredError
 
@@ -32,6 +32,7 @@
         store_backoff: StoreBackoff,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.store = store
         self.store_backoff = store_backoff
--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -10,8 +10,8 @@
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.unanswered_jobs import UnansweredJobs
 from alderbridge.controller.worker_prober import WorkerProber
+from alderbridge.protocol.keys import ROOT
 from alderbridge.state.errors import WatchCompactedError
-from alderbridge.state.keys import ROOT
 from alderbridge.state.store import Store
 
 now = time.monotonic
@@ -21,6 +21,7 @@
     """Reads the store, and then follows its changes."""
 
     def __init__(self, core: ControllerCore, store: Store, prober: WorkerProber, unanswered: UnansweredJobs) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.membership = core.membership
         self.store = store
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -34,6 +34,7 @@
         rate_limit: TokenBucket,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.membership = core.membership
         self.cloud = cloud
--- a/alderbridge/controller/loops/store_lease.py
+++ b/alderbridge/controller/loops/store_lease.py
@@ -13,8 +13,8 @@
 from alderbridge.controller.store_backoff import StoreBackoff
 from alderbridge.membership.records import MemberRecord
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import MEMBERS
 from alderbridge.state.errors import LeaseExpiredError, StoreRefusedError
-from alderbridge.state.keys import MEMBERS
 from alderbridge.state.store import Store
 from alderbridge.transport.errors import UnansweredError
 
@@ -26,6 +26,7 @@
     """Acquires the store lease, and renews it until it has expired."""
 
     def __init__(self, core: ControllerCore, store: Store, store_backoff: StoreBackoff) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.membership = core.membership
         self.store = store
--- a/alderbridge/controller/loops/view.py
+++ b/alderbridge/controller/loops/view.py
@@ -9,7 +9,7 @@
 
 from alderbridge import constants
 from alderbridge.controller.core import ControllerCore
-from alderbridge.state.keys import VIEW
+from alderbridge.protocol.keys import VIEW
 from alderbridge.state.store import Store
 
 log = logging.getLogger("controller")
@@ -20,6 +20,7 @@
     """Proposes the next view when the membership calls for one."""
 
     def __init__(self, core: ControllerCore, store: Store) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.store = store
 
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -4,7 +4,7 @@
 
 from alderbridge.controller.write_batch import WriteBatch
 from alderbridge.machines.shard import MachineShard
-from alderbridge.state.keys import MACHINES
+from alderbridge.protocol.keys import MACHINES
 from alderbridge.state.replica import Replica
 
 
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -2,20 +2,23 @@
 
 from __future__ import annotations
 
+import functools
 from collections.abc import Callable
 
 import msgspec
 
 from alderbridge import constants
+from alderbridge.claims.ledger import Ledger
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.controller.messenger import Messenger
 from alderbridge.controller.preemption_round import PreemptionRound
 from alderbridge.controller.state import ControllerState
 from alderbridge.machines.machine import Machine
 from alderbridge.machines.shard import MachineShard
-from alderbridge.preemption.ledger import Ledger
 from alderbridge.protocol import messages
 from alderbridge.scheduling import placement
+from alderbridge.scheduling.offers import Offer, Offers
+from alderbridge.scheduling.resources import fits, minus
 
 
 class PlacementRound:
@@ -29,7 +32,7 @@
         ledger: Ledger,
         directory: JobDirectory,
         preemption: PreemptionRound,
-        offers: placement.Offers,
+        offers: Offers,
     ) -> None:
         """``offers`` are kept up to date by others; ``ledger`` has the claims on the machines."""
         self.state = state
@@ -55,7 +58,7 @@
         if self.ledger.entries:
             candidate = self._place_claimed(machine, candidate)
 
-        def room_on_busy_machines(offer: placement.Offer) -> int:
+        def room_on_busy_machines(offer: Offer) -> int:
             """An idle machine leaves young tasks to busy ones with room."""
             if not idle or now >= offer.young_until:
                 return 0
@@ -63,34 +66,19 @@
                 self.busy = self.machine_shard.capacity.busy(now)
             return self.busy.capacity_for(offer.spec)
 
-        room_elsewhere: Callable[[placement.Offer], int] = room_on_busy_machines
+        room_elsewhere: Callable[[Offer], int] = room_on_busy_machines
         lender = self.preemption.lender
         if lender is not None and now < self.preemption.reserved_gpus_until:
             held = self.preemption.reserved_gpus.get(machine.name, 0.0)
             if held:
                 room_elsewhere = lender.limit_lending(candidate.free[2] - held, room_elsewhere)
 
-        def keep(offer: placement.Offer) -> bool:
-            """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
-            name, at = self.reserved_machine
-            kind, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
-            if (
-                (name != machine.name and now - at < constants.RESERVE_IDLE_S)
-                or kind is None
-                or (zone is not None and zone != machine.zone)
-                or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
-                or not placement.fits(offer.spec, (kind.cpus, kind.memory_gb, kind.gpus))
-            ):
-                return False
-            self.reserved_machine = machine.name, now
-            return True
-
         for request in placement.fill(
             candidate,
             self.offers,
             lambda spec: self.machine_shard.capacity.fetch_s(machine, spec),
             room_elsewhere,
-            keep,
+            functools.partial(self._keeps_room, machine, now),
             now,
         ):
             take = self.machine_shard.reserve(machine, request.job, request.count)
@@ -99,6 +87,21 @@
             )
         self.messenger.pump()
 
+    def _keeps_room(self, machine: Machine, now: float, offer: Offer) -> bool:
+        """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
+        name, at = self.reserved_machine
+        kind, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
+        if (
+            (name != machine.name and now - at < constants.RESERVE_IDLE_S)
+            or kind is None
+            or (zone is not None and zone != machine.zone)
+            or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
+            or not fits(offer.spec, (kind.cpus, kind.memory_gb, kind.gpus))
+        ):
+            return False
+        self.reserved_machine = machine.name, now
+        return True
+
     def _place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Ask for tasks of the job that a claim keeps room for; the candidate with what is left for others."""
         entry = self.ledger.entries.get(machine.name)
@@ -118,9 +121,9 @@
             self.messenger.send(
                 request.owner, messages.TaskRequest(take, request.job, request.machine, request.zone, request.count)
             )
-            used, room = used + request.count, placement.minus(room, spec, request.count)
+            used, room = used + request.count, minus(room, spec, request.count)
         self.claim_requests[machine.name] = (entry.revision, used)
-        return msgspec.structs.replace(candidate, free=placement.minus(room, spec, claim.count - used))
+        return msgspec.structs.replace(candidate, free=minus(room, spec, claim.count - used))
 
     def execute_claim(self, machine: Machine) -> None:
         """Stop the victims of its claim, in the answer to the report that has just come."""
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -31,6 +31,7 @@
 from alderbridge.controller.waiters import Waiters
 from alderbridge.controller.worker_prober import WorkerProber
 from alderbridge.controller.workers_api import WorkersApi
+from alderbridge.machines.machine import Machine
 from alderbridge.protocol import messages
 from alderbridge.settings import Platform, Tuning, address
 from alderbridge.state.store import Store
@@ -58,6 +59,7 @@
         own: dict[str, ConfigurationRevision] | None = None,
         store: Store | None = None,
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.platform, self.poll = platform, poll
         self.core = ControllerCore(platform, tuning, now(), own=own)
         self.membership = self.core.membership
@@ -137,38 +139,61 @@
             self.core.on_frame(frame, now())
 
     async def dispatch_effects(self) -> None:
-        """Move what the core has left for others."""
-        core, effects = self.core, self.core.effects
-        if self.record_writer.is_waiting and not core.record_writer.nothing_to_write():
+        """Move what the core has left for others; called after each turn of the selector."""
+        effects = self.core.effects
+        if self.record_writer.is_waiting and not self.core.record_writer.nothing_to_write():
             await self.record_writer.work.set()
-        while effects.queries:
-            label, ask = effects.queries.popleft()
-            if ask.kind == "status":
-                self.query_responder.answer_status(label, ask)
-            else:
-                await curio.spawn(self.query_responder.answer_cancellation, label, ask, daemon=True)
+        if effects.queries:
+            await self._answer_queries()
         for label in effects.take_channel_renewals():
             self.mesh.renew(label)
         for label, frame in effects.take_outgoing_frames():
             self.mesh.put(label, frame)
-        while effects.query_replies:
-            reply = effects.query_replies.popleft()
+        if effects.query_replies:
+            await self._deliver_query_replies()
+        if effects.notifications:
+            await self._notify_waiters()
+        await self._expire_waits()
+        await self.mesh.flush()
+
+    async def _answer_queries(self) -> None:
+        """Answer what other controllers ask: a status at once, a cancellation when it is stored."""
+        queries = self.core.effects.queries
+        while queries:
+            label, query = queries.popleft()
+            if query.kind == "status":
+                self.query_responder.answer_status(label, query)
+            else:
+                await curio.spawn(self.query_responder.answer_cancellation, label, query, daemon=True)
+
+    async def _deliver_query_replies(self) -> None:
+        """Hand the replies of other controllers to whoever asked."""
+        replies = self.core.effects.query_replies
+        while replies:
+            reply = replies.popleft()
             waiting = self.queries.pending_queries.get(reply.query_id)
             if reply.query_id in self.queries.pending_polls:
                 await self.queries.on_poll_reply(reply.query_id, reply)
             elif waiting is not None:
                 waiting.replies.append(reply)
                 await waiting.answered.set()
-        while effects.notifications:
-            notification = effects.notifications.popleft()
-            what = notification.job if isinstance(notification, JobEndStored) else notification
-            for event in self.waiters.events.pop(what, ()):
+
+    async def _notify_waiters(self) -> None:
+        """Wake users' requests, and answer heartbeats whose machines have all the grants that they asked for."""
+        notifications = self.core.effects.notifications
+        while notifications:
+            notification = notifications.popleft()
+            awaited = notification.job if isinstance(notification, JobEndStored) else notification
+            for event in self.waiters.events.pop(awaited, ()):
                 await event.set()
-            self.workers_api.answer_pending_heartbeats(what)
+            if isinstance(notification, Machine):
+                self.workers_api.answer_pending_heartbeats(notification)
+
+    async def _expire_waits(self) -> None:
+        """Answer what has waited long enough, and have the selector wake for the next to expire."""
         if self.workers_api.grant_deadlines:
             self.workers_api.answer_overdue_heartbeats()
         if self.queries.poll_deadlines:
             await self.queries.expire_polls()
         deadlines = (self.workers_api.grant_deadlines, self.queries.poll_deadlines)
         self.poll.wake_at = min((one[0][0] for one in deadlines if one), default=float("inf"))
-        await self.mesh.flush()
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -16,7 +16,7 @@
 from alderbridge.jobs.record import Record
 from alderbridge.jobs.shard import JobShard
 from alderbridge.machines.shard import MachineShard
-from alderbridge.state.keys import JOBS, MACHINES, VIEW
+from alderbridge.protocol.keys import JOBS, MACHINES, VIEW
 from alderbridge.state.replica import Replica
 from alderbridge.state.write_rate_limit import WriteRateLimit
 
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -15,7 +15,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.machines.shard import MachineShard
 from alderbridge.protocol import wire
-from alderbridge.state.keys import JOBS, LISTS, MACHINES
+from alderbridge.protocol.keys import JOBS, LISTS, MACHINES
 from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -16,7 +16,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.state.keys import list_keys
+from alderbridge.protocol.keys import list_keys
 from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -51,6 +51,7 @@
         queries: JobQueries,
         unanswered: UnansweredJobs,
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.records = records
         self.queries = queries
@@ -151,6 +152,7 @@
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.records = records
         self.status = status
@@ -240,6 +242,7 @@
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
+        """Connect it with what it works on; nothing is started yet."""
         self.core = core
         self.queries = queries
         self.status = status
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -21,7 +21,7 @@
 from alderbridge.machines.shard import MachineShard
 from alderbridge.membership.membership import MemberStatus
 from alderbridge.membership.records import View
-from alderbridge.state.keys import MEMBERS, VIEW
+from alderbridge.protocol.keys import MEMBERS, VIEW
 from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
--- a/alderbridge/machines/capacity.py
+++ b/alderbridge/machines/capacity.py
@@ -11,6 +11,7 @@
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling import placement
 from alderbridge.scheduling.placement import Candidate
+from alderbridge.scheduling.resources import Resources, minus
 
 QUARANTINED = "aside"  # the state of a quarantined machine in ``MachineSummary``
 
@@ -41,7 +42,7 @@
 
     # -- for placement -----------------------------------------------------
 
-    def free(self, machine: Machine) -> placement.Resources:
+    def free(self, machine: Machine) -> Resources:
         """What its tasks, those on their way and requested ones leave free: cpus, memory, gpus."""
         if machine.free is not None:
             return machine.free
@@ -60,7 +61,7 @@
         for job, count in counts.items():
             spec = spec_of(job)
             if spec is not None:
-                room = placement.minus(room, spec, count)
+                room = minus(room, spec, count)
             else:
                 known = False  # over for good, or yet to arrive here: counted anew next time
         if known:
@@ -94,7 +95,7 @@
         rows, ceil, nothing = [], math.ceil, (0.0, 0.0, 0.0)
         loads: dict[str, JobLoad | None] = {}
         for machine in self.machines.values():
-            ends: dict[int, placement.Resources] = {}  # whole seconds: what ends together is one entry
+            ends: dict[int, Resources] = {}  # whole seconds: what ends together is one entry
             busy = machine.busy if machine.busy is not None else self._task_loads(machine, loads, run_time)
             for since, run_s, cpus, memory, gpus in busy:
                 left = run_s if since is None else run_s - (now - since)
--- a/alderbridge/machines/machine.py
+++ b/alderbridge/machines/machine.py
@@ -23,7 +23,7 @@
 
 from alderbridge.protocol.messages import TaskStatusReport
 from alderbridge.protocol.wire import MachineRecord
-from alderbridge.scheduling import placement
+from alderbridge.scheduling.resources import Resources
 
 TaskKey = tuple[str, int]  # job, index
 StopOrder = tuple[int, float]  # attempt, wind-down in s
@@ -142,7 +142,7 @@
         self.last_heartbeat_at = now  # receipt of the newest heartbeat, or the view's start
         self.last_sequence = (0, 0)  # (incarnation, sequence) of the newest heartbeat
         self.lease = LeaseEvidence(now)
-        self.free: placement.Resources | None = None  # cached until ``changed``
+        self.free: Resources | None = None  # cached until ``changed``
         self.busy: list[TaskLoad] | None = None  # cached until ``changed``
         self.tasks: dict[TaskKey, ObservedTask] = {}
         self.reserved: dict[int, tuple[str, int]] = {}  # task request -> job, count
--- a/alderbridge/preemption/__init__.py
+++ b/alderbridge/preemption/__init__.py
@@ -4,11 +4,11 @@
 (``records``, ``ledger``), the machine's shard stops the victims, and its reports prove that they are gone.
 """
 
+from alderbridge.claims.ledger import ClaimState, ClaimTransaction, Ledger
+from alderbridge.claims.records import ClaimGroup, JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
 from alderbridge.preemption.eligibility import Teams, allowed
-from alderbridge.preemption.ledger import ClaimState, ClaimTransaction, Ledger
-from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
-from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
+from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, lost_seconds, select_victims
 
 __all__ = [
--- a/alderbridge/preemption/budget.py
+++ b/alderbridge/preemption/budget.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
+from alderbridge.claims.records import PreemptionsSpent, budget_key
 from alderbridge.preemption.model import PreemptionDemand
-from alderbridge.preemption.records import PreemptionsSpent, budget_key
 
 
 class PreemptionLimit(NamedTuple):
--- a/alderbridge/preemption/model.py
+++ b/alderbridge/preemption/model.py
@@ -4,19 +4,16 @@
 
 from typing import NamedTuple
 
-from alderbridge.preemption.records import PreemptionClaim
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.resources import Resources
 
-ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction
-
 
 class PreemptionDemand(NamedTuple):
     """Tasks of one job that nothing else serves in time."""
 
     spec: JobSpec
-    count: int
+    count: int  # type: ignore[assignment]  # not the method of tuples, which nobody calls here
     due_in_s: float
     reason: str  # "urgent", "guarantee" or "serving"
     zone: str | None = None  # the only zone it may use now
@@ -27,7 +24,7 @@
     """A task that might be preempted."""
 
     job: str
-    index: int
+    index: int  # type: ignore[assignment]  # as ``count``
     attempt: int
     spec: JobSpec
     ran_s: float  # this attempt, since it was first seen running
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -13,12 +13,12 @@
 from typing import Protocol
 
 from alderbridge import constants
+from alderbridge.claims.ledger import Ledger
+from alderbridge.claims.records import ClaimGroup, PreemptionClaim, budget_key
 from alderbridge.leader.leader import Leader
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
 from alderbridge.preemption.eligibility import Teams
-from alderbridge.preemption.ledger import Ledger
-from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
-from alderbridge.preemption.records import PreemptionClaim, budget_key
+from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.protocol.messages import MachineSummary, MachineTaskList, MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -8,9 +8,9 @@
 from typing import NamedTuple
 
 from alderbridge import constants
+from alderbridge.claims.records import ClaimGroup, PreemptionClaim
 from alderbridge.preemption.budget import PreemptionBudget
-from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
-from alderbridge.preemption.records import PreemptionClaim
+from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.scheduling.placement import allowed
 from alderbridge.scheduling.resources import Resources, fits, minus
 
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -8,9 +8,10 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING
 
+from alderbridge.claims.records import ClaimGroup
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
 from alderbridge.preemption.eligibility import Teams, allowed
-from alderbridge.preemption.model import CandidateMachine, ClaimGroup, PreemptionDemand, Victim
+from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, select_victims
 from alderbridge.priorities.configuration import PriorityClass, PriorityConfiguration
 from alderbridge.priorities.demands import unserved_demands
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -12,16 +12,15 @@
 import msgspec
 
 from alderbridge import constants
+from alderbridge.claims.ledger import Ledger
 from alderbridge.configuration import OperatorConfiguration
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
-from alderbridge.preemption import Ledger
 from alderbridge.protocol.cloud import MachineType, MachineTypes
 from alderbridge.protocol.jobs import JobSpec
-from alderbridge.protocol.store import MachineRecord, WatchEvent
-from alderbridge.state.keys import (
+from alderbridge.protocol.keys import (
     BUDGETS,
     CLAIMS,
     DECLARED,
@@ -35,6 +34,7 @@
     list_keys,
     prefix_of,
 )
+from alderbridge.protocol.store import MachineRecord, WatchEvent
 
 _Handler = Callable[[str, msgspec.Raw | None, int], None]  # key, value (None: dropped), revision
 
--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -9,6 +9,9 @@
 
 from alderbridge import constants
 from alderbridge.protocol.encoding import encode
+from alderbridge.protocol.keys import (
+    ROOT,
+)
 from alderbridge.protocol.store import (
     Condition,
     Drop,
@@ -29,9 +32,6 @@
     TransactionTooLargeError,
     WatchCompactedError,
 )
-from alderbridge.state.keys import (
-    ROOT,
-)
 from alderbridge.transport.http_client import Client
 
 _page = msgspec.json.Decoder(KeyValuePage)
--- a/alderbridge/transport/channel.py
+++ b/alderbridge/transport/channel.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from alderbridge import __version__, constants
-from alderbridge.protocol.messages import Body, Frame
+from alderbridge.protocol.messages import Frame, Message
 
 
 class Channel:
@@ -22,13 +22,13 @@
         self.fencing_token, self.lease_id = fencing_token, lease_id
         self.next_seq = 1
         self.received = 0
-        self.unacked: deque[tuple[int, Body, float]] = deque()  # sequence, body, when it was first sent
+        self.unacked: deque[tuple[int, Message, float]] = deque()  # sequence, body, when it was first sent
         self.acked_at = float("-inf")  # when the newest acknowledged message was first sent
         self.progress_at = now
         self.posted_at = now
         self.alive_at = now  # the last acknowledgement, or when the oldest message without one was sent
 
-    def post(self, body: Body, now: float) -> Frame:
+    def post(self, body: Message, now: float) -> Frame:
         """A message that must arrive."""
         if not self.unacked:
             self.progress_at = self.alive_at = now
@@ -37,18 +37,18 @@
         self.next_seq += 1
         return self._frame(self.next_seq - 1, body)
 
-    def post_unreliable(self, body: Body) -> Frame:
+    def post_unreliable(self, body: Message) -> Frame:
         """A message that may be lost."""
         return self._frame(0, body)
 
-    def _frame(self, seq: int, body: Body) -> Frame:
-        return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)
+    def _frame(self, seq: int, body: Message) -> Frame:
+        return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)  # type: ignore[arg-type]  # a Message is one of Body
 
     def observe_view(self, frame: Frame) -> None:
         """Note which view the peer knows; the frame is neither accepted nor acknowledged."""
         self.peer_fencing_token = max(self.peer_fencing_token, frame.fencing_token)
 
-    def receive(self, frame: Frame, now: float) -> Body | None:
+    def receive(self, frame: Frame, now: float) -> Message | None:
         """The body, if it is new and in order under this fencing token."""
         self.observe_view(frame)
         if frame.fencing_token != self.fencing_token:
--- a/alderbridge/transport/http_client.py
+++ b/alderbridge/transport/http_client.py
@@ -87,7 +87,7 @@
     def ready(self, event: int) -> None:
         """Send or receive what the socket allows; 0: it could not be connected."""
         if self.ended:
-            return
+            return None
         try:
             if not event:
                 return self._end(None)
@@ -96,7 +96,7 @@
                 self.connected = True
                 if not self.unsent:
                     self.poll.change(self.sock.fileno(), IN)
-                return
+                return None
             response = self.reader.feed(self.sock.recv(_READ_BYTES))
             if response is not None:
                 self._end(response[:2])
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -110,7 +110,7 @@
                 try:
                     data = self.sock.recv(_READ_BYTES)
                 except BlockingIOError:
-                    return
+                    return None
                 except OSError:
                     return self.close()
                 self.receive(data)
@@ -122,6 +122,7 @@
             self.write()
         elif self.state is ConnectionState.HANDLING:
             self.watch_for(0)  # a hang-up, or the next request, can wait until this one has its response
+        return None
 
     def watch_for(self, events: int) -> None:
         """Have epoll report these events, and no others; 0: not even errors."""
@@ -214,6 +215,7 @@
                 raise h11.RemoteProtocolError("request cut short")
         if http.they_are_waiting_for_100_continue:
             self.send_continue()
+        return None
 
     def begin_request(self, request: h11.Request) -> None:
         """h11 has parsed a head."""
@@ -279,7 +281,7 @@
     def respond(self, answer: Answer) -> None:
         """Respond to the request that is being handled; without effect where the connection has ended."""
         if self.state is not ConnectionState.HANDLING:
-            return
+            return None
         status, body, extra = answer
         if self.uses_h11:
             send = self.http.send
@@ -293,6 +295,7 @@
         self.state, self.unsent = ConnectionState.WRITING, data
         self.set_deadline(constants.REQUEST_S)
         self.write()
+        return None
 
     def write(self) -> None:
         """Send what the socket takes of the response."""
@@ -307,6 +310,7 @@
             self.watch_for(OUT)
         else:
             self.response_sent()
+        return None
 
     def response_sent(self) -> None:
         """Go on to the next request, or close the connection."""
@@ -322,6 +326,7 @@
         self.watch_for(IN)
         if self.uses_h11 or self.data:
             self.server.poll.call_again(self)
+        return None
 
     def close(self) -> None:
         """End the connection, with or without a response."""
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -155,7 +155,7 @@
     def ready(self, _event: int) -> None:
         """Read what has arrived, and deliver the frames that are complete."""
         if self not in self.mesh.incoming:
-            return
+            return None
         try:
             size = self.sock.recv_into(_read_buffer)
             if not size:
--- a/run.py
+++ b/run.py
@@ -5,7 +5,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent / "target" / "deps"))
 
-from alderbridge.cli import main  # noqa: E402  (the path above comes first)
+from alderbridge.cli import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -8,6 +8,7 @@
 
 from alderbridge import settings
 from alderbridge.calendars import configuration as hours
+from alderbridge.claims.records import JobPreemptions, PreemptionClaim, PreemptionsSpent
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, piece_keys
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.task_states import TaskState
@@ -15,11 +16,10 @@
 from alderbridge.lending import lender
 from alderbridge.machines.machine import MachineState
 from alderbridge.membership.records import MemberRecord, View
-from alderbridge.preemption.records import JobPreemptions, PreemptionClaim, PreemptionsSpent
 from alderbridge.priorities import configuration as priorities
 from alderbridge.priorities import policy
 from alderbridge.protocol import messages, wire
-from alderbridge.state.keys import (
+from alderbridge.protocol.keys import (
     BUDGETS,
     CLAIMS,
     DECLARED,
--- a/tests/production.py
+++ b/tests/production.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from alderbridge.state.keys import JOBS, MEMBERS
+from alderbridge.protocol.keys import JOBS, MEMBERS
 
 
 class JobSpec(Struct, frozen=True, omit_defaults=True):
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -14,10 +14,10 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.membership.records import MemberRecord
 from alderbridge.protocol import messages, wire
+from alderbridge.protocol.keys import JOBS, MEMBERS, VIEW
 from alderbridge.settings import (
     Tuning,
 )
-from alderbridge.state.keys import JOBS, MEMBERS, VIEW
 from simulation import deployment
 from simulation.deployment import TYPES
 from simulation.errors import StoreRefusedError, TransactionTooLargeError
@@ -43,7 +43,7 @@
         self.follow_hangs = False
         self.ahead_s = 0.0  # its time of day less the world's
         self.dead_links: set[str] = set()  # the other end has closed and it was not heard: all is lost until renewed
-        self.links = {other: 0.0 for other in world.labels}  # arrival time of the last frame: order is kept
+        self.links = dict.fromkeys(world.labels, 0.0)  # arrival time of the last frame: order is kept
         self.life = 0
         self.core: ControllerCore | None = None
         self.start()
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -9,7 +9,7 @@
 
 from alderbridge import constants
 from alderbridge.membership.records import View
-from alderbridge.state.keys import VIEW
+from alderbridge.protocol.keys import VIEW
 from simulation.deployment import CANCEL_S, LEASE_S, ZONES
 from simulation.users import LEADERS, LEADERS_S, STREAM_S
 
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -13,7 +13,7 @@
 from alderbridge.membership.records import View
 from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.protocol import wire
-from alderbridge.state.keys import VIEW
+from alderbridge.protocol.keys import VIEW
 from simulation import deployment
 from simulation.deployment import CANCEL_S, TYPES
 from simulation.errors import Broken
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -11,7 +11,7 @@
 from alderbridge.jobs.record import JobState
 from alderbridge.membership.records import View
 from alderbridge.protocol import wire
-from alderbridge.state.keys import JOBS, MEMBERS, ROOT, VIEW
+from alderbridge.protocol.keys import JOBS, MEMBERS, ROOT, VIEW
 from simulation.deployment import LEASE_S
 from simulation.errors import StoreRefusedError, TransactionTooLargeError
 
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -11,7 +11,7 @@
 from alderbridge import constants
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.protocol import messages, wire
-from alderbridge.state.keys import JOBS
+from alderbridge.protocol.keys import JOBS
 from simulation.deployment import CANCEL_S
 from simulation.errors import Broken
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from alderbridge.state import store
-from alderbridge.state.keys import ROOT as ROOT_KEY
+from alderbridge.protocol import keys
+from alderbridge.protocol.keys import ROOT as ROOT_KEY
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("key", KEYS)
 def test_each_key_of_the_store_that_the_page_names_is_one(key):
-    known = {value for name, value in vars(store).items() if name.isupper() and isinstance(value, str)}
+    known = {value for name, value in vars(keys).items() if name.isupper() and isinstance(value, str)}
     assert any(key == prefix or (prefix.endswith("/") and key.startswith(prefix)) for prefix in known - {ROOT_KEY})
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,8 +9,8 @@
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import JOBS
 from alderbridge.settings import Tuning
-from alderbridge.state.keys import JOBS
 from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
 
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -21,10 +21,11 @@
 from alderbridge.machines.shard import MachineShard
 from alderbridge.membership.records import View
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import VIEW
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
+from alderbridge.scheduling.resources import Resources, fits, minus
 from alderbridge.settings import NextStateLimits
-from alderbridge.state.keys import VIEW
 
 STANDING_S = 8  # s; more than two reports and the answers to them
 AWAY = "a"  # the zone that is cut off
@@ -39,21 +40,21 @@
         self.waiting: dict[str, float] = {}  # job -> since when it waits beside room
         self.started: dict[str, int] = {}  # job -> how many starts of it were counted then
         self.longest = 0.0
-        self.rooms: dict[str, deque[placement.Resources]] = {}  # what each machine had free at the last looks
+        self.rooms: dict[str, deque[Resources]] = {}  # what each machine had free at the last looks
         world.after(max(0.0, since - world.t), self.look)
 
-    def status(self, worker) -> placement.Resources:
+    def status(self, worker) -> Resources:
         """What it has had free for ``STANDING_S``: what ended a moment ago is told, and given, with its reports."""
         seen = self.rooms.setdefault(worker.name, deque(maxlen=STANDING_S))
         seen.append(self.free(worker))
         return tuple(map(min, zip(*seen, strict=True))) if len(seen) == STANDING_S else (0.0, 0.0, 0.0)
 
-    def free(self, worker) -> placement.Resources:
+    def free(self, worker) -> Resources:
         kind = TYPES[worker.kind.type]
         room = (kind.cpus, kind.memory_gb, kind.gpus)
         for part, task in worker.tasks.items():
             if task.status != "ended":
-                room = placement.minus(room, self.world.specs[wire.split_task_id(part)[0]], 1)
+                room = minus(room, self.world.specs[wire.split_task_id(part)[0]], 1)
         return room
 
     def look(self) -> None:
@@ -90,7 +91,7 @@
             zones = [zone for _, zone in there]
             for kind, room in rooms:
                 if (
-                    placement.fits(spec, room)
+                    fits(spec, room)
                     and placement.allowed(spec, kind.type, kind.zone, kind.spot)
                     and not (spec.one_zone and zones and kind.zone not in zones)
                     and not (spec.spread and zones.count(kind.zone) >= math.ceil(spec.tasks / 2))
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -19,8 +19,8 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import JOBS, VIEW
 from alderbridge.scheduling import placement
-from alderbridge.state.keys import JOBS, VIEW
 
 
 def meetings(seed, nodes, times=2, jobs=18, **more):
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -18,7 +18,7 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import messages
-from alderbridge.state.keys import JOBS, VIEW
+from alderbridge.protocol.keys import JOBS, VIEW
 
 
 class Dark(Tied):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -21,8 +21,8 @@
 from alderbridge.controller.store_follower import StoreFollower
 from alderbridge.membership.membership import Membership
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import DECLARED
 from alderbridge.settings import ConfigError, NextStateLimits
-from alderbridge.state.keys import DECLARED
 
 
 class Text(msgspec.Struct):
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -12,7 +12,7 @@
 from alderbridge.membership.failure_detector import FailureDetector, PeerState
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
-from alderbridge.state.keys import VIEW
+from alderbridge.protocol.keys import VIEW
 
 
 class Tied(SimController):
@@ -216,11 +216,11 @@
     world = Ties(seed, jobs=0)
     one, peer, other = (world.nodes[label] for label in ("host-0", "host-1", "host-2"))
     world.run(20.0)
-    world.cuts = {link: (43.0, False) for link in (("host-0", "host-1"), ("host-1", "host-0"))}
+    world.cuts = dict.fromkeys((("host-0", "host-1"), ("host-1", "host-0")), (43.0, False))
     other.crash()
     world.after(0.2, world.restart, other)
     world.run(30.0)
-    world.cuts |= {link: (90.0, False) for link in (("host-0", "host-2"), ("host-2", "host-0"))}
+    world.cuts |= dict.fromkeys((("host-0", "host-2"), ("host-2", "host-0")), (90.0, False))
     world.run(32.0)
     one.cut_store_until = 90.0
     world.run(36.9)
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -33,9 +33,9 @@
 from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.preemption import Ledger, PreemptionClaim
 from alderbridge.protocol import messages, wire
+from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
 from alderbridge.settings import Tuning
 from alderbridge.state import store
-from alderbridge.state.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
 from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -24,7 +24,7 @@
 from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.preemption import PreemptionClaim
 from alderbridge.protocol import messages, wire
-from alderbridge.state.keys import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
+from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
 
 # -- one node, one store: what is written is read by others at once ------------------
 
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -13,8 +13,8 @@
 from alderbridge.machines.machine import MachineState
 from alderbridge.membership.records import View
 from alderbridge.protocol import messages
+from alderbridge.protocol.keys import MACHINES, VIEW
 from alderbridge.protocol.wire import Heartbeat, ReportedTask
-from alderbridge.state.keys import MACHINES, VIEW
 
 RUNNING_1 = ReportedTask("wk-000001/0", 70, "running")
 
@@ -501,7 +501,7 @@
     world.run(45.0)
     leader, fencing_token = world.leader(), world.leader().core.membership.fencing_token
     busy = sorted(set(world.on.values()))
-    mute = {name for name in world.rng.sample(busy, 100)}
+    mute = set(world.rng.sample(busy, 100))
     for name in mute:
         world.machines[name].mute_until = world.t + 240.0
     world.run(world.t + 3.0)
--- a/tests/test_monotonic_reads.py
+++ b/tests/test_monotonic_reads.py
@@ -24,9 +24,9 @@
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.protocol import messages, wire
+from alderbridge.protocol.keys import JOBS, MEMBERS, VIEW
 from alderbridge.settings import Tuning
 from alderbridge.state.errors import StoreRefusedError
-from alderbridge.state.keys import JOBS, MEMBERS, VIEW
 from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.selector import Poll
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,9 +12,10 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.protocol.messages import MachineSummaries, MachineSummary, QueueRow, QueueSnapshot
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling import placement, policy, queue_times, quota_division
+from alderbridge.scheduling import policy, queue_times, quota_division
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
 from alderbridge.scheduling.market import Market
+from alderbridge.scheduling.resources import fits
 from alderbridge.settings import Objective, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -57,14 +58,14 @@
     for resource in resources:
         total = tuple(resource.free[i] + sum(end[i + 1] for end in resource.ends) for i in range(3))
         for one in queue:
-            if policy.may_use(one, resource.kind) and placement.fits(one.spec, total):
+            if policy.may_use(one, resource.kind) and fits(one.spec, total):
                 slots = pools.setdefault((resource.kind, one.spec.id), (one.spec, []))[1]
-                free, count = resource.free, placement.fits(one.spec, resource.free)
+                free, count = resource.free, fits(one.spec, resource.free)
                 slots += [0.0] * count
                 for end, *freed in sorted(resource.ends):
                     free = tuple(a + b for a, b in zip(free, freed, strict=True))
-                    slots += [end] * (placement.fits(one.spec, free) - count)
-                    count = max(count, placement.fits(one.spec, free))
+                    slots += [end] * (fits(one.spec, free) - count)
+                    count = max(count, fits(one.spec, free))
                 break
     for one in queue:
         before = {key: list(slots) for key, (_, slots) in pools.items()}
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -25,11 +25,11 @@
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.priorities import PriorityConfiguration, check_lines, demands, parse, policy
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import BUDGETS, CLAIMS, JOBS
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.placement import allowed
 from alderbridge.scheduling.resources import fits, minus
 from alderbridge.settings import ConfigError
-from alderbridge.state.keys import BUDGETS, CLAIMS, JOBS
 
 INI = """
 [class */urgent]
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -24,6 +24,7 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import View
 from alderbridge.protocol import wire
+from alderbridge.protocol.keys import VIEW
 from alderbridge.protocol.messages import (
     MachineTaskReport,
     QueueRow,
@@ -36,7 +37,6 @@
 from alderbridge.reconciliation import TRANSITIONS, Action, Barrier, ObservedState, RecordedState
 from alderbridge.scheduling import placement
 from alderbridge.settings import Team, Tuning
-from alderbridge.state.keys import VIEW
 from alderbridge.state.replica import Replica
 
 CPUS = 4.0
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -14,10 +14,10 @@
 from alderbridge.machines.machine import Machine
 from alderbridge.machines.orders import OrderBuilder
 from alderbridge.machines.shard import MachineShard
+from alderbridge.protocol.keys import JOBS, LISTS
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
 from alderbridge.settings import NextStateLimits
-from alderbridge.state.keys import JOBS, LISTS
 
 
 def play(seed, until=200.0, **more):
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -13,9 +13,9 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import View
 from alderbridge.protocol import messages
+from alderbridge.protocol.keys import VIEW
 from alderbridge.protocol.messages import TaskGrant
 from alderbridge.protocol.wire import Heartbeat, MachineRecord, ReportedTask
-from alderbridge.state.keys import VIEW
 
 REFUSED_AT, REFUSED_S = 60.0, 14.0
 OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # longer than ``CANCEL_S``
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -6,7 +6,7 @@
 
 from alderbridge import constants
 from alderbridge.machines.machine import MachineState
-from alderbridge.state.keys import MACHINES
+from alderbridge.protocol.keys import MACHINES
 
 # hold and lease are over, and a silence of ``LOST_S`` after them
 DOWN_S = constants.TOTAL_LEASE_S + constants.LOST_MACHINE_S
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,10 +10,10 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.protocol import messages
+from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, STOPS
 from alderbridge.protocol.wire import JobSpec, WatchEvent
 from alderbridge.settings import NextStateLimits, StateLimits
 from alderbridge.state.errors import LeaseExpiredError, TransactionTooLargeError
-from alderbridge.state.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, STOPS
 from alderbridge.state.replica import Replica
 from alderbridge.state.store import Store
 
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -13,7 +13,7 @@
 from alderbridge import constants
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
-from alderbridge.state.keys import MEMBERS, VIEW
+from alderbridge.protocol.keys import MEMBERS, VIEW
 
 
 class Versioned(SimController):
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -31,8 +31,8 @@
 from alderbridge import constants, settings  # noqa: E402
 from alderbridge.controller.core import ControllerCore  # noqa: E402
 from alderbridge.membership.records import MemberRecord  # noqa: E402
-from alderbridge.protocol import wire  # noqa: E402, I001
-from alderbridge.state.keys import MEMBERS, VIEW  # noqa: E402
+from alderbridge.protocol import wire  # noqa: E402
+from alderbridge.protocol.keys import MEMBERS, VIEW  # noqa: E402
 
 LEASE_S, FALL_AT, UNTIL = 17.0, 50.0, 110.0
 
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -22,7 +22,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from alderbridge.lending import (  # noqa: E402
+from alderbridge.lending import (
     CapacityLender,
     GpuReserve,
     LendingClass,
@@ -31,12 +31,12 @@
     ServingJob,
     allocate_reserve,
 )
-from alderbridge.lending.fleet import MachineContents  # noqa: E402
-from alderbridge.lending.reserve import FreeGpus  # noqa: E402
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim  # noqa: E402
-from alderbridge.protocol.wire import JobSpec, MachineType  # noqa: E402
-from alderbridge.scheduling.demand import MachineKind, MachineResource  # noqa: E402
-from alderbridge.settings import Team  # noqa: E402
+from alderbridge.lending.fleet import MachineContents
+from alderbridge.lending.reserve import FreeGpus
+from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
+from alderbridge.protocol.wire import JobSpec, MachineType
+from alderbridge.scheduling.demand import MachineKind, MachineResource
+from alderbridge.settings import Team
 
 ZONES, GPUS, REPORT_S, QUIET_S = ["a", "b", "c"], 8, 3.0, 120.0
 TYPE = MachineType(
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -31,15 +31,15 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-import msgspec  # noqa: E402
+import msgspec
 
 from alderbridge import constants, settings
-from alderbridge.controller.core import ControllerCore  # noqa: E402
-from alderbridge.membership.records import MemberRecord  # noqa: E402
+from alderbridge.controller.core import ControllerCore
+from alderbridge.membership.records import MemberRecord
 from alderbridge.protocol import messages, wire
-from alderbridge.state.keys import MEMBERS, VIEW  # noqa: E402
+from alderbridge.protocol.keys import MEMBERS, VIEW
 from alderbridge.transport import (
-    http_server,  # noqa: E402
+    http_server,
     mesh,
 )
 
--- a/tools/bench_replica.py
+++ b/tools/bench_replica.py
@@ -17,15 +17,15 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-import left_out_fit  # noqa: E402
-import msgspec  # noqa: E402
-import psutil  # noqa: E402
+import left_out_fit
+import msgspec
+import psutil
 
-from alderbridge.jobs.dependencies import Graph  # noqa: E402
-from alderbridge.membership.membership import Membership  # noqa: E402
-from alderbridge.protocol.wire import WatchEvent  # noqa: E402
-from alderbridge.state.keys import JOBS  # noqa: E402
-from alderbridge.state.replica import Replica  # noqa: E402
+from alderbridge.jobs.dependencies import Graph
+from alderbridge.membership.membership import Membership
+from alderbridge.protocol.keys import JOBS
+from alderbridge.protocol.wire import WatchEvent
+from alderbridge.state.replica import Replica
 
 RECORD = msgspec.Raw(b'{"state":"done","done_at":1764650000.5}')
 
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -22,14 +22,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-import bench_fall as fall  # noqa: E402
-import bench_node as base  # noqa: E402
+import bench_fall as fall
+import bench_node as base
 
 from alderbridge import constants
-from alderbridge.preemption import PreemptionDemand, PreemptionLimit  # noqa: E402
-from alderbridge.priorities import PriorityPolicy, parse  # noqa: E402
+from alderbridge.preemption import PreemptionDemand, PreemptionLimit
+from alderbridge.priorities import PriorityPolicy, parse
 from alderbridge.protocol import wire
-from alderbridge.state.keys import CLAIMS  # noqa: E402
+from alderbridge.protocol.keys import CLAIMS
 
 AIM_S, BURSTS, LAST_S = 12.0, (60.0, 90.0, 120.0, 150.0), 900.0
 INI = """
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -20,10 +20,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-import psutil  # noqa: E402
+import psutil
 
-from scale import experiment as experiments  # noqa: E402
-from scale.run import Run, RunError  # noqa: E402
+from scale import experiment as experiments
+from scale.run import Run, RunError
 
 PLAYED, FAILED, REFUSED = 0, 1, 2
 SHOWN_BROKEN = 10
--- a/tools/service.py
+++ b/tools/service.py
@@ -223,7 +223,8 @@
         print(__doc__, file=sys.stderr)
         return 2
     limit = within(days[0])
-    return 1 if any([report(day, days[0], limit, cancel_s) for day in days]) else 0
+    failed = [report(day, days[0], limit, cancel_s) for day in days]  # all of them are printed
+    return 1 if any(failed) else 0
 
 
 if __name__ == "__main__":
