--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -11,7 +11,7 @@
 
 _machine_types = msgspec.json.Decoder(wire.MachineTypes)
 _listing = msgspec.json.Decoder(wire.MachineListing)
-_rented = msgspec.json.Decoder(wire.RentedMachines)
+_rented = msgspec.json.Decoder(wire.RentalResponse)
 
 
 class CloudError(Exception):
--- a/alderbridge/constants.py
+++ b/alderbridge/constants.py
@@ -2,33 +2,35 @@
 
 Values that the settings or ``/flavors`` give are derived where they are used.
 "Ours" marks a default the design leaves open; the INI file may change those
-listed in ``config.Tuning``.
+listed in ``settings.Tuning``.
 """
 
 # --- time and safety -------------------------------------------------------
 CLOCK_DRIFT = 0.0005  # share; PROTOCOL: steady clocks drift apart by up to 0.05%
 PROOF_MARGIN_S = 1.0  # s; timers go off late by a few steps, and a share of a core is slow
-STORE_LEASE_TTL_S = 12.0  # s; a hold lasts no less, where cancel_s allows it: longer than a usual store outage
-TOTAL_LEASE_S = 37.0  # s; hold and lease together: then tasks outlast some 31 s without store or controllers
-STORE_LEASE_MARGIN_S = 0.5  # s; a member stops this long before its hold could end
-STORE_LEASE_RENEWALS = 16  # renewals per ttl; what passes between two is lost of it when the store goes down
+# s; a store lease lasts no less, where cancel_s allows it: longer than a usual outage of the store
+STORE_LEASE_TTL_S = 12.0
+TOTAL_LEASE_S = 37.0  # s; store lease and worker lease together: tasks outlast some 31 s without store or controllers
+STORE_LEASE_MARGIN_S = 0.5  # s; a member stops this long before its store lease could end
+STORE_LEASE_RENEWALS = 16  # renewals per ttl; the time between two is lost of it when the store goes down
 CANCEL_SLACK_S = 4.0  # s; kept between ttl + worker lease and cancel_s
-VERSION_WITH_DEPENDENCIES = 2  # generation of the program from which on dependencies between jobs are kept
-VERSION_WITH_CARRY_OVER = 3  # generation from which on a home understands what a part carries over from the view before
-# generation from which on members tell whom they hear, stop when no majority does, and know loose views
+VERSION_WITH_DEPENDENCIES = 2  # protocol version that keeps dependencies between jobs
+VERSION_WITH_CARRY_OVER = 3  # job owners understand what machine owners carry over from the view before
+# members report whom they hear, stop without a quorum, and know views whose quorums may not overlap
 VERSION_WITH_FAILURE_DETECTOR = 5
-VERSION_WITH_CONFIGURATION = 4  # generation from which on declarations and claims are kept
-VERSION_WITH_QUEUE_DELTAS = 6  # generation from which on members tell changes of their queues in place of the whole
+VERSION_WITH_CONFIGURATION = 4  # operator configuration and preemption claims are kept
+VERSION_WITH_QUEUE_DELTAS = 6  # members send changes of their queues in place of the whole
 PROTOCOL_VERSION = 6  # of this program
 CONTACT_TIMEOUT_S = 8.0  # s; out of contact for this long, a member is replaced: its workers' leases outlast that
 CONTACT_MIN_MEMBERS = 3  # members; of two, one that the other does not hear would have to stop, too
-SUSPICION_NOTICE_S = 1.0  # s; so long before it is given up a silent member is spoken of: the others then agree at once
+# s; a silent member is reported as suspected so long before it fails: the others then agree at once
+SUSPICION_NOTICE_S = 1.0
 CONTACT_WAIVER_AHEAD_S = 2.0  # s; so long before its contact ends a member that reaches the store may waive the rule
-# s; not at once: one that only stood still hears the others again within some round trips
+# s; not at once: a process that was only suspended hears the others again within some round trips
 CONTACT_WAIVER_PATIENCE_S = 0.5
 STORE_REACHABLE_S = 3.0  # s; an answer of the store that was asked for this long ago: more than one long poll
-DISPUTED_FAILURE_S = 2.5  # s; given up by some and not by a majority for this long, a member is heard under a new view
-CONTACT_RESUME_S = 60.0  # s; contact that was waived is asked for again when all members have been heard this long
+DISPUTED_FAILURE_S = 2.5  # s; after a member was failed by some and not by a quorum for this long, a new view is begun
+CONTACT_RESUME_S = 60.0  # s; contact that was waived is required again when all members have been alive this long
 # s; so long after the last newcomer a view is changed: controllers that fall together return together
 JOIN_QUIET_S = 0.3
 JOIN_MAX_S = 1.2  # s; a newcomer waits no longer than this for others
@@ -44,29 +46,30 @@
 WATCH_WAIT_S = 2.0  # s; one long poll of the store; its answers keep the view fresh
 WRITER_PAUSE_S = 0.02  # s; gathers the records of one round into one transaction
 PROGRESS_WRITE_S = 0.8  # s; done ranges of a running job are written at most this often
-# of a second's worth of changes; so far submissions, ends and marks may run ahead of the budget
+# of a second's worth of changes; so far submissions, ends and start limits may run ahead of the write rate limit
 WRITE_AHEAD_SHARE = 0.8
-LENT_RATE_TTL_S = 3.0  # s; what a member does not use of its share of changes is lent so long after it was told
+# s; what a member leaves unused of its share of changes is lent to others so long after its report
+LENT_RATE_TTL_S = 3.0
 START_LIMIT_AHEAD = 256  # tasks; written as possibly started with the job, saves a write per start
-QUEUE_ROWS = 400  # jobs; waiting jobs one home tells of in a round
-QUEUE_EXACT = 32  # tasks; counts up to this are told with every change: a machine takes about as many at one time
-QUEUE_SHARE = 8  # larger counts are told at once when they change by one part in so many, else after a second
-QUEUE_TIME_S = 0.5  # s; a due time or run time that moves by more than this is news: below what placement tells apart
-QUEUE_REFRESH_S = 60.0  # s; a row is told again after this, as clocks drift apart: by 0.03 s until then
-QUEUE_ENDED_JOBS = 2000  # jobs; who does not know of so many ends is told the whole queue in place of them
-QUEUE_BACKLOG = 32  # messages; a member that has not acknowledged so many is told no more until it has
+QUEUE_ROWS = 400  # jobs; waiting jobs that one job shard publishes in a round
+QUEUE_EXACT = 32  # tasks; counts up to this are sent with every change: a machine takes about as many at one time
+QUEUE_SHARE = 8  # larger counts are sent at once when they change by one part in so many, else after a second
+QUEUE_TIME_S = 0.5  # s; a due time or run time that moves by more than this is sent: below what placement tells apart
+QUEUE_REFRESH_S = 60.0  # s; a row is sent again after this, as clocks drift apart: by 0.03 s until then
+QUEUE_ENDED_JOBS = 2000  # jobs; a member that lacks so many ends is sent the whole queue in place of them
+QUEUE_BACKLOG = 32  # messages; a member that has not acknowledged so many is sent no more until it has
 
-GRANT_WAIT_S = 0.1  # s; a report's answer waits this long for grants it has asked for: a peer takes a few ms
+GRANT_WAIT_S = 0.1  # s; a heartbeat's response waits this long for requested grants: a peer takes a few ms
 
-PROBES_AT_ONCE = 16  # workers asked for their acknowledgement at one time: bounds sockets, and work at once
+PROBES_AT_ONCE = 16  # workers probed for their acknowledgement at one time: bounds sockets, and work at once
 PROBE_TIMEOUT_S = 1.5  # s; a worker that does not answer by then may hang, or be cut off
-PROBE_TRIES = 4  # times; who does not answer these is left to its reports, its lease or its return
-PROBE_BACKOFF_S = 0.5  # s; first bound of the pause before a worker is asked again, drawn evenly below it; doubles
+PROBE_TRIES = 4  # times; a worker that answers none of these is left to its heartbeats, its lease or its termination
+PROBE_BACKOFF_S = 0.5  # s; first bound of the pause before a worker is probed again, drawn evenly below it; doubles
 PROBE_BACKOFF_MAX_S = 4.0  # s; largest such bound
 
-# s; for a task that has waited this long and fits no rest of a machine, one in each part is kept
+# s; for a task that has waited this long and fits no rest of a machine, one in each machine shard is reserved
 RESERVE_AFTER_S = 20.0
-RESERVE_IDLE_S = 10.0  # s; a machine whose room was kept for nothing in this time is free for others: some reports
+RESERVE_IDLE_S = 10.0  # s; a machine reserved in vain for this time is free for others: some heartbeats
 STARVED_JOB_S = 120.0  # s; of a job of which nothing ran by then one task goes first: half of users' four minutes
 LATE_BOOST_S = 60.0  # s; a late job of which nothing was granted for this long has a turn among those in time
 LATE_BOOST_SHARE = 8  # such a turn lasts until one in so many of its tasks is granted
@@ -116,13 +119,13 @@
 MAX_TASKS = 100_000  # tasks; PROTOCOL's limit for one job
 ERROR_PAUSE_S = 2.0  # s; first pause of a task whose last run failed; doubles
 ERROR_PAUSE_MAX_S = 30.0  # s; longest such pause
-QUARANTINE_ERRORS = 3  # errors in a row, of two jobs or more, that set a machine aside
-QUARANTINE_S = 120.0  # s; a machine set aside is tried again after this
+QUARANTINE_ERRORS = 3  # errors in a row, of two jobs or more, that quarantine a machine
+QUARANTINE_S = 120.0  # s; a quarantined machine is tried again after this
 
 DEPENDENCY_STEP_S = 5.0  # s; from a job's end to the start of those that need it: a record, a report, an image
 
 # --- claims (ours) -----------------------------------------------------------
-# s; beyond the victims' saving: reports, a home's answer, a lease of a machine that dies meanwhile
+# s; beyond the victims' saving: heartbeats, the job owner's answer, the lease of a machine that dies meanwhile
 CLAIM_GRACE_S = 30.0
 CLAIM_UNUSED_S = 2.0  # s; a claim whose room is used, or not wanted, goes after this: queues and rooms are told in turn
 PREEMPTION_STEP_S = 10.0  # s; stops are counted by the start of such a step, and for a minute after its end
@@ -148,7 +151,7 @@
 CALENDAR_BACK_DAYS = 9  # days; a period open for longer than this has always been open
 LEAST_BEFORE_STOP_S = 30.0  # s; no start sooner before the stop at closing: PROTOCOL counts none that is stopped then
 OPENING_SPREAD_S = 60.0  # s; what waits at an opening starts over this time, if operators set no other
-OPENING_PACE = 10.0  # tasks/s; of one home: a backlog that this serves in less time is not spread for longer
+OPENING_PACE = 10.0  # tasks/s; of one job shard: a backlog that this serves in less time is not spread for longer
 ORDER_DELIVERY_S = 4.5  # s; an order that leaves is carried out within it: PROTOCOL, a worker drops responses after 4 s
 
 # --- policy (the paper's names; "ours" where the design says so) -----------
@@ -174,7 +177,7 @@
 PROOF_LEAST = 2  # machines; that many in any case
 # of the recorded machines; fewer that have yet to be heard change no decision: some always boot
 UNREPORTED_SHARE = 0.02
-LOST_MACHINE_S = 60.0  # s; a machine silent this long, its lease lapsed, is returned
+LOST_MACHINE_S = 60.0  # s; a machine silent this long, whose lease has expired, is returned
 SERVICE_RUN_S = 3600.0  # s; Expected Run Time of a service or gang: slots side by side
 UNKNOWN_RUN_S = 30.0  # s; Expected Run Time of an array with an estimate of 0
 MACHINE_TYPES_REFRESH_S = 30.0  # s; spot prices are read again after this
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -22,7 +22,7 @@
 now = time.monotonic
 
 
-class RecordWriter:
+class RecordsLoop:
     """Writes the core's batches, one transaction after the other."""
 
     def __init__(
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -17,7 +17,7 @@
 from alderbridge.controller.job_queries import JobQueries, JobQueryResponder
 from alderbridge.controller.job_records import JobRecordReader
 from alderbridge.controller.loops.machine_types import MachineTypesLoop
-from alderbridge.controller.loops.records import RecordWriter
+from alderbridge.controller.loops.records import RecordsLoop
 from alderbridge.controller.loops.replica import ReplicaLoop
 from alderbridge.controller.loops.rounds import RoundLoop
 from alderbridge.controller.loops.scaling import ScalingLoop
@@ -80,7 +80,7 @@
         prober = WorkerProber(self.core, poll, self.dispatch_effects)
         self.store_lease_loop = StoreLeaseLoop(self.core, self.store, self.store_backoff)
         self.replica_loop = ReplicaLoop(self.core, self.store, prober, self.unanswered_jobs)
-        self.record_writer = RecordWriter(self.core, self.store, self.store_backoff, self.dispatch_effects)
+        self.record_writer = RecordsLoop(self.core, self.store, self.store_backoff, self.dispatch_effects)
         self.loops = self._make_loops(prober)
 
     def _make_users_api(self) -> UsersApi:
--- a/alderbridge/jobs/shard_queue.py
+++ b/alderbridge/jobs/job_queue.py
@@ -18,7 +18,7 @@
 BOOST_STARVED = 2
 
 
-class ShardQueue:
+class JobQueue:
     """Builds the queue rows of a shard's jobs."""
 
     def __init__(self, jobs: dict[str, Job], usage: QuotaUsage, job_calendars: JobCalendars) -> None:
--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -11,9 +11,9 @@
 from alderbridge.jobs.inherited_tasks import InheritedTasks
 from alderbridge.jobs.job import Job
 from alderbridge.jobs.job_calendars import JobCalendars
+from alderbridge.jobs.job_queue import JobQueue
 from alderbridge.jobs.quota_usage import QuotaUsage
 from alderbridge.jobs.record_writes import RecordWrites
-from alderbridge.jobs.shard_queue import ShardQueue
 from alderbridge.jobs.task_reports import TaskReportHandler
 from alderbridge.jobs.usage_tally import UsageTally
 from alderbridge.protocol.messages import Message
@@ -53,7 +53,7 @@
         self.settled = False  # every member acts under this view, or not at all
         self.job_calendars = JobCalendars(self.jobs, send, machine_owner)
         self.usage = QuotaUsage(teams, self.jobs, self.tally, self.job_calendars)
-        self.queue = ShardQueue(self.jobs, self.usage, self.job_calendars)
+        self.queue = JobQueue(self.jobs, self.usage, self.job_calendars)
         self.grants = TaskGranter(self.jobs, self.jobs_by_machine, self.usage, self.job_calendars, send)
         self.inherited = InheritedTasks(self.jobs)
         self.task_reports = TaskReportHandler(self.jobs, self.jobs_by_machine, self.inherited, send)
--- a/alderbridge/protocol/cloud.py
+++ b/alderbridge/protocol/cloud.py
@@ -49,7 +49,7 @@
     has_next: bool = False
 
 
-class RentedMachines(Struct, frozen=True):
+class RentalResponse(Struct, frozen=True):
     """The ids of the machines that a rental brought."""
 
     hosts: list[str]
--- a/alderbridge/protocol/wire.py
+++ b/alderbridge/protocol/wire.py
@@ -7,7 +7,7 @@
     MachineListing,
     MachineType,
     MachineTypes,
-    RentedMachines,
+    RentalResponse,
     rental_request,
 )
 from alderbridge.protocol.encoding import Amount, MalformedBodyError, Name, Positive, encode
@@ -59,7 +59,7 @@
     "MalformedBodyError",
     "Name",
     "Positive",
-    "RentedMachines",
+    "RentalResponse",
     "ReportedTask",
     "TransactionResult",
     "WatchEvent",
--- a/alderbridge/settings.py
+++ b/alderbridge/settings.py
@@ -102,7 +102,7 @@
         )
 
 
-class Cloud(msgspec.Struct, frozen=True):
+class CloudSettings(msgspec.Struct, frozen=True):
     """Limits of the cloud's interface."""
 
     rps: float
@@ -124,7 +124,7 @@
     teams: list[Team]
     workers: Workers
     state: StateLimits
-    cloud: Cloud
+    cloud: CloudSettings
     limits: Limits
     objectives: list[Objective] = []
     skew_ms: float = 0.0
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -356,7 +356,7 @@
         hosts=[wire.ListedMachine(id="vm-1", type="g4", status="failed", held_s=61.5, zone="north-1", spot=True)],
         has_next=True,
     ),
-    "received-cloud-rented": wire.RentedMachines(hosts=["vm-1", "vm-2"]),
+    "received-cloud-rented": wire.RentalResponse(hosts=["vm-1", "vm-2"]),
     "received-cloud-types": wire.MachineTypes(types=[MACHINE_TYPE]),
 }
 
@@ -470,7 +470,7 @@
                 txn_ops=32,
                 next=settings.NextStateLimits(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
             ),
-            cloud=settings.Cloud(rps=5.5, list_lag_s=3.5),
+            cloud=settings.CloudSettings(rps=5.5, list_lag_s=3.5),
             limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
             objectives=[settings.Objective(kind="wait", job_class="batch-fit", within_s=60.5, share=0.95, times=1.25)],
             skew_ms=200.5,
@@ -488,7 +488,7 @@
             teams=[settings.Team(name="forecasts", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
             workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
             state=settings.StateLimits(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
-            cloud=settings.Cloud(rps=5.5, list_lag_s=3.5),
+            cloud=settings.CloudSettings(rps=5.5, list_lag_s=3.5),
             limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
             objectives=[settings.Objective(kind="wait", job_class=None, within_s=None, share=0.0, times=None)],
             skew_ms=0.0,
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from alderbridge.protocol import wire
-from alderbridge.settings import Cloud as CloudSettings
 from alderbridge.settings import (
+    CloudSettings,
     Endpoints,
     Limits,
     NextStateLimits,
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -268,7 +268,7 @@
             self.teams,
             settings.Workers(3.0, 17.0, 42.0),
             settings.StateLimits(250.0, 5000.0, 4.0, 12),
-            settings.Cloud(9.0, 8.0),
+            settings.CloudSettings(9.0, 8.0),
             settings.Limits(1.0, 400.0, 2000),
             OBJECTIVES,
         )
