--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -234,7 +234,7 @@
 
         def failed():
             self.follow_busy = False
-            self.reads_all = world.reloads and core.state.loaded  # as the program does after any trouble with following
+            self.reads_all = world.reloads and core.state.loaded  # as the program does after any failure to follow
 
         self.call(done, failed, read)
 
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -17,7 +17,7 @@
     from simulation.controller import SimController
     from simulation.worker import SimWorker
 
-TROUBLES = [
+SINGLE_FAULTS = [
     "crash",
     "crash",
     "crash_all",
@@ -39,8 +39,8 @@
     "refused",
     "held_up",
 ]
-# A meeting has one of the first at least; see ``World.meeting``.
-MEETING = [
+# Concurrent faults have one of the first at least; see ``World.schedule_concurrent_faults``.
+CONCURRENT_FAULTS = [
     "deaf",
     "late_reports",
     "late_writes",
@@ -61,19 +61,19 @@
     "stream",
     "ten_leaders",
 ]
-MEETING_OLD = ["crash", "crash_all", "one_returns", "flap", "end_leaders", "hang", "cut_machine"]
+EARLIER_FAULTS = ["crash", "crash_all", "one_returns", "flap", "end_leaders", "hang", "cut_machine"]
 ON_MACHINES = ("deaf", "held_up", "hang", "cut_machine", "mute")
 
 
 class Faults:
     """What goes wrong, and when; a part of ``World``."""
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         sim = self.nodes[self.rng.choice(self.labels)]
-        self.bring(self.rng.choice(TROUBLES), sim, self.rng.uniform(2.0, 40.0))
+        self.bring(self.rng.choice(SINGLE_FAULTS), sim, self.rng.uniform(2.0, 40.0))
 
     def bring(self, kind: str, sim: SimController, length: float) -> None:
-        """One trouble, of that controller, of one machine or of all."""
+        """One fault, of that controller, of one machine or of all."""
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
         if kind.startswith("crash"):
@@ -167,11 +167,13 @@
                 CANCEL_S + rng.uniform(1.0, 10.0) if rng.random() < 0.5 else rng.uniform(2.0, 25.0),
             )
 
-    def meeting(self, at: float) -> None:
-        """Two troubles or three that overlap, and users who cancel a moment before them and while they last."""
+    def schedule_concurrent_faults(self, at: float) -> None:
+        """Two faults or three that overlap, and users who cancel a moment before them and while they last."""
         rng = self.rng
-        kinds = [rng.choice(MEETING)]
-        kinds += rng.sample([kind for kind in MEETING + MEETING_OLD if kind not in kinds], rng.choice([1, 1, 2]))
+        kinds = [rng.choice(CONCURRENT_FAULTS)]
+        kinds += rng.sample(
+            [kind for kind in CONCURRENT_FAULTS + EARLIER_FAULTS if kind not in kinds], rng.choice([1, 1, 2])
+        )
         for kind in kinds:
             begin = at + rng.uniform(0.0, 8.0)
             length = rng.uniform(10.0, 45.0)
@@ -224,7 +226,7 @@
             )
             self.after(rng.uniform(0.0, for_s), self.submit, spec)
 
-    def group_trouble(self) -> None:
+    def inject_group_fault(self) -> None:
         """A good part of the machines at once, and with them one controller, all of them, or none."""
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -23,7 +23,7 @@
     from simulation.worker import SimTask, SimWorker
 
 KNOWN_S, BEGIN_S = 75.0, 240.0  # a job is forgotten after so long without an answer; the largest ones begin within
-ROOM_S = 90.0  # no job waits so long, once the troubles are over, beside room that fits
+ROOM_S = 90.0  # no job waits so long, once the faults are over, beside room that fits
 
 
 class Invariants:
@@ -92,7 +92,7 @@
         )
 
     def look_for_room(self) -> None:
-        """Who waits beside room that fits, by what is on the machines: ``ROOM_S`` at most, troubles over."""
+        """Who waits beside room that fits, by what is on the machines: ``ROOM_S`` at most, faults over."""
         if self.t < self.calm_at:
             return
         there: dict[str, SimWorker] = {}
@@ -141,7 +141,7 @@
                 raise Broken(f"waited: {job} beside room since {self.waits[job]:.1f}")
 
     def not_forgotten(self) -> None:
-        """While it lasts, troubles over: somebody is told something of each job."""
+        """While it lasts, faults over: somebody is told something of each job."""
         for job in self.accepted:
             since = max(self.answered_at.get(job, self.accepted_at.get(job, self.t)), self.calm_at)
             if job not in self.said and self.t - since > KNOWN_S:
@@ -175,7 +175,7 @@
             if sim.core is not None:
                 self.books(sim.core)
                 self.served(sim.core)
-        if self.meets and self.t >= self.looked_at + 1.0:
+        if self.has_concurrent_faults and self.t >= self.looked_at + 1.0:
             self.looked_at = self.t
             self.look_for_room()
             self.not_forgotten()
@@ -195,7 +195,7 @@
                 raise Broken(f"unserved: {name} by {core.me}, its home, at {self.t:.2f}")
 
     def remembered(self) -> None:
-        """At the end, ``KNOWN_S`` after the last trouble: each accepted job has ended, or questions are answered."""
+        """At the end, ``KNOWN_S`` after the last fault: each accepted job has ended, or questions are answered."""
         for job in sorted(self.accepted):
             since = self.answered_at.get(job, self.first_asked.get(job, 0.0))
             if job not in self.said and self.t - since > KNOWN_S:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -205,7 +205,7 @@
         self.accepted.add(job)
         if job not in self.accepted_at:
             self.accepted_at[job] = self.t
-            self.look_closely(job)
+            self.read_closely(job)
 
     def answer(self, job: str, state: str, asked: float | None = None) -> None:
         """``asked``: when, for an answer that has taken time; another may have been told in the meantime."""
@@ -216,7 +216,7 @@
             return  # true when it was asked
         if ends and before is None:
             self.told_at[job] = self.t
-            self.look_closely(job)
+            self.read_closely(job)
         if state == "done":
             missing = [i for i in range(self.specs[job].tasks) if f"{job}/{i}" not in self.completed]
             if missing:
@@ -237,7 +237,7 @@
     def poll(self, job: str) -> None:
         """Round robin, as users ask."""
         sim = self.nodes[self.labels[next(self.turn) % len(self.labels)]]
-        if self.meets:
+        if self.has_concurrent_faults:
             self.ask(sim, job)
         else:
             state = self.question(sim, job)
@@ -265,7 +265,7 @@
             body = submission_of(self.specs[job]) | (flaw or {})
             sim.send_job(json.dumps(body).encode(), lambda state, asked=self.t: self.told(job, state, asked))
 
-    def look_closely(self, job: str) -> None:
+    def read_closely(self, job: str) -> None:
         """Users ask at all nodes within milliseconds, by question, repeated submission and withdraw."""
         if self.t >= self.looks_until:
             return
@@ -347,7 +347,7 @@
     def withdraw(self, job: str) -> None:
         if job in self.said:
             return
-        if self.meets:
+        if self.has_concurrent_faults:
             self.withdraw_through(self.nodes[self.rng.choice(self.labels)], job)
             return
         for label in self.labels:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -33,7 +33,7 @@
         self.in_flight = 0
         self.faulty = False
         self.recall_at: float | None = None
-        self.send_beat()
+        self.send_heartbeat()
 
     def kill(self) -> None:
         for part in self.tasks:
@@ -70,12 +70,12 @@
                 task.status, task.cause = "ended", "halted"
                 world.left(part, self.name)
 
-    def send_beat(self) -> None:
+    def send_heartbeat(self) -> None:
         world = self.world
         if not self.alive:
             return
         if world.t < self.hangs_until:
-            world.after(self.hangs_until - world.t, self.send_beat)
+            world.after(self.hangs_until - world.t, self.send_heartbeat)
             return
         self.tick()
         self.sequence += 1
@@ -156,7 +156,7 @@
     def next_node(self) -> None:
         labels = self.world.labels
         self.core = labels[(labels.index(self.core) + 1) % len(labels)]
-        self.world.after(1.0, self.send_beat)
+        self.world.after(1.0, self.send_heartbeat)
 
     def answered(self, number: int, incarnation: int, sent: float, status: int, body: bytes) -> None:
         world = self.world
@@ -168,7 +168,7 @@
         self.in_flight += 1
         if status == 421 and body.decode() in world.labels:
             self.core = body.decode()
-            world.after(world.rng.uniform(0.0, 0.5), self.send_beat)
+            world.after(world.rng.uniform(0.0, 0.5), self.send_heartbeat)
             return
         if status != 200:
             self.next_node()
@@ -181,7 +181,9 @@
             self.answered_at = sent
             for order in answer["orders"]:
                 self.carry_out(order)
-        world.after(0.5 if higher or answer["orders"] else REPORT_S * world.rng.uniform(0.75, 1.25), self.send_beat)
+        world.after(
+            0.5 if higher or answer["orders"] else REPORT_S * world.rng.uniform(0.75, 1.25), self.send_heartbeat
+        )
 
     def carry_out(self, order: dict) -> None:
         part, held = order["part"], self.tasks.get(order["part"])
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -32,7 +32,7 @@
         self,
         seed: int,
         jobs: int = 14,
-        trouble: bool = True,
+        random_faults: bool = True,
         nodes: int = 3,
         pipelines: int = 0,
         upgrade: bool = False,
@@ -43,7 +43,7 @@
         machines: int = 14,
         rush: bool = False,
         slow: bool = False,
-        meetings: int = 0,
+        concurrent_faults: int = 0,
     ) -> None:
         """``falls``: how often all controllers fall together, and much of the fleet with them; see ``fall``.
 
@@ -51,8 +51,8 @@
 
         ``slow``: processes return after a second or more; that is when most is to be inherited.
 
-        ``meetings``: how often two or three troubles overlap; see ``meeting``. Then every other job has two or three
-        long tasks that end far apart, and users cancel much and through any controller.
+        ``concurrent_faults``: how often two or three faults overlap; see ``schedule_concurrent_faults``. Then every
+        other job has two or three long tasks that end far apart, and users cancel much and through any controller.
 
         ``groups``: machines die, hang and are cut off many at once, some while all controllers are down.
 
@@ -61,10 +61,10 @@
         ``coming``: limits of the store that the settings name. ``tight_at``: when the store has tight ones.
         """
         self.rng = random.Random(seed)
-        self.slow, self.meets = slow, meetings > 0
+        self.slow, self.has_concurrent_faults = slow, concurrent_faults > 0
         self.copied_share, self.copies_until = 0.0, 0.0  # of workers' reports, of which a copy arrives late
-        self.reloads = False  # trouble with following has a controller read everything anew
-        self.calm_at = 0.0  # when the last trouble of the meetings is over
+        self.reloads = False  # failure to follow has a controller read everything anew
+        self.calm_at = 0.0  # when the last of the concurrent faults is over
         self.kept_share, self.kept_until = 0.0, 0.0  # of workers' reports, of which copies wait for the next view
         self.kept: list[bytes] = []
         self.leaders: list[str] = []  # one after the other
@@ -80,7 +80,7 @@
         self.longest_wait = 0.0
         self.starts_after: list[tuple[str, float]] = []  # after a confirmed cancellation, and how long after
         self.looks = 0  # close ones that were answered
-        self.numbers = itertools.count(1000)  # of the jobs that meetings bring
+        self.numbers = itertools.count(1000)  # of the jobs that concurrent faults bring
         self.ask_numbers, self.asking = itertools.count(1), {}  # question to a job's home -> who gets the answer
         self.upgrade, self.coming, self.most_machines, self.rush = upgrade, coming, machines, rush
         self.t = 0.0
@@ -88,7 +88,7 @@
         self.events: list = []
         self.order = itertools.count()
         self.store = SimStore(self)
-        self.store.view_began, self.store.ended = self.view_began, self.look_closely
+        self.store.view_began, self.store.ended = self.view_began, self.read_closely
         self.machines: dict[str, SimWorker | None] = {}
         self.kinds: dict[str, tuple] = {}
         self.lagging: deque = deque()
@@ -109,7 +109,7 @@
         for label in self.labels:
             self.nodes[label] = self.process(self, label)
         for number in range(jobs):
-            make = self.make_rush if rush else self.make_long if meetings and number % 2 else self.make_job
+            make = self.make_rush if rush else self.make_long if concurrent_faults and number % 2 else self.make_job
             self.after(self.rng.uniform(1.0, 90.0), self.submit, make(number))
         begin = 1.0
         if upgrade:
@@ -121,16 +121,16 @@
             self.after(self.rng.uniform(begin, begin + 80.0), self.pipeline, 50 + 10 * number)
         if tight_at < math.inf:
             self.after(tight_at, self.tighten)
-        if trouble:
+        if random_faults:
             for _ in range(self.rng.randint(3, 7)):
-                self.after(self.rng.uniform(10.0, 130.0), self.trouble)
+                self.after(self.rng.uniform(10.0, 130.0), self.inject_fault)
         if groups:
             for _ in range(self.rng.randint(2, 4)):
-                self.after(self.rng.uniform(20.0, 120.0), self.group_trouble)
+                self.after(self.rng.uniform(20.0, 120.0), self.inject_group_fault)
         for number in range(falls):
             self.after(self.rng.uniform(30.0, 60.0) + 60.0 * number, self.fall)
-        for number in range(meetings):
-            self.meeting(self.rng.uniform(25.0, 60.0) + 45.0 * number)
+        for number in range(concurrent_faults):
+            self.schedule_concurrent_faults(self.rng.uniform(25.0, 60.0) + 45.0 * number)
         self.after(1.0, self.watch)
 
     def after(self, delay: float, call, *args) -> None:
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -117,7 +117,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(texts())
-def test_a_look_says_what_the_clock_on_the_wall_says_minute_by_minute(drawn):
+def test_a_check_says_what_the_clock_on_the_wall_says_minute_by_minute(drawn):
     day, text, skew = drawn
     rule, others = text.classes[0], {one.name: one for one in text.calendars}
     begin = int(datetime(day.year, day.month, day.day, tzinfo=UTC).timestamp())
@@ -195,7 +195,7 @@
     assert may(timetable, at(2026, 8, 31, 9, 0)) and not may(both, at(2026, 8, 31, 9, 0))  # England's summer holiday
 
 
-def test_an_exception_added_this_minute_holds_at_once_and_beside_the_older_text():
+def test_an_exception_added_this_minute_holds_at_once_and_beside_the_older_revision():
     wall = at(2026, 6, 1, 9, 0)
     older = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00").configuration
     newer = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00\n2026-06-01 = 11:00-18:00").configuration
@@ -298,7 +298,7 @@
     assert lines[1].startswith("class desk/*: calendar c, at closing runs on, started only if 1.4 times")
 
 
-def test_a_look_is_cheap_and_a_text_is_small():
+def test_a_check_is_cheap_and_a_compiled_revision_is_small():
     text = read(
         "[calendar c]\nzone = Europe/Oslo\nmon-fri = 08:00-16:00\nholidays = NO, GB-ENG\n"
         "holiday years = 2026-2030\n[class desk/*]\ncalendar = c\nend before closing = yes"
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int, falls: bool = True, **more) -> None:
         super().__init__(seed, **more)
-        self.is_quiet = not (falls or more.get("trouble", True))
+        self.is_quiet = not (falls or more.get("random_faults", True))
         rng = self.rng
         self.texts, self.stored = [CalendarConfiguration()], [-math.inf]
         for at in (rng.uniform(2.0, 15.0), rng.uniform(50.0, 110.0)):
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("seed", range(9000, 9006))
 def test_no_start_in_closed_hours_and_every_job_ends_once_open(seed):
-    world = play(seed, nodes=3 + 2 * (seed % 2), trouble=False, falls=seed % 3 > 0)
+    world = play(seed, nodes=3 + 2 * (seed % 2), random_faults=False, falls=seed % 3 > 0)
     assert len(world.accepted) == 20 and not lacking(world)
 
 
@@ -176,7 +176,7 @@
 
 def test_what_was_granted_and_not_sent_at_closing_is_freed():
     """Between the grant and the report whose answer brings the order a machine may hang for as long as its lease."""
-    world = w.World(1, jobs=6, trouble=False)
+    world = w.World(1, jobs=6, random_faults=False)
     world.run(100.0)
     shut = CalendarConfiguration([Calendar("never", "UTC", [[]] * 7)], [CalendarRule("*", "*", "never", stops=True)])
     spec = msgspec.structs.replace(world.make_job(90), kind="sweep", tasks=1, types=None, zone=None, one_zone=False)
@@ -233,4 +233,4 @@
     broken(monkeypatch, what)
     with pytest.raises(w.Broken, match="not stopped: " if what == "nothing stopped" else "closed: "):
         for seed in seeds:
-            play(seed, 220.0, nodes=3 + 2 * (seed % 2), trouble=False, falls=what != "nothing stopped")
+            play(seed, 220.0, nodes=3 + 2 * (seed % 2), random_faults=False, falls=what != "nothing stopped")
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -29,7 +29,7 @@
 
 STANDING_S = 8  # s; more than two reports and the answers to them
 AWAY = "a"  # the zone that is cut off
-ROOM_WAIT_S = 90.0  # LATER.md's bound: nothing waits so long beside room, once all troubles are over
+ROOM_WAIT_S = 90.0  # nothing waits so long beside room, once all faults are over
 
 
 class Judge:
@@ -145,10 +145,16 @@
         self.hopes: dict[Submission, tuple] = {}
         self.takes_users = list(LABELS)
         super().__init__(
-            seed, jobs=0, trouble=False, nodes=5, machines=machines, coming=NextStateLimits(write_rps=write_rps), **more
+            seed,
+            jobs=0,
+            random_faults=False,
+            nodes=5,
+            machines=machines,
+            coming=NextStateLimits(write_rps=write_rps),
+            **more,
         )
-        self.meets = True  # users cancel through any controller
-        self.calm_at = math.inf  # when troubles are over each test says to its own judge
+        self.has_concurrent_faults = True  # users cancel through any controller
+        self.calm_at = math.inf  # when faults are over each test says to its own judge
         self.rate, self.level, self.filled_at, self.too_fast, self.changes = write_rps, write_rps, 0.0, 0, 0
         commit = self.store.commit
 
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -1,4 +1,4 @@
-"""Two troubles or three that overlap: seeded random runs, and that each guard they lean on is seen to fail."""
+"""Two or three faults that overlap: seeded random runs, and that each guard they lean on is seen to fail."""
 
 import math
 
@@ -23,31 +23,31 @@
 from alderbridge.scheduling import placement
 
 
-def meetings(seed, nodes, times=2, jobs=18, **more):
+def run_concurrent_faults(seed, nodes, times=2, jobs=18, **more):
     """Until everything is over, and users who were told nothing since would say so."""
-    world = World(seed, nodes=nodes, trouble=False, meetings=times, jobs=jobs, **more)
+    world = World(seed, nodes=nodes, random_faults=False, concurrent_faults=times, jobs=jobs, **more)
     world.run(230.0)
     world.judged()
     return world
 
 
 @pytest.mark.parametrize("nodes, seed", [*((5, 12000 + n) for n in (0, 2, 4, 6)), *((3, 12000 + n) for n in range(6))])
-def test_rules_hold_when_troubles_meet(nodes, seed):
-    world = meetings(seed, nodes)
+def test_rules_hold_when_faults_coincide(nodes, seed):
+    world = run_concurrent_faults(seed, nodes)
     assert world.starts > 0 and not world.late_largest()
 
 
-def test_the_runs_bring_the_meetings_about():
+def test_the_runs_bring_the_concurrent_faults_about():
     """Users are told of cancellations while tasks run, and these end far apart across changes of leader."""
-    worlds = [meetings(seed, 5) for seed in (12000, 12002)]
+    worlds = [run_concurrent_faults(seed, 5) for seed in (12000, 12002)]
     assert sum(sum(at < math.inf for at in world.cancelled_at.values()) for world in worlds) > 6
     assert all(world.store.data[VIEW][1] > 1 for world in worlds)
 
 
 def calm(seed=1, jobs=0, until=5.0, **more):
-    """A world whose users ask by the program's way and judge, without troubles of its own."""
-    world = World(seed, trouble=False, jobs=jobs, **more)
-    world.meets = True
+    """A world whose users ask by the program's way and judge, without faults of its own."""
+    world = World(seed, random_faults=False, jobs=jobs, **more)
+    world.has_concurrent_faults = True
     world.run(until)
     return world
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("kind", ["mute", "quick_boots", "limits", "zone_away", "reports_kept", "ten_leaders"])
-def test_a_trouble_does_what_it_says(kind):
+def test_a_fault_does_what_it_says(kind):
     world = calm(5, jobs=14, until=50.0, nodes=5)
     sim, before, fencing_token = world.nodes["host-1"], dict(world.kinds), world.store.data[VIEW][1]
     worker = next(worker for worker in world.machines.values() if worker is not None and worker.alive)
@@ -124,7 +124,7 @@
         assert len(world.leaders) >= 7
 
 
-def test_users_look_closely_and_send_what_can_not_run():
+def test_users_read_closely_and_send_what_can_not_run():
     world = calm(2)
     world.looks_until = 60.0
     for number in range(6):
@@ -212,7 +212,7 @@
     monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
-def test_a_close_look_sees_an_older_state_told_while_an_end_has_no_answer(monkeypatch):
+def test_monotonic_reads_see_an_older_state_told_while_an_end_has_no_answer(monkeypatch):
     """Carried out at once, only the answer lost: the others tell the end, and its home must not deny it."""
 
     def play():
@@ -250,7 +250,7 @@
 
 
 def test_a_team_does_not_stand_still_for_a_job_that_no_machine_can_be_had_for():
-    """Found by the random meetings (a team waited 90 s beside room, with nothing of it on a machine).
+    """Found by the random concurrent faults (a team waited 90 s beside room, with nothing of it on a machine).
 
     The cause: the whole of a team's limit went, as its allowance, to the home of the job that came first. No machine
     that fits it was there, and the cloud had none; so nobody used the allowance, and nobody else was given any.
@@ -362,7 +362,7 @@
     world.run(world.t + 60.0)
     assert world.said[job] == "aborted" and not world.on, "the machine went on, and was halted then"
     assert [part for part, by in world.starts_after if 0.0 < by < 42.0] == [f"{job}/0"]
-    never_halted(monkeypatch)
+    never_stopped(monkeypatch)
     monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
     monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
     world, job = cancelled_on_a_hanging_machine()
@@ -406,7 +406,7 @@
         world.run(40.0)
 
 
-def never_halted(monkeypatch):
+def never_stopped(monkeypatch):
     monkeypatch.setattr(RecordWrites, "stop_all", lambda self, job: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
     monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
@@ -419,14 +419,14 @@
         (copies_taken_for_new, ("ran_twice", "quota")),
         (told_before_stored, ("went_back",)),
         (stamps_not_asserted, ("ran_twice", "ran_cancelled", "not_done")),
-        (never_halted, ("ran_cancelled",)),
+        (never_stopped, ("ran_cancelled",)),
     ],
 )
 def test_each_guard_is_seen_to_fail_when_it_is_broken(monkeypatch, fault, rules):
     fault(monkeypatch)
     for seed in range(20000, 20040):
         try:
-            meetings(seed, 5 - 2 * (seed % 2))
+            run_concurrent_faults(seed, 5 - 2 * (seed % 2))
         except Broken as broken:
             if str(broken).startswith(rules):
                 return
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -1,7 +1,8 @@
-"""What lets a member act, taken out singly: hold, freshness, contact; and what a late view or a jump in time meets.
+"""What lets a member act, taken out singly: store lease, freshness, contact; and late views and jumps in time.
 
-``Membership.may_act`` rests on three terms. Each has a meeting here in which it alone stops a member that others have
-replaced: the other two still hold then. With that one taken out a rule breaks, with all in place none does.
+``Membership.may_act`` rests on three terms. Each has a combination of faults here in which it alone
+stops a member that others have replaced: the other two are still met then. With that one taken out a rule breaks, with
+all in place none does.
 """
 
 import functools
@@ -181,17 +182,17 @@
 TERMS = {hold_ends: without_hold, watch_hangs: without_freshness, contact_ends: without_contact}
 
 
-@pytest.mark.parametrize("meeting", TERMS)
-def test_hold_freshness_and_contact_each_stop_a_member_that_the_others_would_let_act(meeting):
-    world, for_s = meeting(31000)
+@pytest.mark.parametrize("combination", TERMS)
+def test_store_lease_freshness_and_contact_each_stop_a_member_that_the_others_would_let_act(combination):
+    world, for_s = combination(31000)
     world.run(world.t + for_s)
 
 
-@pytest.mark.parametrize("meeting", TERMS)
-def test_a_term_taken_out_singly_is_missed_in_its_meeting(monkeypatch, meeting):
-    TERMS[meeting](monkeypatch)
+@pytest.mark.parametrize("combination", TERMS)
+def test_a_term_taken_out_singly_is_missed_in_its_combination_of_faults(monkeypatch, combination):
+    TERMS[combination](monkeypatch)
     with pytest.raises(Broken, match="left_out"):
-        world, for_s = meeting(31000)
+        world, for_s = combination(31000)
         world.run(world.t + for_s)
 
 
@@ -381,7 +382,7 @@
     world.run(sim.frozen_until + 1.0)
 
 
-def test_hold_and_replica_are_as_old_as_the_question_that_was_sent(monkeypatch):
+def test_store_lease_and_replica_are_as_old_as_the_question_that_was_sent(monkeypatch):
     """Counted from the answer, a process acts after its jump, though others have taken its place."""
     still_between_question_and_answer(33102)
     loop, renewed, followed = Dark.loop, StoreLease.record_renewal, Membership.record_sync
@@ -425,7 +426,7 @@
                 world.answer(job, state)
 
 
-def test_an_end_that_is_sent_after_its_home_was_replaced_is_not_written(monkeypatch):
+def test_an_end_that_is_sent_after_its_job_shard_was_replaced_is_not_written(monkeypatch):
     still_before_an_end_is_sent(33200)
     real = RecordWriter.next_batch
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("length", (0, 1, 3, 379, 380, 5000))
-def test_a_text_fits_the_values_it_is_cut_into(length):
+def test_a_revision_fits_the_values_it_is_cut_into(length):
     text = random.Random(length).randbytes(length)
     parts = records.parts_of(text, 512)
     cut = records.pieces(text, parts)
@@ -156,8 +156,8 @@
     assert one.in_force("hours", 160.0) == [Text(["b"]), Text()] and one.in_force("hours", 181.0) == []
 
 
-def test_a_text_that_can_not_be_read_stops_the_process_until_it_can():
-    core = World(1, jobs=0, trouble=False).nodes["host-0"].core
+def test_a_revision_that_can_not_be_read_stops_the_process_until_it_can():
+    core = World(1, jobs=0, random_faults=False).nodes["host-0"].core
     core.calendars.refresh = lambda: None  # the text says nothing of hours
     core.membership.record_sync(0.0)
     named = put_text(core.replica.declared, "hours", 1, ["a"])
@@ -318,7 +318,7 @@
 
 
 @pytest.mark.parametrize("seed", range(18))
-def test_no_process_obeys_only_an_older_text_beside_one_that_obeys_only_a_newer(seed):
+def test_no_process_obeys_only_an_older_revision_beside_one_that_obeys_only_a_newer(seed):
     play(seed)
 
 
@@ -358,7 +358,7 @@
     """In random runs who is cut off is replaced too soon to be seen beside one that obeys the newer alone."""
 
     def obeyed():
-        core = World(1, jobs=0, trouble=False).nodes["host-0"].core
+        core = World(1, jobs=0, random_faults=False).nodes["host-0"].core
         core.calendars.refresh = lambda: None
         first, second = (StoredRevision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
         rows = [
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -71,7 +71,7 @@
     def __init__(self, seed, mishaps=0, **more):
         self.cuts = {}  # (from, to) -> until when, whether held back
         self.view, self.out, self.early, self.fencing_tokens = None, set(), 0, 0
-        super().__init__(seed, trouble=False, **more)
+        super().__init__(seed, random_faults=False, **more)
         for _ in range(mishaps):
             self.after(self.rng.uniform(10.0, 130.0), self.mishap)
 
@@ -298,7 +298,7 @@
     assert world.view.contact_timeout_s > 0 and world.fencing_tokens == 3
 
 
-def test_a_member_that_a_minority_gave_up_is_heard_again_under_a_new_mandate():
+def test_a_member_that_a_minority_gave_up_is_heard_again_under_a_new_fencing_token():
     world = Ties(14002, jobs=0)
     world.run(30.0)
     contact = world.nodes["host-1"].core.membership.failure_detector
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -30,7 +30,7 @@
 
 
 def flapping(seed, times=6, until=200.0, **more):
-    world = World(seed, nodes=5, trouble=False, **more)
+    world = World(seed, nodes=5, random_faults=False, **more)
     for number in range(times):
         world.after(15.0 + 12.0 * number, world.flap)
     world.run(until)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8500, 8504))
-def test_nothing_is_halted_lost_or_forgotten_while_processes_flap(seed):
+def test_nothing_is_stopped_lost_or_forgotten_while_processes_flap(seed):
     world = flapping(seed, until=330.0)
     assert world.starts > 0 and not lacking(world) and not world.late_largest()
     assert not world.halted_needed, "an earlier life's tasks belong to the new one"
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("seed", (8600, 8601, 8602))
 def test_elections_converge_however_often_members_flap(seed):
     """All but one end every 0.3 to 3 s for a minute; the one that stays has the highest label, which waits longest."""
-    world = World(seed, nodes=5, jobs=2, trouble=False)
+    world = World(seed, nodes=5, jobs=2, random_faults=False)
     for label in world.labels[:-1]:
         at = 10.0
         while at < 70.0:
@@ -86,7 +86,7 @@
 
 def test_a_process_that_is_back_takes_nothing_that_was_meant_for_its_earlier_life():
     """What the part tells the home that died is told again to the new one under the next view."""
-    world = World(8700, trouble=False, jobs=30)
+    world = World(8700, random_faults=False, jobs=30)
     home, part, name, index, run = a_run(world)
     owner = world.nodes[part].core
     owner.messenger.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
@@ -109,9 +109,9 @@
     )
 
 
-def test_the_view_may_arrive_before_the_process_knows_its_hold():
+def test_the_view_may_arrive_before_the_process_knows_its_store_lease():
     """It was an outsider's view then; acting on it, a home without its jobs would serve none of them."""
-    world = World(8701, trouble=False, jobs=30)
+    world = World(8701, random_faults=False, jobs=30)
     home, *_ = a_run(world)
     world.nodes[home].crash()
     world.restart(world.nodes[home])
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("again", (False, True))
 def test_a_submission_that_was_given_up_and_carried_out_late_is_served(again):
     """Its user is told that it is known, so it must run, though no submission waits for it any more."""
-    world = World(8702, trouble=False, jobs=0)
+    world = World(8702, random_faults=False, jobs=0)
     world.run(5.0)
     spec, batch = given_up(world, "host-1")
     core = world.nodes["host-1"].core
@@ -162,7 +162,7 @@
 
 def test_a_job_whose_record_has_all_its_tasks_ends_though_nothing_is_left_to_report():
     """Its home wrote the last result, could not write the end of an inherited job yet, and went."""
-    world = World(8703, trouble=False, jobs=0)
+    world = World(8703, random_faults=False, jobs=0)
     spec = msgspec.structs.replace(world.make_job(1), kind="sweep", tasks=3)
     world.specs[spec.id] = spec
     world.completed |= {f"{spec.id}/{index}" for index in range(3)}
@@ -234,7 +234,7 @@
     return messages.QueueRow(spec.id, spec.tasks, spec.tasks, due, 20.0, None, waited, False, False, **more)
 
 
-def test_room_is_kept_for_a_task_that_fits_no_rest_of_a_machine():
+def test_room_is_reserved_for_a_task_that_fits_no_rest_of_a_machine():
     offers = Offers()
     offers.replace(
         "host-0",
@@ -288,7 +288,7 @@
 
 def begins_beside_small_ones(seed):
     """A stream of small jobs that more than fills two machines; then a job whose task needs a whole one."""
-    world = World(seed, jobs=0, trouble=False, machines=2)
+    world = World(seed, jobs=0, random_faults=False, machines=2)
     numbers = iter(range(10**6))
 
     def stream():
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions carried out late or answered slowly, met by other troubles: what the store and its copies hold after.
+"""Transactions carried out late or answered slowly, met by other faults: what the store and its copies hold after.
 
 A transaction that had no answer is carried out up to 12 s later, after newer ones of the same controller; an answer
 may be older than what has arrived since. ``docs/design-meetings.md`` lists every transaction and what it asserts.
@@ -101,7 +101,7 @@
         core.replica.revision = self.store.revision
 
     def reload(self) -> None:
-        """As after any trouble with following: all is read anew."""
+        """As after any failure to follow: all is read anew."""
         self.core.membership.record_sync(self.t)
         self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
@@ -332,7 +332,7 @@
 # -- records of jobs
 
 
-def test_a_result_is_not_cleared_before_the_store_holds_it():
+def test_a_result_is_not_acknowledged_before_the_store_holds_it():
     """While its record was on its way, a report of another task on the machine had the result cleared there."""
     alone = Alone()
     job = alone.job()
@@ -439,7 +439,7 @@
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
-def test_a_home_that_another_replaces_leaves_one_end_or_none(carried_out):
+def test_a_job_shard_that_another_replaces_leaves_one_end_or_none(carried_out):
     """Its last transaction had no answer: the new home finds the end, or writes the only one there will be."""
     alone = Alone("host-1")
     _, end = late_end(alone, "last task")
@@ -491,7 +491,7 @@
     assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
 
 
-def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_home():
+def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_job_shard():
     """Both are carried out late: the second meets the first one's record, whose home takes it in."""
     alone = Alone("host-1")
     there = alone.other("host-1")
@@ -617,7 +617,7 @@
 # -- declarations
 
 
-def test_the_answer_to_a_text_does_not_bring_it_back_when_another_head_has_dropped_it():
+def test_the_answer_to_a_revision_does_not_bring_it_back_when_another_head_has_dropped_it():
     """Counted on as stored, it was named by this file's head: nobody could read that, and all stopped acting."""
     raw = msgspec.json.encode({"words": ["a" * 900]})
     own = configuration.ConfigurationRevision("hours", 3, compiler.digest_of(raw), raw)
@@ -685,7 +685,7 @@
 
 
 @pytest.mark.parametrize("asked", ("poll", "known"))
-def test_a_homes_answer_from_before_the_end_is_not_told_after_it(monkeypatch, asked):
+def test_a_job_shards_answer_from_before_the_end_is_not_told_after_it(monkeypatch, asked):
     control, _ = asking(monkeypatch)
     answers = []
     body = wire.job_status_body(SPEC.id, "running", 0, 1)
@@ -794,7 +794,7 @@
 
 @pytest.mark.parametrize("late", (False, True))
 @pytest.mark.parametrize("lose", ("get", "hold", "commit", "end"))
-def test_whichever_step_of_entering_has_no_answer_the_label_has_one_key_of_its_hold(lose, late):
+def test_whichever_step_of_entering_has_no_answer_the_label_has_one_key_of_its_store_lease(lose, late):
     steps = Steps(lose, late)
     control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll(), store=steps)
     steps.sim.holds[1000] = 1e9
@@ -828,12 +828,12 @@
     Other answers of the store are slow, and following breaks off now and then: all is read anew.
     """
 
-    def troubled(self) -> bool:
+    def is_faulty(self) -> bool:
         return 20.0 <= self.world.t < 80.0
 
     def follow(self) -> None:
         core, store, world = self.core, self.world.store, self.world
-        if self.follow_busy or not core.state.loaded or not self.troubled() or world.rng.random() >= 0.05:
+        if self.follow_busy or not core.state.loaded or not self.is_faulty() or world.rng.random() >= 0.05:
             return super().follow()
         self.follow_busy, sent = True, world.t
 
@@ -849,8 +849,8 @@
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
         world, life = self.world, self.life
-        if not self.troubled() or method != world.store.commit or world.rng.random() >= world.late_writes:
-            if not self.troubled() or world.rng.random() >= 0.2:
+        if not self.is_faulty() or method != world.store.commit or world.rng.random() >= world.late_writes:
+            if not self.is_faulty() or world.rng.random() >= 0.2:
                 return super().call(then, fail, method, *args, too_large=too_large)
 
             def slowly(action):
@@ -881,7 +881,7 @@
 
 @pytest.mark.parametrize("seed", (9500, 9501, 9502))
 def test_rules_hold_while_transactions_are_carried_out_late(seed):
-    """With all the world's other troubles."""
+    """With all the world's other faults."""
     world = LateWorld(seed, pipelines=3)
     world.run(200.0)
     world.remembered()
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -510,7 +510,7 @@
         return asked
 
 
-def test_the_desk_claims_room_and_nothing_is_rented_for_it():
+def test_the_planner_claims_room_and_nothing_is_rented_for_it():
     site = Fleet()
     site.tell(1.0, 3)
     site.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
@@ -538,7 +538,7 @@
         assert len(site.leader.demands(now)) == asks
 
 
-def test_parts_leave_the_reserve_to_replicas():
+def test_machine_shards_leave_the_reserve_to_replicas():
     site = Fleet()
     site.tell(1.0, 0, 3.0)
     site.look(1.0)
@@ -665,6 +665,6 @@
 
 
 def test_calm_runs_lend_and_without_a_declaration_nothing_stops(gpus, monkeypatch):
-    assert play(103, trouble=False, falls_in_claims=False).made > 0
+    assert play(103, random_faults=False, falls_in_claims=False).made > 0
     monkeypatch.setattr(LendWorld, "prepare", lambda self, core: None)
-    assert play(101, trouble=False, falls_in_claims=False).made == 0
+    assert play(101, random_faults=False, falls_in_claims=False).made == 0
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("how", (Alone.follow, Alone.reload))
-def test_a_machine_that_lapses_while_its_record_is_in_doubt_leaves_none(how):
+def test_a_machine_that_expires_while_its_record_is_in_doubt_leaves_none(how):
     """Shown before the lapse, and never dropped: it held up each later view for a lease."""
     alone = Alone()
     name = "n-000001"
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("shown", (True, False))
-def test_nothing_is_granted_beyond_a_mark_in_doubt_and_the_next_home_takes_it_for_started(shown):
+def test_nothing_is_granted_beyond_a_mark_in_doubt_and_the_next_job_shard_takes_it_for_started(shown):
     alone = Alone("host-1")
     job = alone.job(msgspec.structs.replace(SPEC, tasks=1000))
     alone.up("n-000001")
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("shown", (True, False))
 @pytest.mark.parametrize("state", ("aborted", "done"))
 @pytest.mark.parametrize("met", ("read", "not read", "same home", "other home"))
-def test_an_end_in_doubt_is_told_by_others_and_nothing_older_by_its_home(state, shown, met):
+def test_an_end_in_doubt_is_told_by_others_and_nothing_older_by_its_job_shard(state, shown, met):
     """Asked at every step: from the sending, when the call fails, when its conflict can't be read, under a new view."""
     alone = Alone("host-1")
     there = alone.other("host-1")
@@ -239,7 +239,7 @@
 
 @pytest.mark.parametrize("shown", (True, False))
 @pytest.mark.parametrize("view", (False, True))
-def test_a_shrunk_end_in_doubt_ends_once_for_its_home(shown, view):
+def test_a_shrunk_end_in_doubt_ends_once_for_its_job_shard(shown, view):
     """The replica has nothing more of it, its home goes on until it has read that, or until the next view."""
     alone = Alone("host-1")
     job = end_of(alone, "done")
@@ -335,7 +335,7 @@
     assert alone.core.local_jobs.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
 
 
-def test_an_end_is_held_back_for_the_view_that_gave_its_job_to_this_home_and_for_no_later_one():
+def test_an_end_is_held_back_for_the_view_that_gave_its_job_to_this_job_shard_and_for_no_later_one():
     """Each view held it back anew, though this home had had the job for long: a cancel waited for as many as came."""
     alone = Alone("host-1", "host-2")
     gone, stays = next(
@@ -502,7 +502,7 @@
         self.answers_lost = 0
         self.stays: dict[str, float] = {}  # job -> how long after its cancellation was told something of it was there
         super().__init__(seed, **more)
-        self.meets = True
+        self.has_concurrent_faults = True
 
     def loses_answer(self, sim, method, args):
         return self.lost_from <= self.t < self.lost_until and self.rng.random() < self.lost_share
@@ -522,7 +522,7 @@
 
 @pytest.mark.parametrize("nodes, seed", [(3, 30000), (3, 30001), (5, 30002)])
 def test_rules_hold_while_answers_are_lost(nodes, seed):
-    """With the world's other troubles."""
+    """With the world's other faults."""
     world = Answers(seed, nodes=nodes, pipelines=1)
     for number in range(8):
         world.after(20.0 + 9.0 * number, world.cancel_any)
@@ -540,9 +540,9 @@
 
 
 @pytest.mark.parametrize("step, lost_s", [("take", 6.0), ("key", 6.0), ("end", 6.0), ("extend", 30.0)])
-def test_who_is_in_doubt_of_its_hold_or_key_acts_on_neither(step, lost_s):
+def test_who_is_in_doubt_of_its_store_lease_or_key_acts_on_neither(step, lost_s):
     """Others begin a view with a permit that its process does not know; or the store keeps a hold counted out here."""
-    world = Answers(30010, jobs=8, trouble=False)
+    world = Answers(30010, jobs=8, random_faults=False)
     world.lost_share = 0.0
     world.run(40.0)
     sim, store = world.nodes["host-1"], world.store
@@ -585,7 +585,7 @@
     most_jobs = 3 * JOBS_OF
 
     def __init__(self, seed, nodes=3, **more):
-        super().__init__(seed, nodes=nodes, jobs=0, trouble=False, **more)
+        super().__init__(seed, nodes=nodes, jobs=0, random_faults=False, **more)
         self.lost_share = 0.0
         self.unasked = ""  # asked of less often, so that it has yet to hear of some when others have told their end
         self.asked: dict[str, float] = {}
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -1,4 +1,4 @@
-"""Two troubles at once, on the machines' side: quick boots, mute machines, old reports that meet a new leader."""
+"""Two faults at once, on the machines' side: quick boots, mute machines, old reports that meet a new leader."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 import pytest
 from simulation import Broken, SimWorker, World
 from test_late_transactions import LEASE_S, SETTLED_S, Alone, machine_of
-from test_machine_proofs import OUT_S, RUNNING, Meetings, Reports
+from test_machine_proofs import OUT_S, RUNNING, DeafMachines, Reports
 
 from alderbridge import constants
 from alderbridge.jobs.record import JobState
@@ -150,7 +150,7 @@
             world.after(rng.uniform(0.0, 2.5), world.end_if_up, self, life)
 
 
-class QuickBoots(Meetings):
+class QuickBoots(DeafMachines):
     """All machines are up within two seconds, some of them are gone again within seconds; writes lag, leaders end."""
 
     process = QuickNode
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("shows", OLD)
-def test_old_reports_tell_nothing_to_a_controller_that_was_owner_and_becomes_it_again(shows):
+def test_old_heartbeats_tell_nothing_to_a_controller_that_was_owner_and_becomes_it_again(shows):
     """Owner under 5 and 7, another under 6; copies and reports held back, first that of the highest mandate."""
     one = Reports()
     one.heartbeat(1.0, 50)
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize("shows", OLD)
-def test_a_report_held_back_for_the_next_view_changes_nothing_of_what_was_carried_over(shows):
+def test_a_heartbeat_held_back_for_the_next_view_changes_nothing_of_what_was_carried_over(shows):
     """Newer than all that was heard, and of the view before: it shows what was ordered, what has ended, or not."""
     one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
@@ -287,9 +287,9 @@
 
     mute_until = 0.0
 
-    def send_beat(self):
+    def send_heartbeat(self):
         if not self.alive or self.world.t >= self.mute_until or self.world.t < self.hangs_until:
-            return super().send_beat()
+            return super().send_heartbeat()
         self.tick()
         self.sequence += 1  # of a report that nobody hears
         self.in_flight += 1
@@ -320,7 +320,7 @@
         super().heartbeat(raw, reply)
 
 
-class Mute(Meetings):
+class Mute(DeafMachines):
     process = Keeping
     held_share = 0.0
 
@@ -370,7 +370,7 @@
         ]
 
 
-def test_five_controllers_get_an_old_report_as_a_new_leader_begins_and_none_takes_it_for_news():
+def test_five_controllers_get_an_old_heartbeat_as_a_new_leader_begins_and_none_takes_it_for_news():
     """Reports from before, some of which nobody has heard, at all five: at once, and when the new leader has acted."""
     world = Mute(9, jobs=24, nodes=5)
     world.run(40.0)
@@ -414,7 +414,7 @@
 
 
 @pytest.mark.parametrize("lost", (True, False))
-def test_a_mute_machine_lapses_by_the_clock_whatever_it_answers_to_commands(lost):
+def test_a_mute_machine_expires_by_the_clock_whatever_it_answers_to_commands(lost):
     """Three views within a lease: each asks it. Its last one may have no answer, or one of its new session."""
     one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
@@ -546,7 +546,7 @@
 
 
 @pytest.mark.parametrize("seed, nodes", ((63, 5), (66, 3)))
-def test_rules_hold_while_machines_are_mute_and_old_reports_meet_new_leaders(seed, nodes):
+def test_rules_hold_while_machines_are_mute_and_old_heartbeats_meet_new_leaders(seed, nodes):
     """Leaders end every 4 to 20 s; some for long, so that machines change hands there and back."""
     world = Mute(seed, jobs=24, nodes=nodes)
     world.held_share = 0.2
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -1,4 +1,4 @@
-"""Two troubles at once, on the machines' side: deaf ones, old reports, late commands, tasks that end far apart."""
+"""Two faults at once, on the machines' side: deaf ones, old reports, late commands, tasks that end far apart."""
 
 from random import Random
 
@@ -90,7 +90,7 @@
 # -- a change of view while machines are deaf -----------------------------------
 
 
-def test_a_machine_that_accepts_no_answer_lapses_by_its_own_reports():
+def test_a_machine_that_accepts_no_answer_expires_by_its_own_heartbeats():
     """Each report renewed the wait for its silence: its tasks waited behind the barrier for as long as it was deaf."""
     one = Reports()
     for sequence, now in enumerate((3.0, 10.0, 17.0), 1):
@@ -116,7 +116,7 @@
     )
 
 
-def test_until_its_lease_is_provably_out_reports_of_a_deaf_machine_prove_nothing():
+def test_until_its_lease_is_provably_out_heartbeats_of_a_deaf_machine_prove_nothing():
     one = Reports()
     one.heartbeat(OUT_S - 0.1, 1, fencing_token=4)
     assert one.machine.state is MachineState.EXPECTED
@@ -163,7 +163,7 @@
     assert one.machine.state is MachineState.EXPIRED
 
 
-def test_an_answer_of_a_view_between_counts_as_accepted_when_a_report_shows_its_mandate():
+def test_an_answer_of_a_view_between_counts_as_accepted_when_a_heartbeat_shows_its_fencing_token():
     """Answered under 6 and 7 without a report in between; it has accepted 6, and so renewed its lease late."""
     one = Reports()
     one.heartbeat(1.0, 1)
@@ -193,7 +193,7 @@
     )
 
 
-def test_a_carried_machine_that_is_deaf_frees_what_was_ordered_by_the_lapse_alone():
+def test_a_carried_machine_that_is_deaf_frees_what_was_ordered_by_the_lease_expiry_alone():
     one = Reports()
     one.heartbeat(1.0, 1)
     one.grant(3, 73)
@@ -206,7 +206,7 @@
     assert one.told_home() == [([], [])] and one.machine.state is MachineState.EXPIRED
 
 
-def test_copies_of_a_dead_machine_s_reports_keep_it_from_no_lapse():
+def test_copies_of_a_dead_machine_s_heartbeats_keep_it_from_no_lease_expiry():
     """Owned by another before: all copies are news to this part. Each moved the clock, for up to two leases."""
     one = Reports()
     now, sequence = 1.0, 0
@@ -262,12 +262,12 @@
             )
 
 
-class Meetings(World):
+class DeafMachines(World):
     process = Copying
     copies = 0.0
 
     def __init__(self, *args, **more):
-        super().__init__(*args, trouble=False, **more)
+        super().__init__(*args, random_faults=False, **more)
 
     def boot(self, name, kind):
         if name in self.kinds:
@@ -309,7 +309,7 @@
 
     They come by at their part's controller every 15 s, so never silent for a lease: it took the whole 150 s.
     """
-    world = Meetings(seed, jobs=20)
+    world = DeafMachines(seed, jobs=20)
     world.run(60.0)
     world.copies = 0.2
     leader = world.leader()
@@ -320,7 +320,7 @@
     world.end(leader, 2.0)
     world.run(66.0)
     assert len({worker.name for worker in deaf}) > constants.PROOF_LEAST and world.inherited(), (
-        "the meeting has come about"
+        "the combination of faults has come about"
     )
     world.run(66.0 + OUT_S + len(world.labels) * 5.0)
     assert not world.inherited()
@@ -338,7 +338,7 @@
 
 def test_tasks_do_not_stay_granted_to_a_machine_that_does_not_hear():
     """Three controllers, no change of view: each order was sent again with each report, for as long as it was deaf."""
-    world = Meetings(3, jobs=40)
+    world = DeafMachines(3, jobs=40)
     world.run(45.0)
     for worker in world.rng.sample(world.workers(), len(world.workers()) // 2):
         worker.deaf_until = world.t + 120.0
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("incarnation, sequence", ((2, 3), (2, 2), (1, 99)))
-def test_a_copy_of_a_report_renews_frees_and_acknowledges_nothing(incarnation, sequence):
+def test_a_copy_of_a_heartbeat_renews_frees_and_acknowledges_nothing(incarnation, sequence):
     """The same, an older one, one of the session before whose counter is higher: all came before the newest report."""
     one = Reports()
     one.heartbeat(1.0, 3, incarnation=2)
@@ -419,7 +419,7 @@
     assert machine.state is MachineState.EXPIRED, "its lease counts from the newest"
 
 
-def test_the_first_report_that_a_new_owner_hears_may_be_a_copy():
+def test_the_first_heartbeat_that_a_new_owner_hears_may_be_a_copy():
     """It bears an older mandate: it shows no task, frees none and gets no orders, whatever has been granted."""
     one = Reports()
     one.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
@@ -431,7 +431,7 @@
     assert one.told_home() == [([0], [])]
 
 
-def test_copies_of_a_returned_machine_s_reports_bring_nothing_back():
+def test_copies_of_a_returned_machine_s_heartbeats_bring_nothing_back():
     one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
     one.machine_shard.on_terminated(["n-1"])
@@ -445,7 +445,7 @@
     assert one.heartbeat(4.0, 10, fencing_token=5) is None and not one.told_home()
 
 
-def test_a_machine_that_lapsed_comes_back_with_a_new_session_and_its_old_reports_do_not():
+def test_a_machine_that_expired_comes_back_with_a_new_incarnation_and_its_old_heartbeats_do_not():
     one = Reports()
     one.heartbeat(1.0, 8, tasks=[RUNNING])
     one.grant(3, 73)
@@ -459,9 +459,9 @@
     assert not one.machine.tasks and not one.told_home() and not one.orders()
 
 
-def test_what_an_older_view_s_part_told_of_a_machine_is_not_taken_under_the_next():
+def test_what_an_older_view_s_machine_shard_told_of_a_machine_is_not_taken_under_the_next():
     """Its old and its new owner tell a home of it in the order in which the network likes to bring it."""
-    world = Meetings(7, jobs=6)
+    world = DeafMachines(7, jobs=6)
     world.run(40.0)
     home, part, name, index, run = next(
         (sim.core, world.nodes[sim.core.membership.machine_owner(run.machine)].core, name, index, run)
@@ -504,7 +504,7 @@
     assert one.machine.acknowledged and one.told_home() == [([0], [])]
 
 
-def test_the_answer_to_a_report_before_the_acknowledgement_bears_no_start():
+def test_the_answer_to_a_heartbeat_before_the_acknowledgement_bears_no_start():
     """Report 1 bears the older mandate; asked meanwhile, the machine acknowledges; then report 1 is answered."""
     one = Reports()
     one.heartbeat(1.0, 1, fencing_token=4)
@@ -516,7 +516,7 @@
     assert ("wk-1", 0) in one.machine.orders.pending
 
 
-def test_a_halt_for_another_attempt_stops_nothing_of_the_one_that_runs():
+def test_a_stop_for_another_attempt_stops_nothing_of_the_one_that_runs():
     one = Reports()
     one.heartbeat(1.0, 1, tasks=[RUNNING])
     one.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
@@ -529,7 +529,7 @@
     assert not one.orders() and one.machine.tasks[("wk-1", 0)].attempt == 80
 
 
-def test_a_clear_is_for_one_attempt_and_goes_when_that_is_gone():
+def test_an_acknowledgement_is_for_one_attempt_and_goes_when_that_is_gone():
     one = Reports()
     ended = ReportedTask("wk-1/0", 70, "ended", "halted")
     one.heartbeat(1.0, 1, tasks=[ended])
@@ -684,7 +684,7 @@
     assert one.job.has_started and one.job.state_of(0) is TaskState.RUNNING
 
 
-class FarApart(Meetings):
+class FarApart(DeafMachines):
     """Jobs of two or three tasks; each one ends a minute after the one before it."""
 
     def make_job(self, number):
@@ -702,7 +702,7 @@
     world.copies = 0.3
     for number in range(10):
 
-        def trouble(number=number):
+        def fault(number=number):
             is_leader = [
                 sim for sim in world.nodes.values() if sim.core is not None and sim.core.membership.is_leader(world.t)
             ]
@@ -711,16 +711,16 @@
             for worker in world.rng.sample(world.workers(), len(world.workers()) // 4):
                 worker.deaf_until = world.t + world.rng.uniform(5.0, 40.0)
 
-        world.after(20.0 + 20.0 * number, trouble)
+        world.after(20.0 + 20.0 * number, fault)
     world.run(480.0)
     world.remembered()
     assert len(world.accepted) > 10
     assert not [job for job in world.accepted if world.said.get(job) != "done" and job not in world.cancelled_at]
 
 
-def test_a_member_cut_off_from_the_store_concludes_no_lapse_though_it_acts_for_longer_than_a_lease():
+def test_a_member_cut_off_from_the_store_concludes_no_lease_expiry_though_it_acts_for_longer_than_a_lease():
     """A newer view may have begun, whose part renewed the lease: a home here would start elsewhere what still runs."""
-    world = Meetings(5, jobs=6)
+    world = DeafMachines(5, jobs=6)
     world.run(40.0)
 
     def just_heard():
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -46,7 +46,7 @@
     part.heartbeats.on_heartbeat(Heartbeat("n-1", "x", "c4", 1, sequence, 5, "a", tasks=list(tasks)), float(sequence))
 
 
-def test_homes_hear_of_a_machine_once_and_then_only_news():
+def test_job_shards_hear_of_a_machine_once_and_then_only_news():
     part, sent = part_with_machine()
     heartbeat(part, 1)
     assert [label for label, _ in sent] == ["host-0", "host-1"]  # nothing there: proof for both
--- a/tests/test_monotonic_reads.py
+++ b/tests/test_monotonic_reads.py
@@ -343,18 +343,18 @@
 # -- asked at each node, right after another has told it
 
 
-async def bring(service: Service, state: str, owner: str, queue_publisher: str, trouble) -> str:
-    """A job that the teller has told to be accepted, done or cancelled; the trouble begins when it is stored."""
+async def bring(service: Service, state: str, owner: str, queue_publisher: str, fault) -> str:
+    """A job that the teller has told to be accepted, done or cancelled; the fault begins when it is stored."""
     job = service.fresh()
     assert (await service.answer(owner, "submit", job))[0] == 201
     for _ in range(2):
         await service.rounds()  # all know it, and what follows they may not
     if state == "accepted":
         job = service.fresh()
-        trouble()
+        fault()
         assert (await service.answer(owner, "submit", job))[0] == 201
     else:
-        trouble()
+        fault()
         if state == "done":
             assert service.finish(job)
             await service.controls[owner].store.turn.set()  # stored, and nobody else has heard of it
@@ -367,16 +367,16 @@
     return job
 
 
-def befall(service: Service, trouble: str, label: str) -> None:
-    if trouble in ("lags", "lapsed"):
+def befall(service: Service, fault: str, label: str) -> None:
+    if fault in ("lags", "lapsed"):
         service.lag.add(label)
-    elif trouble == "cut":
+    elif fault == "cut":
         service.cut.add(label)
 
 
-@pytest.mark.parametrize("trouble", ("none", "lags", "lapsed", "cut", "loading", "back"))
+@pytest.mark.parametrize("fault", ("none", "lags", "lapsed", "cut", "loading", "back"))
 @pytest.mark.parametrize("state", ("accepted", "done", "cancelled"))
-def test_no_node_answers_older_than_any_has_told(service, state, trouble):
+def test_no_controller_answers_older_than_any_has_told(service, state, fault):
     """Told by each of the five, asked at each other: a poll, the submission again in all its forms, a cancel."""
 
     async def play():
@@ -387,29 +387,29 @@
                     continue
                 owner = LABELS[number - 1] if asked != LABELS[number - 1] else queue_publisher
                 job = await bring(
-                    service, state, owner, queue_publisher, lambda asked=asked: befall(service, trouble, asked)
+                    service, state, owner, queue_publisher, lambda asked=asked: befall(service, fault, asked)
                 )
-                if trouble in ("loading", "back"):
+                if fault in ("loading", "back"):
                     service.lag.add(asked)
                     service.come(asked)
-                    if trouble == "back":
+                    if fault == "back":
                         service.view(*LABELS)
                     await service.process(asked)
-                    if trouble == "back":  # it has read all, its view is the one of its life before
+                    if fault == "back":  # it has read all, its view is the one of its life before
                         service.load(asked)
-                elif trouble == "lapsed":
+                elif fault == "lapsed":
                     service.t += 30.0
                 answers = [await service.answer(asked, "poll", job)]
                 for change in REPEATS.values():
                     answers.append(await service.answer(asked, "submit", job, **change))
                 answers.append(await service.answer(asked, "poll", job))
                 answers.append(await service.answer(asked, "withdraw", job))
-                if trouble in ("none", "lags"):  # the store can be asked: all but a cancel has its answer
+                if fault in ("none", "lags"):  # the store can be asked: all but a cancel has its answer
                     assert all(status == 200 for status, _ in answers[:-1])
                 service.t += constants.STORE_BACKOFF_S
                 service.lag.clear()
                 service.cut.clear()
-                if trouble in ("loading", "back"):
+                if fault in ("loading", "back"):
                     service.view(*LABELS)
                 for _ in range(3):
                     await service.rounds()
@@ -430,7 +430,7 @@
 
 
 @pytest.mark.parametrize("end", ("done", "aborted"))
-def test_a_home_that_was_replaced_tells_nothing_of_what_it_was_home_to(service, end):
+def test_a_job_shard_that_was_replaced_tells_nothing_of_what_it_was_job_shard_to(service, end):
     """It is alive, and users reach it; its hold has ended, and what it has in memory has gone on elsewhere."""
 
     async def play():
@@ -458,7 +458,7 @@
     curio.run(play)
 
 
-def test_an_inherited_job_does_not_end_while_its_earlier_home_may_still_tell_of_it(service):
+def test_an_inherited_job_does_not_end_while_its_earlier_job_shard_may_still_tell_of_it(service):
     """A member joins and is the home of what another was home to, who acts and does not know that view yet."""
 
     async def play():
@@ -699,7 +699,7 @@
             if len(self.asked) < 20:
                 await self.question()
         else:
-            await self.trouble()
+            await self.fault()
         await curio.sleep(0)
         self.asked = [task for task in self.asked if not (task.terminated and await task.join())]
         heard = {*service.ends.items(), *((job, "accepted") for job in service.accepted)}
@@ -732,7 +732,7 @@
             else:
                 self.asked.append(await service.ask(label, "poll", job))
 
-    async def trouble(self) -> None:
+    async def fault(self) -> None:
         """One hears nothing of the store for a while, or a process ends, and is back at once or later."""
         service, rng = self.service, self.rng
         label = rng.choice(LABELS)
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -1,4 +1,4 @@
-"""Meetings of troubles with controllers: cut, refused, handed over and back, with users and workers still in reach."""
+"""Concurrent faults of controllers: cut, refused, handed over and back, with users and workers still in reach."""
 
 import curio
 import msgspec
@@ -81,20 +81,20 @@
     ignorant(world, sorted(set(world.labels[:3]) - {world.view.leader}), 30.0)
 
 
-MEETINGS = [lambda: contact_asked_for_again(15000, 3), lambda: contact_asked_for_again(15002, 5), two_joined]
+FAULT_COMBINATIONS = [lambda: contact_asked_for_again(15000, 3), lambda: contact_asked_for_again(15002, 5), two_joined]
 
 
-@pytest.mark.parametrize("meeting", MEETINGS)
-def test_who_does_not_know_the_view_is_not_removed_while_an_older_one_lets_it_act(meeting):
+@pytest.mark.parametrize("combination", FAULT_COMBINATIONS)
+def test_who_does_not_know_the_view_is_not_removed_while_an_older_one_lets_it_act(combination):
     """It acted on for 11 s after its removal: others ended its jobs, and freed its machines' tasks, meanwhile."""
-    meeting()
+    combination()
 
 
 def test_that_is_seen_when_contact_alone_decides(monkeypatch):
     monkeypatch.setattr(Membership, "mark_quorum_overlap", lambda self, view, settled: view)
-    for meeting in MEETINGS:
+    for combination in FAULT_COMBINATIONS:
         with pytest.raises(Broken, match="left_out"):
-            meeting()
+            combination()
 
 
 def test_a_view_is_firm_only_between_the_same_labels_and_after_a_settled_or_firm_one():
@@ -120,9 +120,9 @@
     assert b"loose" not in msgspec.json.encode(View("a", members, 8.0)), "what older versions wrote stays as it was"
 
 
-def test_who_has_lost_its_hold_acknowledges_nothing_more():
+def test_who_has_lost_its_store_lease_acknowledges_nothing_more():
     """It enters anew under a view that it may be late to know; till then others counted it as who it was."""
-    world = World(15020, trouble=False, jobs=0)
+    world = World(15020, random_faults=False, jobs=0)
     world.run(20.0)
     one, other = world.nodes["host-0"].core, world.nodes["host-1"].core
     assert one.state.is_member
@@ -170,7 +170,7 @@
 
 
 def severed(seed, nodes, for_s=45.0, from_peers=True):
-    world = Severed(seed, nodes=nodes, jobs=24, trouble=False)
+    world = Severed(seed, nodes=nodes, jobs=24, random_faults=False)
     world.run(60.0)
     world.cut = next(iter(world.nodes.values())).core.membership.view.leader
     sim = world.nodes[world.cut]
@@ -201,7 +201,7 @@
 
 def refused(seed, nodes, alone_s, all_s):
     """Its follow hangs, its calls are refused; the others cancel its jobs; then the store is down, and holds last."""
-    world = Severed(seed, nodes=nodes, jobs=24, trouble=False)
+    world = Severed(seed, nodes=nodes, jobs=24, random_faults=False)
     world.run(60.0)
     world.cut = world.nodes[world.labels[0]].core.membership.view.leader
     world.nodes[world.cut].cut_store_until = 60.0 + alone_s + all_s
@@ -229,7 +229,7 @@
 
 def handed_over(seed, nodes, stay=None):
     """All end one after the other, twice, and once together; with ``stay`` alone back at first, a second later."""
-    world = World(seed, nodes=nodes, jobs=24, trouble=False, pipelines=2)
+    world = World(seed, nodes=nodes, jobs=24, random_faults=False, pipelines=2)
     world.late_share = 0.2  # frames of each life arrive in the next ones
     for number, label in enumerate([*world.labels, *world.labels]):
         world.after(40.0 + 0.3 * number, world.end, world.nodes[label], 0.15)
@@ -251,7 +251,7 @@
     "seed, nodes, stay",
     [(15300, 3, None), (15301, 5, None), (15302, 3, "host-2"), (15303, 5, "host-0"), (15304, 5, "host-4")],
 )
-def test_controllers_that_hand_over_and_back_within_a_second_halt_and_forget_nothing(seed, nodes, stay):
+def test_controllers_that_hand_over_and_back_within_a_second_stop_and_forget_nothing(seed, nodes, stay):
     handed_over(seed, nodes, stay)
 
 
@@ -291,7 +291,7 @@
     monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
-def test_a_refused_leader_is_seen_to_act_on_when_hold_and_freshness_are_away(monkeypatch):
+def test_a_refused_leader_is_seen_to_act_on_when_store_lease_and_freshness_are_away(monkeypatch):
     stale_for_ever(monkeypatch)
     world, acted = refused(15200, 3, 6.0, 45.0)
     assert world.cut in acted
@@ -366,7 +366,7 @@
     assert len(told) == 1 and b"aborted" in told[0][1]
 
 
-def test_a_report_is_answered_under_the_view_it_was_taken_in_or_not_at_all(control):
+def test_a_heartbeat_is_answered_under_the_view_it_was_taken_in_or_not_at_all(control):
     """Its answer waited for grants; a newer view arrives, or the hold ends, before they do."""
     machine = Machine("n-1", 100.0)
     assert control.workers_api.heartbeat_response(machine, 7)[0] == 200
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -237,7 +237,7 @@
     assert shares == {"a": 70.0, "b": 30.0}
 
 
-def test_what_is_rented_is_for_what_the_teams_allowance_is_kept_for():
+def test_what_is_rented_is_for_what_the_teams_quota_allocation_is_kept_for():
     """The machine was there for one job, the limit kept for another that can't use it: neither ever began."""
     membership = Membership("host-0", 20.0, 12.0)
     known = Replica(membership, Graph(lambda spec: 1.0, []))
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -248,7 +248,7 @@
         if ours and (part, task.attempt) not in self.claimed:  # homes stop tasks for other reasons, after falls
             raise Broken(f"unclaimed: {part} stopped on {worker.name} at {self.t:.2f}")
 
-    # -- trouble in mid-claim
+    # -- fault in mid-claim
 
     def shake(self, made: list) -> None:
         rng, kind = self.rng, self.rng.random()
@@ -291,9 +291,9 @@
 
 
 def test_calm_runs_make_claims_and_a_withdrawn_declaration_makes_none():
-    worlds = [play(seed, trouble=False, falls_in_claims=False) for seed in (101, 103)]
+    worlds = [play(seed, random_faults=False, falls_in_claims=False) for seed in (101, 103)]
     assert all(world.made > 0 for world in worlds)
-    bare = ClaimsWorld(101, trouble=False, falls_in_claims=False)
+    bare = ClaimsWorld(101, random_faults=False, falls_in_claims=False)
     bare.text = PriorityConfiguration()
     bare.run(200.0)
     assert bare.made == 0 and worlds[0].made > 0
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_members_know_what_the_home_told_however_slow_they_are(seed):
+def test_members_know_what_the_job_shard_told_however_slow_they_are(seed):
     run = Run(seed)
     for _ in range(400):
         run.step()
@@ -194,7 +194,7 @@
     assert delta_tracker.delta_for("a", True) is None
 
 
-def test_parts_are_told_what_is_on_offer_and_the_leader_all():
+def test_machine_shards_are_told_what_is_on_offer_and_the_leader_all():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row("wk-1"), row("wk-2", offer=0)], 0.0)
     assert [one.job for one in delta_tracker.delta_for("part", False).rows] == ["wk-1"]
@@ -317,7 +317,7 @@
 
 @pytest.mark.parametrize("seed", (41001, 41002))
 def test_changes_are_told_once_the_last_older_controller_has_gone_and_not_again_when_one_is_back(seed):
-    world = MixedWorld(seed, ["host-2"], jobs=20, trouble=False)
+    world = MixedWorld(seed, ["host-2"], jobs=20, random_faults=False)
     world.run(60.0)
     assert messages.QueueSnapshot in world.sent and not world.sent & set(NEW_MESSAGES)
     world.nodes["host-2"].crash()
@@ -347,4 +347,4 @@
         ),
     )
     with pytest.raises(Broken, match="form"):
-        MixedWorld(41001, ["host-2"], jobs=20, trouble=False).run(60.0)
+        MixedWorld(41001, ["host-2"], jobs=20, random_faults=False).run(60.0)
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -82,7 +82,7 @@
         return any(job is self.job and rank == 3.0 for rank, job in self.job_shard.record_writes.due(2.0))
 
 
-def test_what_was_ordered_of_a_cancelled_job_counts_under_the_next_home_until_a_report_settles_it():
+def test_what_was_ordered_of_a_cancelled_job_counts_under_the_next_job_shard_until_a_heartbeat_settles_it():
     """Its part goes on and knows of the order alone: a machine that hangs or is cut off may run it for a lease yet."""
     one, heir = Reports(), Heir()
     one.heartbeat(1.0, 1)
@@ -109,7 +109,7 @@
     assert heir.used == 0 and heir.shrinks, "the report that lacks it"
 
 
-def test_whatever_a_home_knows_of_a_task_an_order_that_no_report_has_settled_counts():
+def test_whatever_a_job_shard_knows_of_a_task_an_order_that_no_heartbeat_has_settled_counts():
     for known in (RecordedState.JOB_ENDED, RecordedState.WAITING, RecordedState.POSSIBLY_HERE):
         assert TRANSITIONS[known][ObservedState.ORDERED] is Action.ADOPT
 
@@ -127,7 +127,7 @@
     assert heir.used == 0 and heir.shrinks and heir.job.to_record(4096) == Record(JobState.ABORTED)
 
 
-def test_an_allowance_of_the_old_leader_grants_nothing_under_the_next():
+def test_a_quota_allocation_of_the_old_leader_grants_nothing_under_the_next():
     heir = Heir(machines=())
     job = Job(
         Record(JobState.ACTIVE, "host-1", 0.0, 2, [], msgspec.structs.replace(BOUND, id="wk-2")),
@@ -214,7 +214,7 @@
     assert shares.give() == {"host-0": 10.0, "host-1": 0.0}
 
 
-def test_the_next_leader_gives_nothing_before_it_has_heard_of_every_home():
+def test_the_next_leader_gives_nothing_before_it_has_heard_of_every_job_shard():
     """One that it has not heard may use all of the limit, by tasks of cancelled jobs alone."""
     shares = Shares(10.0)
     shares.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
@@ -225,7 +225,7 @@
     assert shares.leader.quota_updates(1.0)["host-1"]["t"][0] == 2.0
 
 
-def test_what_one_home_is_to_give_back_is_given_to_the_other_once_that_is_confirmed():
+def test_what_one_job_shard_is_to_give_back_is_given_to_the_other_once_that_is_confirmed():
     shares = Shares(10.0)
     shares.job("host-0", "wk-1", 1.0, 9, 0, 10.0)
     assert shares.give()["host-0"] >= 9.0
@@ -251,8 +251,8 @@
         self.cancelled_running = self.cancelled_out = 0
         self.over_at = math.inf  # all spells are over
         self.beside: dict[str, float] = {}  # job -> since when it waits beside room that fits, its team below its limit
-        super().__init__(seed, jobs=0, trouble=False, nodes=nodes, machines=30, **more)
-        self.meets = True  # users cancel through any controller
+        super().__init__(seed, jobs=0, random_faults=False, nodes=nodes, machines=30, **more)
+        self.has_concurrent_faults = True  # users cancel through any controller
         rng = self.rng
         for number in range(36):
             self.after(
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("told", ObservedState)
 @pytest.mark.parametrize("known", RecordedState)
-def test_every_cell_of_the_table_is_what_a_home_does(known, told):
+def test_every_cell_of_the_table_is_what_a_job_shard_does(known, told):
     home, job, sent = home_that_knows(known)
     if job is not None:
         assert home.task_reports.recorded_state(job, 0, HERE, ATTEMPT) is known
@@ -130,7 +130,7 @@
             assert 0 in job.requeued and not job.unknown
 
 
-def test_the_table_frees_nothing_without_proof_and_clears_no_result_that_is_not_stored():
+def test_the_table_frees_nothing_without_proof_and_acknowledges_no_result_that_is_not_stored():
     assert len(TRANSITIONS) == len(RecordedState) and all(len(row) == len(ObservedState) for row in TRANSITIONS)
     frees = {Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE}
     for known in RecordedState:
@@ -163,7 +163,7 @@
     assert Barrier({"n-9": MachineRecord()}).may_hold(ordinary), "a record of 0.1.0 does not say what it is"
 
 
-def test_a_part_that_goes_on_carries_over_what_it_ordered_and_knows():
+def test_a_machine_shard_that_goes_on_carries_over_what_it_ordered_and_knows():
     part, sent = part_with_machine()
     heartbeat(part, 1)
     machine = part.machines["n-1"]
@@ -186,7 +186,7 @@
     assert sent[-1] == ("host-1", MachineTaskReport("n-1", "a", 7, [], [])), "its report settles what was ordered"
 
 
-def test_a_part_that_began_anew_or_has_older_members_carries_nothing_over():
+def test_a_machine_shard_that_began_anew_or_has_older_members_carries_nothing_over():
     part, sent = part_with_machine()
     heartbeat(part, 1)
     del sent[:]
@@ -214,7 +214,7 @@
 
 def test_progress_of_running_jobs_does_not_keep_the_records_of_dead_machines():
     """It took all changes of a busy fleet, for minutes: each planned restart waited for machines long returned."""
-    world = World(9500, jobs=0, trouble=False)
+    world = World(9500, jobs=0, random_faults=False)
     world.run(5.0)
     sim = world.nodes["host-1"]
     core, sim.busy = sim.core, True  # its writer is looked at by hand
@@ -303,7 +303,7 @@
     assert len(views) == 2 and views[1] - 3.0 <= constants.JOIN_QUIET_S + 0.2
 
 
-def test_the_account_of_squaring_ends_and_says_how_far_it_is():
+def test_the_account_of_reconciliation_ends_and_says_how_far_it_is():
     reconciliation = ReconciliationProgress(0.0)
     for name in ("n-1", "n-2", "n-3", "n-4"):
         reconciliation.add_recorded(name)
@@ -351,7 +351,7 @@
     The machine's record is gone by then: no part of the new view has the machine, and nobody would ever tell
     its home that the task is free.
     """
-    world = World(seed, jobs=30, trouble=False)
+    world = World(seed, jobs=30, random_faults=False)
     home, part, _, _, machine = until_a_run(world)
     third = next(label for label in world.labels if label not in (home, part))
     world.machines[machine].die()
@@ -375,7 +375,7 @@
 
 def seconds_behind_the_barrier(seed):
     """A machine dies; at once the home of what it runs is restarted, and inherits."""
-    world = World(seed, jobs=30, trouble=False)
+    world = World(seed, jobs=30, random_faults=False)
     world.run(40.0)
     home, part, name, index, machine = until_a_run(world)
     world.machines[machine].die()
@@ -391,7 +391,7 @@
     return world.t - began
 
 
-def test_a_dead_machine_of_a_part_that_goes_on_holds_up_no_inherited_task(monkeypatch):
+def test_a_dead_machine_of_a_machine_shard_that_goes_on_holds_up_no_inherited_task(monkeypatch):
     """Its part knows all that may be on it; only what that is waits for the lease."""
     seeds = (8106, 8110, 8113, 8114)
     complete = [seconds_behind_the_barrier(seed) for seed in seeds]
@@ -408,7 +408,7 @@
 @pytest.mark.parametrize("seed", range(9000, 9005))
 def test_every_job_ends_though_all_controllers_fall_twice(seed):
     """The second time within a minute or so of the first, some controllers twice each: no job may hang."""
-    world = World(seed, nodes=5, jobs=16, trouble=False, falls=2)
+    world = World(seed, nodes=5, jobs=16, random_faults=False, falls=2)
     world.run(420.0)
     assert world.starts > 0 and not lacking(world)
     assert not world.halted_needed, "what still runs is never stopped for a fall"
@@ -416,14 +416,14 @@
 
 @pytest.mark.parametrize("seed", (9100,))
 def test_every_job_ends_with_a_hundred_machines(seed):
-    world = World(seed, nodes=5, jobs=40, trouble=False, falls=1, machines=100, rush=True)
+    world = World(seed, nodes=5, jobs=40, random_faults=False, falls=1, machines=100, rush=True)
     world.run(360.0)
     assert len(world.machines) >= 100 and not lacking(world) and not world.halted_needed
 
 
 @pytest.mark.parametrize("seed", range(9200, 9203))
 def test_rules_hold_when_all_fall_while_the_version_changes(seed):
-    world = World(seed, nodes=5, jobs=14, trouble=False, falls=2, upgrade=True)
+    world = World(seed, nodes=5, jobs=14, random_faults=False, falls=2, upgrade=True)
     world.run(420.0)
     assert not lacking(world)
 
@@ -450,7 +450,7 @@
 def test_each_guard_is_seen_to_fail_when_it_is_broken(monkeypatch, fault, rule):
     fault(monkeypatch)
     for seed in range(9301, 9340):
-        world = World(seed, nodes=5, jobs=16, trouble=False, falls=2, slow=True)
+        world = World(seed, nodes=5, jobs=16, random_faults=False, falls=2, slow=True)
         try:
             world.run(200.0)
         except Broken as broken:
@@ -462,7 +462,7 @@
 
 
 def test_nothing_is_returned_as_idle_while_inherited_tasks_wait(monkeypatch):
-    world = World(9400, jobs=16, trouble=False)
+    world = World(9400, jobs=16, random_faults=False)
     world.run(60.0)
     while True:  # until a machine is idle at the leader
         world.run(world.t + 0.5)
@@ -484,7 +484,7 @@
 
 
 def test_messages_that_may_wait_keep_their_order_and_go_in_the_next_round():
-    world = World(9600, jobs=0, trouble=False)
+    world = World(9600, jobs=0, random_faults=False)
     world.run(5.0)
     core = world.nodes["host-0"].core
     core.effects.outgoing_frames.clear()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -40,7 +40,7 @@
     assert [row["k"] for row in state.rows("", "", 10).body["rows"]] == ["a"]
 
 
-def test_a_hold_ends_with_its_keys_and_not_sooner_through_an_outage():
+def test_a_store_lease_ends_with_its_keys_and_not_sooner_through_an_outage():
     state = StateModel()
     lease_id = state.new_hold(5000, 0.0).body["permit"]
     state.commit({"writes": [put("m", lease_id=lease_id)]}, 0.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -267,7 +267,7 @@
     assert service.call(method, path, body)[0] == status
 
 
-def test_a_worker_gets_the_mandate_first_and_orders_after(world):
+def test_a_worker_gets_the_fencing_token_first_and_orders_after(world):
     service, state = world
     service.submit_until({**JOB, "id": "wk-000002"}, 201)
     heartbeat = {
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("seed", (100, 101))
 def test_quiet_world_completes_every_job(seed):
-    world = play(seed, until=260.0, trouble=False)
+    world = play(seed, until=260.0, random_faults=False)
     assert len(world.accepted) == 14
     lacking = [job for job in world.accepted if job not in world.said]
     assert not lacking
@@ -71,8 +71,8 @@
 
 
 @pytest.mark.parametrize("seed", (5000, 5001))
-def test_a_store_that_takes_less_than_it_said_costs_no_hold_and_no_job(seed):
-    world = play(seed, until=300.0, trouble=False, pipelines=3, tight_at=60.0)
+def test_a_store_that_takes_less_than_it_said_costs_no_store_lease_and_no_job(seed):
+    world = play(seed, until=300.0, random_faults=False, pipelines=3, tight_at=60.0)
     assert world.store.too_large > 0
     fencing_tokens = {sim.core.membership.fencing_token for sim in world.nodes.values()}
     lacking = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
@@ -81,7 +81,7 @@
 
 def test_a_job_may_wait_for_more_than_its_record_holds():
     """What has no room in one value is kept beside it, in values of their own."""
-    world = play(7, until=30.0, jobs=40, trouble=False, coming=COMING)
+    world = play(7, until=30.0, jobs=40, random_faults=False, coming=COMING)
     needs = [f"wk-{number:018d}" for number in range(150)]
     for need in needs[:-1]:
         record = Record(JobState.DONE)
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("seed", (6000, 6001, 6002))
 def test_a_connection_that_only_seems_open_is_renewed(seed):
     """After a cut the other end had closed unheard: for the rest of a recorded day nothing was granted (inc-ac9f)."""
-    world = World(seed, trouble=False)
+    world = World(seed, random_faults=False)
     for at in (20.0, 45.0):
         one, other = world.rng.sample(world.labels, 2)
         world.after(at, world.nodes[one].dead_links.add, other)
@@ -125,7 +125,7 @@
 
 def test_a_doom_is_told_only_when_no_member_that_acts_can_deny_it():
     """The job's home, cut off from the store, answers "pending" until its view is stale (seen with this check away)."""
-    world = play(1, until=5.0, jobs=0, trouble=False)
+    world = play(1, until=5.0, jobs=0, random_faults=False)
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
     after = msgspec.structs.replace(after, needs=[first.id])
     near, far = world.nodes["host-0"], world.nodes["host-1"]
@@ -157,7 +157,7 @@
 
 def test_an_end_on_its_way_to_the_store_is_not_denied_from_memory():
     """Its write may have had no answer and yet have told the others (seed 816, store cut off)."""
-    world = play(1, until=5.0, jobs=0, trouble=False)
+    world = play(1, until=5.0, jobs=0, random_faults=False)
     core = world.nodes["host-0"].core
     spec = world.make_job(1)
     job = core.job_shard.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
@@ -229,7 +229,7 @@
     monkeypatch.setattr(Job, "finish_task", finish)
 
 
-def never_halted(monkeypatch):
+def never_stopped(monkeypatch):
     monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
     monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
     # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
@@ -292,7 +292,7 @@
         (anywhere, "wrong_place"),
         (told_before_stored, "went_back"),
         (done_too_early, "not_done"),
-        (never_halted, "ran_cancelled"),
+        (never_stopped, "ran_cancelled"),
         (nobody_waits, "too_early"),
         (nobody_is_doomed, "orphaned"),
     ],
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -82,7 +82,7 @@
 
     def __init__(self, seed: int, **more) -> None:
         self.halts_lost = False
-        super().__init__(seed, jobs=0, trouble=False, nodes=5, **more)
+        super().__init__(seed, jobs=0, random_faults=False, nodes=5, **more)
         for number in range(JOBS):
             spec = msgspec.structs.replace(
                 self.make_job(number),
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("cancelled", (True, False))
-def test_who_answers_a_report_stops_what_it_knows_to_be_cancelled(cancelled):
+def test_who_answers_a_heartbeat_stops_what_it_knows_to_be_cancelled(cancelled):
     """Without a word of the job's home, which may be cut off from here alone."""
     part, machine, _ = part_of_a_cancelled_job(cancelled)
     heartbeat(
@@ -212,7 +212,7 @@
     assert verbs(part, machine) == []
 
 
-def test_a_report_of_an_older_mandate_is_answered_with_the_end_of_what_is_cancelled():
+def test_a_heartbeat_of_an_older_fencing_token_is_answered_with_the_end_of_what_is_cancelled():
     """The answer renews the lease: of views in quick succession each one would keep the task for a report more."""
     part, machine, sent = part_of_a_cancelled_job()
     for fencing_token in range(6, 30):
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -13,7 +13,7 @@
 
 
 def outage(seed, down_s=DOWN_S):
-    world = World(seed, trouble=False, nodes=5, jobs=6, rush=True)
+    world = World(seed, random_faults=False, nodes=5, jobs=6, rush=True)
     returned, drops = [], []
     remove, commit = world.remove, world.store.commit
 
@@ -58,7 +58,7 @@
 
 
 def test_a_drop_that_had_no_answer_is_not_taken_back():
-    world = World(5, trouble=False, jobs=3)
+    world = World(5, random_faults=False, jobs=3)
     world.run(40.0)
     core, name = next(
         (sim.core, name)
--- a/tests/test_unanswered_jobs.py
+++ b/tests/test_unanswered_jobs.py
@@ -52,8 +52,8 @@
     assert named == [25.0, 50.0] * 2, "each outage on its own, and none of them for longer than it was"
 
 
-def test_a_job_whose_home_tells_nothing_is_named_for_all_of_that_time_outages_included(day):
-    """It began while the store was there, and goes on when it is there again: the job's own trouble."""
+def test_a_job_whose_job_shard_tells_nothing_is_named_for_all_of_that_time_outages_included(day):
+    """It began while the store was there, and goes on when it is there again: the job's own fault."""
     assert day([60.0 + 5.0 * number for number in range(36)], lambda at: True)[-1] == 175.0
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -138,7 +138,7 @@
         (b'{"error":"no such lease"}', LeaseExpiredError),
     ],
 )
-def test_a_value_that_is_too_large_is_not_a_lost_hold(text, error):
+def test_a_value_that_is_too_large_is_not_a_lost_store_lease(text, error):
     store = Store("127.0.0.1:1")
 
     async def call(*args):
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -1,4 +1,4 @@
-"""Meetings during an upgrade: two versions side by side, and troubles that overlap.
+"""Concurrent faults during an upgrade: two versions side by side, and faults that overlap.
 
 The old one is this one with all that passes its boundary seen as that version sees it; here it reads views so, too, and
 takes holds for 12 s and views for settled after them.
@@ -47,7 +47,7 @@
 
     def __init__(self, seed, nodes):
         self.mixed = self.contacts = 0
-        super().__init__(seed, nodes=nodes, trouble=False, meetings=2, jobs=18, upgrade=True)
+        super().__init__(seed, nodes=nodes, random_faults=False, concurrent_faults=2, jobs=18, upgrade=True)
         commit = self.store.commit
 
         def noting(conditions, puts, drops=(), lease_id=None):
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("nodes, seed", [(3, 41001), (3, 41004), (5, 41110)])
-def test_rules_hold_when_troubles_meet_during_an_upgrade(nodes, seed):
+def test_rules_hold_when_faults_coincide_during_an_upgrade(nodes, seed):
     world = upgrade(seed, nodes)
     assert world.mixed and world.contacts and world.starts > 0 and not world.late_largest()
     assert not any(sim.old for sim in world.nodes.values())
