--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -42,7 +42,7 @@
             return None
         if mine.stored_state is not JobState.ACTIVE:
             state: JobState = mine.stored_state
-        return state.value, mine.done.count, 0
+            return state.value, mine.done.count, 0
         if mine.state is not JobState.ACTIVE:
             # Its end may be in the store without an answer to this member, and others may have told the user.
             return None
