--- a/alderbridge/cloud.py
+++ b/alderbridge/cloud.py
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, endpoint: str) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``endpoint``: URL of the cloud; its connections are kept open."""
         self.client = Client(*address(endpoint), keep=2)
 
     async def _call(self, method: str, target: str, body: bytes = b"") -> bytes:
--- a/alderbridge/controller/health.py
+++ b/alderbridge/controller/health.py
@@ -16,7 +16,7 @@
     """Answers ``/healthz``."""
 
     def __init__(self, core: ControllerCore) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: whose membership and loaded replica are judged."""
         self.core = core
         self.membership = core.membership
 
--- a/alderbridge/controller/job_queries.py
+++ b/alderbridge/controller/job_queries.py
@@ -38,7 +38,7 @@
     """Sends queries to the owners of jobs and matches the replies."""
 
     def __init__(self, core: ControllerCore, dispatch_effects: Callable[[], Awaitable[None]]) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: sends the queries; ``dispatch_effects``: has them leave at once."""
         self.core = core
         self.dispatch_effects = dispatch_effects
         self.pending_queries: dict[int, PendingQuery] = {}
@@ -104,7 +104,7 @@
     def __init__(
         self, core: ControllerCore, cancellations: LocalCancellation, dispatch_effects: Callable[[], Awaitable[None]]
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``cancellations``: carry out what owners are asked to cancel."""
         self.core = core
         self.cancellations = cancellations
         self.dispatch_effects = dispatch_effects
--- a/alderbridge/controller/job_records.py
+++ b/alderbridge/controller/job_records.py
@@ -31,7 +31,7 @@
     """Reads one record after the other; a read that fails starts the backoff."""
 
     def __init__(self, store: Store, store_backoff: StoreBackoff) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``store``: read from; ``store_backoff``: told of reads that fail."""
         self.store = store
         self.store_backoff = store_backoff
 
--- a/alderbridge/controller/loops/machine_types.py
+++ b/alderbridge/controller/loops/machine_types.py
@@ -26,7 +26,7 @@
     """Reads the machine types: the leader again and again, for the prices, others until they know them."""
 
     def __init__(self, core: ControllerCore, store: Store, cloud: Cloud, rate_limit: TokenBucket) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``cloud``: asked for the types; ``rate_limit``: of calls to it; ``store``: keeps them for the others."""
         self.core = core
         self.membership = core.membership
         self.store = store
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -32,7 +32,7 @@
         store_backoff: StoreBackoff,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: makes the batches and takes the results; ``dispatch_effects``: sends what follows from them."""
         self.core = core
         self.store = store
         self.store_backoff = store_backoff
--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -21,7 +21,7 @@
     """Reads the store, and then follows its changes."""
 
     def __init__(self, core: ControllerCore, store: Store, prober: WorkerProber, unanswered: UnansweredJobs) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``store``: watched for ``core``; ``unanswered``: told when the store is back."""
         self.core = core
         self.membership = core.membership
         self.store = store
--- a/alderbridge/controller/loops/rounds.py
+++ b/alderbridge/controller/loops/rounds.py
@@ -17,7 +17,7 @@
     """Runs the core's rounds, each followed by the probes that are due."""
 
     def __init__(self, core: ControllerCore, prober: WorkerProber) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: whose rounds are due; ``prober``: sends the probes."""
         self.core = core
         self.prober = prober
 
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -34,7 +34,7 @@
         rate_limit: TokenBucket,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``cloud``: rented from; ``rate_limit``: of calls to it."""
         self.core = core
         self.membership = core.membership
         self.cloud = cloud
--- a/alderbridge/controller/loops/store_lease.py
+++ b/alderbridge/controller/loops/store_lease.py
@@ -26,7 +26,7 @@
     """Acquires the store lease, and renews it until it has expired."""
 
     def __init__(self, core: ControllerCore, store: Store, store_backoff: StoreBackoff) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: whose membership the lease is for; ``store_backoff``: told of calls that fail."""
         self.core = core
         self.membership = core.membership
         self.store = store
--- a/alderbridge/controller/loops/view.py
+++ b/alderbridge/controller/loops/view.py
@@ -20,7 +20,7 @@
     """Proposes the next view when the membership calls for one."""
 
     def __init__(self, core: ControllerCore, store: Store) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: decides on the view; ``store``: keeps it."""
         self.core = core
         self.store = store
 
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -59,7 +59,7 @@
         own: dict[str, ConfigurationRevision] | None = None,
         store: Store | None = None,
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """The arguments are as the class says; nothing is started yet."""
         self.platform, self.poll = platform, poll
         self.core = ControllerCore(platform, tuning, now(), own=own)
         self.membership = self.core.membership
--- a/alderbridge/controller/router.py
+++ b/alderbridge/controller/router.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, routes: Mapping[str, Route], job_routes: Mapping[str, JobRoute]) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """The arguments are as the class says."""
         self.routes = routes
         self.job_routes = job_routes
 
--- a/alderbridge/controller/store_backoff.py
+++ b/alderbridge/controller/store_backoff.py
@@ -13,7 +13,7 @@
     """Whether a call to the store has failed lately: no job is accepted then."""
 
     def __init__(self) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """No call has failed yet."""
         self.until = 0.0
 
     def record_failure(self) -> None:
--- a/alderbridge/controller/unanswered_jobs.py
+++ b/alderbridge/controller/unanswered_jobs.py
@@ -23,7 +23,7 @@
     """Counts, for each job, the time without an answer, and logs it at intervals of ``UNANSWERED_S``."""
 
     def __init__(self) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """No question is unanswered yet."""
         self.times: dict[str, UnansweredTimes] = {}
 
     def record_answer(self, job: str) -> None:
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -51,7 +51,7 @@
         queries: JobQueries,
         unanswered: UnansweredJobs,
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``records``, ``queries``: asked where ``core`` does not know a job; ``unanswered``: told of each outcome."""
         self.core = core
         self.records = records
         self.queries = queries
@@ -152,7 +152,7 @@
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``status``: answers for jobs that exist; ``waiters``: wake a request once its record is stored."""
         self.core = core
         self.records = records
         self.status = status
@@ -242,7 +242,7 @@
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``queries``: cancel at the owner; ``waiters``: wake a request once the end is stored."""
         self.core = core
         self.queries = queries
         self.status = status
--- a/alderbridge/controller/waiters.py
+++ b/alderbridge/controller/waiters.py
@@ -9,7 +9,7 @@
     """Events by what they wait for; whoever dispatches the core's notifications takes them out and sets them."""
 
     def __init__(self) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """Nothing is waited for yet."""
         self.events: dict[object, list[curio.Event]] = {}  # submission or id of a job -> of the tasks that wait for it
 
     async def wait_for(self, what: object, timeout_s: float) -> bool:
--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -38,7 +38,7 @@
     """Sends the probes that the machine shard asks for, ``PROBES_AT_ONCE`` at most at a time."""
 
     def __init__(self, core: ControllerCore, poll: Poll, dispatch_effects: Callable[[], Awaitable[None]]) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: asks for probes and takes the answers; ``poll``: waits for their sockets."""
         self.core = core
         self.membership = core.membership
         self.poll = poll
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -22,7 +22,7 @@
     """Serves ``/agent/beat``."""
 
     def __init__(self, core: ControllerCore) -> None:
-        """Connect it with what it works on; nothing is started yet."""
+        """``core``: which the heartbeats are given to."""
         self.core = core
         self.membership = core.membership
         # Heartbeats whose machine waits for grants, each with the fencing token that it was taken under:
