--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -41,8 +41,7 @@
         if mine is None or not self.state.may_act():
             return None
         if mine.stored_state is not JobState.ACTIVE:
-            state: JobState = mine.stored_state
-            return state.value, mine.done.count, 0
+            return mine.stored_state.value, mine.done.count, 0
         if mine.state is not JobState.ACTIVE:
             # Its end may be in the store without an answer to this member, and others may have told the user.
             return None
--- a/alderbridge/transport/http_client.py
+++ b/alderbridge/transport/http_client.py
@@ -87,16 +87,17 @@
     def ready(self, event: int) -> None:
         """Send or receive what the socket allows; 0: it could not be connected."""
         if self.ended:
-            return None
+            return
         try:
             if not event:
-                return self._end(None)
+                self._end(None)
+                return
             if self.unsent:
                 self.unsent = self.unsent[self.sock.send(self.unsent) :]
                 self.connected = True
                 if not self.unsent:
                     self.poll.change(self.sock.fileno(), IN)
-                return None
+                return
             response = self.reader.feed(self.sock.recv(_READ_BYTES))
             if response is not None:
                 self._end(response[:2])
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -110,9 +110,10 @@
                 try:
                     data = self.sock.recv(_READ_BYTES)
                 except BlockingIOError:
-                    return None
+                    return
                 except OSError:
-                    return self.close()
+                    self.close()
+                    return
                 self.receive(data)
             elif self.uses_h11:
                 self.read_h11_events()
@@ -122,7 +123,6 @@
             self.write()
         elif self.state is ConnectionState.HANDLING:
             self.watch_for(0)  # a hang-up, or the next request, can wait until this one has its response
-        return None
 
     def watch_for(self, events: int) -> None:
         """Have epoll report these events, and no others; 0: not even errors."""
@@ -191,7 +191,8 @@
             self.process_h11_events()
         except h11.RemoteProtocolError as error:
             if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                return self.refuse(error.error_status_hint, b'{"error":"malformed"}')
+                self.refuse(error.error_status_hint, b'{"error":"malformed"}')
+                return
             self.close()
         except OSError:
             self.close()
@@ -201,21 +202,23 @@
         http = self.http
         while (event := http.next_event()) is not h11.NEED_DATA:
             if self.request is None and not isinstance(event, h11.Request):
-                return self.close()
+                self.close()
+                return
             if isinstance(event, h11.EndOfMessage):
-                return self.handle(*self.request, b"".join(self.body_parts))
+                self.handle(*self.request, b"".join(self.body_parts))
+                return
             if isinstance(event, h11.Request):
                 self.begin_request(event)
             elif isinstance(event, h11.Data):
                 self.body_size += len(event.data)
                 if self.body_size > constants.MAX_BODY:
-                    return self.refuse(413, b'{"error":"body too large"}')
+                    self.refuse(413, b'{"error":"body too large"}')
+                    return
                 self.body_parts.append(bytes(event.data))
             else:
                 raise h11.RemoteProtocolError("request cut short")
         if http.they_are_waiting_for_100_continue:
             self.send_continue()
-        return None
 
     def begin_request(self, request: h11.Request) -> None:
         """h11 has parsed a head."""
@@ -281,21 +284,21 @@
     def respond(self, answer: Answer) -> None:
         """Respond to the request that is being handled; without effect where the connection has ended."""
         if self.state is not ConnectionState.HANDLING:
-            return None
+            return
         status, body, extra = answer
         if self.uses_h11:
             send = self.http.send
             try:
                 data = send(_response(status, len(body), tuple(extra))) + send(h11.Data(data=body)) + send(_END)
             except h11.ProtocolError:
-                return self.close()
+                self.close()
+                return
         else:
             before, after = _response_head(status, tuple(extra))
             data = b"%b%d%b%b" % (before, len(body), after, body)
         self.state, self.unsent = ConnectionState.WRITING, data
         self.set_deadline(constants.REQUEST_S)
         self.write()
-        return None
 
     def write(self) -> None:
         """Send what the socket takes of the response."""
@@ -304,13 +307,13 @@
         except BlockingIOError:
             sent = 0
         except OSError:
-            return self.close()
+            self.close()
+            return
         if sent < len(self.unsent):
             self.unsent = self.unsent[sent:]
             self.watch_for(OUT)
         else:
             self.response_sent()
-        return None
 
     def response_sent(self) -> None:
         """Go on to the next request, or close the connection."""
@@ -318,7 +321,8 @@
         if self.uses_h11:
             http = self.http
             if self.closes_after_response or http.our_state is not h11.DONE or http.their_state is not h11.DONE:
-                return self.close()
+                self.close()
+                return
             http.start_next_cycle()
             self.request, self.uses_h11 = None, bool(http.trailing_data[0])
         self.state, self.head_received = ConnectionState.READING, False
@@ -326,7 +330,6 @@
         self.watch_for(IN)
         if self.uses_h11 or self.data:
             self.server.poll.call_again(self)
-        return None
 
     def close(self) -> None:
         """End the connection, with or without a response."""
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -155,11 +155,12 @@
     def ready(self, _event: int) -> None:
         """Read what has arrived, and deliver the frames that are complete."""
         if self not in self.mesh.incoming:
-            return None
+            return
         try:
             size = self.sock.recv_into(_read_buffer)
             if not size:
-                return self.close()
+                self.close()
+                return
             self.received_at = now()
             self.buffer += _read_buffer[:size]
             frames = list(split_frames(self.buffer))
