--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -123,6 +123,21 @@
             spot=True,
         )
 
+    def make_unbound_pair(self, number: int) -> wire.JobSpec:
+        """Two long tasks, without a team's limit, that any machine can run."""
+        return msgspec.structs.replace(
+            self.make_job(number),
+            kind="sweep",
+            team="free",
+            cpus=1.0,
+            tasks=2,
+            estimate_s=1000.0,
+            types=None,
+            zone=None,
+            one_zone=False,
+            spread=False,
+        )
+
     def pipeline(self, number: int) -> None:
         """Steps as users send them, each as soon as those that it needs are accepted; some hang on an earlier job."""
         rng = self.rng
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -7,7 +7,6 @@
 
 import functools
 
-import msgspec
 import pytest
 from simulation import Broken
 from test_failure_detector import Tied, Ties
@@ -62,18 +61,7 @@
     def __init__(self, seed, nodes):
         super().__init__(seed, nodes=nodes, jobs=0)
         for number in range(12):
-            spec = msgspec.structs.replace(
-                self.make_job(number),
-                kind="sweep",
-                team="free",
-                cpus=1.0,
-                tasks=2,
-                estimate_s=1000.0,
-                types=None,
-                zone=None,
-                one_zone=False,
-                spread=False,
-            )
+            spec = self.make_unbound_pair(number)  # drawn before its time, as the seeds below are chosen for
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
 
     def acts(self, label):
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -7,6 +7,7 @@
 import msgspec
 import pytest
 from simulation import CANCEL_S, LEASE_S, Broken, SimController, World
+from test_conditions_to_act import without_freshness
 from test_machines import heartbeat, part_with_machine
 
 from alderbridge.controller.job_directory import JobDirectory
@@ -140,16 +141,6 @@
     monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
 
 
-def fresh_for_ever(monkeypatch):
-    followed = Membership.record_sync
-
-    def stays(self, sent_at):
-        followed(self, sent_at)
-        self.fresh_until = float("inf")
-
-    monkeypatch.setattr(Membership, "record_sync", stays)
-
-
 def acts_for_longer_than_cancellations_allow(monkeypatch):
     """As if ttl and lease together were not kept below ``cancel_s``."""
     init = Membership.__init__
@@ -170,7 +161,7 @@
     "fault, more",
     [
         (knows_of_no_cancellation, {"outage": 0.0}),
-        (fresh_for_ever, {"alone": "hanging", "outage": 0.0}),
+        (without_freshness, {"alone": "hanging", "outage": 0.0}),
         (acts_for_longer_than_cancellations_allow, {}),
         (answers_whatever_it_may, {}),
     ],
