--- a/alderbridge/controller/write_batch.py
+++ b/alderbridge/controller/write_batch.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
+from alderbridge.claims.ledger import ClaimTransaction
 from alderbridge.configuration import ConfigurationProposal
 from alderbridge.controller.submissions import Submission
 from alderbridge.jobs.job import Job
 from alderbridge.jobs.record import Record
-from alderbridge.preemption import ClaimTransaction
 
 
 @dataclass
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -13,6 +13,7 @@
 from typing import TYPE_CHECKING
 
 from alderbridge import constants
+from alderbridge.claims.records import ClaimGroup, PreemptionClaim
 from alderbridge.jobs.record import JobState
 from alderbridge.lending.configuration import LendingConfiguration
 from alderbridge.lending.demands import REASON, ServingDemands, ServingJob, gpus_in_use
@@ -21,15 +22,7 @@
 from alderbridge.lending.reserve import FreeGpus, GpuReserve, allocate_reserve
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
-from alderbridge.preemption import (
-    CandidateMachine,
-    ClaimGroup,
-    PreemptionBudget,
-    PreemptionClaim,
-    PreemptionDemand,
-    PreemptionLimit,
-    Teams,
-)
+from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionDemand, PreemptionLimit, Teams
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
--- a/alderbridge/lending/pace.py
+++ b/alderbridge/lending/pace.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 from alderbridge import constants
+from alderbridge.claims.records import PreemptionClaim
 from alderbridge.lending.rules import LendingRules
-from alderbridge.preemption import PreemptionClaim
 from alderbridge.protocol.wire import JobSpec
 
 
--- a/alderbridge/lending/selection.py
+++ b/alderbridge/lending/selection.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from alderbridge import constants, preemption
+from alderbridge.claims.records import ClaimGroup
 from alderbridge.lending.demands import FreeRoom, ServingDemands, ServingJob
 from alderbridge.lending.pace import ReclaimPace
 from alderbridge.preemption import (
     CandidateMachine,
-    ClaimGroup,
     PreemptionBudget,
     PreemptionDemand,
     SelectionRules,
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -22,6 +22,8 @@
 )
 
 from alderbridge import configuration, constants
+from alderbridge.claims.ledger import Ledger
+from alderbridge.claims.records import PreemptionClaim
 from alderbridge.configuration import ConfigurationHead, OperatorConfiguration, StoredRevision, compiler, records
 from alderbridge.controller.core import ControllerCore
 from alderbridge.controller.process import Controller
@@ -31,7 +33,6 @@
 from alderbridge.machines.machine import MachineState
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.membership.rendezvous import rendezvous_owner
-from alderbridge.preemption import Ledger, PreemptionClaim
 from alderbridge.protocol import messages, wire
 from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
 from alderbridge.settings import Tuning
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,6 +12,7 @@
 from test_preemption import ClaimsWorld
 
 from alderbridge import constants, preemption
+from alderbridge.claims.records import PreemptionsSpent
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.leader.leader import Leader, LeaderSettings
@@ -31,7 +32,7 @@
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
 from alderbridge.membership.membership import Membership
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
+from alderbridge.preemption import CandidateMachine, PreemptionBudget, Teams, Victim
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import (
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -13,6 +13,7 @@
 from test_late_transactions import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
 
 from alderbridge import configuration, constants
+from alderbridge.claims.records import PreemptionClaim
 from alderbridge.configuration import OperatorConfiguration, compiler
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.controller.local_jobs import LocalJobs
@@ -22,7 +23,6 @@
 from alderbridge.membership.failure_detector import FailureDetector
 from alderbridge.membership.records import View
 from alderbridge.membership.rendezvous import rendezvous_owner
-from alderbridge.preemption import PreemptionClaim
 from alderbridge.protocol import messages, wire
 from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
 
@@ -594,18 +594,7 @@
             self.after(self.rng.uniform(1.0, 10.0), self.submit, self.job_of(number))
 
     def job_of(self, number):
-        return msgspec.structs.replace(
-            self.make_job(number),
-            kind="sweep",
-            team="free",
-            cpus=1.0,
-            tasks=2,
-            estimate_s=1000.0,
-            types=None,
-            zone=None,
-            one_zone=False,
-            spread=False,
-        )
+        return self.make_unbound_pair(number)
 
     def leader(self):
         return msgspec.json.decode(self.store.data[VIEW][0], type=View).leader
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -10,14 +10,14 @@
 from simulation import TEAMS, TYPES, Broken, World
 
 from alderbridge import preemption
+from alderbridge.claims.ledger import Ledger
+from alderbridge.claims.records import PreemptionClaim, PreemptionsSpent
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.preemption import (
     CandidateMachine,
-    Ledger,
     PreemptionBudget,
     PreemptionDemand,
     PreemptionLimit,
-    PreemptionsSpent,
     SelectionRules,
     Victim,
     select_victims,
@@ -63,7 +63,7 @@
 
     def __init__(self, seed: int, falls_in_claims: bool = True, **more) -> None:
         self.text = declared()
-        self.open: dict[str, preemption.PreemptionClaim] = {}  # machine -> the claim in the store
+        self.open: dict[str, PreemptionClaim] = {}  # machine -> the claim in the store
         self.victims: Counter[tuple[str, int]] = Counter()
         self.claimed: set[tuple[str, int]] = set()  # task, attempt
         self.spent: list[tuple[float, str, int]] = []
@@ -180,7 +180,7 @@
         )
         return guarantee > 0 and taken <= guarantee + 1e-9
 
-    def there(self, machine: str, claim: preemption.PreemptionClaim) -> int:
+    def there(self, machine: str, claim: PreemptionClaim) -> int:
         """Victims still on the machine, as the same attempt."""
         worker = self.machines.get(machine)
         tasks = worker.tasks if worker is not None else {}
@@ -203,7 +203,7 @@
         if new and self.falls_in_claims and self.t < self.quiet_from:
             self.shake(list(new.values()))
 
-    def may_claim(self, machine: str, claim: preemption.PreemptionClaim) -> None:
+    def may_claim(self, machine: str, claim: PreemptionClaim) -> None:
         need, team = self.specs[claim.job], self.specs[claim.job].team
         made_for = sum(
             other.count
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -22,6 +22,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from alderbridge.claims.records import PreemptionsSpent
 from alderbridge.lending import (
     CapacityLender,
     GpuReserve,
@@ -33,7 +34,7 @@
 )
 from alderbridge.lending.fleet import MachineContents
 from alderbridge.lending.reserve import FreeGpus
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionsSpent, Teams, Victim
+from alderbridge.preemption import CandidateMachine, PreemptionBudget, Teams, Victim
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
 from alderbridge.settings import Team
