--- a/alderbridge/leader/__init__.py
+++ b/alderbridge/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader alone decides: machines rented and returned, and each team's quota divided among the controllers."""
+"""Decisions of the leader: which machines to rent and return, and how each team's quota is divided among job shards."""
--- a/alderbridge/leader/demand.py
+++ b/alderbridge/leader/demand.py
@@ -1,10 +1,10 @@
-"""What waits in all job shards, as the renting policy sees it. Pure."""
+"""Collects the waiting tasks of all job shards as demands for the renting policy."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 
-from alderbridge.leader.reachable_order import ReachableOrder
+from alderbridge.leader.reachable_order import PlacementOrder
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import ShardQueue
@@ -13,34 +13,34 @@
 from alderbridge.settings import Team
 from alderbridge.state.replica import Replica
 
-# How many waiting tasks of a job capacity lending serves, or has yet to look at: no machine is rented for them.
+# How many of a job's waiting tasks get no rented machine, because capacity lending serves them or has yet to plan them.
 TasksServedByLending = Callable[[QueueRow, JobSpec], int]
 
 
 def no_lending(row: QueueRow, spec: JobSpec) -> int:
-    """``TasksServedByLending`` where nothing is lent."""
+    """``TasksServedByLending`` when lending is not configured."""
     return 0
 
 
 class DemandCollector:
-    """Gathers from the job shards' queues what machines may be rented for."""
+    """Collects the demands for which machines may be rented from the job shards' queues."""
 
     def __init__(
         self, teams: list[Team], replica: Replica, guard: ScaleInGuard, tasks_served_by_lending: TasksServedByLending
     ) -> None:
-        """``guard`` tells whether inherited tasks count as waiting ones."""
+        """``guard``: whether inherited tasks count as waiting."""
         self.limits = {team.name: team.cpus_max for team in teams if team.cpus_max > 0}
         self.replica = replica
         self.guard = guard
         self.tasks_served_by_lending = tasks_served_by_lending
 
-    def collect(self, queues: Mapping[str, ShardQueue], order: ReachableOrder, now: float) -> list[Demand]:
-        """What waits, soonest deadline first.
+    def collect(self, queues: Mapping[str, ShardQueue], order: PlacementOrder, now: float) -> list[Demand]:
+        """All demands within the teams' limits, earliest deadline first.
 
-        Of a team's limit, what its quota is divided for: in another order a machine was rented for one job and the
-        quota kept for another that could not use it, and where all were late neither ever began.
+        Limits are applied in the order in which ``QuotaAllocator`` divides them. In another order, a machine could be
+        rented for one job while the quota is reserved for another that cannot use it, and neither would start.
         """
-        waiting, kinds = [], order.kinds_in_reach(now)
+        waiting, kinds = [], order.obtainable_kinds(now)
         for queue in queues.values():
             for row in queue.aged_rows(now):
                 spec = self.replica.spec(row.job)
@@ -57,28 +57,28 @@
         return count + (row.inherited if self.guard.counts_inherited else 0)
 
     def _within_limits(self, demands: list[Demand], queues: Iterable[ShardQueue]) -> list[Demand]:
-        """A team's tasks beyond its limit cannot run at once: they ask for nothing."""
-        left = self._left_below_limits(demands, queues)
+        """The demands without the tasks that would exceed their team's limit; ``demands`` are in placement order."""
+        remaining = self._remaining_below_limits(demands, queues)
         result = []
         for demand in demands:
             team = demand.spec.team
             count = demand.count
-            if team in left:
-                count = min(count, max(0, int(left[team] / demand.spec.cpus + 1e-9)))
-                left[team] -= count * demand.spec.cpus
+            if team in remaining:
+                count = min(count, max(0, int(remaining[team] / demand.spec.cpus + 1e-9)))
+                remaining[team] -= count * demand.spec.cpus
             if count:
                 result.append(Demand(demand.spec, count, demand.due_in_s, demand.run_s, demand.zone))
         return result
 
-    def _left_below_limits(self, demands: Iterable[Demand], queues: Iterable[ShardQueue]) -> dict[str, float]:
-        """CPUs of each limited team that no running task takes."""
-        left = dict(self.limits)
+    def _remaining_below_limits(self, demands: Iterable[Demand], queues: Iterable[ShardQueue]) -> dict[str, float]:
+        """CPUs of each limited team that its running tasks do not use."""
+        remaining = dict(self.limits)
         for queue in queues:
             for team, (cpus, _) in queue.demand.items():
-                if team in left:
-                    left[team] -= cpus
-        # A team's demand counts what waits as well: give that back.
+                if team in remaining:
+                    remaining[team] -= cpus
+        # A queue's demand includes waiting tasks, which do not use CPUs yet.
         for demand in demands:
-            if demand.spec.team in left:
-                left[demand.spec.team] += demand.count * demand.spec.cpus
-        return left
+            if demand.spec.team in remaining:
+                remaining[demand.spec.team] += demand.count * demand.spec.cpus
+        return remaining
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -1,8 +1,8 @@
-"""The leader: what it knows of machines, queues and quotas, and what it decides. Pure.
+"""The leader's state of machines, queues and quotas, and its decisions.
 
-It takes in what the members and the cloud tell and hands it to its parts: ``RentedMachines`` (what is rented),
-``DemandCollector`` (what waits), ``Autoscaler`` (what to rent and return) and ``QuotaAllocator`` (each team's quota).
-The controller carries the decisions out.
+Input from the members and the cloud is passed to ``RentedMachines`` (what is rented), ``DemandCollector`` (waiting
+tasks), ``Autoscaler`` (what to rent and return) and ``QuotaAllocator`` (each team's quota). This module performs no
+I/O; the controller carries out the decisions.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from alderbridge.leader.demand import DemandCollector, TasksServedByLending, no_lending
 from alderbridge.leader.fleet_monitor import FleetMonitor, SummaryRows
 from alderbridge.leader.quota import QuotaAllocator
-from alderbridge.leader.reachable_order import ReachableOrder
+from alderbridge.leader.reachable_order import PlacementOrder
 from alderbridge.leader.rented_machines import RentedMachines
 from alderbridge.leader.scaling import Autoscaler, ScalingDecision
 from alderbridge.protocol.messages import MachineSummaries, QueueDelta, QueueSnapshot, TeamUsageDelta
@@ -29,17 +29,17 @@
 
 
 class LeaderSettings(NamedTuple):
-    """What the settings say to a leader."""
+    """The settings that the leader uses."""
 
     teams: list[Team]
     zones: list[str]
     tuning: Tuning
-    list_lag_s: float  # how far the cloud's listing may be behind its answers
+    list_lag_s: float  # maximum lag of the cloud's listing behind its responses
     worker_lease_s: float
 
 
 class Leader:
-    """One for the life of a controller; it counts only while the controller is the leader of the view."""
+    """Exists in every controller; its decisions are used only while the controller leads the view."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         replica: Replica,
         tasks_served_by_lending: TasksServedByLending = no_lending,
     ) -> None:
-        """``tasks_served_by_lending``: waiting tasks of a job that no machine is rented for."""
+        """``tasks_served_by_lending``: how many of a job's waiting tasks get no rented machine."""
         self.settings = settings
         self.teams = [team for team in settings.teams if team.cpus_max > 0 or team.gpus_max > 0]
         self.replica = replica
@@ -55,7 +55,7 @@
         self.rented_machines = RentedMachines()
         self.scale_in_guard = ScaleInGuard(settings.worker_lease_s)
         self.fleet_monitor = FleetMonitor(self.scale_in_guard)
-        self.order = ReachableOrder(self.market, self.rented_machines)
+        self.placement_order = PlacementOrder(self.market, self.rented_machines)
         self.demand_collector = DemandCollector(self.teams, replica, self.scale_in_guard, tasks_served_by_lending)
         self.autoscaler = Autoscaler(
             settings.tuning, settings.list_lag_s, self.market, self.rented_machines, self.fleet_monitor
@@ -64,71 +64,68 @@
         self.enter([], 0.0)
 
     def enter(self, members: list[str], now: float) -> None:
-        """A new view: the members tell anew what they have."""
+        """Start a new view, in which all members publish their state again."""
         self.members = members
         self.entered_at = now
         self.queues = ShardQueues()
         self.machine_summaries: dict[str, tuple[MachineSummaries, float]] = {}
-        self.quota_allocator.enter(members)
-        self.autoscaler.enter(now)
-        self.rented_machines.enter()
-
-    # -- what the members tell -------------------------------------------------
+        self.quota_allocator.enter_view(members)
+        self.autoscaler.enter_view(now)
+        self.rented_machines.enter_view()
 
     def on_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
-        """The whole queue of a job shard whose member sends no deltas."""
+        """Apply the whole queue of a job shard, from a member that sends no deltas."""
         if label in self.members and self.queues.of(label).apply_snapshot(queue, now):
             self.queues.promote(label)
-            self.quota_allocator.changed.update(self.quota_allocator.teams)
+            self.quota_allocator.changed_teams.update(self.quota_allocator.teams)
 
     def on_queue_changes(self, label: str, changes: QueueDelta, now: float) -> None:
-        """Rows of a job shard's queue that differ."""
+        """Apply changed rows of a job shard's queue."""
         if label in self.members:
             self.queues.of(label).apply_row_delta(changes, now)
             self.queues.promote(label)
-            self.quota_allocator.rows_changed([*(row.job for row in changes.rows), *changes.gone])
+            self.quota_allocator.on_rows_changed([*(row.job for row in changes.rows), *changes.gone])
 
     def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
-        """Usage of a job shard's teams that differs."""
+        """Apply changed usage of teams at a job shard."""
         if label in self.members:
             self.queues.of(label).apply_usage_delta(changes)
             self.queues.promote(label)
-            self.quota_allocator.sums_changed(changes.teams)
+            self.quota_allocator.on_usage_changed(changes.teams)
 
     def on_machine_summaries(self, label: str, summaries: MachineSummaries, now: float) -> None:
-        """All machines of a machine shard."""
+        """Replace the summaries of all machines of a machine shard."""
         if label not in self.members:
             return
         self.machine_summaries[label] = (summaries, now)
         for row in summaries.rows:
             self.rented_machines.on_summary(row, now)
 
-    # -- what the cloud tells ----------------------------------------------------
-
     def on_scaled_out(self, kind: MachineKind, names: list[str], now: float) -> None:
-        """The cloud has rented out these machines."""
+        """The cloud has granted these machines."""
         self.rented_machines.on_scaled_out(kind, names, now)
 
     def on_refused(self, kind: MachineKind, now: float) -> None:
-        """The cloud has none of this kind left: it is not asked for more for a while."""
+        """The cloud has no capacity of this kind: it is not requested again for ``REFUSED_PAUSE_S``."""
         self.market.refused_until[kind] = now + constants.REFUSED_PAUSE_S
 
     def on_listing(self, hosts: list[ListedMachine], now: float) -> None:
-        """The cloud lists all that is rented."""
+        """Apply the cloud's listing of all rented machines."""
         self.rented_machines.on_listing(hosts, now)
 
     def on_types(self, types: dict[str, MachineType]) -> None:
-        """What the cloud rents, with its prices now."""
+        """Replace the cloud's machine types and their current prices."""
         self.market.types = types
 
     def on_terminated(self, names: list[str]) -> None:
-        """The cloud has confirmed the end of these machines."""
+        """The cloud has confirmed the termination of these machines."""
         self.rented_machines.on_terminated(names)
 
-    # -- decisions -------------------------------------------------------------
-
     def ready(self, now: float) -> bool:
-        """Every member has reported under this view, and the cloud has been asked."""
+        """Whether the state is complete enough for decisions under this view.
+
+        Every member has reported, machine types are loaded, and the cloud's listing has arrived or is overdue.
+        """
         return (
             bool(self.market.types)
             and all(m in self.queues and m in self.machine_summaries for m in self.members)
@@ -136,15 +133,15 @@
         )
 
     def demands(self, now: float) -> list[Demand]:
-        """What waits, soonest deadline first; of a team no more than its limit allows."""
-        return self.demand_collector.collect(self.queues, self.order, now)
+        """The waiting tasks within their teams' limits, earliest deadline first."""
+        return self.demand_collector.collect(self.queues, self.placement_order, now)
 
     def outlook(self, now: float, without: Container[str]) -> list[MachineResource]:
-        """Room now, room that comes free, and machines that boot, at the time they come up; but for ``without``."""
+        """Current and future free capacity, with booting machines at their expected time; leaves out ``without``."""
         return self.autoscaler.outlook(self._summary_rows(), without, now)
 
     def decide(self, now: float) -> ScalingDecision:
-        """What to rent and to return; nothing before all have reported."""
+        """What to rent and to return; nothing before ``ready``."""
         if not self.ready(now):
             return ScalingDecision()
         rows = self._summary_rows()
@@ -152,8 +149,12 @@
         return self.autoscaler.decide(rows, self.demands(now), now)
 
     def quota_updates(self, now: float) -> dict[str, dict[str, QuotaAmounts]]:
-        """New quotas by job shard, of the teams for which they differ."""
-        return self.quota_allocator.updates(now, self.queues, self.order)
+        """Changed quotas by job shard and team."""
+        return self.quota_allocator.updates(now, self.queues, self.placement_order)
 
     def _summary_rows(self) -> SummaryRows:
-        return {row.machine: (row, at) for summaries, at in self.machine_summaries.values() for row in summaries.rows}
+        return {
+            row.machine: (row, received_at)
+            for summaries, received_at in self.machine_summaries.values()
+            for row in summaries.rows
+        }
--- a/alderbridge/leader/reachable_order.py
+++ b/alderbridge/leader/reachable_order.py
@@ -1,4 +1,4 @@
-"""In which order waiting jobs get machines and quota. Pure."""
+"""The order in which waiting jobs get machines and quota."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from alderbridge.scheduling.market import Market
 from alderbridge.scheduling.resources import fits
 
-RowKey = tuple[bool, tuple[bool, int, float]]  # out of reach, order of placement
-RowOrder = Callable[[QueueRow, JobSpec], RowKey]
+RowKey = tuple[bool, tuple[bool, int, float]]  # whether no machine can be had, placement order
+RowKeyFunction = Callable[[QueueRow, JobSpec], RowKey]
 
 
-class ReachableOrder:
-    """The order of placement, but last what no machine is there for and none can be had for.
+class PlacementOrder:
+    """Placement order, with jobs last for which no machine exists or can be rented.
 
-    A team's limit is not kept, as quota or for a rental, for a job that can't use it as long as the cloud refuses what
-    it needs, while others of the team wait beside room (test_a_team_does_not_stand_still_...).
+    Otherwise a team's limit would be reserved for a job whose machines the cloud refuses, while the team's other jobs
+    wait although machines are free.
     """
 
     def __init__(self, market: Market, rented_machines: RentedMachines) -> None:
-        """``market``: what may be rented now."""
+        """``market``: what can be rented now."""
         self.market = market
         self.rented_machines = rented_machines
 
-    def kinds_in_reach(self, now: float) -> set[MachineKind] | None:
-        """Kinds of which a machine is there, on its way or may be rented; None where nothing was lately refused."""
+    def obtainable_kinds(self, now: float) -> set[MachineKind] | None:
+        """Kinds of which a machine is up, boots or can be rented; None, for all, if no kind was refused recently."""
         if not any(until > now for until in self.market.refused_until.values()):
             return None
         usable = {
@@ -38,18 +38,18 @@
             for rented in self.rented_machines.values()
             if rented.is_usable and rented.kind.type in self.market.types
         }
-        return usable | set(self.market.kinds(now))
+        return usable | set(self.market.rentable_kinds(now))
 
     def key(self, kinds: set[MachineKind] | None, row: QueueRow, spec: JobSpec) -> RowKey:
-        """By what rows are sorted; ``kinds``: those in reach."""
-        out_of_reach = kinds is not None and not any(
+        """The sort key of a row; ``kinds``: as ``obtainable_kinds`` returns them."""
+        unobtainable = kinds is not None and not any(
             row.zone in (None, kind.zone)
             and placement.allowed(spec, kind.type, kind.zone, kind.spot)
-            and fits(spec, self.market.room(kind))
+            and fits(spec, self.market.capacity(kind))
             for kind in kinds
         )
-        return out_of_reach, offers.order(row, spec, row.due_in_s)
+        return unobtainable, offers.order(row, spec, row.due_in_s)
 
-    def at(self, now: float) -> RowOrder:
-        """The order as it stands at that time."""
-        return functools.partial(self.key, self.kinds_in_reach(now))
+    def key_at(self, now: float) -> RowKeyFunction:
+        """The sort key function for the current availability of machines."""
+        return functools.partial(self.key, self.obtainable_kinds(now))
--- a/alderbridge/leader/rented_machines.py
+++ b/alderbridge/leader/rented_machines.py
@@ -1,4 +1,4 @@
-"""The machines that the leader has rented or found in the cloud's listing, and their states. Pure.
+"""The machines that the leader has rented or found in the cloud's listing, and their states.
 
 States of a rented machine::
 
@@ -7,10 +7,10 @@
        v          v
       TERMINATING ----> TERMINATED
 
-* BOOTING: rented or listed, its worker has not reported yet.
-* UP: its machine shard reports it.
-* TERMINATING: to be returned; its machine shard is told to drain it and places nothing on it any more.
-* TERMINATED: the cloud has confirmed its end, which it may do in any state; forgotten with the next view.
+* BOOTING: rented or listed; its worker has not reported yet.
+* UP: its machine shard has reported its worker.
+* TERMINATING: to be returned; its machine shard drains it and places no more tasks on it.
+* TERMINATED: the cloud has confirmed its termination, which may happen in any state; removed with the next view.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from alderbridge.protocol.wire import ListedMachine
 from alderbridge.scheduling.demand import MachineKind
 
-BOOT_SLACK = 1.5  # times a type's usual boot time; what boots for longer is not counted on
+BOOT_OVERDUE_FACTOR = 1.5  # times the type's usual boot time, after which a booting machine counts as overdue
 
 log = logging.getLogger("leader")
 
 
 class RentedMachineState(str, Enum):
-    """See the head of this module."""
+    """Life cycle of a rented machine, from the grant to the confirmed termination."""
 
     BOOTING = "booting"
     UP = "up"
@@ -39,7 +39,7 @@
 
 
 class ReportedState(str, Enum):
-    """The state of a machine as its shard's summary gives it; the values are those of ``MachineSummary.state``."""
+    """The state of a machine in its shard's summary; the values are those of ``MachineSummary.state``."""
 
     EXPECTED = "expected"
     UP = "up"
@@ -57,11 +57,11 @@
     terminating_since: float = 0.0
     failed: bool = False
     listed: bool = False
-    missed: int = 0  # listings in a row that lack it, having been listed
+    missed_listings: int = 0  # consecutive listings without it since it was last listed
 
     @property
     def is_usable(self) -> bool:
-        """Whether it takes tasks, or will once it has booted."""
+        """Whether tasks may be placed on it, now or once it has booted."""
         return self.state in (RentedMachineState.BOOTING, RentedMachineState.UP)
 
 
@@ -69,20 +69,20 @@
     """All machines that the leader accounts for, by name."""
 
     def __init__(self) -> None:
-        """Nothing is rented, and the cloud has listed nothing."""
+        """Starts without machines and listings."""
         super().__init__()
-        self.listed = False  # the cloud has listed its machines under this view
-        self.listings = 0  # under this view
+        self.listed = False  # whether the cloud has listed its machines under this view
+        self.listings = 0  # listings received under this view
 
-    def enter(self) -> None:
-        """A new view: listings count anew, and machines that have ended are forgotten."""
+    def enter_view(self) -> None:
+        """Start a new view: reset the count of listings and remove terminated machines."""
         self.listed = False
         self.listings = 0
         for name in [n for n, rented in self.items() if rented.state is RentedMachineState.TERMINATED]:
             del self[name]
 
     def on_summary(self, row: MachineSummary, now: float) -> None:
-        """Its machine shard reports a machine; one that is not known here was rented by an earlier leader."""
+        """Apply a machine shard's summary of a machine; an unrecorded machine was rented by an earlier leader."""
         rented = self.get(row.machine)
         if rented is None and row.type:
             rented = self._add(row.machine, MachineKind(row.type, row.zone, row.spot), now, RentedMachineState.UP)
@@ -90,18 +90,18 @@
             rented.state = RentedMachineState.UP
 
     def on_scaled_out(self, kind: MachineKind, names: Iterable[str], now: float) -> None:
-        """The cloud has rented out these machines."""
+        """The cloud has granted these machines."""
         for name in names:
             if name not in self:
                 self._add(name, kind, now, RentedMachineState.BOOTING)
 
     def on_listing(self, hosts: list[ListedMachine], now: float) -> None:
-        """The cloud lists all that is rented, possibly in an order other than that of its answers."""
+        """Apply the cloud's listing of all rented machines, which may be older than its other responses."""
         self.listed = True
         self.listings += 1
-        present = {host.id for host in hosts}
+        listed_names = {host.id for host in hosts}
         for name, rented in self.items():
-            rented.missed = 0 if name in present or not rented.listed else rented.missed + 1
+            rented.missed_listings = 0 if name in listed_names or not rented.listed else rented.missed_listings + 1
         for host in hosts:
             self._on_listed_machine(host, now)
 
@@ -116,13 +116,13 @@
         rented.failed = rented.failed or host.status == "failed"
 
     def on_terminated(self, names: Iterable[str]) -> None:
-        """The cloud has confirmed the end of these machines."""
+        """The cloud has confirmed the termination of these machines."""
         for name in names:
             if name in self:
                 self[name].state = RentedMachineState.TERMINATED
 
     def begin_termination(self, name: str, now: float, cause: str) -> None:
-        """The machine is to be returned; ``cause`` is for the log."""
+        """Mark a machine to be returned; ``cause`` is logged."""
         rented = self[name]
         if rented.state is not RentedMachineState.TERMINATING:
             rented.state = RentedMachineState.TERMINATING
--- a/alderbridge/leader/scaling.py
+++ b/alderbridge/leader/scaling.py
@@ -1,4 +1,4 @@
-"""Which machines are rented, drained and terminated. Pure: the controller carries the decisions out."""
+"""Decides which machines to rent, drain and terminate. Performs no I/O: the controller carries out the decisions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from alderbridge import constants
 from alderbridge.leader.fleet_monitor import FleetMonitor, SummaryRows
 from alderbridge.leader.rented_machines import (
-    BOOT_SLACK,
+    BOOT_OVERDUE_FACTOR,
     RentedMachine,
     RentedMachines,
     RentedMachineState,
@@ -25,7 +25,7 @@
 
 @dataclass
 class ScalingDecision:
-    """What the controller is to ask of the cloud and of the machine shards."""
+    """Requests that the controller sends to the cloud and the machine shards."""
 
     scale_out: list[tuple[MachineKind, int]] = field(default_factory=list)
     drain: list[str] = field(default_factory=list)
@@ -34,62 +34,60 @@
 
 @dataclass
 class ScalingRound:
-    """What one decision is made from, gathered machine by machine, and what it comes to."""
+    """Inputs of one decision, collected machine by machine, and the decision."""
 
     now: float
     rows: SummaryRows
     decision: ScalingDecision = field(default_factory=ScalingDecision)
-    resources: list[MachineResource] = field(default_factory=list)  # that tasks may use, now or soon
-    booting: list[MachineResource] = field(default_factory=list)  # of these, those that boot and are not overdue
-    idle: list[tuple[MachineResource, str]] = field(default_factory=list)  # of these, those with nothing on them
-    alive: int = 0  # machines that are paid for
+    resources: list[MachineResource] = field(default_factory=list)  # usable machines, up or booting
+    booting: list[MachineResource] = field(default_factory=list)  # of ``resources``: booting and not overdue
+    idle: list[tuple[MachineResource, str]] = field(default_factory=list)  # of ``resources``: without tasks
+    alive: int = 0  # machines that are not terminated
 
 
 class Autoscaler:
-    """Scales the fleet out and in, once a round of the leader."""
+    """Scales the fleet out and in, in each round of the leader."""
 
     def __init__(
         self, tuning: Tuning, list_lag_s: float, market: Market, machines: RentedMachines, monitor: FleetMonitor
     ) -> None:
-        """``list_lag_s``: how far the cloud's listing may be behind its answers."""
+        """``list_lag_s``: maximum lag of the cloud's listing behind its responses."""
         self.tuning = tuning
         self.list_lag_s = list_lag_s
         self.market = market
         self.machines = machines
         self.monitor = monitor
-        self.enter(0.0)
+        self.enter_view(0.0)
 
-    def enter(self, now: float) -> None:
-        """A new view."""
+    def enter_view(self, now: float) -> None:
+        """Start a new view."""
         self.entered_at = now
-        self.hard_checked_at = now
+        self.last_hard_check_at = now
 
     def decide(self, rows: SummaryRows, demands: Sequence[Demand], now: float) -> ScalingDecision:
-        """``rows``: the machine shards' summaries; ``demands``: what waits, soonest deadline first."""
+        """Decide one round; ``rows``: the machine shards' summaries; ``demands``: earliest deadline first."""
         scaling = ScalingRound(now, rows)
         for name, rented in self.machines.items():
             if rented.state is RentedMachineState.TERMINATED:
                 continue
             scaling.alive += 1
-            known = rows.get(name)
-            if known is not None:
-                self._consider_reported(scaling, name, rented, *known)
+            reported = rows.get(name)
+            if reported is not None:
+                self._consider_reported(scaling, name, rented, *reported)
             else:
                 self._consider_unreported(scaling, name, rented)
-        self._terminate_vanished(scaling)
+        self._terminate_unlisted(scaling)
         walk = Walk(scaling.resources, demands)
         self._return_idle(scaling, walk)
         self._scale_out(scaling, walk, demands)
         return scaling.decision
 
-    # -- one machine -----------------------------------------------------------
-
     def _consider_reported(
-        self, scaling: ScalingRound, name: str, rented: RentedMachine, row: MachineSummary, at: float
+        self, scaling: ScalingRound, name: str, rented: RentedMachine, row: MachineSummary, received_at: float
     ) -> None:
-        fresh = scaling.now - at < 3 * constants.LEADER_ROUND_S
+        fresh = scaling.now - received_at < 3 * constants.LEADER_ROUND_S
         empty = fresh and row.idle_s > 0 and not row.ends
-        cause = self._cause_of_termination(name, rented, row, row.silent_s + (scaling.now - at))
+        cause = self._cause_of_termination(name, rented, row, row.silent_s + (scaling.now - received_at))
         if cause:
             self._begin_termination(scaling, name, cause)
             scaling.decision.terminate.append(name)
@@ -99,28 +97,28 @@
             elif rented.state is not RentedMachineState.TERMINATING:
                 self.machines.begin_termination(name, scaling.now, "drained before")
         elif rented.state is RentedMachineState.TERMINATING:
-            scaling.decision.drain.append(name)  # its machine shard has not confirmed it yet
+            scaling.decision.drain.append(name)  # its machine shard has not confirmed the drain yet
         elif row.state == ReportedState.UP:
             resource = MachineResource(rented.kind, row.free, row.ends)
             scaling.resources.append(resource)
             if empty:
                 scaling.idle.append((resource, name))
         elif row.state == ReportedState.EXPECTED and rented.kind.type in self.market.types:
-            scaling.resources.append(MachineResource(rented.kind, self.market.room(rented.kind)))
+            scaling.resources.append(MachineResource(rented.kind, self.market.capacity(rented.kind)))
 
     def _cause_of_termination(self, name: str, rented: RentedMachine, row: MachineSummary, silent_s: float) -> str:
-        """Why a machine is given up though its shard still has it; empty: it is not.
+        """Why a machine that its shard still reports is to be terminated; empty if it is not.
 
-        A return is proof at once that nothing is left there; an expired lease takes longer. The listing proves
-        nothing, but it shows which silent machines are worth asking for.
+        A confirmed return proves at once that no task runs there; waiting for the lease to expire takes longer. A
+        listing without the machine proves nothing, but suggests which silent machines to return.
         """
         if rented.failed:
             return "failed"
         if name in self.monitor.to_prove_empty:
             return "inherited tasks wait"
         expired = row.state == ReportedState.EXPIRED and silent_s > constants.LOST_MACHINE_S
-        hint = rented.missed >= constants.LIST_MISSES or row.state == ReportedState.DRAINING
-        return "lost" if expired or (hint and silent_s > constants.SILENT_S) else ""
+        suspect = rented.missed_listings >= constants.LIST_MISSES or row.state == ReportedState.DRAINING
+        return "lost" if expired or (suspect and silent_s > constants.SILENT_S) else ""
 
     def _consider_unreported(self, scaling: ScalingRound, name: str, rented: RentedMachine) -> None:
         machine_type = self.market.types.get(rented.kind.type)
@@ -130,34 +128,32 @@
         if rented.state is RentedMachineState.TERMINATING:
             if scaling.now - rented.terminating_since > constants.LEADER_ROUND_S:
                 scaling.decision.terminate.append(name)
-        elif rented.failed or age_s > self._boot_patience_s(machine_type.boot_s, scaling.now):
+        elif rented.failed or age_s > self._boot_timeout_s(machine_type.boot_s, scaling.now):
             self._begin_termination(scaling, name, "failed" if rented.failed else "did not come up")
         else:
-            resource = MachineResource(rented.kind, self.market.room(rented.kind))
+            resource = MachineResource(rented.kind, self.market.capacity(rented.kind))
             scaling.resources.append(resource)
-            if age_s < BOOT_SLACK * machine_type.boot_s:
+            if age_s < BOOT_OVERDUE_FACTOR * machine_type.boot_s:
                 scaling.booting.append(resource)
 
-    def _boot_patience_s(self, boot_s: float, now: float) -> float:
-        """By when a machine must have come up; under a new view not before a listing can have shown it."""
+    def _boot_timeout_s(self, boot_s: float, now: float) -> float:
+        """Age at which an unreported machine is returned; at least twice the listing's lag once the view has begun."""
         return max(constants.BOOT_PATIENCE * boot_s, now - self.entered_at and 2 * self.list_lag_s)
 
     def _begin_termination(self, scaling: ScalingRound, name: str, cause: str) -> None:
         self.machines.begin_termination(name, scaling.now, cause)
         scaling.decision.drain.append(name)
 
-    # -- the fleet ---------------------------------------------------------------
-
-    def _terminate_vanished(self, scaling: ScalingRound) -> None:
-        """Machines that are recorded, silent and not listed: most likely the cloud took them."""
+    def _terminate_unlisted(self, scaling: ScalingRound) -> None:
+        """Terminate machines that are recorded, silent and not listed: the cloud has most likely reclaimed them."""
         if self.machines.listings < constants.LIST_MISSES:
             return
-        for name, (row, at) in scaling.rows.items():
-            if name not in self.machines and row.silent_s + scaling.now - at > constants.SILENT_S:
+        for name, (row, received_at) in scaling.rows.items():
+            if name not in self.machines and row.silent_s + scaling.now - received_at > constants.SILENT_S:
                 scaling.decision.terminate.append(name)
 
     def _return_idle(self, scaling: ScalingRound, walk: Walk) -> None:
-        """Idle machines at the end of their paid block go, where no breach follows from it."""
+        """Return idle machines at the end of their paid block, unless that predicts a breach."""
         for resource, name in scaling.idle:
             age_s = scaling.now - self.machines[name].rented_at
             if not policy.block_ends(age_s, 2 * constants.LEADER_ROUND_S):
@@ -168,23 +164,21 @@
                 self._begin_termination(scaling, name, "idle at the end of its block")
 
     def _scale_out(self, scaling: ScalingRound, walk: Walk, demands: Sequence[Demand]) -> None:
-        """Machines for predicted breaches and, at intervals, for what is about to breach."""
+        """Rent machines for predicted breaches and, in each hard check, for tasks about to breach."""
         now = scaling.now
-        below_cap = max(0, self.tuning.max_machines - scaling.alive)
-        fleet = Counter(resource.kind for resource in scaling.resources)
-        kinds = policy.machines_to_rent(walk, self.market, now, below_cap, fleet)
-        if now - self.hard_checked_at >= constants.HARD_CHECK_S:
-            self.hard_checked_at = now
-            hard = policy.hard_check(demands, self.market, now, scaling.booting, below_cap)
+        max_new_machines = max(0, self.tuning.max_machines - scaling.alive)
+        machine_counts = Counter(resource.kind for resource in scaling.resources)
+        kinds = policy.machines_to_rent(walk, self.market, now, max_new_machines, machine_counts)
+        if now - self.last_hard_check_at >= constants.HARD_CHECK_S:
+            self.last_hard_check_at = now
+            hard = policy.hard_check(demands, self.market, now, scaling.booting, max_new_machines)
             kinds += hard[len(kinds) :]
         scaling.decision.scale_out = [
             (kind, min(count, constants.RENT_BATCH)) for kind, count in Counter(kinds).items()
         ]
 
-    # -- outlook -------------------------------------------------------------------
-
     def outlook(self, rows: SummaryRows, without: Container[str], now: float) -> list[MachineResource]:
-        """Room now, room that comes free, and machines that boot, at the time they come up; but for ``without``."""
+        """Current and future free capacity, with booting machines at their expected time; leaves out ``without``."""
         result = []
         for name, rented in self.machines.items():
             if name in without or not rented.is_usable:
@@ -205,11 +199,11 @@
             if row.state == ReportedState.UP:
                 return MachineResource(rented.kind, row.free, row.ends)
             if row.state == ReportedState.EXPECTED:
-                return MachineResource(rented.kind, self.market.room(rented.kind))
+                return MachineResource(rented.kind, self.market.capacity(rented.kind))
             return None
         age_s = now - rented.rented_at
-        late_s = BOOT_SLACK * machine_type.boot_s
-        if rented.failed or age_s >= late_s:
+        overdue_after_s = BOOT_OVERDUE_FACTOR * machine_type.boot_s
+        if rented.failed or age_s >= overdue_after_s:
             return None
-        up_in_s = max(machine_type.boot_s - age_s, (late_s - age_s) / 2)
-        return MachineResource(rented.kind, (0.0, 0.0, 0.0), [(up_in_s, *self.market.room(rented.kind))])
+        up_in_s = max(machine_type.boot_s - age_s, (overdue_after_s - age_s) / 2)
+        return MachineResource(rented.kind, (0.0, 0.0, 0.0), [(up_in_s, *self.market.capacity(rented.kind))])
--- a/alderbridge/scheduling/__init__.py
+++ b/alderbridge/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The policy that predicts missed deadlines, and the placement of tasks on machines."""
+"""Predicts missed deadlines, chooses machines to rent, and places tasks on machines."""
--- a/alderbridge/scheduling/demand.py
+++ b/alderbridge/scheduling/demand.py
@@ -1,4 +1,4 @@
-"""What waits and what it may run on, as the renting policy sees them."""
+"""Waiting tasks and the machines they may run on, as the renting policy models them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MachineKind(NamedTuple):
-    """What can be rented: a type in a zone, spot or ordinary."""
+    """What can be rented: a machine type in a zone, as a spot or an on-demand machine."""
 
     type: str
     zone: str
@@ -21,11 +21,11 @@
 
 @dataclass
 class MachineResource:
-    """A machine as the paper's heuristic sees it: what is free now, what comes free when."""
+    """A machine's free capacity, and when its running tasks are expected to release more."""
 
     kind: MachineKind
     free: Resources
-    ends: Sequence[tuple[float, float, float, float]] = ()  # in s, cpus, memory, gpus
+    ends: Sequence[tuple[float, float, float, float]] = ()  # seconds from now; released CPUs, memory in GB, GPUs
 
 
 @dataclass(frozen=True)
@@ -34,11 +34,11 @@
 
     spec: JobSpec
     count: int
-    due_in_s: float  # until its Maximum Queue Time is breached
-    run_s: float  # Expected Run Time
-    zone: str | None = None
+    due_in_s: float  # seconds until the job's Maximum Queue Time is breached
+    run_s: float  # Expected Run Time of one task
+    zone: str | None = None  # the only zone its tasks may use; None: any
 
 
 def may_use(demand: Demand, kind: MachineKind) -> bool:
-    """Whether its tasks may run on such a machine, room apart."""
+    """Whether the demand's constraints allow this kind of machine; free capacity is not checked."""
     return allowed(demand.spec, kind.type, kind.zone, kind.spot) and demand.zone in (None, kind.zone)
--- a/alderbridge/scheduling/market.py
+++ b/alderbridge/scheduling/market.py
@@ -1,4 +1,4 @@
-"""What the cloud rents out now, and at which price. Pure."""
+"""Which kinds of machine the cloud offers for rent now, and their prices."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass
 class Market:
-    """What may be rented now."""
+    """The cloud's machine types and prices, the spot bid, and recent refusals."""
 
     types: dict[str, MachineType]
-    zones: Sequence[str]
-    bid_share: float
+    zones: Sequence[str]  # zones of the types that list none themselves
+    bid_share: float  # highest accepted spot price, as a share of the on-demand price
     refused_until: dict[MachineKind, float] = field(default_factory=dict)
 
     def price(self, kind: MachineKind) -> float:
-        """Per hour, as the cloud asks it now."""
+        """Current price per hour."""
         machine = self.types[kind.type]
         return machine.spot_price if kind.spot and machine.spot_price is not None else machine.price
 
-    def kinds(self, now: float) -> list[MachineKind]:
-        """All kinds not lately refused; spot only below the bid."""
+    def rentable_kinds(self, now: float) -> list[MachineKind]:
+        """All kinds that were not refused recently; spot kinds only while their price is within the bid."""
         result = []
         for machine in self.types.values():
             for zone in machine.zones or self.zones:
@@ -37,30 +37,34 @@
                         result.append(kind)
         return result
 
-    def room(self, kind: MachineKind) -> Resources:
-        """Of one machine with nothing on it."""
+    def capacity(self, kind: MachineKind) -> Resources:
+        """Total resources of one machine."""
         machine = self.types[kind.type]
         return (machine.cpus, machine.memory_gb, machine.gpus)
 
-    def serves(self, kind: MachineKind, demand: Demand) -> bool:
-        """Whether a machine of this kind could run tasks of the demand."""
-        return may_use(demand, kind) and fits(demand.spec, self.room(kind)) > 0
+    def can_serve(self, kind: MachineKind, demand: Demand) -> bool:
+        """Whether an empty machine of this kind could run a task of the demand."""
+        return may_use(demand, kind) and fits(demand.spec, self.capacity(kind)) > 0
 
     def options(self, demand: Demand, kinds: Iterable[MachineKind]) -> list[tuple[float, MachineKind]]:
-        """Of ``kinds``, what a demand may be rented, and its price per slot that is of use; the cheapest first."""
+        """Those of ``kinds`` that can serve the demand, cheapest first, each with its price per slot used."""
         result = []
         for kind in kinds:
-            slots = fits(demand.spec, self.room(kind))
+            slots = fits(demand.spec, self.capacity(kind))
             if slots and may_use(demand, kind):
                 result.append((self.price(kind) / min(slots, demand.count), kind))
         return sorted(result)
 
-    def best(self, demand: Demand, now: float, count: Mapping[MachineKind, int] | None = None) -> MachineKind | None:
-        """The cheapest for a demand; ``count``: machines that are there already."""
-        return cheapest(self.options(demand, self.kinds(now)), count or {})
+    def cheapest_kind(
+        self, demand: Demand, now: float, machine_counts: Mapping[MachineKind, int] | None = None
+    ) -> MachineKind | None:
+        """The cheapest kind for a demand; ``machine_counts``: existing machines of each kind."""
+        return cheapest(self.options(demand, self.rentable_kinds(now)), machine_counts or {})
 
 
-def cheapest(options: Sequence[tuple[float, MachineKind]], count: Mapping[MachineKind, int]) -> MachineKind | None:
-    """The cheapest per slot; among equals, where fewest machines are."""
-    equals = [kind for price, kind in options if price == options[0][0]]
-    return min(equals, key=lambda kind: (count.get(kind, 0), kind)) if equals else None
+def cheapest(
+    options: Sequence[tuple[float, MachineKind]], machine_counts: Mapping[MachineKind, int]
+) -> MachineKind | None:
+    """The cheapest kind per slot; at equal price, the one with the fewest existing machines."""
+    candidates = [kind for price, kind in options if price == options[0][0]]
+    return min(candidates, key=lambda kind: (machine_counts.get(kind, 0), kind)) if candidates else None
--- a/alderbridge/scheduling/offers.py
+++ b/alderbridge/scheduling/offers.py
@@ -1,4 +1,4 @@
-"""What the job shards offer to a machine shard, in the order of placement. Pure."""
+"""Tasks that the job shards offer to a machine shard, sorted by placement order."""
 
 from __future__ import annotations
 
@@ -12,39 +12,45 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import PRIORITIES, JobSpec
 
-_GUARANTEED = len(PRIORITIES)  # a rank above the highest priority
-BOOST_AHEAD_S = 1e9  # s; so far before all deadlines stands what has a priority boost, in the order of its arrival
+_GUARANTEED_RANK = len(PRIORITIES)  # above the highest priority
+BOOST_OFFSET_S = 1e9  # sorts offers with a priority boost before every deadline, in order of their waiting time
 
 
 KeepsTurn = Callable[[JobSpec], bool]
 
 
 def keep_no_turn(spec: JobSpec) -> bool:
-    """``KeepsTurn`` where no work may preempt other work."""
+    """``KeepsTurn`` for a policy under which no job may preempt others."""
     return False
 
 
 def order(
     row: QueueRow, spec: JobSpec, due_in_s: float, keeps_turn: KeepsTurn = keep_no_turn
 ) -> tuple[bool, int, float]:
-    """The key by which jobs are sorted: what can still be in time, higher priority, soonest deadline.
+    """The sort key of a job: jobs that can still meet a deadline first, then higher priority, then earlier deadline.
 
-    ``keeps_turn``: whether a job goes by priority and deadline though it is late. So does work that may preempt: behind
-    all that can be in time, it saw free room go to that, and others' tasks were stopped for it a moment later.
+    ``keeps_turn``: whether a job that has missed its deadlines still sorts by priority and deadline. Jobs that may
+    preempt do: sorted behind the others, they would see free capacity given away and then preempt tasks for it.
 
-    Work within its team's guarantee need not wait for other teams: it ranks with the highest. A job that others need
-    has the priority of the highest of them. Where there is room for all, this is the paper's order.
+    A job within its team's guarantee does not wait for other teams: it ranks above every priority. A job with
+    dependents has the highest priority among them.
     """
-    rank = _GUARANTEED if row.guaranteed else _GUARANTEED - 1 if row.priority_boost > 1 else max(row.rank, spec.rank)
+    rank = (
+        _GUARANTEED_RANK
+        if row.guaranteed
+        else _GUARANTEED_RANK - 1
+        if row.priority_boost > 1
+        else max(row.rank, spec.rank)
+    )
     if row.priority_boost:
-        return False, -rank, -row.waited_s  # before all deadlines, who has waited longest first
+        return False, -rank, -row.waited_s  # within its rank before every deadline, longest wait first
     return row.late and not keeps_turn(spec), -rank, due_in_s
 
 
 class Offer:
-    """Tasks of one job that its shard would grant now; ``left`` falls as they are asked for."""
+    """Tasks of one job that its shard would grant now; ``left`` decreases as tasks are requested."""
 
-    __slots__ = ("key", "label", "row", "spec", "left", "young_until", "patient_until")
+    __slots__ = ("key", "label", "row", "spec", "left", "young_until", "reserve_from")
 
     def __init__(
         self,
@@ -55,71 +61,76 @@
         packing_wait_s: float,
         keeps_turn: KeepsTurn = keep_no_turn,
     ) -> None:
-        """``label``: of the job's shard; ``now``: when the row was sent, in s; ``keeps_turn``: see ``order``."""
-        late, rank, due = order(row, spec, now + row.due_in_s, keeps_turn)  # by the clock: it holds while time passes
-        self.key = (late, rank, now + due - BOOST_AHEAD_S) if row.priority_boost else (late, rank, due)
+        """``label``: the job shard; ``now``: when the row was sent, in seconds; ``keeps_turn``: see ``order``."""
+        # The key holds absolute times, so that it stays valid as time passes.
+        late, rank, due = order(row, spec, now + row.due_in_s, keeps_turn)
+        self.key = (late, rank, now + due - BOOST_OFFSET_S) if row.priority_boost else (late, rank, due)
         self.label, self.row, self.spec, self.left = label, row, spec, row.offer
-        self.young_until = now - row.waited_s + packing_wait_s  # idle machines leave it to busy ones until then
-        self.patient_until = now - row.waited_s + constants.RESERVE_AFTER_S  # no room is kept for it before
+        self.young_until = now - row.waited_s + packing_wait_s  # until then idle machines leave it to busy ones
+        self.reserve_from = now - row.waited_s + constants.RESERVE_AFTER_S  # no capacity is reserved for it earlier
 
 
-Entry = tuple[bool, int, float, str, str, Offer]  # its key, its shard, its job: no two are alike
+# Key of the offer, label of the job shard, job ID, offer. Shard and job make each entry unique, so that sorting never
+# compares offers.
+OfferEntry = tuple[bool, int, float, str, str, Offer]
 
 
 class Offers:
-    """What all job shards offer, in the order of placement."""
+    """The offers of all job shards in placement order."""
 
     def __init__(self) -> None:
-        """Nothing is offered."""
-        self.by_shard: dict[str, dict[str, Entry]] = {}
-        self.merged: list[Entry] | None = []  # of all shards, in order; None: to be merged anew
-        self.sizes: Counter[float] = Counter()  # cpus of a task -> offers
-        self.least_cpus = math.inf  # of the smallest task
+        """Starts without offers."""
+        self.entries_by_shard: dict[str, dict[str, OfferEntry]] = {}  # label -> job -> entry
+        self.sorted_entries: list[OfferEntry] | None = []  # of all shards; None: to be sorted at the next read
+        self.offers_by_cpus: Counter[float] = Counter()  # CPUs of a task -> number of offers
+        self.least_cpus = math.inf  # CPUs of the smallest task
 
     def clear(self) -> None:
-        """A new view: nothing that was offered counts."""
-        self.by_shard.clear()
-        self.sizes.clear()
+        """Drop all offers, as for a new view."""
+        self.entries_by_shard.clear()
+        self.offers_by_cpus.clear()
         self.least_cpus = math.inf
-        self.merged = None
+        self.sorted_entries = None
 
     def replace(self, label: str, offers: Iterable[Offer]) -> None:
-        """All that a job shard offers now, in place of what it offered before."""
-        for entry in self.by_shard.get(label, {}).values():
-            self.sizes[entry[-1].spec.cpus] -= 1
-        self.by_shard[label] = {offer.row.job: (*offer.key, label, offer.row.job, offer) for offer in offers}
-        self.sizes.update(entry[-1].spec.cpus for entry in self.by_shard[label].values())
-        self.merged = None
-        self._find_least()
+        """Replace all offers of a job shard."""
+        for entry in self.entries_by_shard.get(label, {}).values():
+            self.offers_by_cpus[entry[-1].spec.cpus] -= 1
+        self.entries_by_shard[label] = {offer.row.job: (*offer.key, label, offer.row.job, offer) for offer in offers}
+        self.offers_by_cpus.update(entry[-1].spec.cpus for entry in self.entries_by_shard[label].values())
+        self.sorted_entries = None
+        self._update_min_cpus()
 
     def update(self, label: str, offers: Iterable[Offer], gone: Iterable[str]) -> None:
-        """What a job shard offers anew or otherwise, and what it offers no more."""
-        known = self.by_shard.setdefault(label, {})
+        """Apply a job shard's new and changed offers, and remove those of the jobs ``gone``."""
+        entries = self.entries_by_shard.setdefault(label, {})
         for job in gone:
-            self._remove(known, job)
+            self._remove(entries, job)
         for offer in offers:
-            self._remove(known, offer.row.job)
-            entry = known[offer.row.job] = (*offer.key, label, offer.row.job, offer)
-            self.sizes[offer.spec.cpus] += 1
-            if self.merged is not None:
-                bisect.insort(self.merged, entry)
-        self._find_least()
-
-    def _remove(self, known: dict[str, Entry], job: str) -> None:
-        entry = known.pop(job, None)
+            self._remove(entries, offer.row.job)
+            entry = entries[offer.row.job] = (*offer.key, label, offer.row.job, offer)
+            self.offers_by_cpus[offer.spec.cpus] += 1
+            if self.sorted_entries is not None:
+                bisect.insort(self.sorted_entries, entry)
+        self._update_min_cpus()
+
+    def _remove(self, entries: dict[str, OfferEntry], job: str) -> None:
+        entry = entries.pop(job, None)
         if entry is None:
             return
-        self.sizes[entry[-1].spec.cpus] -= 1
-        if self.merged is not None:
-            del self.merged[bisect.bisect_left(self.merged, entry)]
-
-    def _find_least(self) -> None:
-        for cpus in [cpus for cpus, count in self.sizes.items() if not count]:
-            del self.sizes[cpus]
-        self.least_cpus = min(self.sizes, default=math.inf)
-
-    def in_order(self) -> list[Entry]:
-        """All offers, the first to be served first."""
-        if self.merged is None:
-            self.merged = sorted(itertools.chain.from_iterable(shard.values() for shard in self.by_shard.values()))
-        return self.merged
+        self.offers_by_cpus[entry[-1].spec.cpus] -= 1
+        if self.sorted_entries is not None:
+            del self.sorted_entries[bisect.bisect_left(self.sorted_entries, entry)]
+
+    def _update_min_cpus(self) -> None:
+        for cpus in [cpus for cpus, count in self.offers_by_cpus.items() if not count]:
+            del self.offers_by_cpus[cpus]
+        self.least_cpus = min(self.offers_by_cpus, default=math.inf)
+
+    def in_order(self) -> list[OfferEntry]:
+        """All offers in placement order."""
+        if self.sorted_entries is None:
+            self.sorted_entries = sorted(
+                itertools.chain.from_iterable(entries.values() for entries in self.entries_by_shard.values())
+            )
+        return self.sorted_entries
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -1,11 +1,11 @@
-"""Which waiting tasks go to a machine of this machine shard that has room.
+"""Which waiting tasks are placed on a machine with free capacity.
 
-What can still be in time first, then higher priority, then soonest deadline; an image that must be fetched counts as a
-later deadline. The machine must be of an allowed type, zone and kind.
+Jobs that can still meet a deadline come first, then higher priority, then earlier deadline; the time to fetch a missing
+image counts as a later deadline. Only machines of an allowed type, zone and kind (spot or on-demand) are used.
 
-What the job shards offer is sorted when it arrives, not for each heartbeat: ``fill`` reads it from the front and stops
-when the machine is full. An offer whose image must be fetched waits in a heap until its later deadline comes, so that
-the front of the list is enough.
+Offers are sorted as they arrive, not for each heartbeat: ``fill`` reads them in order and stops when the machine is
+full. Offers whose image must be fetched are deferred in a heap until their adjusted key is due, so no second sort is
+needed.
 """
 
 from __future__ import annotations
@@ -17,22 +17,23 @@
 import msgspec
 
 from alderbridge.protocol.wire import JobSpec, MachineType
-from alderbridge.scheduling.offers import Entry, Offer, Offers
+from alderbridge.scheduling.offers import Offer, OfferEntry, Offers
 from alderbridge.scheduling.resources import Resources, fits, minus
 
 # How many of an offer's tasks are left to other machines.
-RoomElsewhere = Callable[[Offer], int]
-# Whether the room that is left stays free for an offer whose tasks it does not hold yet. Smaller tasks took each slot
-# as it came free, and 8-CPU tasks waited for as long as there were any.
-KeepsRoom = Callable[[Offer], bool]
-# Whether tasks of a job may use room that is kept for others: work for which others' work may be stopped. Kept from it,
-# the room stayed idle while others' tasks were stopped for it.
-MayUseKept = Callable[[JobSpec], bool]
-_Shape = tuple[float, float, float, bool, str | None, tuple[str, ...]]  # what decides where a task may run
+CapacityElsewhere = Callable[[Offer], int]
+# Whether the machine's remaining capacity is reserved for an offer whose tasks do not fit into it yet. Without this,
+# smaller tasks would take each slot as it becomes free, and large tasks would starve.
+ReservesCapacity = Callable[[Offer], bool]
+# Whether tasks of a job may use capacity that is reserved for others. True for jobs that may preempt: otherwise the
+# capacity would stay idle while other tasks are preempted for them.
+MayUseReserved = Callable[[JobSpec], bool]
+# Everything in a job's description that decides on which machines its tasks may run.
+_Requirements = tuple[float, float, float, bool, str | None, tuple[str, ...]]
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A machine that may be given tasks."""
+    """A machine on which tasks may be placed."""
 
     name: str
     type: str
@@ -43,7 +44,7 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True):
-    """Tasks of one job to ask its shard for, for one machine."""
+    """Tasks of one job to request from its shard for one machine."""
 
     owner: str = msgspec.field(name="home")
     job: str
@@ -53,7 +54,7 @@
 
 
 def allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
-    """Whether tasks of ``spec`` may run on such a machine, room apart."""
+    """Whether the constraints of ``spec`` allow such a machine; free capacity is not checked."""
     return (
         (spec.types is None or machine_type in spec.types)
         and (spec.zone is None or spec.zone == zone)
@@ -62,54 +63,54 @@
 
 
 class BusyMachines:
-    """The machines of a machine shard that run something and have room; made anew each round."""
+    """The machines of a machine shard that run tasks and have free capacity, as of one placement round."""
 
     def __init__(self, machines: Iterable[Candidate]) -> None:
-        """``machines``: those that run something."""
+        """``machines``: only machines that run tasks."""
         self.machines = list(machines)
-        self.capacities: dict[_Shape, int] = {}
+        self.capacities: dict[_Requirements, int] = {}
 
     def capacity_for(self, spec: JobSpec) -> int:
-        """How many tasks of ``spec`` fit them; alike jobs share the answer."""
-        shape = (spec.cpus, spec.memory_gb, spec.gpus, spec.spot, spec.zone, tuple(spec.types or ()))
-        if shape not in self.capacities:
-            self.capacities[shape] = sum(
+        """How many tasks of ``spec`` fit on these machines; cached for jobs with the same requirements."""
+        requirements = (spec.cpus, spec.memory_gb, spec.gpus, spec.spot, spec.zone, tuple(spec.types or ()))
+        if requirements not in self.capacities:
+            self.capacities[requirements] = sum(
                 fits(spec, machine.free)
                 for machine in self.machines
                 if allowed(spec, machine.type, machine.zone, machine.spot)
             )
-        return self.capacities[shape]
+        return self.capacities[requirements]
 
 
 def runnable(spec: JobSpec, types: Iterable[MachineType]) -> bool:
-    """Whether a task of ``spec`` fits any allowed machine type when empty."""
-    for kind in types:
-        zones = kind.zones or [""]
-        if any(allowed(spec, kind.name, zone, False) for zone in zones):
-            if fits(spec, (kind.cpus, kind.memory_gb, kind.gpus)):
+    """Whether a task of ``spec`` fits on an empty machine of any allowed type."""
+    for machine_type in types:
+        zones = machine_type.zones or [""]
+        if any(allowed(spec, machine_type.name, zone, False) for zone in zones):
+            if fits(spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)):
                 return True
     return False
 
 
 def fill_claimed(machine: Candidate, offers: Offers, job: str, count: int) -> list[PlacementRequest]:
-    """What to ask for of the one job that has a claim to the machine's room, at most ``count``; off ``left``."""
-    result, room = [], machine.free
+    """Request up to ``count`` tasks of the job that holds a claim on the machine, and deduct them from its offers."""
+    result, free = [], machine.free
     for *_, offer in offers.in_order():
         if offer.row.job != job or offer.left <= 0 or offer.row.zone not in (None, machine.zone):
             continue
-        number = min(fits(offer.spec, room), offer.left, count)
+        number = min(fits(offer.spec, free), offer.left, count)
         if number > 0 and allowed(offer.spec, machine.type, machine.zone, machine.spot):
             offer.left -= number
-            room, count = minus(room, offer.spec, number), count - number
+            free, count = minus(free, offer.spec, number), count - number
             result.append(PlacementRequest(offer.label, job, machine.name, machine.zone, number))
     return result
 
 
-def _keep_nothing(offer: Offer) -> bool:
+def _reserve_nothing(offer: Offer) -> bool:
     return False
 
 
-def _may_not_use_kept(spec: JobSpec) -> bool:
+def _may_not_use_reserved(spec: JobSpec) -> bool:
     return False
 
 
@@ -117,82 +118,89 @@
     machine: Candidate,
     offers: Offers,
     fetch_s: Callable[[JobSpec], float],
-    room_elsewhere: RoomElsewhere,
-    keep: KeepsRoom = _keep_nothing,
+    capacity_elsewhere: CapacityElsewhere,
+    reserve: ReservesCapacity = _reserve_nothing,
     now: float = math.inf,
-    may_use_kept: MayUseKept = _may_not_use_kept,
+    may_use_reserved: MayUseReserved = _may_not_use_reserved,
 ) -> list[PlacementRequest]:
-    """What to ask for, for one machine; takes it off ``left``. ``fetch_s``: of an image, zero where it is there."""
+    """Request the tasks that fit on one machine, and deduct them from the offers.
+
+    ``fetch_s``: how long the machine would take to fetch a job's image; 0 if it has the image.
+    """
     requests: list[PlacementRequest] = []
-    room, least = machine.free, offers.least_cpus - 1e-9
-    if room[0] < least:
+    free, min_cpus = machine.free, offers.least_cpus - 1e-9
+    if free[0] < min_cpus:
         return requests
-    later: list[Entry] = []  # a heap: their image must be fetched, so their deadline counts as later
+    deferred: list[OfferEntry] = []  # heap of offers whose image must be fetched, by deadline plus fetch time
     for entry in offers.in_order():
-        if room[0] < least:
+        if free[0] < min_cpus:
             return requests
-        while later and later[0][:3] <= entry[:3]:
-            room = _request(machine, heapq.heappop(later)[-1], room, room_elsewhere, requests)
+        while deferred and deferred[0][:3] <= entry[:3]:
+            free = _request(machine, heapq.heappop(deferred)[-1], free, capacity_elsewhere, requests)
         offer = entry[-1]
         spec = offer.spec
         if offer.left <= 0:
             continue
-        if spec.cpus > room[0] + 1e-9 or spec.memory_gb > room[1] + 1e-9 or spec.gpus > room[2] + 1e-9:
-            if now >= offer.patient_until and keep(offer):
-                _request_kept(machine, offers, room, room_elsewhere, may_use_kept, requests)
+        if spec.cpus > free[0] + 1e-9 or spec.memory_gb > free[1] + 1e-9 or spec.gpus > free[2] + 1e-9:
+            if now >= offer.reserve_from and reserve(offer):
+                _request_from_reserved(machine, offers, free, capacity_elsewhere, may_use_reserved, requests)
                 return requests
             continue
         zone = offer.row.zone
         if not allowed(spec, machine.type, machine.zone, machine.spot) or (zone is not None and zone != machine.zone):
             continue
-        fetch = fetch_s(spec)
-        if fetch > 0:
-            heapq.heappush(later, (*entry[:2], entry[2] + fetch, *entry[3:]))
+        fetch_time_s = fetch_s(spec)
+        if fetch_time_s > 0:
+            heapq.heappush(deferred, (*entry[:2], entry[2] + fetch_time_s, *entry[3:]))
         else:
-            room = _request(machine, offer, room, room_elsewhere, requests)
-    _request_rest(machine, later, room, room_elsewhere, requests)
+            free = _request(machine, offer, free, capacity_elsewhere, requests)
+    _request_deferred(machine, deferred, free, capacity_elsewhere, requests)
     return requests
 
 
 def _request(
-    machine: Candidate, offer: Offer, room: Resources, room_elsewhere: RoomElsewhere, requests: list[PlacementRequest]
+    machine: Candidate,
+    offer: Offer,
+    free: Resources,
+    capacity_elsewhere: CapacityElsewhere,
+    requests: list[PlacementRequest],
 ) -> Resources:
-    """Ask for as many tasks of the offer as the room holds; returns the room that is left."""
-    count = min(fits(offer.spec, room), offer.left - room_elsewhere(offer))
+    """Request as many tasks of the offer as fit; returns the remaining free capacity."""
+    count = min(fits(offer.spec, free), offer.left - capacity_elsewhere(offer))
     if count <= 0:
-        return room
+        return free
     offer.left -= count
     requests.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
-    return minus(room, offer.spec, count)
+    return minus(free, offer.spec, count)
 
 
-def _request_kept(
+def _request_from_reserved(
     machine: Candidate,
     offers: Offers,
-    room: Resources,
-    room_elsewhere: RoomElsewhere,
-    may_use_kept: MayUseKept,
+    free: Resources,
+    capacity_elsewhere: CapacityElsewhere,
+    may_use_reserved: MayUseReserved,
     requests: list[PlacementRequest],
 ) -> None:
-    """Ask for those tasks that may use the room though it is kept, whatever their images."""
+    """Request only tasks that may use reserved capacity, in placement order and without regard to their images."""
     for *_, offer in offers.in_order():
         zone = offer.row.zone
         if (
             offer.left > 0
-            and may_use_kept(offer.spec)
+            and may_use_reserved(offer.spec)
             and allowed(offer.spec, machine.type, machine.zone, machine.spot)
             and zone in (None, machine.zone)
         ):
-            room = _request(machine, offer, room, room_elsewhere, requests)
+            free = _request(machine, offer, free, capacity_elsewhere, requests)
 
 
-def _request_rest(
+def _request_deferred(
     machine: Candidate,
-    later: list[Entry],
-    room: Resources,
-    room_elsewhere: RoomElsewhere,
+    deferred: list[OfferEntry],
+    free: Resources,
+    capacity_elsewhere: CapacityElsewhere,
     requests: list[PlacementRequest],
 ) -> None:
-    """Ask for all of the heap that the room holds."""
-    while later:
-        room = _request(machine, heapq.heappop(later)[-1], room, room_elsewhere, requests)
+    """Request the deferred tasks that fit, in the order of their adjusted keys."""
+    while deferred:
+        free = _request(machine, heapq.heappop(deferred)[-1], free, capacity_elsewhere, requests)
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -1,19 +1,17 @@
-"""Spot Base Hard: when to rent, what to rent, when to give back.
+"""Spot Base Hard: when to rent machines, which kind, and when to return them.
 
-Follows "Managing Peak Loads by Leasing Cloud Infrastructure Services from a
-Spot Market" (Mattess, Vecchiola, Buyya), section 3, and uses its words:
+Follows section 3 of "Managing Peak Loads by Leasing Cloud Infrastructure Services from a Spot Market" (Mattess,
+Vecchiola, Buyya) and uses its terms; numbers in brackets are its sections:
 
 * Maximum Queue Time: requested time times the Target Ratio, with a floor (3.1).
 * Expected Run Time: requested time times the Workload Multiplier (3.1).
-* Breach: a task assigned later than its Maximum Queue Time allows. The
-  heuristic (3.2) walks the queue, soonest deadline first, over the times at
-  which slots are expected to become free; machines that have been requested
-  but have not come up count as free already.
-* Hard check (3.3): at a regular interval, tasks about to breach ask for
-  machines whatever the heuristic said.
+* Breach: a task is assigned later than its Maximum Queue Time allows. The heuristic (3.2) walks the queue, earliest
+  deadline first, over the times at which slots are expected to become free; machines that were requested but have not
+  started yet count as free already.
+* Hard check (3.3): at regular intervals, tasks about to breach request machines regardless of the heuristic.
 * Spot (3.4): spot machines are rented while their price is below the bid.
 
-Pure: the leader calls it with what it knows, time included.
+This module performs no I/O and reads no clock: the leader passes in its state and the time.
 """
 
 from __future__ import annotations
@@ -29,152 +27,154 @@
 
 
 class _RentalSearch:
-    """Finds the machines to be rented; the walk counts each as free already."""
+    """Searches for the machines to rent; each machine added is a free resource of the walk."""
 
-    def __init__(self, walk: Walk, market: Market, now: float, count: Mapping[MachineKind, int]) -> None:
-        """``count``: machines that are there already."""
+    def __init__(self, walk: Walk, market: Market, now: float, machine_counts: Mapping[MachineKind, int]) -> None:
+        """``machine_counts``: existing machines of each kind."""
         self.walk, self.market = walk, market
-        self.rentable = market.kinds(now)
-        self.count = dict(count)
+        self.rentable = market.rentable_kinds(now)
+        self.machine_counts = dict(machine_counts)
         self.kinds: list[MachineKind] = []
-        self.known: dict[str, list[tuple[float, MachineKind]]] = {}  # job -> its options
-        self.hopeless: dict[str, bool] = {}  # job -> whether it has none
+        self.options_by_job: dict[str, list[tuple[float, MachineKind]]] = {}
+        self.unservable_by_job: dict[str, bool] = {}
 
     def options(self, demand: Demand) -> list[tuple[float, MachineKind]]:
-        """What the demand may be rented, and its price; found once."""
+        """The kinds that can be rented for the demand, with their prices; cached."""
         job = demand.spec.id
-        if job not in self.known:
-            self.known[job] = self.market.options(demand, self.rentable)
-        return self.known[job]
+        if job not in self.options_by_job:
+            self.options_by_job[job] = self.market.options(demand, self.rentable)
+        return self.options_by_job[job]
 
-    def is_hopeless(self, demand: Demand) -> bool:
-        """Whether nothing can be rented for the demand. Asked of each one: the prices of its options are not needed."""
+    def is_unservable(self, demand: Demand) -> bool:
+        """Whether no rentable kind can serve the demand; cached, and cheaper than ``options`` as it needs no prices."""
         job = demand.spec.id
-        if job not in self.hopeless:
-            self.hopeless[job] = not any(self.market.serves(kind, demand) for kind in self.rentable)
-        return self.hopeless[job]
+        if job not in self.unservable_by_job:
+            self.unservable_by_job[job] = not any(self.market.can_serve(kind, demand) for kind in self.rentable)
+        return self.unservable_by_job[job]
 
-    def breach(self) -> Demand | None:
-        """The first demand that would be late and that something may be rented for."""
-        return self.walk.breach(self.is_hopeless)
+    def first_breach(self) -> Demand | None:
+        """The first demand that would be late and for which a machine can be rented."""
+        return self.walk.first_breach(self.is_unservable)
 
     def add(self, demand: Demand, number: int) -> None:
-        """So many more machines for the demand."""
+        """Add ``number`` machines for the demand."""
         for _ in range(number):
-            kind = cheapest(self.options(demand), self.count)
+            kind = cheapest(self.options(demand), self.machine_counts)
             assert kind is not None, "a breach has options"
             self.kinds.append(kind)
-            self.count[kind] = self.count.get(kind, 0) + 1
-            self.walk.add(MachineResource(kind, self.market.room(kind)))
+            self.machine_counts[kind] = self.machine_counts.get(kind, 0) + 1
+            self.walk.add(MachineResource(kind, self.market.capacity(kind)))
 
-    def drop(self, number: int) -> None:
-        """Take the machines that were added last out again."""
+    def remove_last(self, number: int) -> None:
+        """Remove the ``number`` machines that were added last."""
         first = len(self.kinds) - number
         for kind in self.kinds[first:]:
-            self.count[kind] -= 1
-            self.walk.remove(MachineResource(kind, self.market.room(kind)))
+            self.machine_counts[kind] -= 1
+            self.walk.remove(MachineResource(kind, self.market.capacity(kind)))
         del self.kinds[first:]
 
-    def double(self, demand: Demand, below_cap: int) -> tuple[int, int] | None:
-        """Add machines until the demand is served: (too few, enough); None: the cap comes first."""
+    def add_until_served(self, demand: Demand, max_new_machines: int) -> tuple[int, int] | None:
+        """Add machines, doubling their number, until the demand is served.
+
+        Returns a number that is too small and one that suffices; None if ``max_new_machines`` is reached first.
+        """
         low, high = 0, 1
         self.add(demand, 1)
-        after = self.breach()
-        while after is demand and len(self.kinds) < below_cap:
-            more = min(high, below_cap - len(self.kinds))
+        breach = self.first_breach()
+        while breach is demand and len(self.kinds) < max_new_machines:
+            more = min(high, max_new_machines - len(self.kinds))
             low, high = high, high + more
             self.add(demand, more)
-            after = self.breach()
-        return None if after is demand else (low, high)
+            breach = self.first_breach()
+        return None if breach is demand else (low, high)
 
-    def halve(self, demand: Demand, low: int, high: int) -> None:
-        """Keep no more than the demand needs of the ``high`` machines that were added; ``low`` are too few."""
-        have = high
+    def bisect(self, demand: Demand, low: int, high: int) -> None:
+        """Reduce the ``high`` machines added for the demand to the minimum it needs; ``low`` is too few."""
+        current = high
         while high - low > 1:
             middle = (low + high) // 2
-            if middle < have:
-                self.drop(have - middle)
+            if middle < current:
+                self.remove_last(current - middle)
             else:
-                self.add(demand, middle - have)
-            have = middle
-            if self.breach() is demand:
+                self.add(demand, middle - current)
+            current = middle
+            if self.first_breach() is demand:
                 low = middle
             else:
                 high = middle
-        if have != high:
-            self.add(demand, high - have)
+        if current != high:
+            self.add(demand, high - current)
 
 
 def machines_to_rent(
-    walk: Walk, market: Market, now: float, below_cap: int, count: Mapping[MachineKind, int]
+    walk: Walk, market: Market, now: float, max_new_machines: int, machine_counts: Mapping[MachineKind, int]
 ) -> list[MachineKind]:
-    """Base (3.2): while a breach is predicted, one more machine, counted as free.
+    """Base (3.2): while a breach is predicted, rent one more machine, which counts as free.
 
-    Machines that one demand lacks are found by doubling and halving, not one walk each.
+    The number of machines for each demand is found by doubling and bisection instead of one walk per machine.
     """
-    search = _RentalSearch(walk, market, now, count)
+    search = _RentalSearch(walk, market, now, machine_counts)
     if not search.rentable:
         return search.kinds
-    breach = search.breach()
-    while breach is not None and len(search.kinds) < below_cap:
-        bounds = search.double(breach, below_cap)
+    breach = search.first_breach()
+    while breach is not None and len(search.kinds) < max_new_machines:
+        bounds = search.add_until_served(breach, max_new_machines)
         if bounds is None:
             break
-        search.halve(breach, *bounds)
-        breach = search.breach()
+        search.bisect(breach, *bounds)
+        breach = search.first_breach()
     return search.kinds
 
 
 def hard_check(
-    queue: Iterable[Demand], market: Market, now: float, booting: Sequence[MachineResource], below_cap: int
+    queue: Iterable[Demand], market: Market, now: float, booting: Sequence[MachineResource], max_new_machines: int
 ) -> list[MachineKind]:
-    """Hard (3.3): tasks within boot time and margin of a breach ask for machines.
+    """Hard (3.3): tasks due within boot time plus margin request machines.
 
-    The paper's machine holds one task, ours several: tasks ask for the machines
-    that hold them, less those that are booting and not overdue.
+    In the paper a machine runs one task, here it runs several: tasks request as many machines as hold them, less the
+    machines that are booting and not overdue.
     """
     kinds: list[MachineKind] = []
-    rentable = market.kinds(now)
-    coming = list(booting)
+    rentable = market.rentable_kinds(now)
+    available = list(booting)
     for demand in queue:
         kind = cheapest(market.options(demand, rentable), {})
         if kind is None or demand.due_in_s > market.types[kind.type].boot_s + constants.HARD_MARGIN_S:
             continue
-        left = demand.count
+        remaining = demand.count
         unused = []
-        for resource in coming:
+        for resource in available:
             slots = fits(demand.spec, resource.free) if may_use(demand, resource.kind) else 0
-            if left > 0 and slots:
-                left -= slots
+            if remaining > 0 and slots:
+                remaining -= slots
             else:
                 unused.append(resource)
-        coming = unused
-        if left > 0:
-            kinds += [kind] * math.ceil(left / max(1, fits(demand.spec, market.room(kind))))
-        if len(kinds) >= below_cap:
-            return kinds[:below_cap]
+        available = unused
+        if remaining > 0:
+            kinds += [kind] * math.ceil(remaining / max(1, fits(demand.spec, market.capacity(kind))))
+        if len(kinds) >= max_new_machines:
+            return kinds[:max_new_machines]
     return kinds
 
 
 def keep_idle(walk: Walk, resource: MachineResource) -> bool:
-    """3.2: an idle rented machine stays if removing it predicts a breach; else it has left the walk.
+    """Whether an idle rented machine stays because removing it predicts a breach (3.2).
 
-    A breach of a demand that has no use for the machine is there with and without it. Counted, it kept every idle
-    machine for ever, and with them the room for the one that was needed (a cloud that lets eight be rented, all of
-    them idle and of the wrong type).
+    If it need not stay, it has been removed from the walk. Demands that cannot use the machine are ignored: they breach
+    with or without it, and would keep unsuitable idle machines while the machine limit prevents renting a suitable one.
     """
 
-    def no_use(demand: Demand) -> bool:
-        """Whether the machine is of no use to the demand."""
+    def cannot_use(demand: Demand) -> bool:
+        """Whether the demand's tasks cannot run on the machine."""
         return not (may_use(demand, resource.kind) and fits(demand.spec, resource.free))
 
     walk.remove(resource)
-    if walk.breach(no_use) is None:
+    if walk.first_breach(cannot_use) is None:
         return False
     walk.add(resource)
     return True
 
 
 def block_ends(age_s: float, within_s: float) -> bool:
-    """Whether the paid block ends within that time; idle machines wait out their block."""
+    """Whether the machine's paid block ends within ``within_s``; idle machines are returned only then."""
     return constants.PAID_BLOCK_S - age_s % constants.PAID_BLOCK_S <= within_s
--- a/alderbridge/scheduling/queue_times.py
+++ b/alderbridge/scheduling/queue_times.py
@@ -1,6 +1,6 @@
-"""How long a job may wait: the paper's Maximum Queue Time, and what the operators' objectives make of it. Pure.
+"""How long a job may wait: the paper's Maximum Queue Time, adjusted by the operators' objectives.
 
-The words are those of the paper that ``policy`` follows; numbers in brackets are its sections.
+Terms are those of the paper that ``policy`` cites; numbers in brackets are its sections.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 def expected_run_time(spec: JobSpec, tuning: Tuning) -> float:
-    """Of one task, in s: the requested time times the Workload Multiplier (3.1)."""
+    """Expected Run Time of one task, in seconds: the requested time times the Workload Multiplier (3.1)."""
     if spec.service or spec.gang:
-        return constants.SERVICE_RUN_S  # its tasks need their slots side by side, not one after the other
+        return constants.SERVICE_RUN_S  # long enough that its tasks are never planned one after another
     return (spec.estimate_s or constants.UNKNOWN_RUN_S) * tuning.workload_multiplier
 
 
 def max_queue_time(spec: JobSpec, tuning: Tuning) -> float:
-    """In s: the requested time times the Target Ratio, with the floor (3.1, Equation 1)."""
+    """Maximum Queue Time in seconds: the requested time times the Target Ratio, with a floor (3.1, Equation 1)."""
     requested = spec.estimate_s or constants.UNKNOWN_RUN_S
     return max(tuning.queue_time_floor_s, requested * tuning.target_ratio)
 
@@ -33,22 +33,21 @@
     waited_s: float = 0.0,
     needed_s: Iterable[float] = (),
 ) -> list[tuple[float, float]]:
-    """The Maximum Queue Times that the operators' objectives set, shortest first.
+    """Pairs, shortest first, of a Maximum Queue Time and the wait after which its objective cannot be met any more.
 
-    Where they promise a start in seconds, the paper's floor of minutes cannot serve: an objective on waiting is a
-    Maximum Queue Time itself, one on finishing or a deadline leaves what remains beside the Expected Run Time. With
-    each goes the time after which it is out of reach even with luck.
+    Objectives may promise a start within seconds, so the paper's floor does not apply to them. An objective on waiting
+    sets a Maximum Queue Time directly; one on finishing, or a deadline, sets what remains after the Expected Run Time.
 
-    A job's times count from when all that it needs was done, ``waited_s`` after its submission, from which its deadline
-    counts. ``needed_s``: by when it has to end for the deadlines of the jobs that need it.
+    Times count from when the job's last dependency was done, which was ``waited_s`` after its submission; its deadline
+    counts from the submission. ``needed_s``: times by which the job has to end for the deadlines of its dependents.
     """
-    run = expected_run_time(spec, tuning)
+    run_s = expected_run_time(spec, tuning)
     times = [
         time
         for objective in objectives
-        if (time := _objective_time(objective, spec, guaranteed, run, waited_s)) is not None
+        if (time := _objective_time(objective, spec, guaranteed, run_s, waited_s)) is not None
     ]
-    times += [(by - run * constants.RUN_SAFETY, by - run * constants.RUN_OPTIMISM) for by in needed_s]
+    times += [(by - run_s * constants.RUN_SAFETY, by - run_s * constants.RUN_OPTIMISM) for by in needed_s]
     floor = max_queue_time(spec, tuning)
     return sorted(times) or [(floor, floor)]
 
@@ -56,30 +55,30 @@
 def _objective_time(
     objective: Objective, spec: JobSpec, guaranteed: bool, run_s: float, waited_s: float
 ) -> tuple[float, float] | None:
-    """(Maximum Queue Time, when it is out of reach) by one objective; None where it sets none for the job."""
-    ours = objective.job_class == spec.job_class
+    """The pair that one objective contributes to ``queue_times``; None if the objective does not apply to the job."""
+    same_class = objective.job_class == spec.job_class
     deadline = objective.kind == "deadline"
     within = (spec.due_s or 0.0) * (objective.times or 1.0) if deadline else objective.within_s
     if not within:
         return None
-    if (objective.kind == "wait" and ours) or (objective.kind == "guarantee" and guaranteed):
+    if (objective.kind == "wait" and same_class) or (objective.kind == "guarantee" and guaranteed):
         return within * constants.WAIT_SHARE, within
-    if objective.kind in ("finished", "deadline") and ours:
-        least, gone = within * constants.LEAST_SHARE, waited_s if deadline else 0.0
+    if objective.kind in ("finished", "deadline") and same_class:
+        minimum_s, elapsed_s = within * constants.LEAST_SHARE, waited_s if deadline else 0.0
         return (
-            max(least, within - run_s * constants.RUN_SAFETY) - gone,
-            max(least, within - run_s * constants.RUN_OPTIMISM) - gone,
+            max(minimum_s, within - run_s * constants.RUN_SAFETY) - elapsed_s,
+            max(minimum_s, within - run_s * constants.RUN_OPTIMISM) - elapsed_s,
         )
     return None
 
 
 def due_in(age_s: float, times: Sequence[tuple[float, float]]) -> tuple[float, bool]:
-    """Time until the next Maximum Queue Time that can still be kept; whether all are missed.
+    """Seconds until the next Maximum Queue Time that can still be met, and whether all are missed.
 
-    Work that has missed them all cannot be late a second time: it queues behind
-    work that can still be in time, with the last of its times over again.
+    A job that has missed them all sorts behind jobs that can still be on time, with its last Maximum Queue Time counted
+    from now.
     """
-    for limit, hopeless in times:
-        if age_s <= hopeless:
-            return limit - age_s, False
+    for limit_s, unreachable_after_s in times:
+        if age_s <= unreachable_after_s:
+            return limit_s - age_s, False
     return max(0.0, times[-1][0]), True
--- a/alderbridge/scheduling/quota_division.py
+++ b/alderbridge/scheduling/quota_division.py
@@ -1,4 +1,4 @@
-"""How a team's limit is divided among the job shards. Pure."""
+"""Division of a team's limit among the job shards."""
 
 from __future__ import annotations
 
@@ -8,60 +8,61 @@
 
 
 class QuotaDemand(NamedTuple):
-    """What a job's waiting tasks at a job shard would take of their team's limit."""
+    """The part of a team's limit that a job's waiting tasks at a job shard would use."""
 
     owner: str
     amount: float
-    each: float = 0.0  # of one task: less than that is of no use
-    reserved: bool = False  # less than that is reserved for it all the same, until it holds a task
+    per_task: float = 0.0  # quota is useful only in multiples of this
+    starved: bool = False  # reserve even less than one task needs, until the job has a running task
 
 
 def divide_quota(
     limit: float,
     used: Mapping[str, float],
     reserved: Mapping[str, float],
-    given: Mapping[str, float],
+    allocated: Mapping[str, float],
     demands: Sequence[QuotaDemand],
 ) -> dict[str, float]:
-    """Shares of a team's limit; their sum with what is still reserved never exceeds it.
+    """The next quota of each job shard.
 
-    ``reserved`` is what each job shard reported under its last quota ``given``; it counts until a smaller quota is
-    confirmed.
+    ``reserved`` is what each job shard last reported under the quota ``allocated`` to it. Until a shard confirms a
+    smaller quota, it counts with the larger of the two; so counted, the sum over all shards never grows beyond the
+    limit.
     """
     owners = sorted(reserved)
     target = _targets(limit, used, owners, demands)
-    free = limit - sum(max(reserved[owner], given.get(owner, 0.0)) for owner in owners)
-    result = dict(given)
+    free = limit - sum(max(reserved[owner], allocated.get(owner, 0.0)) for owner in owners)
+    result = dict(allocated)
     for owner in owners:
-        have = max(reserved[owner], given.get(owner, 0.0))
-        if target[owner] < given.get(owner, 0.0) - 1e-9:
+        current = max(reserved[owner], allocated.get(owner, 0.0))
+        if target[owner] < allocated.get(owner, 0.0) - 1e-9:
             result[owner] = target[owner]
-        elif target[owner] > have + 1e-9 and free > 1e-9:
-            more = min(target[owner] - have, free)
-            result[owner] = have + more
-            free -= more
+        elif target[owner] > current + 1e-9 and free > 1e-9:
+            increase = min(target[owner] - current, free)
+            result[owner] = current + increase
+            free -= increase
     return result
 
 
 def _targets(
     limit: float, used: Mapping[str, float], owners: Sequence[str], demands: Sequence[QuotaDemand]
 ) -> dict[str, float]:
-    """Shares as they would be if every job shard gave back at once what it does not need.
+    """The quotas to converge to, as if every job shard released at once what it does not use.
 
-    What is not used goes to the waiting tasks in their order, whichever shard they belong to, and what then remains
-    evenly to all, so that new work can start at once.
+    Unused quota goes to the demands in their order, whichever shard they belong to. What then remains is split evenly
+    among all shards, so that new jobs can start at once.
 
-    What holds none of a job's tasks goes on to the next: reserved at a shard that could not use it, it let smaller
-    tasks of other shards wait beside free machines for as long as the first waited.
+    An amount too small for one task of a job is passed on to the next demand: reserved for a job that cannot use it, it
+    would block smaller tasks of other shards while machines stand free.
     """
-    left = max(0.0, limit - sum(used.values()))
+    remaining = max(0.0, limit - sum(used.values()))
     target = dict(used)
-    for owner, amount, each, reserved in demands:
-        if amount > left:
-            whole = math.floor(left / each + 1e-9) * each if each > 0 else left
-            amount = left if reserved and not whole else whole
+    for owner, amount, per_task, starved in demands:
+        if amount > remaining:
+            whole_tasks = math.floor(remaining / per_task + 1e-9) * per_task if per_task > 0 else remaining
+            amount = remaining if starved and not whole_tasks else whole_tasks
         target[owner] += amount
-        left -= amount
+        remaining -= amount
     for owner in owners:
-        target[owner] += left / len(owners)
+        target[owner] += remaining / len(owners)
     return target
--- a/alderbridge/scheduling/resources.py
+++ b/alderbridge/scheduling/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of resources: plain tuples, as they are computed with for each placement."""
+"""Amounts of resources, as plain tuples: placement computes with them too often for classes."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from alderbridge.protocol.wire import JobSpec
 
-Resources = tuple[float, float, float]  # cpus, memory in GB, gpus
-QuotaAmounts = tuple[float, float]  # cpus, gpus
+Resources = tuple[float, float, float]  # CPUs, memory in GB, GPUs
+QuotaAmounts = tuple[float, float]  # CPUs, GPUs
 
 NO_QUOTA: QuotaAmounts = (0.0, 0.0)
 
 
-def fits(spec: JobSpec, room: Resources) -> int:
-    """How many tasks of ``spec`` the room holds."""
-    count = room[0] / spec.cpus
+def fits(spec: JobSpec, free: Resources) -> int:
+    """How many tasks of ``spec`` fit into the free capacity."""
+    count = free[0] / spec.cpus
     if spec.memory_gb > 0:
-        count = min(count, room[1] / spec.memory_gb)
+        count = min(count, free[1] / spec.memory_gb)
     if spec.gpus > 0:
-        count = min(count, room[2] / spec.gpus)
+        count = min(count, free[2] / spec.gpus)
     return math.floor(count + 1e-9) if count > 0 else 0
 
 
-def minus(room: Resources, spec: JobSpec, count: int) -> Resources:
-    """What ``count`` tasks of ``spec`` leave of the room; below zero where they do not fit."""
-    return (room[0] - spec.cpus * count, room[1] - spec.memory_gb * count, room[2] - spec.gpus * count)
+def minus(free: Resources, spec: JobSpec, count: int) -> Resources:
+    """The free capacity minus ``count`` tasks of ``spec``; negative where they do not fit."""
+    return (free[0] - spec.cpus * count, free[1] - spec.memory_gb * count, free[2] - spec.gpus * count)
--- a/alderbridge/scheduling/walk.py
+++ b/alderbridge/scheduling/walk.py
@@ -1,6 +1,7 @@
-"""The paper's walk over the queue: which waiting tasks would start too late on the machines that there are. Pure.
+"""The paper's walk over the queue: which waiting tasks would start too late on the existing machines.
 
-See ``policy`` for the paper and its words. Some thousand slots a round: hot code.
+``policy`` cites the paper and explains its terms. The loops here visit thousands of slots in each round of the leader,
+so they avoid function calls and per-slot objects.
 """
 
 from __future__ import annotations
@@ -15,124 +16,136 @@
 
 
 class SlotPool:
-    """Slots of one size on machines of one kind: a heap of (time they come free, how many)."""
+    """Slots of one size on machines of one kind, counted by the time at which they become free."""
 
     def __init__(self, kind: MachineKind, size: JobSpec) -> None:
-        """``size``: the job whose task fills one slot."""
+        """``size``: the job of which one task fills one slot."""
         self.kind, self.size = kind, size
-        # Room for one more task as a share of each amount; what it does not take has no share.
-        self.per_cpu = 1.0 / size.cpus
-        self.per_gb = 1.0 / size.memory_gb if size.memory_gb > 0 else 0.0
-        self.per_gpu = 1.0 / size.gpus if size.gpus > 0 else 0.0
-        self.counts: dict[float, int] = {}
-        self.heap: list[tuple[float, int]] = []
+        # Slots per unit of each resource; 0 for memory or GPUs that the task does not use.
+        self.slots_per_cpu = 1.0 / size.cpus
+        self.slots_per_gb = 1.0 / size.memory_gb if size.memory_gb > 0 else 0.0
+        self.slots_per_gpu = 1.0 / size.gpus if size.gpus > 0 else 0.0
+        self.counts: dict[float, int] = {}  # seconds from now -> slots that become free then
+        self.heap: list[tuple[float, int]] = []  # (seconds from now, slots) during a walk
         self.total = 0
 
     def add(self, resource: MachineResource, sign: int = 1) -> None:
-        """Some thousand slots a round: ``fits`` for this one size, without calls."""
-        cpus, memory, gpus = resource.free
-        per_cpu, per_gb, per_gpu, counts = self.per_cpu, self.per_gb, self.per_gpu, self.counts
-        before = 0
-        for end, more_cpus, more_memory, more_gpus in ((0.0, 0.0, 0.0, 0.0), *sorted(resource.ends)):
-            cpus, memory, gpus = cpus + more_cpus, memory + more_memory, gpus + more_gpus
-            room = cpus * per_cpu
-            if per_gb and memory * per_gb < room:
-                room = memory * per_gb
-            if per_gpu and gpus * per_gpu < room:
-                room = gpus * per_gpu
-            count = int(room + 1e-9) if room > 0 else 0
-            if count > before:
-                counts[end] = counts.get(end, 0) + sign * (count - before)
-                before = count
-
-    def start(self) -> None:
-        """Begin a walk: all slots are there again."""
-        self.heap = [(time, count) for time, count in self.counts.items() if count > 0]
+        """Add a machine's slots, or remove them with ``sign`` -1.
+
+        Counts as ``fits`` does, but inlined: it runs for each task of each machine.
+        """
+        cpus, memory_gb, gpus = resource.free
+        slots_per_cpu, slots_per_gb, slots_per_gpu, counts = (
+            self.slots_per_cpu,
+            self.slots_per_gb,
+            self.slots_per_gpu,
+            self.counts,
+        )
+        previous_count = 0
+        for free_at_s, released_cpus, released_memory_gb, released_gpus in (
+            (0.0, 0.0, 0.0, 0.0),
+            *sorted(resource.ends),
+        ):
+            cpus, memory_gb, gpus = cpus + released_cpus, memory_gb + released_memory_gb, gpus + released_gpus
+            slots = cpus * slots_per_cpu
+            if slots_per_gb and memory_gb * slots_per_gb < slots:
+                slots = memory_gb * slots_per_gb
+            if slots_per_gpu and gpus * slots_per_gpu < slots:
+                slots = gpus * slots_per_gpu
+            count = int(slots + 1e-9) if slots > 0 else 0
+            if count > previous_count:
+                counts[free_at_s] = counts.get(free_at_s, 0) + sign * (count - previous_count)
+                previous_count = count
+
+    def reset(self) -> None:
+        """Begin a new walk: all slots are unassigned."""
+        self.heap = [(free_at_s, count) for free_at_s, count in self.counts.items() if count > 0]
         heapq.heapify(self.heap)
         self.total = sum(count for _, count in self.heap)
 
-    def per_task(self, spec: JobSpec) -> tuple[int, int]:
-        """(slots a task takes, tasks a slot holds); one of them is 1."""
+    def slots_and_tasks(self, spec: JobSpec) -> tuple[int, int]:
+        """(slots per task, tasks per slot), one of which is 1; (0, 0) if the slots lack a resource the task needs."""
         ratios = [spec.cpus / self.size.cpus]
-        for each, size in ((spec.memory_gb, self.size.memory_gb), (spec.gpus, self.size.gpus)):
-            if each > 0:
-                ratios.append(each / size if size > 0 else math.inf)
+        for amount, slot_amount in ((spec.memory_gb, self.size.memory_gb), (spec.gpus, self.size.gpus)):
+            if amount > 0:
+                ratios.append(amount / slot_amount if slot_amount > 0 else math.inf)
         ratio = max(ratios)
         if math.isinf(ratio):
             return 0, 0
         return max(1, math.ceil(ratio - 1e-9)), max(1, math.floor(1 / ratio + 1e-9))
 
-    def take(self, slots: int, most: int) -> tuple[float, int]:
-        """The soonest ``slots`` slots, and as many more such sets as come free at that time.
+    def take(self, slots: int, max_sets: int) -> tuple[float, int]:
+        """Take the earliest ``slots`` slots, and up to ``max_sets`` such sets if they become free at the same time.
 
-        Returns when the last slot of each set comes free, and the number of sets.
+        Returns when the last slot of each set becomes free, and the number of sets.
         """
-        at, count = heapq.heappop(self.heap)
+        free_at_s, count = heapq.heappop(self.heap)
         if count >= slots:
-            sets = min(most, count // slots)
+            sets = min(max_sets, count // slots)
             if count > sets * slots:
-                heapq.heappush(self.heap, (at, count - sets * slots))
-            return at, sets
+                heapq.heappush(self.heap, (free_at_s, count - sets * slots))
+            return free_at_s, sets
         while count < slots:
-            at, more = heapq.heappop(self.heap)
+            free_at_s, more = heapq.heappop(self.heap)
             count += more
         if count > slots:
-            heapq.heappush(self.heap, (at, count - slots))
-        return at, 1
+            heapq.heappush(self.heap, (free_at_s, count - slots))
+        return free_at_s, 1
 
 
 class Walk:
-    """The paper's array of free times, built once a round; machines may join and leave it.
+    """Assigns the queue to slots in order of the times at which they become free; machines may be added and removed.
 
-    Slots are sized to the head task; on a machine that the head may not use or
-    does not fit, to the soonest task that does. Slots that come free at one time
-    are counted, not listed: the answer is that of a walk over single slots.
+    A machine's slots have the size of the first task in the queue that may use the machine and fits on it. Slots that
+    become free at the same time are counted, not listed; the result equals that of a walk over single slots.
     """
 
     def __init__(self, resources: Iterable[MachineResource], queue: Sequence[Demand]) -> None:
-        """``queue``: soonest deadline first."""
+        """``queue``: earliest deadline first."""
         self.queue = queue
-        self.usable: list[list[tuple[SlotPool, int, int]] | None] = [None] * len(queue)  # see ``_usable``
-        self.pools: dict[tuple[MachineKind, str], SlotPool] = {}
-        self.heads: dict[tuple[MachineKind, Resources], Demand | None] = {}
+        # For each demand, what ``_usable_pools`` returns; None: not computed.
+        self.usable_pools: list[list[tuple[SlotPool, int, int]] | None] = [None] * len(queue)
+        self.pools: dict[tuple[MachineKind, str], SlotPool] = {}  # by machine kind and the job that sets the slot size
+        # Demand that sets the slot size, by machine kind and total resources; None: no demand can use the machine.
+        self.sizing_demands: dict[tuple[MachineKind, Resources], Demand | None] = {}
         for resource in resources:
             self.add(resource)
 
     def add(self, resource: MachineResource, sign: int = 1) -> None:
-        """A machine joins; with ``sign`` -1 it leaves."""
-        cpus = memory = gpus = 0.0
-        for _, more_cpus, more_memory, more_gpus in resource.ends:
-            cpus, memory, gpus = cpus + more_cpus, memory + more_memory, gpus + more_gpus
+        """Add a machine, or remove it with ``sign`` -1."""
+        cpus = memory_gb = gpus = 0.0
+        for _, released_cpus, released_memory_gb, released_gpus in resource.ends:
+            cpus, memory_gb, gpus = cpus + released_cpus, memory_gb + released_memory_gb, gpus + released_gpus
         free = resource.free
-        total = (free[0] + cpus, free[1] + memory, free[2] + gpus)
-        known = (resource.kind, total)
-        if known not in self.heads:
-            self.heads[known] = next(
+        total = (free[0] + cpus, free[1] + memory_gb, free[2] + gpus)
+        machine = (resource.kind, total)
+        if machine not in self.sizing_demands:
+            self.sizing_demands[machine] = next(
                 (demand for demand in self.queue if may_use(demand, resource.kind) and fits(demand.spec, total)), None
             )
-        head = self.heads[known]
-        if head is not None:
-            key = (resource.kind, head.spec.id)
+        sizing_demand = self.sizing_demands[machine]
+        if sizing_demand is not None:
+            key = (resource.kind, sizing_demand.spec.id)
             if key not in self.pools:
-                self.pools[key] = SlotPool(resource.kind, head.spec)
-                self.usable = [None] * len(self.queue)
+                self.pools[key] = SlotPool(resource.kind, sizing_demand.spec)
+                self.usable_pools = [None] * len(self.queue)
             self.pools[key].add(resource, sign)
 
     def remove(self, resource: MachineResource) -> None:
-        """A machine leaves that has joined with the same room."""
+        """Remove a machine that was added with the same free capacity and ends."""
         self.add(resource, -1)
 
-    def breach(self, hopeless: Callable[[Demand], bool] = lambda demand: False) -> Demand | None:
-        """The first demand, soonest deadline first, that would be assigned too late.
+    def first_breach(self, ignored: Callable[[Demand], bool] = lambda demand: False) -> Demand | None:
+        """The first demand in the queue of which a task would be assigned too late.
 
-        A ``hopeless`` one, for which nothing can be rented, is passed over: it takes no slots.
+        An ``ignored`` demand that would breach is skipped and takes no slots.
         """
         pools = list(self.pools.values())
         for pool in pools:
-            pool.start()
+            pool.reset()
         for number, demand in enumerate(self.queue):
-            before = [(list(pool.heap), pool.total) for pool in pools] if hopeless(demand) else None
-            if not self._left(demand, self._usable(number, demand)):
+            before = [(list(pool.heap), pool.total) for pool in pools] if ignored(demand) else None
+            if not self._assign(demand, self._usable_pools(number, demand)):
                 continue
             if before is None:
                 return demand
@@ -141,39 +154,39 @@
         return None
 
     def lacking(self) -> list[int]:
-        """For each demand, in the order of the queue, the tasks that no slot serves in time."""
+        """For each demand, in queue order, the number of tasks that get no slot in time."""
         for pool in self.pools.values():
-            pool.start()
-        return [self._left(demand, self._usable(number, demand)) for number, demand in enumerate(self.queue)]
-
-    def _usable(self, number: int, demand: Demand) -> list[tuple[SlotPool, int, int]]:
-        """The pools that the demand may use, slots a task takes there and tasks a slot holds; found once."""
-        known = self.usable[number]
-        if known is None:
-            known = self.usable[number] = []
+            pool.reset()
+        return [self._assign(demand, self._usable_pools(number, demand)) for number, demand in enumerate(self.queue)]
+
+    def _usable_pools(self, number: int, demand: Demand) -> list[tuple[SlotPool, int, int]]:
+        """The pools that the demand may use, each with slots per task and tasks per slot; cached by queue index."""
+        usable = self.usable_pools[number]
+        if usable is None:
+            usable = self.usable_pools[number] = []
             for pool in self.pools.values():
                 if may_use(demand, pool.kind):
-                    slots, tasks = pool.per_task(demand.spec)
+                    slots, tasks = pool.slots_and_tasks(demand.spec)
                     if slots:
-                        known.append((pool, slots, tasks))
-        return known
+                        usable.append((pool, slots, tasks))
+        return usable
 
     @staticmethod
-    def _left(demand: Demand, usable: Iterable[tuple[SlotPool, int, int]]) -> int:
-        """Put the tasks onto the earliest slots; how many are left where the next one comes too late."""
+    def _assign(demand: Demand, usable: Iterable[tuple[SlotPool, int, int]]) -> int:
+        """Assign the tasks to the earliest slots; returns how many remain when the next slot would be too late."""
         usable = [entry for entry in usable if entry[0].heap and entry[0].total >= entry[1]]
-        due, left = max(0.0, demand.due_in_s), demand.count
-        while left > 0:
-            pool, slots, tasks, soonest = None, 0, 0, math.inf
+        due_s, remaining = max(0.0, demand.due_in_s), demand.count
+        while remaining > 0:
+            pool, slots, tasks, earliest_s = None, 0, 0, math.inf
             for entry in usable:
-                free_at = entry[0].heap[0][0]
-                if free_at < soonest:
-                    (pool, slots, tasks), soonest = entry, free_at
-            if pool is None or soonest > due:
-                return left
-            at, sets = pool.take(slots, -(-left // tasks))
-            if at > due:
-                return left
-            heapq.heappush(pool.heap, (at + demand.run_s, sets * slots))
-            left -= sets * tasks
+                free_at_s = entry[0].heap[0][0]
+                if free_at_s < earliest_s:
+                    (pool, slots, tasks), earliest_s = entry, free_at_s
+            if pool is None or earliest_s > due_s:
+                return remaining
+            start_s, sets = pool.take(slots, -(-remaining // tasks))
+            if start_s > due_s:
+                return remaining
+            heapq.heappush(pool.heap, (start_s + demand.run_s, sets * slots))
+            remaining -= sets * tasks
         return 0
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The paper's heuristics, on small cases worked out by hand."""
+"""The paper's renting heuristics, queue times and quota division, on small cases with known results."""
 
 import random
 from collections import Counter
@@ -44,16 +44,16 @@
     return Demand(spec(tasks=count, **more), count, due, run)
 
 
-def big(free=8.0, ends=(), spot=True):
+def big_machine(free=8.0, ends=(), spot=True):
     return MachineResource(MachineKind("big", "a", spot), (free, 32.0 if free else 0.0, 0.0), ends)
 
 
-def predict_breach(resources, queue, hopeless=lambda demand: False):
-    return policy.Walk(resources, queue).breach(hopeless)
+def predicted_breach(resources, queue, ignored=lambda demand: False):
+    return policy.Walk(resources, queue).first_breach(ignored)
 
 
-def plain_breach(resources, queue, hopeless=lambda demand: False):
-    """The paper's walk as it stands in the text: one entry a slot, one task at a time."""
+def reference_breach(resources, queue, ignored=lambda demand: False):
+    """The paper's walk without optimizations: one entry per slot, one task at a time."""
     pools = {}
     for resource in resources:
         total = tuple(resource.free[i] + sum(end[i + 1] for end in resource.ends) for i in range(3))
@@ -72,20 +72,20 @@
         for _ in range(one.count):
             usable = [slots for (kind, _), (_, slots) in pools.items() if slots and policy.may_use(one, kind)]
             if not usable or min(map(min, usable)) > max(0.0, one.due_in_s):
-                if not hopeless(one):
+                if not ignored(one):
                     return one
                 for key, slots in before.items():
                     pools[key][1][:] = slots
                 break
-            soonest = min(usable, key=min)
-            at = min(soonest)
-            soonest.remove(at)
-            soonest.append(at + one.run_s)
+            earliest_pool = min(usable, key=min)
+            free_at_s = min(earliest_pool)
+            earliest_pool.remove(free_at_s)
+            earliest_pool.append(free_at_s + one.run_s)
     return None
 
 
 def random_case(rng, machines):
-    """Tasks of one size, so that a walk over single slots is easy to write plainly."""
+    """A random fleet and queue; all tasks have one size, which keeps ``reference_breach`` simple."""
     queue = [
         Demand(
             spec(f"wk-{i}", tasks=50, spot=rng.random() < 0.7, zone=rng.choice([None, None, "a", "b"])),
@@ -106,76 +106,76 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_counted_walk_answers_as_the_plain_one(seed):
+def test_walk_with_counted_slots_equals_the_reference_walk(seed):
     rng = random.Random(seed)
     for _ in range(60):
         resources, queue = random_case(rng, 12)
-        lost = {one.spec.id for one in queue if rng.random() < 0.2}
+        ignored_jobs = {one.spec.id for one in queue if rng.random() < 0.2}
         walk = policy.Walk(resources, queue)
-        for hopeless in (lambda one: False, lambda one, lost=lost: one.spec.id in lost):
-            assert walk.breach(hopeless) is plain_breach(resources, queue, hopeless)
+        for ignored in (lambda one: False, lambda one, ignored_jobs=ignored_jobs: one.spec.id in ignored_jobs):
+            assert walk.first_breach(ignored) is reference_breach(resources, queue, ignored)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_doubling_and_halving_rents_what_one_by_one_would(seed):
+def test_bisection_rents_the_same_machines_as_one_by_one(seed):
     rng = random.Random(seed)
     for _ in range(40):
         resources, queue = random_case(rng, 8)
         market = Market({"big": msgspec.structs.replace(BIG, zones=["a", "b"])}, ["a", "b"], 0.9)
-        count = Counter(resource.kind for resource in resources)
+        machine_counts = Counter(resource.kind for resource in resources)
         fleet, one_by_one = list(resources), []
-        while (breach := plain_breach(fleet, queue)) is not None:
-            kind = market.best(breach, 0.0, count)
+        while (breach := reference_breach(fleet, queue)) is not None:
+            kind = market.cheapest_kind(breach, 0.0, machine_counts)
             one_by_one.append(kind)
-            count[kind] += 1
-            fleet.append(MachineResource(kind, market.room(kind)))
-        counts = Counter(resource.kind for resource in resources)
-        wanted = policy.machines_to_rent(policy.Walk(resources, queue), market, 0.0, 1000, counts)
-        assert wanted == one_by_one
+            machine_counts[kind] += 1
+            fleet.append(MachineResource(kind, market.capacity(kind)))
+        initial_counts = Counter(resource.kind for resource in resources)
+        rented = policy.machines_to_rent(policy.Walk(resources, queue), market, 0.0, 1000, initial_counts)
+        assert rented == one_by_one
 
 
 def test_no_breach_while_slots_are_free():
-    assert predict_breach([big()], [demand(4)]) is None
+    assert predicted_breach([big_machine()], [demand(4)]) is None
 
 
-def test_breach_when_the_next_slot_comes_too_late():
-    assert predict_breach([big()], [demand(5)]).count == 5
+def test_breach_when_the_next_slot_becomes_free_too_late():
+    assert predicted_breach([big_machine()], [demand(5)]).count == 5
 
 
-def test_slots_free_at_the_expected_end_of_their_task():
+def test_slots_become_free_at_the_expected_end_of_their_task():
     ends = [(30.0, 2.0, 8.0, 0.0)] * 4
-    assert predict_breach([big(0.0, ends)], [demand(4)]) is None
-    assert predict_breach([big(0.0, ends)], [demand(4, due=29.0)]) is not None
+    assert predicted_breach([big_machine(0.0, ends)], [demand(4)]) is None
+    assert predicted_breach([big_machine(0.0, ends)], [demand(4, due=29.0)]) is not None
 
 
-def test_spot_machines_are_no_slots_for_a_job_that_may_not_use_them():
-    assert predict_breach([big(spot=True)], [demand(1, spot=False)]) is not None
-    assert predict_breach([big(spot=False)], [demand(1, spot=False)]) is None
+def test_spot_machines_offer_no_slots_to_a_job_that_may_not_use_them():
+    assert predicted_breach([big_machine(spot=True)], [demand(1, spot=False)]) is not None
+    assert predicted_breach([big_machine(spot=False)], [demand(1, spot=False)]) is None
 
 
-def test_rents_until_no_breach_is_predicted_and_spot_below_the_bid():
+def test_rents_until_no_breach_is_predicted_and_uses_spot_only_below_the_bid():
     market = Market({"big": BIG}, ["a"], 0.9)
 
-    def wanted(below_cap):
-        return policy.machines_to_rent(policy.Walk([], [demand(9)]), market, 0.0, below_cap, {})
+    def rented(max_new_machines):
+        return policy.machines_to_rent(policy.Walk([], [demand(9)]), market, 0.0, max_new_machines, {})
 
-    assert wanted(10) == [MachineKind("big", "a", True)] * 3
+    assert rented(10) == [MachineKind("big", "a", True)] * 3
     market.bid_share = 0.2
-    assert wanted(10) == [MachineKind("big", "a", False)] * 3
-    assert len(wanted(2)) == 2
+    assert rented(10) == [MachineKind("big", "a", False)] * 3
+    assert len(rented(2)) == 2
 
 
-def test_hard_check_asks_only_near_a_breach_and_counts_what_is_booting():
+def test_hard_check_rents_only_near_a_breach_and_counts_booting_machines():
     market = Market({"big": BIG}, ["a"], 0.9)
     assert policy.hard_check([demand(4, due=60.0)], market, 0.0, [], 10) == []
     assert len(policy.hard_check([demand(8, due=50.0)], market, 0.0, [], 10)) == 2
-    assert len(policy.hard_check([demand(8, due=50.0)], market, 0.0, [big()], 10)) == 1
+    assert len(policy.hard_check([demand(8, due=50.0)], market, 0.0, [big_machine()], 10)) == 1
 
 
-def test_refused_kind_is_left_alone_for_a_while():
+def test_refused_kind_is_not_rented_until_its_pause_ends():
     market = Market({"big": BIG}, ["a"], 0.9, {MachineKind("big", "a", True): 10.0})
-    assert market.best(demand(1), 5.0) == MachineKind("big", "a", False)
-    assert market.best(demand(1), 11.0) == MachineKind("big", "a", True)
+    assert market.cheapest_kind(demand(1), 5.0) == MachineKind("big", "a", False)
+    assert market.cheapest_kind(demand(1), 11.0) == MachineKind("big", "a", True)
 
 
 def test_maximum_queue_time_has_a_floor():
@@ -184,7 +184,7 @@
     assert queue_times.max_queue_time(spec(estimate_s=600.0), tuning) == 300.0
 
 
-def test_objectives_set_the_queue_times_and_missed_ones_go_behind():
+def test_objectives_set_the_queue_times_and_jobs_that_missed_all_are_late():
     objectives = [Objective("wait", "x", 20.0), Objective("finished", "x", 200.0), Objective("wait", "other", 1.0)]
     times = queue_times.queue_times(spec(estimate_s=10.0), Tuning(), objectives, False)
     assert times == [(12.0, 20.0), (186.0, 192.0)]
@@ -195,53 +195,57 @@
     assert queue_times.queue_times(spec(), Tuning(), [], False) == [(120.0, 120.0)]
 
 
-def test_idle_machine_stays_only_if_its_removal_predicts_a_breach():
-    fleet = [big(), big()]
+def test_idle_machine_is_kept_only_if_its_removal_predicts_a_breach():
+    fleet = [big_machine(), big_machine()]
     assert policy.keep_idle(policy.Walk(fleet, [demand(8)]), fleet[0])
     assert not policy.keep_idle(policy.Walk(fleet, [demand(4)]), fleet[0])
 
 
-def test_an_idle_machine_does_not_stay_for_a_breach_that_it_is_of_no_use_for():
-    elsewhere = msgspec.structs.replace(spec(cpus=2.0), zone="b")
+def test_idle_machine_is_not_kept_for_a_demand_that_cannot_use_it():
+    other_zone = msgspec.structs.replace(spec(cpus=2.0), zone="b")
     too_large = spec(cpus=9.0)
-    for wrong in (elsewhere, too_large):
-        waiting = [Demand(wrong, 1, 5.0, 100.0)]
-        assert predict_breach([big()], waiting) is waiting[0]
-        assert not policy.keep_idle(policy.Walk([big()], waiting), big())
-    mixed = [Demand(elsewhere, 1, 5.0, 100.0), demand(8)]
-    assert policy.keep_idle(policy.Walk([big(), big()], mixed), big()), "the other demand needs both"
+    for unsuitable in (other_zone, too_large):
+        waiting = [Demand(unsuitable, 1, 5.0, 100.0)]
+        assert predicted_breach([big_machine()], waiting) is waiting[0]
+        assert not policy.keep_idle(policy.Walk([big_machine()], waiting), big_machine())
+    mixed = [Demand(other_zone, 1, 5.0, 100.0), demand(8)]
+    assert policy.keep_idle(policy.Walk([big_machine(), big_machine()], mixed), big_machine()), (
+        "the other demand needs both"
+    )
 
 
-def test_shares_of_a_limit_never_exceed_it():
+def test_quotas_of_all_job_shards_never_exceed_the_limit():
     rng = random.Random(5)
-    homes = ["a", "b", "c"]
-    held, given = dict.fromkeys(homes, 0.0), dict.fromkeys(homes, 0.0)
-    used = dict.fromkeys(homes, 0.0)
+    owners = ["a", "b", "c"]
+    reserved, allocated = dict.fromkeys(owners, 0.0), dict.fromkeys(owners, 0.0)
+    used = dict.fromkeys(owners, 0.0)
     for _ in range(500):
-        needs = [
-            quota_division.QuotaDemand(rng.choice(homes), rng.uniform(0.0, 80.0), rng.choice([0.0, 1.0, 40.0]), kept)
-            for kept in rng.choices([False, True], k=rng.randint(0, 4))
+        demands = [
+            quota_division.QuotaDemand(
+                rng.choice(owners), rng.uniform(0.0, 80.0), rng.choice([0.0, 1.0, 40.0]), starved
+            )
+            for starved in rng.choices([False, True], k=rng.randint(0, 4))
         ]
-        shares = quota_division.divide_quota(100.0, used, held, given, needs)
-        assert sum(max(held[h], shares.get(h, 0.0)) for h in homes) <= 100.0 + 1e-6
-        given = shares
-        for h in homes:  # the home confirms, and uses what it may
-            used[h] = max(0.0, min(max(used[h], given.get(h, 0.0)), rng.uniform(0.0, 100.0)))
-            held[h] = max(used[h], given.get(h, 0.0))
+        quotas = quota_division.divide_quota(100.0, used, reserved, allocated, demands)
+        assert sum(max(reserved[owner], quotas.get(owner, 0.0)) for owner in owners) <= 100.0 + 1e-6
+        allocated = quotas
+        for owner in owners:  # the shard confirms its quota and uses up to it
+            used[owner] = max(0.0, min(max(used[owner], allocated.get(owner, 0.0)), rng.uniform(0.0, 100.0)))
+            reserved[owner] = max(used[owner], allocated.get(owner, 0.0))
 
 
-def test_what_is_not_used_goes_to_the_soonest_need():
-    homes = {"a": 60.0, "b": 0.0}
-    needs = [quota_division.QuotaDemand("b", 30.0), quota_division.QuotaDemand("a", 50.0)]
-    shares = quota_division.divide_quota(100.0, dict(homes), dict(homes), {"a": 60.0, "b": 0.0}, needs)
-    assert shares == {"a": 70.0, "b": 30.0}
+def test_unused_quota_goes_to_the_first_demand():
+    used = {"a": 60.0, "b": 0.0}
+    demands = [quota_division.QuotaDemand("b", 30.0), quota_division.QuotaDemand("a", 50.0)]
+    quotas = quota_division.divide_quota(100.0, dict(used), dict(used), {"a": 60.0, "b": 0.0}, demands)
+    assert quotas == {"a": 70.0, "b": 30.0}
 
 
-def test_what_is_rented_is_for_what_the_teams_quota_allocation_is_kept_for():
-    """The machine was there for one job, the limit kept for another that can't use it: neither ever began."""
+def test_machines_are_rented_for_the_job_that_the_teams_quota_is_allocated_to():
+    """Guards against renting for one job while the quota is reserved for another, so that neither starts."""
     membership = Membership("host-0", 20.0, 12.0)
-    known = Replica(membership, Graph(lambda spec: 1.0, []))
-    leader = Leader(LeaderSettings([Team("t", cpus_max=16.0)], ["a"], Tuning(), 1.0, 17.0), known)
+    replica = Replica(membership, Graph(lambda spec: 1.0, []))
+    leader = Leader(LeaderSettings([Team("t", cpus_max=16.0)], ["a"], Tuning(), 1.0, 17.0), replica)
     leader.on_types(
         {
             "large": MachineType(
@@ -254,7 +258,7 @@
     first = spec(tasks=6, cpus=4.0, spot=False)
     other = msgspec.structs.replace(first, id="wk-2", priority="best_effort", tasks=13, cpus=2.0, spot=True)
     for label, one in (("host-1", other), ("host-0", first)):
-        known.observe_job(one.id, Record(JobState.ACTIVE, label, 0.0, one.tasks, [], one), 1)
+        replica.observe_job(one.id, Record(JobState.ACTIVE, label, 0.0, one.tasks, [], one), 1)
         row = QueueRow(one.id, one.tasks, 0, 120.0, 10.0, None, 300.0, True, False)
         leader.on_queue(label, QueueSnapshot([row], {}, {}, {"t": (one.tasks * one.cpus, 0.0)}, 0), 1.0)
         leader.on_machine_summaries(label, MachineSummaries([]), 1.0)
@@ -264,6 +268,6 @@
         MachineSummaries([MachineSummary("n-1", "large", "a", True, "up", 9.0, (16.0, 64.0, 0.0), [], 1.0)]),
         1.0,
     )
-    allowed = leader.quota_updates(1.0)
-    assert allowed["host-0"]["t"][0] == 16.0
+    quotas = leader.quota_updates(1.0)
+    assert quotas["host-0"]["t"][0] == 16.0
     assert [kind for kind, _ in leader.decide(1.0).scale_out] == [MachineKind("large", "a", False)]
