--- a/tests/test_cloud_refusals.py
+++ b/tests/test_cloud_refusals.py
@@ -1,10 +1,7 @@
-"""What the cloud may not answer, and machines that leave without a word of this leader's.
+"""Refusals by the cloud, and machines that an earlier leader drained.
 
-A 503 "no capacity" to a listing or a return ended the scaling loop with a traceback ("loop=keep_machines
-state=failed"): the client took the words for a rental's, which alone has them, and the loop let that error through. A
-machine that an earlier leader had drained entered TERMINATING without the time: by ``terminating_since`` 0.0 it counted
-as leaving for ever, and was returned the moment its shard no longer reported it, not after the round in which the
-shard may confirm.
+Guards against taking a 503 "no capacity" on other calls than rentals for a refused rental, and against returning a
+drained machine before its shard had a round to confirm.
 """
 
 import curio
@@ -39,14 +36,14 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_no_capacity_is_an_answer_to_rentals_alone(call):
+def test_no_capacity_is_recognized_only_for_rentals(call):
     cloud = refusing_cloud(503, b'{"error":"no capacity"}')
     with pytest.raises(CloudError) as raised:
         curio.run(CALLS[call], cloud)
     assert not isinstance(raised.value, NoCapacityError) and "503" in str(raised.value)
 
 
-def test_a_rental_without_capacity_is_told_from_an_outage():
+def test_rental_refused_for_capacity_is_distinguished_from_an_outage():
     rent = ("r-1", "large", "a", True, 2)
     with pytest.raises(NoCapacityError):
         curio.run(refusing_cloud(503, b'{"error":"no capacity"}').rent, *rent)
@@ -55,21 +52,21 @@
     assert not isinstance(raised.value, NoCapacityError)
 
 
-def test_a_machine_that_was_drained_before_leaves_from_now_on():
-    known = Replica(Membership("host-0", 20.0, 12.0), Graph(lambda spec: 1.0, []))
-    leader = Leader(LeaderSettings([Team("t")], ["a"], Tuning(), 1.0, 17.0), known)
+def test_machine_drained_by_an_earlier_leader_is_terminating_from_its_first_summary():
+    replica = Replica(Membership("host-0", 20.0, 12.0), Graph(lambda spec: 1.0, []))
+    leader = Leader(LeaderSettings([Team("t")], ["a"], Tuning(), 1.0, 17.0), replica)
     large = MachineType(name="large", cpus=16.0, memory_gb=64.0, price=1.0, spot_price=0.3, boot_s=10.0, zones=["a"])
     leader.on_types({"large": large})
     leader.enter(["host-0"], 90.0)
     leader.rented_machines.listed = True
     leader.on_queue("host-0", QueueSnapshot([], {}, {}, {}, 0), 100.0)
-    # Not empty: a task that ends in 30 s is on it.
+    # Not empty: it runs a task that is expected to end in 30 s.
     ends = [(30.0, 1.0, 1.0, 0.0)]
     row = MachineSummary("n-1", "large", "a", True, "draining", 0.0, (15.0, 63.0, 0.0), ends, 1.0)
     leader.on_machine_summaries("host-0", MachineSummaries([row]), 100.0)
     assert leader.decide(100.0).terminate == []
     rented = leader.rented_machines["n-1"]
     assert rented.state is RentedMachineState.TERMINATING and rented.terminating_since == 100.0
-    leader.on_machine_summaries("host-0", MachineSummaries([]), 100.5)  # its shard no longer has it
+    leader.on_machine_summaries("host-0", MachineSummaries([]), 100.5)  # its shard no longer reports it
     assert leader.decide(100.5).terminate == []
     assert leader.decide(100.5 + constants.LEADER_ROUND_S).terminate == ["n-1"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Light work gathers on busy machines; machines are filled in the order of the whole queue."""
+"""Placement: packing onto busy machines, and filling a machine in the order of the whole queue."""
 
 import random
 
@@ -30,7 +30,7 @@
     )
 
 
-def test_room_on_busy_machines_is_what_the_job_may_use():
+def test_capacity_of_busy_machines_counts_only_machines_the_job_may_use():
     busy = BusyMachines(
         [Candidate("a", "c8", "a", True, (5.0, 9.0, 0.0), {}), Candidate("b", "c8", "b", False, (8.0, 3.0, 0.0), {})]
     )
@@ -40,27 +40,27 @@
     assert busy.capacity_for(spec(types=["c16"])) == 0
 
 
-def brute(machine, rows, fetch_s, elsewhere):
-    """The whole queue sorted for this one machine, as each report once did."""
+def reference_fill(machine, rows, fetch_s, capacity_elsewhere):
+    """Fill one machine by sorting the whole queue with that machine's fetch times."""
     queue = sorted(
         ((late, rank, due + fetch_s(offer.spec)), label, number, offer)
         for label, offers in rows.items()
         for number, offer in enumerate(offers)
         for late, rank, due in [offer.key]
     )
-    room, wanted = machine.free, []
+    free, requests = machine.free, []
     for _, label, _, offer in queue:
         if allowed(offer.spec, machine.type, machine.zone, machine.spot):
             if offer.row.zone in (None, machine.zone):
-                count = min(fits(offer.spec, room), offer.left - elsewhere(offer))
+                count = min(fits(offer.spec, free), offer.left - capacity_elsewhere(offer))
                 if count > 0:
-                    room = minus(room, offer.spec, count)
-                    wanted.append((label, offer.row.job, count))
-    return wanted
+                    free = minus(free, offer.spec, count)
+                    requests.append((label, offer.row.job, count))
+    return requests
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_a_machine_filled_from_the_front_gets_what_the_whole_sorted_queue_would_give(seed):
+def test_fill_requests_the_same_tasks_as_sorting_the_whole_queue(seed):
     rng = random.Random(seed)
     images = {"i-0": 1.0, "i-1": 1.0}
     rows, offers = {}, Offers()
@@ -105,9 +105,9 @@
         def fetch_s(job):
             return 0.0 if job.image in images else 1.0 + 7.0 * int(job.image[-1])
 
-        def elsewhere(offer):
+        def capacity_elsewhere(offer):
             return 2 if offer.young_until > 100.0 else 0
 
-        expected = brute(machine, rows, fetch_s, elsewhere)
-        got = fill(machine, offers, fetch_s, elsewhere, now=100.0)
-        assert [(want.owner, want.job, want.count) for want in got] == expected
+        expected = reference_fill(machine, rows, fetch_s, capacity_elsewhere)
+        requests = fill(machine, offers, fetch_s, capacity_elsewhere, now=100.0)
+        assert [(request.owner, request.job, request.count) for request in requests] == expected
--- a/tests/test_team_limit_large_jobs.py
+++ b/tests/test_team_limit_large_jobs.py
@@ -1,11 +1,7 @@
-"""The largest job of a team at its limit begins within four minutes, though smaller ones take each CPU that comes free.
-
-What happens: a job of 8-CPU tasks of a team limited to 16 CPUs never begins while small jobs of the team come. Why,
-by the leader's rows and quotas: once it is late it is last in the order by which the leader divides the team's limit
-(``QuotaAllocator._demands``), so jobs in time take what comes free and nothing is left to be reserved for it. Its job
-shard has less than one task's quota, so it offers nothing (``offer`` 0), and a job without an offer gets no priority
-boost (``JobQueue._priority_boost``), which is what would put it first. Nor is a machine rented for it: by the team's
-limit it asks for none. And small jobs of its own shard use what the shard is given, whomever it was meant for.
+"""A team's largest job starts within four minutes while the team is at its limit and submits smaller jobs.
+
+Guards against starvation: a late large job sorts last for its team's quota, and with less quota than one task needs it
+makes no offer, so it gets neither a priority boost nor a rented machine.
 """
 
 import pytest
@@ -15,11 +11,11 @@
 
 LARGE = "wk-900000"
 SENT_AT = 30.0
-BEGIN_WITHIN_S = 240.0  # the users' aim: the largest jobs of a class begin within four minutes
+BEGIN_WITHIN_S = 240.0  # objective: the largest jobs of a class start within four minutes
 
 
 class SmallJobs(Rooms):
-    """More one-CPU tasks of one team than its limit lets run, and one job of large tasks among them."""
+    """One-CPU tasks of a team in excess of its limit, and one job of large tasks among them."""
 
     def __init__(self, seed: int, jobs_per_s: float = 2.0) -> None:
         super().__init__(seed)
