--- a/alderbridge/leader/rented_machines.py
+++ b/alderbridge/leader/rented_machines.py
@@ -49,7 +49,7 @@
 
 @dataclass
 class RentedMachine:
-    """One machine that is paid for."""
+    """A machine rented from the cloud."""
 
     kind: MachineKind
     rented_at: float
