--- a/alderbridge/jobs/__init__.py
+++ b/alderbridge/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs and the shard of them that one controller owns; the dependencies between jobs."""
+"""The shard of jobs that one controller owns, and the dependency graph of all jobs."""
--- a/alderbridge/jobs/grants.py
+++ b/alderbridge/jobs/grants.py
@@ -1,4 +1,4 @@
-"""Task grants: the answer to a machine shard that asks for tasks of one job."""
+"""Task grants: responses to machine shards that request tasks of a job."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 log = logging.getLogger("jobs")
 
-FENCING_TOKEN_SHIFT = 24  # an attempt's number has the fencing token above these bits, a counter in them
+ATTEMPT_COUNTER_BITS = 24  # low bits of an attempt number; the fencing token is in the bits above
 
 
 class TaskGranter:
@@ -27,27 +27,27 @@
         job_calendars: JobCalendars,
         send: Callable[[str, Message], int],
     ) -> None:
-        """``send`` takes a member's label and a message, and returns the message's number in its channel."""
+        """``send`` takes a member's label and a message, and returns the message's sequence in its channel."""
         self.jobs = jobs
         self.jobs_by_machine = jobs_by_machine
         self.usage = usage
         self.job_calendars = job_calendars
         self.send = send
         self.fencing_token = 0
-        self.attempts = 0  # under this fencing token
+        self.attempts = 0  # attempt numbers issued under this fencing token
 
     def enter(self, fencing_token: int) -> None:
-        """A new view: attempts are numbered above those of all views before."""
+        """Start a new view: its attempt numbers are higher than those of all earlier views."""
         self.fencing_token = fencing_token
         self.attempts = 0
 
-    def on_task_request(self, label: str, request: TaskRequest, now: float, entitled: bool) -> None:
-        """Answer with a grant, which is empty if nothing may start; ``entitled``: this controller may act."""
+    def on_task_request(self, label: str, request: TaskRequest, now: float, may_act: bool) -> None:
+        """Respond with a grant, empty if no task may start; ``may_act``: this controller may act under the view."""
         job = self.jobs.get(request.job)
         tasks: list[tuple[int, int]] = []
-        gate = self.job_calendars.gate  # the offer was made some moments ago: the calendar may have closed since
+        gate = self.job_calendars.gate  # the calendar may have closed since the queue row offered the tasks
         is_closed = job is not None and gate is not None and not gate.may_start(job.spec)
-        if job is None or not entitled or job.is_blocked or is_closed:
+        if job is None or not may_act or job.is_blocked or is_closed:
             self.send(label, TaskGrant(request.request_id, request.job, request.machine, tasks))
             return
         runs = []
@@ -70,14 +70,14 @@
             run.seq = seq
 
     def _next_attempt(self, job: Job) -> int:
-        """A number never used before; tasks of a gang find each other by a common one."""
+        """A new attempt number; concurrent tasks of a gang share one number, by which they find each other."""
         if job.spec.gang and job.runs:
             return next(iter(job.runs.values())).attempt
         self.attempts += 1
-        return (self.fencing_token << FENCING_TOKEN_SHIFT) + self.attempts
+        return (self.fencing_token << ATTEMPT_COUNTER_BITS) + self.attempts
 
     def quota_room(self, job: Job) -> int:
-        """How many more tasks of the job its team's quota allows here."""
+        """How many more tasks of the job the team's quota on this shard allows."""
         if not self.usage.limited(job.spec.team):
             return job.spec.tasks
         return self.usage.room(job.spec.team, self.usage.tally.teams.get(job.spec.team, (0.0, 0.0)), job.spec)
--- a/alderbridge/jobs/index_ranges.py
+++ b/alderbridge/jobs/index_ranges.py
@@ -6,11 +6,11 @@
 from bisect import bisect_right
 from collections.abc import Iterable
 
-RANGE_BYTES = 4  # brackets and commas of one encoded range
+RANGE_OVERHEAD_BYTES = 4  # brackets and commas of one range in JSON
 
 
 class IndexRanges:
-    """A set of whole numbers as sorted half-open ranges."""
+    """A set of integers, stored as sorted half-open ranges."""
 
     def __init__(self, ranges: Iterable[tuple[int, int]] = ()) -> None:
         """``ranges``: sorted, half-open and not adjacent."""
@@ -18,12 +18,12 @@
         self.count = sum(high - low for low, high in self.ranges)
 
     def __contains__(self, number: int) -> bool:
-        """Whether the number is in one of the ranges."""
+        """Whether the number is in the set."""
         position = bisect_right(self.ranges, (number, math.inf)) - 1
         return position >= 0 and self.ranges[position][0] <= number < self.ranges[position][1]
 
     def add(self, number: int) -> bool:
-        """Add a number, joining it with adjacent ranges; False if it was there already."""
+        """Add a number, merging it with adjacent ranges; False if it was present already."""
         if number in self:
             return False
         position = bisect_right(self.ranges, (number, math.inf))
@@ -37,12 +37,12 @@
         self.count += 1
         return True
 
-    def largest_within(self, size_limit: int) -> list[tuple[int, int]]:
-        """The largest ranges whose JSON fits ``size_limit`` bytes, in order; a range is kept whole or left out."""
-        size, result = 2, []
+    def largest_within(self, limit_bytes: int) -> list[tuple[int, int]]:
+        """The largest ranges whose JSON fits into ``limit_bytes``, sorted; ranges are never split."""
+        size_bytes, result = 2, []
         for low, high in sorted(self.ranges, key=lambda entry: entry[0] - entry[1]):
-            size += len(str(low)) + len(str(high)) + RANGE_BYTES
-            if size > size_limit:
+            size_bytes += len(str(low)) + len(str(high)) + RANGE_OVERHEAD_BYTES
+            if size_bytes > limit_bytes:
                 break
             result.append((low, high))
         return sorted(result)
--- a/alderbridge/jobs/inherited_tasks.py
+++ b/alderbridge/jobs/inherited_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that a job inherited from an earlier view, and the recovery barrier that they wait behind."""
+"""Tasks inherited from an earlier view, and the recovery barrier that delays their requeueing."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class InheritedTasks:
-    """Keeps inherited tasks from starting again while a machine that is not reconciled may still run them."""
+    """Prevents inherited tasks from starting again while a machine that is not reconciled may still run them."""
 
     def __init__(self, jobs: dict[str, Job]) -> None:
-        """``jobs``: of the shard, kept by it."""
+        """``jobs``: the dict of the shard, which updates it."""
         self.jobs = jobs
-        self.barrier = Barrier({})  # machines that inherited tasks may still be on
+        self.barrier = Barrier({})  # machines that may still run inherited tasks
         self.fencing_token = 0
 
     def enter(self, fencing_token: int, machines: Mapping[str, MachineRecord]) -> None:
-        """A new view, under which no recorded machine is reconciled yet."""
+        """Start a new view, under which no recorded machine is reconciled yet."""
         self.fencing_token = fencing_token
         self.barrier = Barrier(machines)
 
     def on_machine_reconciled(self, machine: str) -> None:
-        """All that is on the machine is known."""
+        """The owner of the machine has reported all tasks on it, or proved that there are none."""
         if self.barrier.remove(machine):
             if not self.barrier:
                 log.info("barrier state=lifted fencing_token=%d", self.fencing_token)
             self.release()
 
     def release(self) -> None:
-        """Requeue the inherited tasks of jobs that no machine behind the barrier may hold."""
+        """Requeue the inherited tasks that no machine of the barrier may still run."""
         for job in self.jobs.values():
             if job.unknown and not self.barrier.may_hold(job.spec):
                 for index in list(job.unknown):
--- a/alderbridge/jobs/job_calendars.py
+++ b/alderbridge/jobs/job_calendars.py
@@ -1,4 +1,4 @@
-"""What the calendars in force mean for the jobs of one shard: which are closed, which tasks stop at closing."""
+"""Applies the calendars in force to the jobs of one shard: which are closed, and which tasks stop at closing."""
 
 from __future__ import annotations
 
@@ -23,24 +23,25 @@
         self.jobs = jobs
         self.send = send
         self.machine_owner = machine_owner
-        self.gate: CalendarGate | None = (
-            None  # replaced with each change of the calendars in force; None: none is declared
-        )
-        self.closed: set[str] = set()  # jobs that wait for their opening, and ask for nothing yet
-        # (job, index, attempt) of tasks that were ordered to stop at closing, and are not proven gone yet
+        # Replaced with each change of the calendars in force; None: no calendar is declared.
+        self.gate: CalendarGate | None = None
+        self.closed: set[str] = (
+            set()
+        )  # closed jobs that are not warming up: they have no queue rows and no quota demand
+        # (job, index, attempt) of tasks that were sent a stop at closing and are still on their machine
         self.stopping_tasks: set[tuple[str, int, int]] = set()
 
     def reset(self) -> None:
-        """A new view: the machines' owners have forgotten which tasks they were ordered to stop."""
+        """Start a new view: machine owners do not keep stop orders across views, so these are sent again."""
         self.stopping_tasks = set()
 
     def refresh(self, now: float) -> None:
-        """Which jobs are closed now; jobs that open get the time from which they wait."""
+        """Update which jobs are closed; a job that opens gets the time from which its waiting counts."""
         if self.gate is not None:
             self.closed = self.gate.update_turns(self.jobs.values(), now)
 
     def stop_tasks(self) -> None:
-        """For classes that are stopped at closing: their tasks save a checkpoint and wait for the next opening."""
+        """Stop tasks of classes that end at closing: they save a checkpoint and wait for the next opening."""
         gate = self.gate
         if gate is None:
             self.stopping_tasks = set()
--- a/alderbridge/jobs/job_queue.py
+++ b/alderbridge/jobs/job_queue.py
@@ -1,4 +1,4 @@
-"""The queue rows of a job shard: its waiting jobs and how many of their tasks it would grant now."""
+"""Queue rows of a job shard: its waiting jobs, and how many of their tasks it would grant now."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 
-# Priority boosts, see ``QueueRow``.
+# Values of ``QueueRow.priority_boost``.
 NO_BOOST = 0
-BOOST_IN_PRIORITY = 1
-BOOST_STARVED = 2
+BOOST_IN_PRIORITY = 1  # first among the jobs of its priority
+BOOST_STARVED = 2  # before all jobs that are not guaranteed
 
 
 class JobQueue:
     """Builds the queue rows of a shard's jobs."""
 
     def __init__(self, jobs: dict[str, Job], usage: QuotaUsage, job_calendars: JobCalendars) -> None:
-        """``jobs``: of the shard, kept by it."""
+        """``jobs``: the dict of the shard, which updates it."""
         self.jobs = jobs
         self.usage = usage
         self.job_calendars = job_calendars
@@ -38,11 +38,12 @@
     ) -> list[QueueRow]:
         """Rows of the jobs with waiting or inherited tasks, the most urgent first, at most ``QUEUE_ROWS``.
 
-        ``due_in``: seconds until a job is late, and whether it is. ``rank``: of dependents. Times in seconds.
+        ``due_in``: seconds until a job breaches its maximum queue time, and whether it has missed all of them.
+        ``run_time``: expected run time in seconds. ``rank``: highest rank of a job's dependents.
         """
         rows = []
         self.job_calendars.refresh(now)
-        closed, room = self.job_calendars.closed, self.usage.room
+        closed, quota_tasks = self.job_calendars.closed, self.usage.room
         for job in self.jobs.values():
             if job.is_blocked or job.state is not JobState.ACTIVE or now < job.paused_until:
                 continue
@@ -50,19 +51,31 @@
             if not (waiting or inherited) or spec.id in closed:
                 continue
             may_grant, zone = job.allowed_zone()
-            offer = min(waiting, room(spec.team, used.get(spec.team, (0.0, 0.0)), spec))
+            offer = min(waiting, quota_tasks(spec.team, used.get(spec.team, (0.0, 0.0)), spec))
             ready = len(job.requeued) + max(0, min(job.start_limit, spec.tasks) - job.next_index)
             if ready < offer:
                 job.raise_start_limit(offer, now)
                 offer = ready
             due, late = due_in(job, now, guaranteed := spec.id in guaranteed_jobs)
-            # No offer until its times count. Room that is reserved for it is taken until its run ends.
-            ahead = max(0.0, job.waiting_since - now)
-            offer, boost = self._priority_boost(job, now, offer if may_grant and ahead <= 0 else 0, late)
-            run_s, waited, raised_rank = run_time(spec) + ahead, now - job.waiting_since, rank(spec)
+            # Nothing is offered before ``waiting_since``. The delay counts as run time, since capacity that is
+            # reserved for the job is occupied until its run ends.
+            delay_s = max(0.0, job.waiting_since - now)
+            offer, boost = self._priority_boost(job, now, offer if may_grant and delay_s <= 0 else 0, late)
+            run_s, waited_s, dependents_rank = run_time(spec) + delay_s, now - job.waiting_since, rank(spec)
             rows.append(
                 QueueRow(
-                    spec.id, waiting, offer, due, run_s, zone, waited, late, guaranteed, raised_rank, inherited, boost
+                    spec.id,
+                    waiting,
+                    offer,
+                    due,
+                    run_s,
+                    zone,
+                    waited_s,
+                    late,
+                    guaranteed,
+                    dependents_rank,
+                    inherited,
+                    boost,
                 )
             )
         rows.sort(key=lambda row: row.due_in_s)
@@ -70,10 +83,10 @@
 
     @staticmethod
     def _priority_boost(job: Job, now: float, offer: int, late: bool) -> tuple[int, int]:
-        """What is offered, and the priority boost that keeps a large job from starving (see ``QueueRow``).
+        """The number of tasks to offer, and the priority boost that keeps a large job from starving.
 
-        A large job takes longer to start, so it is late sooner, and behind all that comes in time for as long as
-        that fills the fleet: 25 of 300 tasks waited until the stream of small jobs ended (tests/test_flapping.py).
+        A large job takes longer to start, so it becomes late earlier. Late jobs are ordered behind those in time, so
+        without a boost it would wait for as long as a stream of small jobs fills the fleet.
         """
         if (
             offer
--- a/alderbridge/jobs/job_timing.py
+++ b/alderbridge/jobs/job_timing.py
@@ -10,33 +10,33 @@
 
 
 class JobTiming:
-    """Submission, dependencies and calendar of a job, as far as its start depends on them.
+    """Submission, readiness and calendar times of a job.
 
-    Times are of the steady clock, in seconds, where they are not called a time of day.
+    Times are in seconds of the monotonic clock, unless marked as a time of day.
     """
 
     def __init__(self, record: Record, submitted: float) -> None:
-        """``submitted``: when the job was submitted, by the steady clock."""
+        """``submitted``: time of the submission, monotonic clock."""
         assert record.spec is not None
         self.spec = record.spec
         self.at = record.at  # time of day of the submission
         self.submitted = submitted
-        self.ready_since = submitted  # when its last dependency was done, or its submission
-        self.waiting_since = submitted  # from when its waiting time counts: ``ready_since``, or later by a calendar
-        self.opens_at = 0.0  # time of day until which its calendar is closed; 0: open
-        self.opened_at = 0.0  # time of day of the opening from which its waiting time counts; 0: none
-        # Until ``unblock``: a job that it depends on is not known to be done.
+        self.ready_since = submitted  # end of the last dependency; the submission if there is none
+        self.waiting_since = submitted  # start of its waiting time: ``ready_since``, or later because of its calendar
+        self.opens_at = 0.0  # time of day when its closed calendar opens; 0: it is open
+        self.opened_at = 0.0  # time of day of the opening that ``waiting_since`` is based on; 0: none
+        # Whether a dependency may not be done yet; cleared by ``unblock``.
         self.is_blocked = bool(record.spec.needs or record.dependency_digest)
-        self.ready_at = record.ready_at  # time of day when its last dependency was done; 0: it had none
-        # What the queue times were computed from, and the queue times, see ``policy.queue_times``.
+        self.ready_at = record.ready_at  # time of day when its last dependency was done; 0: none, or not done
+        # Cached queue times, after the inputs that they were computed from.
         self.queue_times: tuple[tuple[object, ...], list[tuple[float, float]]] | None = None
 
     def block(self) -> None:
-        """A job that it depends on is not done: no task of it was ever started, and none may be."""
+        """A dependency is not done: no task may start, and none has ever started."""
         self.is_blocked = True
 
     def unblock(self, since: float, ready_at: float) -> None:
-        """All that it depends on is done in the store: its waiting time counts from ``since``."""
+        """All dependencies are stored as done: the waiting time counts from ``since``."""
         if self.is_blocked:
             log.info(
                 "job=%s state=ready cause=all it needs is done, %.1f s after its submission",
@@ -48,13 +48,13 @@
         self.ready_at, self.opened_at = ready_at, 0.0
 
     def close(self, opens_at: float) -> None:
-        """Its calendar is closed until that time of day: none of its tasks is started."""
+        """The calendar is closed until that time of day: no task may start."""
         self.opens_at = opens_at
 
     def reopen(self) -> None:
-        """Its calendar is open."""
+        """The calendar is open."""
         self.opens_at = 0.0
 
     def schedule_after_opening(self, opened_at: float, since: float) -> None:
-        """Its waiting time counts from ``since``, at or after the opening at that time of day."""
+        """The waiting time counts from ``since``, at or after the opening at the time of day ``opened_at``."""
         self.opened_at, self.waiting_since = opened_at, since
--- a/alderbridge/jobs/record.py
+++ b/alderbridge/jobs/record.py
@@ -8,8 +8,8 @@
 
 from alderbridge.protocol.wire import JobSpec
 
-# Time of day of an end that has not come. ``omit_defaults`` goes by identity: only this very object is left out of the
-# record, so whoever makes one uses it.
+# Value of ``Record.done_at`` for a job that is not done. Always pass this object rather than another 0.0:
+# ``omit_defaults`` compares by identity and would encode an equal float.
 NOT_ENDED = 0.0
 
 
@@ -22,15 +22,15 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the store keeps of a job. Ended ones lose all but their state."""
+    """A job as stored. The record of an ended job without tasks on machines keeps only ``state`` and ``done_at``."""
 
     state: JobState
     accepted_by: str = msgspec.field(name="home", default="")
     at: float = 0.0  # time of day of the submission
-    start_limit: int = msgspec.field(name="mark", default=0)  # tasks below this may have been started
-    done: list[tuple[int, int]] = []  # half-open ranges of tasks
+    start_limit: int = msgspec.field(name="mark", default=0)  # tasks below this index may have been started
+    done: list[tuple[int, int]] = []  # half-open ranges of task indexes
     spec: JobSpec | None = None
-    # Digest and count of the lists of dependencies beside this record, see ``replica.list_keys``.
+    # Digest and count of the dependency lists that are stored under their own keys.
     dependency_digest: str = msgspec.field(name="more", default="")
-    ready_at: float = 0.0  # time of day when the last dependency was done; the record then leaves them out
-    done_at: float = NOT_ENDED  # time of day of its last task's end
+    ready_at: float = 0.0  # time of day when the last dependency was done; the spec then omits the dependencies
+    done_at: float = NOT_ENDED  # time of day when the last task was done
--- a/alderbridge/jobs/record_writes.py
+++ b/alderbridge/jobs/record_writes.py
@@ -1,4 +1,4 @@
-"""Records of jobs that are due to be written, and what follows once they are."""
+"""Selects the job records that are due to be written, and applies the outcome of the writes."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from alderbridge.jobs.usage_tally import UsageTally
 from alderbridge.protocol.messages import AcknowledgeFinished, Message, StopTask
 
-# Ranks of a due record: lower ones are written first; below ``PROGRESS_RANK`` users or grants wait for it.
+# Ranks of due records: lower ones are written first. Users or grants wait for those below ``PROGRESS_RANK``.
 END_RANK = 0.0
 START_LIMIT_RANK = 1.0
 PROGRESS_RANK = 2.0
 SHRINK_RANK = 3.0
-PROGRESS_AGE_WEIGHT = 1e-9  # rank per second of the last write's time: of progress records, the oldest goes first
+PROGRESS_AGE_WEIGHT = 1e-9  # rank per second: orders progress records by the time of their last write
 
 
 class RecordWrites:
-    """Which jobs of a shard have a record that lags behind their state."""
+    """Tracks which jobs of a shard have a stored record that is out of date."""
 
     def __init__(
         self,
@@ -30,28 +30,28 @@
         machine_owner: Callable[[str], str],
         may_end: Callable[[Job], bool],
     ) -> None:
-        """``send_deferred``: for messages that may wait for others; ``may_end``: whether a job's end may be stored."""
+        """``send_deferred``: for messages that may be batched later; ``may_end``: whether a job's end may be stored."""
         self.tally = tally
         self.send = send
         self.send_deferred = send_deferred
         self.machine_owner = machine_owner
         self.may_end = may_end
-        self.due_at = 0.0  # see ``due``
+        self.due_at = 0.0  # when the next record is due; set by ``due``
 
     def due(self, now: float) -> Iterator[tuple[float, Job]]:
-        """(rank, job) of jobs whose record lags: lower ranks are more urgent.
+        """Yield (rank, job) for each job whose record is due; lower ranks are more urgent.
 
-        ``due_at`` is then when the first of the others is due, if nothing changes before.
+        Afterwards, ``due_at`` is the earliest time at which another record is due if no job changes before.
         """
         self.tally.changed = False
         self.due_at = math.inf
         lagging = self.tally.lagging
         for job in sorted(lagging.values(), key=lambda job: job.arrival_number):
             if job.has_full_record and job.stored_state is not JobState.ACTIVE and not job.on_machines:
-                yield (SHRINK_RANK, job)  # none of its tasks is on a machine: its record shrinks
+                yield (SHRINK_RANK, job)  # the spec can be dropped from the record
             elif job.dirty_since is not None:
                 if job.state is not job.stored_state and self.may_end(job):
-                    # Nobody waits for the end of a cascade-aborted job: it goes behind submissions.
+                    # Unless a client waits for it, the end of a cascade-aborted job is written after submissions.
                     yield (PROGRESS_RANK if job.is_blocked and not job.end_awaited else END_RANK, job)
                 elif job.requested_start_limit > job.start_limit:
                     yield (START_LIMIT_RANK, job)
@@ -60,12 +60,12 @@
                 else:
                     self.due_at = min(self.due_at, job.last_write + constants.PROGRESS_WRITE_S)
             elif not job.has_full_record or job.stored_state is JobState.ACTIVE:
-                del lagging[job.spec.id]  # the next change puts it back
+                del lagging[job.spec.id]  # the next change adds it again
 
     def on_written(
         self, job: Job, record: Record, revision: int, results: list[tuple[str, int, int]], now: float
     ) -> None:
-        """The store holds ``record``, which counts ``results``: (machine, index, attempt) of finished tasks."""
+        """``record`` is stored and includes ``results``: (machine, index, attempt) of finished tasks."""
         job.revision = revision
         job.last_write = now
         job.start_limit = max(job.start_limit, record.start_limit)
@@ -82,13 +82,13 @@
             job.mark_dirty(now)
 
     def _acknowledge(self, job: Job, results: list[tuple[str, int, int]]) -> None:
-        """Stored results: the workers may forget them."""
+        """Acknowledge stored results, so that the workers may drop them."""
         for key in results:
             machine, index, attempt = key
             job.unacknowledged_results.pop(key, None)
             self.send_deferred(self.machine_owner(machine), AcknowledgeFinished(machine, job.spec.id, index, attempt))
 
     def stop_all(self, job: Job) -> None:
-        """The store holds the job's abort: stop its tasks."""
+        """Stop all tasks of a job that is stored as aborted."""
         for index, run in job.runs.items():
             self.send(self.machine_owner(run.machine), StopTask(run.machine, job.spec.id, index, run.attempt, 0.0))
--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -1,6 +1,6 @@
 """The shard of jobs that one controller owns.
 
-Nothing here does I/O: messages leave through ``send``, records are collected by ``RecordWrites.due``.
+It does no I/O: messages are passed to ``send``, and ``RecordWrites.due`` yields the records to write.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from alderbridge.protocol.wire import MachineRecord
 from alderbridge.settings import Team
 
-Send = Callable[[str, Message], int]  # (member's label, message) -> number of the message in its channel
+Send = Callable[[str, Message], int]  # (member's label, message) -> sequence of the message in its channel
 
 
 def _no_owner(machine: str) -> str:
@@ -28,9 +28,9 @@
 
 
 class JobShard:
-    """The jobs that this controller owns, and what works on them; composed here.
+    """The jobs that this controller owns, and the components that operate on them.
 
-    ``jobs``, ``jobs_by_machine`` and ``tally`` are shared with the collaborators, so they stay the same objects.
+    ``jobs``, ``jobs_by_machine`` and ``tally`` are shared with the components: update them in place, never rebind them.
     """
 
     def __init__(
@@ -41,16 +41,16 @@
         machine_owner: Callable[[str], str] = _no_owner,
         send_deferred: Send | None = None,
     ) -> None:
-        """``send_deferred``: for messages that may wait for others to the same member; None: as ``send``.
+        """``send_deferred``: for messages that may wait to be batched with others to the same member; default ``send``.
 
-        ``value_bytes``: the store's limit for one record.
+        ``value_bytes``: maximum size of a stored record.
         """
         self.value_bytes = value_bytes
         self.jobs: dict[str, Job] = {}
-        self.jobs_by_machine: dict[str, set[str]] = {}  # machine -> jobs that have, or had, a run there
+        self.jobs_by_machine: dict[str, set[str]] = {}  # machine -> jobs that have, or had, a run on it
         self.tally = UsageTally()
-        self.jobs_added = 0  # over all views
-        self.settled = False  # every member acts under this view, or not at all
+        self.jobs_added = 0  # never reset
+        self.settled = False  # whether every member acts under this view or not at all
         self.job_calendars = JobCalendars(self.jobs, send, machine_owner)
         self.usage = QuotaUsage(teams, self.jobs, self.tally, self.job_calendars)
         self.queue = JobQueue(self.jobs, self.usage, self.job_calendars)
@@ -60,10 +60,10 @@
         self.record_writes = RecordWrites(self.tally, send, send_deferred or send, machine_owner, self.may_end)
 
     def enter(self, fencing_token: int, jobs: dict[str, Job], machines: Mapping[str, MachineRecord]) -> None:
-        """A new view: ``jobs`` is all that this shard owns, ``machines`` all recorded ones.
+        """Start a new view: ``jobs`` are all jobs of this shard, ``machines`` all machines that the store has.
 
-        Runs are kept; what their machine's owner may have lost is reconciled when the machine acknowledges the new
-        fencing token.
+        Runs are kept. Changes that their machine's owner may have lost are reconciled when the machine acknowledges
+        the new fencing token.
         """
         self.settled = False
         self._replace_jobs(jobs)
@@ -80,15 +80,15 @@
         self.jobs.clear()
         self.jobs_by_machine.clear()
         self.tally.clear()
-        self.usage.recount()
+        self.usage.invalidate_count()
         for job in jobs.values():
             self.add(job)
 
     def _requeue_unrecorded(self, machines: Mapping[str, MachineRecord]) -> None:
-        """Requeue the runs whose machine is not recorded any more.
+        """Requeue the runs whose machine is no longer in the store.
 
-        Its record goes only after its lease expired or its termination was confirmed. What its owner said of that may
-        have been lost with the older view, and nobody would repeat it (docs/incidents/zone-lost-proof.md).
+        A machine's record is deleted only after its worker's lease expired or its termination was confirmed. The
+        owner's report of that may have been lost with the earlier view and would not be repeated.
         """
         for job in self.jobs.values():
             for index, run in list(job.runs.items()):
@@ -97,31 +97,31 @@
                     job.requeue(index)
 
     def settle(self) -> None:
-        """Each member acts under this view or not at all: no earlier owner answers for a job of this shard any more.
+        """Each member acts under this view or not at all: no earlier owner responds for a job of this shard any more.
 
-        Nor will any under a later view that leaves the job here: otherwise each of several views in a short time
-        would hold back anew what users had cancelled.
+        The jobs stay not inherited under later views in which this shard keeps them. Otherwise each of several views
+        in a short time would delay the end of cancelled jobs again.
         """
         self.settled = True
         for job in self.jobs.values():
             job.inherited = False
 
     def may_end(self, job: Job) -> bool:
-        """An inherited job ends in the store only once no earlier owner may answer for it; see ``settle``."""
+        """Whether the end of the job may be stored: not while an earlier owner may still respond for it."""
         return self.settled or not job.inherited
 
     def add(self, job: Job) -> None:
-        """This shard owns the job from here on."""
+        """Add a job that this shard owns from now on."""
         self.jobs[job.spec.id] = job
         self.jobs_added += 1
         job.tally, job.arrival_number = self.tally, self.jobs_added
-        self.tally.lagging[job.spec.id] = job  # until the next look at the records that are due
+        self.tally.lagging[job.spec.id] = job  # until the next ``RecordWrites.due``
         self.tally.add(job.spec, job.on_machines)
         for machine in job.tasks_by_machine:
             self.jobs_by_machine.setdefault(machine, set()).add(job.spec.id)
 
     def remove(self, job: Job) -> None:
-        """Nothing of the job is left to do."""
+        """Remove a job that is complete."""
         del self.jobs[job.spec.id]
         self.tally.lagging.pop(job.spec.id, None)
         self.tally.add(job.spec, -job.on_machines)
--- a/alderbridge/jobs/task_reports.py
+++ b/alderbridge/jobs/task_reports.py
@@ -1,4 +1,4 @@
-"""Machine task reports: recorded state against observed state, and the action that follows."""
+"""Machine task reports: compares the recorded with the observed state of each task and carries out the action."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class TaskReportHandler:
-    """Reconciles the jobs of a shard with what is, and what is not, on a machine."""
+    """Reconciles the jobs of a shard with the tasks that are, and are not, on a machine."""
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
         inherited: InheritedTasks,
         send: Callable[[str, Message], int],
     ) -> None:
-        """``jobs`` and ``jobs_by_machine``: of the shard, kept by it."""
+        """``jobs`` and ``jobs_by_machine``: the dicts of the shard."""
         self.jobs = jobs
         self.jobs_by_machine = jobs_by_machine
         self.inherited = inherited
         self.send = send
 
     def on_task_report(self, label: str, report: MachineTaskReport, now: float) -> None:
-        """The owner of a machine, ``label``, reports all tasks on it, which proves also what is not on it."""
+        """Apply a report of the machine owner ``label`` on all tasks of a machine; others are proven absent."""
         present = self._apply_statuses(label, report, now)
         if report.pending:
             self._apply_pending_grants(label, report, present, now)
@@ -49,7 +49,7 @@
         self.inherited.on_machine_reconciled(report.machine)
 
     def _apply_statuses(self, label: str, report: MachineTaskReport, now: float) -> set[tuple[str, int]]:
-        """Apply the status of each task; returns the tasks (job, index) that are present."""
+        """Apply the status of each task; returns the (job, index) of the tasks that are present."""
         present = set()
         jobs, machine = self.jobs, report.machine
         for task in report.tasks:
@@ -66,7 +66,7 @@
                         and run.machine == machine
                         and job.state is JobState.ACTIVE
                     ):
-                        job.progress(index, state)  # most reports by far: live and recorded HERE, see the table
+                        job.progress(index, state)  # shortcut for the most frequent case: HERE and LIVE
                         continue
             self._reconcile(label, report, task, self._observed_state(task), now)
         return present
@@ -74,16 +74,16 @@
     def _apply_pending_grants(
         self, label: str, report: MachineTaskReport, present: set[tuple[str, int]], now: float
     ) -> None:
-        """Tasks granted to the machine that no heartbeat has shown yet."""
+        """Apply grants to the machine that no heartbeat has shown yet, and add them to ``present``."""
         for name, index, attempt in report.pending:
             present.add((name, index))
             job = self.jobs.get(name)
-            if job is not None and index not in job.runs:  # granted under an older view, to an owner that stayed
+            if job is not None and index not in job.runs:  # granted under an earlier view; the machine kept its owner
                 task = TaskStatusReport(name, index, attempt, "granted", None)
                 self._reconcile(label, report, task, ObservedState.ORDERED, now)
 
     def _requeue_absent_tasks(self, report: MachineTaskReport, present: set[tuple[str, int]]) -> None:
-        """Tasks that are not on the machine, unless their grant is newer than the report."""
+        """Requeue tasks that are not on the machine, unless their grant is newer than the report."""
         jobs, machine = self.jobs, report.machine
         machine_jobs = self.jobs_by_machine.get(machine)
         if machine_jobs is None:
@@ -110,7 +110,7 @@
 
     @staticmethod
     def recorded_state(job: Job | None, index: int, machine: str, attempt: int) -> RecordedState:
-        """What is known here of a task, for one attempt on one machine."""
+        """Recorded state of a task, with respect to one attempt on one machine."""
         if job is None:
             return RecordedState.UNKNOWN_JOB
         run = job.runs.get(index)
@@ -129,7 +129,7 @@
     def _reconcile(
         self, label: str, report: MachineTaskReport, task: TaskStatusReport, observed: ObservedState, now: float
     ) -> None:
-        """Carry out the action that the table of reconciliation has for the task on that machine."""
+        """Carry out the action of the reconciliation table for the task on that machine."""
         job = self.jobs.get(task.job)
         action = reconcile(self.recorded_state(job, task.index, report.machine, task.attempt), observed)
         if job is not None:
@@ -142,7 +142,7 @@
     def _update_job(
         self, job: Job, action: Action, report: MachineTaskReport, task: TaskStatusReport, now: float
     ) -> None:
-        """The change of the task's state that the action asks for."""
+        """Apply the action to the state of the task."""
         index = task.index
         if action is Action.PROGRESS or action is Action.PROGRESS_AND_STOP:
             job.progress(index, LIVE_TASK_STATES.get(task.status, TaskState.RUNNING))
@@ -150,7 +150,7 @@
             job.adopt(index, self._observed_run(report, task, now))
             self.jobs_by_machine.setdefault(report.machine, set()).add(task.job)
         elif action is Action.FINISH:
-            # Acknowledged only when the store holds the result.
+            # Acknowledged only once the result is stored.
             job.finish_task(index, now)
             job.unacknowledged_results[(report.machine, index, task.attempt)] = None
         elif action is Action.FAIL_AND_ACKNOWLEDGE:
--- a/alderbridge/jobs/task_states.py
+++ b/alderbridge/jobs/task_states.py
@@ -8,7 +8,7 @@
 
 
 class TaskState(str, Enum):
-    """State of one task of an active job; ``Job`` has the transitions."""
+    """State of one task of an active job; ``JobTasks`` has the transitions."""
 
     WAITING = "waiting"
     GRANTED = "granted"
@@ -19,7 +19,7 @@
     DONE = "done"
 
 
-# By the status in a machine task report: the state of a task that has not ended.
+# Status in a machine task report -> state of a task that has not ended.
 LIVE_TASK_STATES = {
     "fetching": TaskState.FETCHING,
     "waiting": TaskState.FETCHING,
@@ -29,11 +29,11 @@
 
 
 class TaskRun(msgspec.Struct):
-    """An attempt of a task on a machine, or granted to it."""
+    """An attempt of a task that is on a machine or granted to it."""
 
     machine: str
     zone: str
     attempt: int
-    seq: int  # of the grant's message, in the channel to the machine's owner
+    seq: int  # sequence of the grant message in the channel to the machine's owner; 0: every report counts as newer
     state: TaskState
     since: float
--- a/alderbridge/jobs/usage_tally.py
+++ b/alderbridge/jobs/usage_tally.py
@@ -1,4 +1,4 @@
-"""Usage of each team on one job shard, and the jobs whose records lag, kept with each change of a task's state."""
+"""Usage of each team on one job shard and the jobs with outdated records, updated with each change of a task."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class UsageTally:
-    """CPUs and GPUs that each team's tasks on machines take, for the jobs of one shard.
+    """CPUs and GPUs that each team's tasks on machines use, for the jobs of one shard.
 
-    ``JobShard.used`` counts anew each second, so that sums of floats stay exact to far below a task.
+    ``QuotaUsage.used`` recounts once per leader round, so that floating-point errors do not accumulate.
     """
 
     def __init__(self) -> None:
-        """No job is counted yet."""
+        """Start with no jobs."""
         self.teams: dict[str, tuple[float, float]] = {}
-        self.changed = False  # a job has changed since the last look at the records that are due
-        self.lagging: dict[str, Job] = {}  # jobs whose records may have to be written
+        self.changed = False  # whether a job has changed since the last ``RecordWrites.due``
+        self.lagging: dict[str, Job] = {}  # jobs whose stored records may be out of date
 
     def clear(self) -> None:
-        """Forget all jobs."""
+        """Remove all jobs."""
         self.teams = {}
         self.changed = False
         self.lagging.clear()
 
     def add(self, spec: JobSpec, tasks: int) -> None:
-        """Count ``tasks`` more tasks of that job (fewer if negative)."""
+        """Add ``tasks`` tasks of that job; a negative number removes tasks."""
         self.changed = True
         cpus, gpus = self.teams.get(spec.team, (0.0, 0.0))
         self.teams[spec.team] = (cpus + tasks * spec.cpus, gpus + tasks * spec.gpus)
--- a/alderbridge/reconciliation/__init__.py
+++ b/alderbridge/reconciliation/__init__.py
@@ -1,13 +1,13 @@
-"""After a failover: reconciles what the workers report with what is stored.
+"""Reconciles the stored state with what the workers report after a failover.
 
-Pure: time and randomness are arguments, nothing here does I/O. ``docs/design-recovery.md`` weighs the ways,
-``docs/recovery.md`` says what people on call see.
+The package does no I/O; time and random generators are passed in. The design is in ``docs/design-recovery.md``, the
+operator's view in ``docs/recovery.md``.
 
-* ``reconcile``: what follows from what a job shard has recorded of a task and what a machine shard observes of it.
-* ``Barrier``: the machines that an inherited task may still be on.
-* ``ReconciliationProgress``: how far a shard's machines are reconciled, for its log line a second.
-* ``HeartbeatProber``: which machines a shard asks to acknowledge a new fencing token, and when again.
-* ``ScaleInGuard``: what the leader leaves undone while it does not know the fleet.
+* ``reconcile``: the action for a task, given the state recorded by its job shard and observed by a machine shard.
+* ``Barrier``: the machines that may still run an inherited task.
+* ``ReconciliationProgress``: how many machines of a shard are reconciled, for the log.
+* ``HeartbeatProber``: when each machine is probed to acknowledge a new fencing token.
+* ``ScaleInGuard``: postpones scaling in until enough of the fleet has reported.
 """
 
 from alderbridge.reconciliation.barrier import Barrier
--- a/alderbridge/reconciliation/barrier.py
+++ b/alderbridge/reconciliation/barrier.py
@@ -1,4 +1,4 @@
-"""The machines that an inherited task may still be on: as narrow as the records allow."""
+"""The recovery barrier: machines that may still run inherited tasks."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class Barrier:
-    """Recorded machines that are not reconciled yet, by kind: an inherited task waits for those its job may use.
+    """Recorded machines that are not reconciled yet, by kind. An inherited task waits for those that its job may use.
 
-    A kind is a record without its address: type, zone and spot. A task is only ever granted for a machine whose kind
-    its job allows, and these never change. A machine whose record does not say them, written by an earlier version,
-    holds up all jobs.
+    A kind is a machine record without its address: type, zone and spot, which never change. Tasks are granted only to
+    machines of a kind that their job allows. A machine whose record lacks these fields, as written by an earlier
+    version, may run tasks of any job.
     """
 
     def __init__(self, machines: Mapping[str, MachineRecord]) -> None:
-        """``machines``: all that the store has recorded."""
+        """``machines``: all machines that are recorded in the store."""
         self.machines_by_kind: dict[MachineRecord, set[str]] = {}
         self.kind_of: dict[str, MachineRecord] = {}
         for name, record in machines.items():
@@ -26,15 +26,15 @@
             self.machines_by_kind.setdefault(kind, set()).add(name)
 
     def __len__(self) -> int:
-        """How many machines are left."""
+        """Number of machines that are not reconciled."""
         return len(self.kind_of)
 
     def __contains__(self, machine: str) -> bool:
-        """Whether an inherited task may still be on the machine."""
+        """Whether the machine may still run an inherited task."""
         return machine in self.kind_of
 
     def remove(self, machine: str) -> bool:
-        """The machine is reconciled; True if it was the last of its kind, so that some jobs may be held up no more."""
+        """Remove a reconciled machine; True if it was the last of its kind, which may unblock jobs."""
         kind = self.kind_of.pop(machine, None)
         if kind is None:
             return False
@@ -46,5 +46,5 @@
         return True
 
     def may_hold(self, spec: JobSpec) -> bool:
-        """Whether a task of the job may be on one of the machines."""
+        """Whether any of the machines may still run a task of the job."""
         return any(not kind.type or allowed(spec, kind.type, kind.zone, kind.spot) for kind in self.machines_by_kind)
--- a/alderbridge/reconciliation/prober.py
+++ b/alderbridge/reconciliation/prober.py
@@ -1,4 +1,4 @@
-"""Which machines are asked for their acknowledgement of a new fencing token, and when again."""
+"""Schedules probes that ask machines to acknowledge a new fencing token."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 
 
 class HeartbeatProber:
-    """Each machine is probed at once, the likeliest to answer first, then again with full jitter, a few times.
+    """Probes each machine immediately in a given order, and retries with full jitter up to ``PROBE_TRIES`` times.
 
-    One that does not answer hangs, is cut off or dead: its next heartbeat, its lease or its return decides.
+    A machine that answers no probe hangs, is unreachable or dead. It is reconciled by its next heartbeat, the expiry
+    of its lease, or its termination.
     """
 
     def __init__(self, rng: Random) -> None:
-        """``rng``: for the backoff."""
+        """``rng``: for the jitter of the backoff."""
         self.rng = rng
-        self.queue: list[tuple[float, int, str]] = []  # heap of: when, order, machine
-        self.tries: dict[str, int] = {}  # machine -> probes so far
+        self.queue: list[tuple[float, int, str]] = []  # heap of (due time, order, machine)
+        self.tries: dict[str, int] = {}  # machine -> number of probes
 
     def enter(self, machines: Iterable[str], now: float) -> None:
-        """A new view: probe these, in this order; what was queued under an older view is void."""
+        """Start a new view: replace the queue by these machines, in this order, due immediately."""
         self.queue = [(now, number, name) for number, name in enumerate(machines)]
         self.tries = {}
 
-    def next(self, now: float, settled: Callable[[str], bool]) -> str | None:
-        """A machine that is due and not ``settled``; it is taken off until ``unanswered`` puts it back."""
+    def next(self, now: float, needs_no_probe: Callable[[str], bool]) -> str | None:
+        """Remove and return a due machine, skipping those that need no probe; ``unanswered`` queues it again."""
         while self.queue and self.queue[0][0] <= now:
             name = heapq.heappop(self.queue)[-1]
-            if not settled(name):
+            if not needs_no_probe(name):
                 self.tries[name] = self.tries.get(name, 0) + 1
                 return name
         return None
 
     def due(self, now: float) -> bool:
-        """Whether a machine is to be probed now."""
+        """Whether any machine is due to be probed."""
         return bool(self.queue) and self.queue[0][0] <= now
 
     def unanswered(self, name: str, now: float) -> None:
-        """A probe failed: the machine is queued again after a pause, unless it had its last try."""
+        """A probe failed: queue the machine again after a backoff, unless its tries are used up."""
         tries = self.tries.get(name, 0)
         if 0 < tries < constants.PROBE_TRIES:
             pause_s = self.rng.uniform(0.0, min(constants.PROBE_BACKOFF_MAX_S, constants.PROBE_BACKOFF_S * 2**tries))
--- a/alderbridge/reconciliation/progress.py
+++ b/alderbridge/reconciliation/progress.py
@@ -1,17 +1,18 @@
-"""How far the machines of one machine shard are reconciled with the store under one view.
+"""Progress of reconciling the machines of one machine shard with the store under one view.
 
-States of a recorded machine, one method for each change:
+States of a machine:
 
-* RECORDED: the store says that tasks may be on it; nothing was heard under this view.
-* REPORTED: a heartbeat came, with an older fencing token: what it shows proves nothing yet.
-* ACKNOWLEDGED: a heartbeat bore the view's fencing token.
-* RECONCILED: the job owners have been told all that is on it, and so what is not.
-* SILENT: nothing for longer than two heartbeats take; it may hang, be cut off, or be dead.
-* EXPIRED: its worker's lease has provably run out; nothing is on it.
-* TERMINATED: the cloud has confirmed that it is gone.
+* RECORDED: it is recorded in the store, so it may run tasks; no heartbeat has arrived under this view.
+* REPORTED: a heartbeat with an older fencing token has arrived; the tasks that it shows are not proof yet.
+* ACKNOWLEDGED: a heartbeat with the view's fencing token has arrived.
+* RECONCILED: the job owners have been sent all tasks on it, which also proves which tasks are absent.
+* SILENT: no heartbeat for longer than two heartbeat intervals; it may hang, be unreachable, or be dead.
+* EXPIRED: its worker's lease has provably expired, so no task runs on it.
+* TERMINATED: the cloud has confirmed its termination.
 
-A machine that nobody recorded enters with its first heartbeat and holds nothing up. This is the progress that
-people on call read; what may be ordered, and what is proof, is decided in ``machines``.
+A machine without a record enters with its first heartbeat that has the view's fencing token; no inherited task waits
+for it. The states here serve the log only: which orders are allowed, and what counts as proof, is decided in
+``alderbridge.machines``.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class MachineProgress(str, Enum):
-    """How far one machine is reconciled; see the module. The values are in the log line."""
+    """Reconciliation state of one machine. The values appear in the log."""
 
     RECORDED = "recorded"
     REPORTED = "reported"
@@ -32,68 +33,64 @@
     TERMINATED = "terminated"
 
 
-_UNSETTLED = frozenset((MachineProgress.RECORDED, MachineProgress.REPORTED, MachineProgress.ACKNOWLEDGED))
+_TRANSIENT_STATES = frozenset((MachineProgress.RECORDED, MachineProgress.REPORTED, MachineProgress.ACKNOWLEDGED))
 
 
 class ReconciliationProgress:
-    """The progress of all machines of a shard under one view."""
+    """Reconciliation states of all machines of a shard under one view."""
 
     def __init__(self, now: float) -> None:
-        """``now``: when the view was entered, s of the steady clock."""
-        self.began = now
+        """``now``: when the view was entered, in seconds of the monotonic clock."""
+        self.entered_at = now
         self.states: dict[str, MachineProgress] = {}
-        self.unsettled = 0  # machines in a state that lasts seconds at most
-
-    # -- changes of state, one method each ---------------------------------
+        self.transient_count = 0  # machines in a state that is left within seconds
 
     def add_recorded(self, machine: str) -> None:
-        """The store has recorded the machine."""
-        self._to(machine, MachineProgress.RECORDED)
+        """Add a machine that is recorded in the store."""
+        self._set_state(machine, MachineProgress.RECORDED)
 
     def record_report(self, machine: str) -> None:
-        """A heartbeat with an older fencing token came."""
+        """A heartbeat with an older fencing token has arrived."""
         if self.states.get(machine) in (MachineProgress.RECORDED, MachineProgress.SILENT):
-            self._to(machine, MachineProgress.REPORTED)
+            self._set_state(machine, MachineProgress.REPORTED)
 
     def acknowledge(self, machine: str) -> None:
-        """A heartbeat with the view's fencing token came."""
-        self._to(machine, MachineProgress.ACKNOWLEDGED)
+        """A heartbeat with the view's fencing token has arrived."""
+        self._set_state(machine, MachineProgress.ACKNOWLEDGED)
 
     def mark_reconciled(self, machine: str) -> None:
-        """The job owners have been told what is on the machine."""
+        """The job owners have been sent the tasks on the machine."""
         if self.states.get(machine) is not MachineProgress.RECONCILED:
-            self._to(machine, MachineProgress.RECONCILED)
+            self._set_state(machine, MachineProgress.RECONCILED)
 
     def mark_silent(self, machine: str) -> None:
-        """Nothing came for longer than two heartbeats take."""
+        """No heartbeat has arrived for longer than two heartbeat intervals."""
         if self.states.get(machine) in (MachineProgress.RECORDED, MachineProgress.REPORTED):
-            self._to(machine, MachineProgress.SILENT)
+            self._set_state(machine, MachineProgress.SILENT)
 
     def mark_expired(self, machine: str) -> None:
-        """The worker's lease has run out for certain."""
-        self._to(machine, MachineProgress.EXPIRED)
+        """The worker's lease has provably expired."""
+        self._set_state(machine, MachineProgress.EXPIRED)
 
     def mark_terminated(self, machine: str) -> None:
-        """The cloud has confirmed that the machine is gone."""
-        self._to(machine, MachineProgress.TERMINATED)
+        """The cloud has confirmed the termination of the machine."""
+        self._set_state(machine, MachineProgress.TERMINATED)
 
-    def _to(self, machine: str, state: MachineProgress) -> None:
-        self.unsettled += (state in _UNSETTLED) - (self.states.get(machine) in _UNSETTLED)
+    def _set_state(self, machine: str, state: MachineProgress) -> None:
+        self.transient_count += (state in _TRANSIENT_STATES) - (self.states.get(machine) in _TRANSIENT_STATES)
         self.states[machine] = state
 
-    # -- questions ---------------------------------------------------------
-
     @property
     def over(self) -> bool:
-        """Nothing more is expected within seconds."""
-        return self.unsettled == 0
+        """Whether no machine is in a transient state."""
+        return self.transient_count == 0
 
     def counts(self) -> Counter[MachineProgress]:
-        """How many machines are in each state."""
+        """Number of machines in each state."""
         return Counter(self.states.values())
 
     def line(self, now: float) -> str:
-        """The progress for the log: time since the view began, and the count of each state."""
+        """Text for the log: time since the view was entered, and the number of machines in each state."""
         counts = self.counts()
         text = ", ".join(f"{state.value} {counts[state]}" for state in MachineProgress if counts[state])
-        return f"after {now - self.began:.1f} s: {text or 'no machines'} of {len(self.states)}"
+        return f"after {now - self.entered_at:.1f} s: {text or 'no machines'} of {len(self.states)}"
--- a/alderbridge/reconciliation/scale_in_guard.py
+++ b/alderbridge/reconciliation/scale_in_guard.py
@@ -1,8 +1,7 @@
-"""What the leader leaves undone while it does not know the fleet.
+"""Postpones scaling in after a failover until the leader has an accurate view of the fleet.
 
-After a failover the queue rows lack what waits behind a recovery barrier, and machines that have not reported yet seem
-free. Decided on that, the leader returned 190 machines as idle and rented 192 again ten seconds later
-(mfrs-routing-fleet, restart; simulated machines).
+After a failover, tasks behind the recovery barrier do not count as waiting yet, and machines that have not reported
+seem idle. Without the guard the leader would return machines as idle and rent as many again seconds later.
 """
 
 from __future__ import annotations
@@ -14,61 +13,62 @@
 
 
 class FleetKnowledge(str, Enum):
-    """How much of the fleet the leader's rows account for."""
+    """How complete the leader's data on the fleet are."""
 
-    RECONCILED = "reconciled"  # every machine likely to be alive has reported, no inherited task waits for a proof
-    RECONCILING = "reconciling"  # some have not: nothing is returned as idle, inherited tasks rent nothing
-    OVERDUE = "overdue"  # for longer than any lease lasts: inherited tasks count as waiting ones
+    RECONCILED = "reconciled"  # nearly all machines that seem alive have reported, and no inherited task waits
+    RECONCILING = "reconciling"  # otherwise: no machine is returned as idle, none is rented for inherited tasks
+    OVERDUE = "overdue"  # reconciling for longer than any lease lasts: inherited tasks count as waiting
 
 
 class ScaleInGuard:
-    """One for all views that a process leads: a second failover resumes, and its bound does not begin anew."""
+    """State across all views that a process leads, so that another failover does not restart the time limit."""
 
     def __init__(self, lease_s: float) -> None:
-        """``lease_s``: of the workers, in s; by then, and a settled view, silence proves absence."""
-        self.bound_s = lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S + constants.VIEW_SETTLE_S
+        """``lease_s``: lease of the workers. A silent machine has no tasks once it and the settling time are over."""
+        self.overdue_after_s = (
+            lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S + constants.VIEW_SETTLE_S
+        )
         self.knowledge = FleetKnowledge.RECONCILED
-        self.since = 0.0  # when ``knowledge`` changed to or from RECONCILED last
-        self.postponed_returns = 0  # idle machines that were not returned because of it, so far in this reconciliation
+        self.since = 0.0  # when ``knowledge`` last changed to or from RECONCILED
+        self.postponed_returns = 0  # idle machines not returned during this reconciliation
 
-    def refresh(self, unheard: int, machines: int, inherited: int, now: float) -> FleetKnowledge:
-        """``unheard`` of ``machines`` may report at any moment; ``inherited``: tasks that wait behind barriers."""
-        if unheard <= machines * constants.UNREPORTED_SHARE and not inherited:
+    def refresh(self, unreported: int, machines: int, inherited: int, now: float) -> FleetKnowledge:
+        """Update the state; ``unreported``: machines that may still report; ``inherited``: tasks behind barriers."""
+        if unreported <= machines * constants.UNREPORTED_SHARE and not inherited:
             self._set_reconciled(now)
         elif self.knowledge is FleetKnowledge.RECONCILED:
             self._set_reconciling(now)
-        elif self.knowledge is FleetKnowledge.RECONCILING and now - self.since > self.bound_s:
+        elif self.knowledge is FleetKnowledge.RECONCILING and now - self.since > self.overdue_after_s:
             self._set_overdue()
         return self.knowledge
 
     @staticmethod
-    def machines_to_prove_empty(silent: Iterable[tuple[str, float]], machines: int, inherited: int) -> list[str]:
-        """Which of the machines that have not reported, (name, s of silence), to return: proof that nothing is on them.
+    def machines_to_prove_empty(unreported: Iterable[tuple[str, float]], machines: int, inherited: int) -> list[str]:
+        """Select machines to return so that their termination proves that no inherited task runs on them.
 
-        Only where inherited tasks wait, all others have reported, and these few are most likely dead. The
-        machines of a zone that is cut off are many, and come back: for them the lease is waited for.
+        ``unreported``: (name, seconds of silence) of machines that have not reported. They are returned only if
+        inherited tasks wait and they are so few that they are most likely dead. The machines of an unreachable zone
+        are many and may come back, so their leases are left to expire.
         """
-        silent = list(silent)
-        if not inherited or len(silent) > max(constants.PROOF_LEAST, machines * constants.PROOF_SHARE):
+        unreported = list(unreported)
+        if not inherited or len(unreported) > max(constants.PROOF_LEAST, machines * constants.PROOF_SHARE):
             return []
-        return [name for name, silence_s in silent if silence_s > constants.PROOF_SILENT_S]
+        return [name for name, silence_s in unreported if silence_s > constants.PROOF_SILENT_S]
 
     @property
     def may_return(self) -> bool:
-        """Whether a machine may be returned because nothing seems to need it."""
+        """Whether a machine may be returned because it is idle."""
         return self.knowledge is not FleetKnowledge.RECONCILING
 
     @property
     def counts_inherited(self) -> bool:
-        """Whether inherited tasks ask for machines: else they may still run on some."""
+        """Whether machines are rented for inherited tasks: not while these may still run."""
         return self.knowledge is FleetKnowledge.OVERDUE
 
     def count_postponed_return(self) -> None:
-        """An idle machine at the end of its block stays."""
+        """Count an idle machine that was not returned at the end of its paid block."""
         self.postponed_returns += 1
 
-    # -- changes of state, one method each ---------------------------------
-
     def _set_reconciled(self, now: float) -> None:
         self.knowledge, self.since, self.postponed_returns = FleetKnowledge.RECONCILED, now, 0
 
--- a/alderbridge/reconciliation/transitions.py
+++ b/alderbridge/reconciliation/transitions.py
@@ -1,8 +1,9 @@
-"""What follows from what a job shard knows of a task and what a machine shard observes of it on one machine.
+"""Reconciliation table: the action for a task on one machine, by its recorded and its observed state.
 
-The rows are what the job shard knows, from the store and since; the columns are what the machine shard observes, from
-a heartbeat with the view's fencing token, an expired lease, or a confirmed return. Heartbeats that are older than
-another, with an older fencing token or of an earlier incarnation do not get here: the machine shard drops them.
+The rows are the states that the job shard has recorded, from the store and from later events. The columns are the
+states that the machine shard observes, from a heartbeat with the view's fencing token, an expired lease, or a
+confirmed termination. The machine shard drops out-of-order heartbeats and those with an older fencing token or of an
+earlier incarnation, so they are not in the table.
 """
 
 from __future__ import annotations
@@ -11,56 +12,56 @@
 
 
 class RecordedState(IntEnum):
-    """What a job shard knows of a task, with respect to one machine: the rows of ``TRANSITIONS``."""
+    """State of a task recorded by its job shard, with respect to one machine: the rows of ``TRANSITIONS``."""
 
-    UNKNOWN_JOB = 0  # no such job in this shard
-    JOB_ENDED = 1  # its job is done or aborted, and no run of the task is known
-    JOB_ENDED_HERE = 2  # its job is done or aborted, and this is its run
+    UNKNOWN_JOB = 0  # the shard has no such job
+    JOB_ENDED = 1  # its job is done or aborted, and the task has no run
+    JOB_ENDED_HERE = 2  # its job is done or aborted, and its run is this attempt on this machine
     RESULT_STORED = 3
-    RESULT_UNSTORED = 4  # counted, and the record is on its way to the store
+    RESULT_UNSTORED = 4  # counted as done, but the record with it may not be stored yet
     WAITING = 5  # on no machine
-    POSSIBLY_HERE = 6  # inherited, and below the start limit: it may be on any recorded machine
+    POSSIBLY_HERE = 6  # inherited, below the start limit: it may be on any recorded machine
     HERE = 7  # on this machine, with this attempt
-    OTHER_ATTEMPT = 8  # on this machine with another attempt, older or newer
+    OTHER_ATTEMPT = 8  # on this machine, with an older or newer attempt
     ELSEWHERE = 9  # on another machine
 
 
 class ObservedState(IntEnum):
-    """What a machine shard observes of a task on one machine: the columns of ``TRANSITIONS``."""
+    """State of a task observed by a machine shard on one machine: the columns of ``TRANSITIONS``."""
 
     LIVE = 0  # fetching, running or checkpointing
-    ORDERED = 1  # and not yet seen in a report: no proof of anything, so what may be on the machine counts there
-    DONE = 2  # ended, with a result
-    ERROR = 3  # ended, failed
-    STOPPED = 4  # ended: stopped, or refused as full, busy or unknown; also a service that ended
-    ABSENT = 5  # not there
+    ORDERED = 1  # granted, but in no heartbeat yet: it may be on the machine, so it counts as there
+    DONE = 2  # ended with a result
+    ERROR = 3  # ended with an error
+    STOPPED = 4  # ended because it was stopped or refused (full, busy, unknown); also an ended service
+    ABSENT = 5  # proven not to be on the machine
 
 
 class Action(IntEnum):
-    """What the job shard does about it."""
+    """What the job shard does about the task."""
 
     NOTHING = 0
-    ADOPT = 1  # it is there: never started again elsewhere
-    ADOPT_AND_STOP = 2  # it is there and counts, and has to stop
+    ADOPT = 1  # record the run on this machine, so that the task does not start elsewhere
+    ADOPT_AND_STOP = 2  # as ADOPT, and stop it; it counts as running until it has ended
     PROGRESS = 3
     PROGRESS_AND_STOP = 4
-    STOP = 5  # what is there is of no use to anyone
-    FINISH = 6  # the result counts; acknowledged only when the store holds it
-    REQUEUE = 7  # it waits again
+    STOP = 5  # the attempt is not needed
+    FINISH = 6  # count the result; it is acknowledged only once it is stored
+    REQUEUE = 7  # the task waits again
     REQUEUE_AND_ACKNOWLEDGE = 8
-    FAIL_AND_ACKNOWLEDGE = 9  # it waits again, after a pause
+    FAIL_AND_ACKNOWLEDGE = 9  # the task waits again; repeated errors pause its job
     ACKNOWLEDGE = 10
-    REMOVE_FROM_BARRIER = 11  # not on this machine: free when no other machine may hold it
+    REMOVE_FROM_BARRIER = 11  # requeue once no other machine of the barrier may run it
 
 
 _NOTHING, _STOP, _ACKNOWLEDGE = Action.NOTHING, Action.STOP, Action.ACKNOWLEDGE
 _ADOPT, _FINISH, _REQUEUE = Action.ADOPT, Action.FINISH, Action.REQUEUE
 
-# The row of each recorded state; its columns are the observed states in their order.
+# Row of each recorded state; its columns are the observed states in order.
 _BY_RECORDED_STATE: dict[RecordedState, tuple[Action, Action, Action, Action, Action, Action]] = {
     #                            LIVE, ORDERED, DONE, ERROR, STOPPED, ABSENT
     RecordedState.UNKNOWN_JOB: (_STOP, _NOTHING, _ACKNOWLEDGE, _ACKNOWLEDGE, _ACKNOWLEDGE, _NOTHING),
-    # Of a cancelled job, too: were its ordered tasks passed over, nobody would count them for its team's quota
+    # ORDERED tasks are adopted also if the job is cancelled. Otherwise they would not count towards the team's quota
     # once all machines are reconciled.
     RecordedState.JOB_ENDED: (
         Action.ADOPT_AND_STOP,
@@ -97,5 +98,5 @@
 
 
 def reconcile(recorded: RecordedState, observed: ObservedState) -> Action:
-    """What the job shard does about one task on one machine."""
+    """The action of the job shard for one task on one machine."""
     return TRANSITIONS[recorded][observed]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from alderbridge import constants
-from alderbridge.jobs.dependencies import NEVER, Graph
+from alderbridge.jobs.dependencies import NO_DEADLINE, Graph
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec, MalformedBodyError, parse_job
 from alderbridge.scheduling import queue_times
@@ -54,11 +54,11 @@
 
     def asked(self, job):
         """(rank, due) that the jobs which need it ask for."""
-        rank, due = -1, NEVER
+        rank, due = -1, NO_DEADLINE
         for other, needs in self.needs.items():
             if job in needs:
                 more = self.asked(other)
-                own = self.at[other] + self.specs[other].due_s if self.specs[other].due_s else NEVER
+                own = self.at[other] + self.specs[other].due_s if self.specs[other].due_s else NO_DEADLINE
                 rank = max(rank, self.specs[other].rank, more[0])
                 due = min(due, min(own, more[1]) - self.specs[other].estimate_s - constants.DEPENDENCY_STEP_S)
         return rank, due
@@ -101,7 +101,7 @@
             if not late and seed % 2:  # an aborted job's haste is not taken back
                 rank, due = past.asked(job)
                 assert graph.dependents_rank(job) == rank
-                assert graph.dependents_due(job) == ((pytest.approx(due),) if due < NEVER else ())
+                assert graph.dependents_due(job) == ((pytest.approx(due),) if due < NO_DEADLINE else ())
             if past.needs[job] and not past.waiting(job):
                 assert graph.ready_at(job) == past.ready_at(job)
     told = set(graph.newly_ready)
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -264,7 +264,7 @@
     assert (
         scale_in_guard.refresh(3, 600, 40, 110.0) is FleetKnowledge.RECONCILING
     )  # a second fall: the bound stays the first one's
-    assert scale_in_guard.refresh(0, 600, 40, 100.0 + scale_in_guard.bound_s + 0.1) is FleetKnowledge.OVERDUE
+    assert scale_in_guard.refresh(0, 600, 40, 100.0 + scale_in_guard.overdue_after_s + 0.1) is FleetKnowledge.OVERDUE
     assert scale_in_guard.may_return and scale_in_guard.counts_inherited
     assert scale_in_guard.refresh(5, 600, 0, 130.0) is FleetKnowledge.RECONCILED, "some machine always boots"
     assert scale_in_guard.refresh(200, 600, 0, 140.0) is FleetKnowledge.RECONCILING
