--- a/alderbridge/lending/__init__.py
+++ b/alderbridge/lending/__init__.py
@@ -1,6 +1,7 @@
-"""GPUs lent and returned: which go to serving, on which machines, and which are not lent again for a while.
+"""GPU lending: batch work uses a team's idle guaranteed GPUs and is preempted when the team's services need them.
 
-Pure. A ``CapacityLender`` is a policy of the leader's preemption planner, as priorities are.
+``CapacityLender`` is a policy of the leader's preemption planner, as ``PriorityPolicy`` is. It also decides which free
+GPUs stay reserved for services. The package does no input or output and reads no clock.
 """
 
 from alderbridge.lending.configuration import LendingClass, LendingConfiguration, ServingClass, check_lines, parse
--- a/alderbridge/lending/configuration.py
+++ b/alderbridge/lending/configuration.py
@@ -1,4 +1,4 @@
-"""Lending as operators declare it: read, checked, and said in words."""
+"""The operators' lending configuration: parsing, validation, and the summary that ``--check`` prints."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
         "gpus at once": NumberSetting(32, 0, 100_000, whole=True),
         "keep": NumberSetting(30.0, 0.0, 86_400.0),  # s
     },
-}  # first word of a section -> its keys, in the order of the fields that they are for
+}  # first word of a section title -> its keys, in the order of the fields of the class that they fill
 _EXPECTED = "expected [serve OWNER/WORKLOAD], [lend OWNER/WORKLOAD], [reserve TEAM] or [pace]"
 
 
 class ServingClass(msgspec.Struct, frozen=True):
-    """Services with GPUs that lent GPUs come back for: one owner's, or of all that a pattern names."""
+    """GPU services that lent GPUs are reclaimed for; ``owner`` and ``workload`` are glob patterns."""
 
     owner: str
     workload: str
@@ -40,13 +40,13 @@
 
 
 class LendingClass(msgspec.Struct, frozen=True):
-    """Work with GPUs that may be stopped for replicas, but for services."""
+    """GPU work that may be preempted for replicas of services; services themselves never belong to it."""
 
     owner: str
     workload: str
-    least_run_s: float  # a task is not stopped before
-    most_stops: int  # of one task
-    waits_at_most_s: float  # so long after its first stop, a job is not stopped any more
+    least_run_s: float  # a task is not preempted before it has run for this long
+    most_stops: int  # limit on the preemptions of one task; 0: never preempted
+    waits_at_most_s: float  # a job is no longer preempted when its first preemption is longer ago than this
 
     def matches(self, spec: JobSpec) -> bool:
         """Whether the job belongs to the class."""
@@ -54,30 +54,30 @@
 
 
 class LendingConfiguration(msgspec.Struct, frozen=True):
-    """What is declared of lending, compiled; also its form in the store. A job belongs to the first that holds it."""
+    """The parsed lending configuration, also as stored. A job belongs to the first class that matches it."""
 
     serve: list[ServingClass] = []
     lend: list[LendingClass] = []
-    reserve: dict[str, float] = {}  # team -> GPUs that are not lent while its replicas do not use them
-    gpus_a_minute: int = 0  # that come back for a team's replicas
-    gpus_at_once: int = 0
-    keep_s: float = 0.0  # what replicas used within it is not lent again
+    reserve: dict[str, float] = {}  # team -> free GPUs reserved for its replicas beyond those in use
+    gpus_a_minute: int = 0  # limit on the GPUs reclaimed for one team's replicas in a minute
+    gpus_at_once: int = 0  # limit on the GPUs of one team's reclaims whose victims have not all stopped
+    keep_s: float = 0.0  # GPUs that replicas used within this time are not lent again
 
     def serves(self, spec: JobSpec) -> bool:
-        """Whether the job is a service that lent GPUs come back for."""
+        """Whether the job is a service that lent GPUs are reclaimed for."""
         return any(one.matches(spec) for one in self.serve)
 
     def lends(self, spec: JobSpec) -> LendingClass | None:
-        """Return the class of a job that may be preempted for services."""
+        """Return the lending class of the job, or None if it may not be preempted for services."""
         return next((one for one in self.lend if one.matches(spec)), None)
 
 
-def _matches(one: ServingClass | LendingClass, spec: JobSpec) -> bool:
-    return fnmatchcase(spec.team, one.owner) and fnmatchcase(spec.job_class, one.workload)
+def _matches(pattern: ServingClass | LendingClass, spec: JobSpec) -> bool:
+    return fnmatchcase(spec.team, pattern.owner) and fnmatchcase(spec.job_class, pattern.workload)
 
 
 def parse(parser: configparser.ConfigParser, path: str) -> LendingConfiguration:
-    """Compile the sections of an INI file; ``ConfigError``: one line for the first fault."""
+    """Parse the sections of an INI file; raises ``ConfigError`` with one line for the first fault."""
     serve: list[ServingClass] = []
     lend: list[LendingClass] = []
     reserve: dict[str, float] = {}
@@ -88,7 +88,7 @@
         if section.word in ("serve", "lend"):
             declared = [(one.owner, one.workload) for one in serve] + [(one.owner, one.workload) for one in lend]
             if (owner, workload) in declared:
-                raise section.error("", "declared before; a class serves or lends, once")
+                raise section.error("", "declared before; a class is declared once, in [serve ...] or in [lend ...]")
         settings = _NUMBERS[section.word]
         section.check_keys(settings)
         numbers = [section.number(key, setting) for key, setting in settings.items()]
@@ -118,32 +118,32 @@
         raise ConfigError(f"{path}: expected at least one [serve OWNER/WORKLOAD]")
     for team in reserve:
         if not any(fnmatchcase(team, one.owner) for one in serve):
-            raise SettingError(path, f"reserve {team}", "", f"no [serve {team}/WORKLOAD], so nothing would use it")
+            raise SettingError(
+                path, f"reserve {team}", "", f"no [serve {team}/WORKLOAD], so nothing would use the reserve"
+            )
 
 
 def check_lines(lending: LendingConfiguration) -> list[str]:
-    """Say who serves, who lends and how fast GPUs come back, for ``--check``."""
+    """Summarize the configuration, one line per rule, for ``--check``."""
     lines = [
-        f"serve {one.owner}/{one.workload}: replicas with GPUs get lent ones back, within the team's guarantee"
+        f"serve {one.owner}/{one.workload}: lent GPUs are reclaimed for its replicas, within the team's guarantee"
         for one in lending.serve
     ]
     for one in lending.lend:
-        how = (
+        conditions = (
             f"after {one.least_run_s:g} s, {one.most_stops} times a task, until {one.waits_at_most_s:g} s after "
-            f"its job's first stop"
+            f"its job's first preemption"
             if one.most_stops
             else "never"
         )
-        lines.append(f"lend {one.owner}/{one.workload}: stopped for replicas {how}")
-    lines += [
-        f"reserve {team}: {gpus:g} GPUs are not lent, where they are free" for team, gpus in lending.reserve.items()
-    ]
+        lines.append(f"lend {one.owner}/{one.workload}: preempted for replicas {conditions}")
+    lines += [f"reserve {team}: {gpus:g} free GPUs are not lent" for team, gpus in lending.reserve.items()]
     if lending.serve:
         lines.append(
-            f"pace: {lending.gpus_a_minute} GPUs a minute and {lending.gpus_at_once} at once come back for a team; "
-            f"what replicas used is not lent again for {lending.keep_s:g} s"
+            f"pace: at most {lending.gpus_a_minute} GPUs a minute and {lending.gpus_at_once} at once are reclaimed for "
+            f"a team; GPUs that replicas used are not lent again for {lending.keep_s:g} s"
         )
     return lines
 
 
-configuration_type = LendingConfiguration  # for ``configuration.ConfigurationReader``
+configuration_type = LendingConfiguration  # read by ``configuration.ConfigurationReader``
--- a/alderbridge/lending/demands.py
+++ b/alderbridge/lending/demands.py
@@ -1,4 +1,4 @@
-"""Replicas within their team's guarantee that neither free room nor room that comes free in time serves."""
+"""Waiting replicas, within their team's guarantee, that no free or soon free capacity can hold."""
 
 from __future__ import annotations
 
@@ -20,57 +20,57 @@
 
 
 class ServingJob(NamedTuple):
-    """A job of a class that serves."""
+    """A service that lent GPUs are reclaimed for."""
 
     spec: JobSpec
-    on: int  # replicas on machines, or on their way there
+    placed: int  # replicas granted to machines, running or starting there
     waiting: int = 0
-    offer: int = 0  # of these, what its job shard would grant now
+    offer: int = 0  # of the waiting replicas, those that the job shard would grant now
     due_in_s: float = math.inf
-    zone: str | None = None  # the only zone that it may use now
-    guaranteed: bool = False  # lies within its team's guarantee, as the protocol counts
-    order: tuple[Any, ...] = ()  # as placement has it
+    zone: str | None = None  # the only zone that it may use now; None: any
+    guaranteed: bool = False  # within its team's guarantee, as the protocol counts it
+    order: tuple[Any, ...] = ()  # sort key of placement
 
 
-class FreeRoom:
-    """What is free on one machine, while replicas are counted into it."""
+class FreeCapacity:
+    """The free capacity of one machine, reduced as replicas are assigned to it."""
 
     __slots__ = ("kind", "free", "ends")
 
     def __init__(
         self, kind: MachineKind, free: Resources, ends: Iterable[tuple[float, float, float, float]] = ()
     ) -> None:
-        """``ends``: tasks that end, as (in s, cpus, memory in GB, GPUs)."""
+        """``ends``: running tasks, as (seconds until the expected end, cpus, memory in GB, GPUs)."""
         self.kind, self.free, self.ends = kind, free, ends
 
-    def within(self, horizon_s: float) -> Resources:
-        """Return what is free, with what comes free in that time."""
-        coming = [end for end in self.ends if end[0] <= horizon_s]
-        cpus, memory, gpus = (self.free[i] + sum(end[i + 1] for end in coming) for i in range(3))
+    def free_within(self, horizon_s: float) -> Resources:
+        """Return the free capacity, including that of tasks that end within the time."""
+        ending = [end for end in self.ends if end[0] <= horizon_s]
+        cpus, memory, gpus = (self.free[i] + sum(end[i + 1] for end in ending) for i in range(3))
         return cpus, memory, gpus
 
-    def take(self, spec: JobSpec, count: int) -> None:
-        """Count that many tasks of the job into it."""
+    def subtract(self, spec: JobSpec, count: int) -> None:
+        """Subtract the resources of ``count`` tasks of the job."""
         cpus, memory, gpus = self.free
         self.free = (cpus - count * spec.cpus, memory - count * spec.memory_gb, gpus - count * spec.gpus)
 
 
 def gpus_in_use(services: Iterable[ServingJob]) -> Counter[str]:
-    """Return the GPUs of each team's replicas."""
+    """Return the GPUs of each team's placed replicas."""
     result: Counter[str] = Counter()
-    for one in services:
-        result[one.spec.team] += one.on * one.spec.gpus  # type: ignore[assignment]
+    for service in services:
+        result[service.spec.team] += service.placed * service.spec.gpus  # type: ignore[assignment]
     return result
 
 
 class ServingDemands:
-    """Counts what replicas need, and remembers which jobs the choice of victims must treat with care."""
+    """Finds the replicas that need reclaimed GPUs, and the jobs for which the choice of victims is restricted."""
 
     def __init__(self, rules: LendingRules, fleet: ServingFleet) -> None:
-        """``fleet``: as the shards reported last."""
+        """``fleet``: as the machine shards last reported it."""
         self.rules, self.fleet = rules, fleet
-        self.unsure: set[str] = set()  # jobs of whose replicas it is not known in which zones they are
-        self.own_only: set[str] = set()  # jobs whose team is at its limit: only its own tasks make room there
+        self.zones_unknown: set[str] = set()  # spread jobs, not all of whose placed replicas are in the last reports
+        self.at_team_limit: set[str] = set()  # jobs for which only their own team's tasks may be preempted
 
     def find(
         self,
@@ -79,63 +79,72 @@
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
     ) -> list[PreemptionDemand]:
-        """Return replicas that nothing else serves in time, in the order of placement.
+        """Return the replicas that need preemption to start in time, in placement order.
 
-        ``resources``: machines without a claim, booting ones as room that comes. ``used``: what each team's tasks
-        take, cpus and GPUs. ``promised``: tasks of a job that claims make room for.
+        ``resources``: machines without a claim; booting ones as capacity that is free later. ``used``: cpus and GPUs
+        of each team's tasks. ``promised``: job -> tasks that existing claims make capacity for.
         """
-        services = sorted(services, key=lambda one: one.order)
-        within = {team: self.rules.guarantee(team) - gpus for team, gpus in gpus_in_use(services).items()}
-        rooms = [FreeRoom(one.kind, one.free, one.ends) for one in resources]
-        self.own_only, self.unsure = set(), set()
+        services = sorted(services, key=lambda service: service.order)
+        remaining = {team: self.rules.guarantee(team) - gpus for team, gpus in gpus_in_use(services).items()}
+        machines = [FreeCapacity(one.kind, one.free, one.ends) for one in resources]
+        self.at_team_limit, self.zones_unknown = set(), set()
         result = []
-        for one in services:
-            spec, team = one.spec, one.spec.team
-            count = min(one.waiting, max(0, math.floor(within[team] / spec.gpus + 1e-9)))
-            within[team] -= count * spec.gpus
-            coming = min(count, promised.get(spec.id, 0))
-            unserved = self._unserved(one, count - coming, coming, rooms, used)
+        for service in services:
+            spec, team = service.spec, service.spec.team
+            count = min(service.waiting, max(0, math.floor(remaining[team] / spec.gpus + 1e-9)))
+            remaining[team] -= count * spec.gpus
+            claimed = min(count, promised.get(spec.id, 0))
+            unserved = self._unserved(service, count - claimed, claimed, machines, used)
             if unserved > 0:
-                result.append(PreemptionDemand(spec, unserved, one.due_in_s, REASON, one.zone, one.guaranteed))
+                result.append(
+                    PreemptionDemand(spec, unserved, service.due_in_s, REASON, service.zone, service.guaranteed)
+                )
         return result
 
     def _unserved(
         self,
-        one: ServingJob,
+        service: ServingJob,
         count: int,
-        coming: int,
-        rooms: list[FreeRoom],
+        claimed: int,
+        machines: list[FreeCapacity],
         used: Mapping[str, tuple[float, float]],
     ) -> int:
-        """How many of ``count`` replicas have no room; ``coming``: others, that claims make room for."""
+        """How many of ``count`` replicas do not fit; ``claimed``: further replicas that claims make capacity for."""
         if count <= 0:
             return 0
-        headroom = self.rules.headroom(one.spec, used) - coming
+        headroom = self.rules.headroom(service.spec, used) - claimed
         if headroom <= 0:
-            # Preempting others' tasks would make room that its team may not use.
-            self.own_only.add(one.spec.id)
+            # Preempting other teams' tasks would free capacity that this team may not use.
+            self.at_team_limit.add(service.spec.id)
             return count
         free = 0
-        if one.spec.spread and sum(self.fleet.zones_of(one.spec).values()) < one.on:
-            self.unsure.add(one.spec.id)  # the shards are asked; free room counts when they have reported
+        if service.spec.spread and sum(self.fleet.zones_of(service.spec).values()) < service.placed:
+            self.zones_unknown.add(service.spec.id)  # selection counts free capacity after the shards have reported
         else:
-            free = self.count_into(rooms, one, int(min(count, headroom)))
-        return int(min(count - free, headroom - free, one.offer - coming - free))
+            free = self.assign_to_free(machines, service, int(min(count, headroom)))
+        return int(min(count - free, headroom - free, service.offer - claimed - free))
 
-    def count_into(self, rooms: list[FreeRoom], one: ServingJob, most: int) -> int:
-        """Return how many of the replicas go where room is, or comes while lending would take; takes that room."""
-        spec, found = one.spec, 0
-        horizon_s = max(one.due_in_s, spec.save_s + constants.LEND_S)
+    def assign_to_free(self, machines: list[FreeCapacity], service: ServingJob, limit: int) -> int:
+        """Assign up to ``limit`` replicas to machines with free capacity, and return how many were assigned.
+
+        Capacity counts if it becomes free before the replicas' deadline, or before reclaimed GPUs would be free.
+        """
+        spec, assigned = service.spec, 0
+        horizon_s = max(service.due_in_s, spec.save_s + constants.LEND_S)
         by_zone = self.fleet.zones_of(spec)
-        for room in rooms:
-            kind = room.kind
-            if found >= most:
+        for machine in machines:
+            kind = machine.kind
+            if assigned >= limit:
                 break
-            if not allowed(spec, kind.type, kind.zone, kind.spot) or one.zone not in (None, kind.zone):
+            if not allowed(spec, kind.type, kind.zone, kind.spot) or service.zone not in (None, kind.zone):
                 continue
-            count = min(fits(spec, room.within(horizon_s)), most - found, self.fleet.quota(spec, by_zone, kind.zone))
+            count = min(
+                fits(spec, machine.free_within(horizon_s)),
+                limit - assigned,
+                self.fleet.remaining_in_zone(spec, by_zone, kind.zone),
+            )
             if count > 0:
-                room.take(spec, count)
+                machine.subtract(spec, count)
                 by_zone[kind.zone] += count
-                found += count
-        return found
+                assigned += count
+        return assigned
--- a/alderbridge/lending/fleet.py
+++ b/alderbridge/lending/fleet.py
@@ -1,4 +1,4 @@
-"""Where replicas and images are, as the machine shards reported last."""
+"""Replicas and cached images of the machines, as last reported by the machine shards."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class MachineContents(NamedTuple):
-    """What a shard reports of one machine beside its victims."""
+    """What a machine shard reports about one machine in addition to its preemptible tasks."""
 
     images: frozenset[str] = frozenset()  # cached, or being fetched
-    replicas: Mapping[str, int] = {}  # job that serves -> its tasks there
+    replicas: Mapping[str, int] = {}  # service job -> its tasks on the machine
 
 
 _EMPTY = MachineContents()
@@ -23,17 +23,17 @@
 class ServingFleet:
     """Images and replicas of all machines, and the machines' zones."""
 
-    def __init__(self, before: ServingFleet | None = None) -> None:
-        """Begin with what was known ``before``, until shards have reported."""
-        self.contents: dict[str, MachineContents] = before.contents if before is not None else {}
-        self.zone_of: dict[str, str] = before.zone_of if before is not None else {}
+    def __init__(self, previous: ServingFleet | None = None) -> None:
+        """``previous``: its contents are used until the shards have reported."""
+        self.contents: dict[str, MachineContents] = previous.contents if previous is not None else {}
+        self.zone_of: dict[str, str] = previous.zone_of if previous is not None else {}
 
     def update(self, contents: Mapping[str, MachineContents], zone_of: Mapping[str, str]) -> None:
-        """Replace what is known by a report of all machines."""
+        """Replace the contents by a report on all machines."""
         self.contents, self.zone_of = dict(contents), dict(zone_of)
 
     def contents_of(self, machine: str) -> MachineContents:
-        """Return what is on the machine."""
+        """Return the images and replicas of the machine."""
         return self.contents.get(machine, _EMPTY)
 
     def zones_of(self, spec: JobSpec) -> Counter[str]:
@@ -45,6 +45,6 @@
         return result
 
     @staticmethod
-    def quota(spec: JobSpec, by_zone: Counter[str], zone: str) -> int:
-        """Return how many more replicas may be in the zone: of spread ones at most half (PROTOCOL, ``apart``)."""
+    def remaining_in_zone(spec: JobSpec, by_zone: Counter[str], zone: str) -> int:
+        """Return how many more replicas the zone may hold: at most half of a spread job's (PROTOCOL, ``apart``)."""
         return max(0, math.ceil(spec.tasks / 2) - by_zone[zone]) if spec.spread else spec.tasks
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -1,8 +1,7 @@
-"""Which lent GPUs come back, for which replicas, on which machines. Pure: a policy of the leader's preemption planner.
+"""The preemption policy of lending: reclaims lent GPUs for replicas of services.
 
-Demands are replicas within their team's guarantee of GPUs that neither free room nor room that comes free in time
-serves. The protocol's "Preemption" is kept to the letter, and beyond it no team is brought below its guarantee for
-another.
+Demands are replicas, within their team's GPU guarantee, that no free capacity can hold in time. Victims are chosen by
+the protocol's "Preemption"; in addition, no team is brought below its guarantee for another team.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 class CapacityLender:
-    """The policy of lending: replicas of services get lent GPUs back."""
+    """Finds replicas that need reclaimed GPUs, and chooses the lending tasks to preempt for them."""
 
     reason = REASON
 
@@ -43,36 +42,38 @@
         configurations: Sequence[LendingConfiguration],
         teams: Iterable[Team],
         types: Mapping[str, MachineType],
-        before: CapacityLender | None = None,
+        previous: CapacityLender | None = None,
     ) -> None:
-        """``configurations``: all that are in force. ``before``: the lender that this one replaces."""
+        """``configurations``: all that are in force. ``previous``: the lender that this one replaces."""
         self.configurations = list(configurations)
         self.types = types
-        self.teams = Teams([], {})  # as they stand, while victims are chosen: set by the planner
+        self.teams = Teams([], {})  # set by the planner before victims are chosen
         self.rules = LendingRules(configurations, teams)
-        self.fleet: ServingFleet = ServingFleet(before.fleet if before is not None else None)
-        self.pace: ReclaimPace = ReclaimPace(self.rules, before.pace if before is not None else None)
-        self.peaks: GpuReserve = before.peaks if before is not None else GpuReserve()
-        self.unserved_since: dict[str, float] = before.unserved_since if before is not None else {}  # job -> since when
-        self.serving = ServingDemands(self.rules, self.fleet)
-        self.used: Counter[str] = Counter()  # GPUs of each team's replicas, in the last round
-        self.tasks_served_by_lending: Counter[str] = Counter()  # job -> waiting replicas that no machine is rented for
-        self.claims: dict[str, PreemptionClaim] = {}  # of lending, in the last round
-        self.specs: dict[str, JobSpec | None] = {}  # of their victims' jobs
-
-    # -- demands ---------------------------------------------------------------
+        self.fleet: ServingFleet = ServingFleet(previous.fleet if previous is not None else None)
+        self.pace: ReclaimPace = ReclaimPace(self.rules, previous.pace if previous is not None else None)
+        self.gpu_reserve: GpuReserve = previous.gpu_reserve if previous is not None else GpuReserve()
+        # job -> time of its first unserved demand
+        self.unserved_since: dict[str, float] = previous.unserved_since if previous is not None else {}
+        self.serving_demands = ServingDemands(self.rules, self.fleet)
+        self.used: Counter[str] = Counter()  # GPUs of each team's placed replicas in the last round
+        self.tasks_served_by_lending: Counter[str] = Counter()  # job -> waiting replicas to rent no machine for
+        self.claims: dict[str, PreemptionClaim] = {}  # lending claims by machine, as of the last round
+        self.specs: dict[str, JobSpec | None] = {}  # of the jobs of the claims' victims
 
     def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
-        """Return what replicas need, and note what the leader is not to rent for: claims, and demands of a moment."""
+        """Return replicas that need preemption, and update ``tasks_served_by_lending``.
+
+        The latter holds the replicas of claims and of demands younger than ``LEND_FIRST_S``.
+        """
         promised = planner.promised()
         self._observe_claims(planner)
         services = self.services(planner, now)
         self.used = gpus_in_use(services)
-        self.peaks.record_use(self.gpu_demand(services), now)
+        self.gpu_reserve.record_use(self.gpu_demand(services), now)
         self.tasks_served_by_lending = Counter(
             {job: count for job, count in promised.items() if any(claim.job == job for claim in self.claims.values())}
         )
-        if not any(one.waiting for one in services):
+        if not any(service.waiting for service in services):
             self.unserved_since = {}
             return []
         resources = [one for one in planner.leader.outlook(now, planner.ledger.entries) if self._has_gpus(one.kind)]
@@ -90,23 +91,23 @@
         used: Mapping[str, tuple[float, float]],
         promised: Mapping[str, int],
     ) -> list[PreemptionDemand]:
-        """Return replicas that nothing else serves in time; see ``ServingDemands.find``."""
-        return self.serving.find(services, resources, used, promised)
+        """Return replicas that need preemption to start in time; see ``ServingDemands.find``."""
+        return self.serving_demands.find(services, resources, used, promised)
 
     def _observe_claims(self, planner: PreemptionPlanner) -> None:
-        """Take in the claims of lending, and which of their victims are not gone yet."""
+        """Update the lending claims, and the GPUs of their victims that may still run."""
         replica = planner.leader.replica
         self.claims = {machine: claim for machine, claim in planner.ledger.all().items() if claim.reason == REASON}
         self.specs = {job: replica.spec(job) for claim in self.claims.values() for job, _, _ in claim.victims}
         self.pace.stopping = Counter()
         for machine, claim in self.claims.items():
-            gone = len(claim.victims) - planner.victims_left(machine, claim)
+            stopped = len(claim.victims) - planner.victims_left(machine, claim)
             self.pace.stopping[claim.team] += sum(  # type: ignore[assignment]
-                spec.gpus for job, _, _ in claim.victims[gone:] if (spec := self.specs[job]) is not None
+                spec.gpus for job, _, _ in claim.victims[stopped:] if (spec := self.specs[job]) is not None
             )
 
     def services(self, planner: PreemptionPlanner, now: float) -> list[ServingJob]:
-        """Return the services that lending serves, as their rows and records stand."""
+        """Return the active services that GPUs are reclaimed for, with their current queue rows."""
         rows, result = planner.queue_rows(now), []
         for job, (record, _) in planner.leader.replica.active.items():
             spec = record.spec
@@ -114,7 +115,7 @@
                 row = rows.get(job) or QueueRow(job, 0, 0, math.inf, 0.0, None, 0.0, False, False)
                 service = ServingJob(
                     spec=spec,
-                    on=max(0, spec.tasks - row.waiting),
+                    placed=max(0, spec.tasks - row.waiting),
                     waiting=row.waiting,
                     offer=row.offer,
                     due_in_s=row.due_in_s,
@@ -126,25 +127,26 @@
         return result
 
     def gpu_demand(self, services: Sequence[ServingJob]) -> dict[str, float]:
-        """Return the GPUs of each team's replicas with those that wait, no more than it has or is guaranteed."""
+        """Return the GPUs of each team's placed and waiting replicas, up to the larger of its guarantee and its use."""
         used = gpus_in_use(services)
-        with_waiting = gpus_in_use(one._replace(on=one.on + one.waiting) for one in services)
+        with_waiting = gpus_in_use(service._replace(placed=service.placed + service.waiting) for service in services)
         return {team: min(gpus, max(self.rules.guarantee(team), used[team])) for team, gpus in with_waiting.items()}
 
     def serves_soon(self, row: QueueRow, spec: JobSpec) -> int:
-        """Return the waiting tasks that no machine is rented for now: what just came is planned for within a second."""
+        """Return how many waiting tasks no machine is rented for now.
+
+        All tasks of a job that has just arrived count, as lending has not planned for it yet.
+        """
         if not self.rules.serves(spec):
             return 0
         return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < constants.LEND_FIRST_S else 0)
 
     def _has_gpus(self, kind: MachineKind) -> bool:
-        known = self.types.get(kind.type)
-        return known is not None and known.gpus > 0
-
-    # -- what the planner asks -------------------------------------------------
+        machine_type = self.types.get(kind.type)
+        return machine_type is not None and machine_type.gpus > 0
 
     def is_reported(self, spec: JobSpec) -> bool:
-        """Whether machine shards report such a task to the leader: it may be preempted, or it is a replica."""
+        """Whether machine shards report the job's tasks to the leader: preemptible tasks and replicas of services."""
         return self.rules.preemptible(spec) or self.rules.serves(spec)
 
     def preemptible(self, spec: JobSpec) -> bool:
@@ -152,13 +154,13 @@
         return self.rules.preemptible(spec)
 
     def limit(self, demand: PreemptionDemand | None) -> PreemptionLimit:
-        """Return the limit in tasks, as the store counts them; each takes a GPU or more, and ``pace`` counts those."""
-        return PreemptionLimit(self.rules.gpus_a_minute, self.rules.gpus_at_once)
+        """Return the limit in tasks, as counted in the store; ``ReclaimPace`` enforces the same limits in GPUs."""
+        return PreemptionLimit(self.rules.gpus_per_minute, self.rules.max_stopping_gpus)
 
     def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
-        """Take in images and replicas of all machines that are up."""
+        """Update the images and replicas of all machines that are up."""
         contents = {}
         for row in rows:
             replicas = Counter(
@@ -176,18 +178,18 @@
         max_changes: int,
     ) -> list[ClaimGroup]:
         """Return claims for the demands; see ``preemption.select_victims``."""
-        self.pace.count_returned(self.claims, self.specs, budget.wall)
-        selection = LendingSelection(self.serving, self.pace, self.types, self.teams, machines)
+        self.pace.count_reclaimed(self.claims, self.specs, budget.wall)
+        selection = LendingSelection(self.serving_demands, self.pace, self.types, self.teams, machines)
         return selection.select(demands, budget, max_changes)
 
-    # -- what is not lent --------------------------------------------------------
-
     def gpus_to_reserve(self, planner: PreemptionPlanner, now: float) -> dict[str, float]:
-        """Return the free GPUs that lending work leaves alone now, by machine."""
+        """Return the free GPUs that are reserved for replicas now, by machine."""
         rules = self.rules
         gpus = sum(
-            self.peaks.gpus(team, rules.reserve(team), rules.guarantee(team), self.used[team], rules.keep_s, now)
-            for team in {*self.peaks.peaks, *rules.teams_with_reserve()}
+            self.gpu_reserve.gpus(
+                team, rules.reserve(team), rules.guarantee(team), self.used[team], rules.retention_s, now
+            )
+            for team in {*self.gpu_reserve.peaks, *rules.teams_with_reserve()}
         )
         if gpus <= 0:
             return {}
@@ -197,8 +199,8 @@
             if (spec := record.spec) is not None and rules.serves(spec)
         }
         machines = []
-        for room, _ in planner.leader.machine_summaries.values():
-            for row in room.rows:
+        for summaries, _ in planner.leader.machine_summaries.values():
+            for row in summaries.rows:
                 if row.state == "up" and row.free[2] > 0 and planner.ledger.claim_of(row.machine) is None:
                     contents = self.fleet.contents_of(row.machine)
                     cached, serves = bool(images & contents.images), bool(contents.replicas)
@@ -206,21 +208,24 @@
         return allocate_reserve(gpus, machines)
 
     def limit_lending(self, gpus: float, elsewhere: Callable[[Offer], int]) -> Callable[[Offer], int]:
-        """Return ``elsewhere`` for a machine on which lending work may take only so many GPUs."""
+        """Wrap ``elsewhere`` for a machine on which lending work may use at most ``gpus`` GPUs.
+
+        ``elsewhere`` returns how many tasks of an offer are left to other machines.
+        """
 
         def result(offer: Offer) -> int:
             nonlocal gpus
             if self.rules.lends(offer.spec) is None:
                 return elsewhere(offer)
-            most = max(0, min(offer.left, int(gpus / offer.spec.gpus + 1e-9)))
-            gpus -= most * offer.spec.gpus  # if it takes fewer, the rest is for the next heartbeat
-            return max(elsewhere(offer), offer.left - most)
+            limit = max(0, min(offer.left, int(gpus / offer.spec.gpus + 1e-9)))
+            gpus -= limit * offer.spec.gpus  # GPUs that the offer then does not use stay free until the next heartbeat
+            return max(elsewhere(offer), offer.left - limit)
 
         return result
 
 
 def _used_by_teams(planner: PreemptionPlanner) -> dict[str, tuple[float, float]]:
-    """Cpus and GPUs of each team's tasks, from all queues."""
+    """Cpus and GPUs of each team's tasks, summed over all job shards."""
     cpus: Counter[str] = Counter()
     gpus: Counter[str] = Counter()
     for queue in planner.leader.queues.values():
--- a/alderbridge/lending/pace.py
+++ b/alderbridge/lending/pace.py
@@ -1,4 +1,4 @@
-"""How many lent GPUs came back lately, and how many more may."""
+"""Rate limit of reclaimed GPUs: how many were reclaimed recently, and how many more may be."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 from alderbridge.protocol.wire import JobSpec
 
 
-class ReturnedGpus(NamedTuple):
-    """GPUs that one claim brought back."""
+class ReclaimedGpus(NamedTuple):
+    """GPUs reclaimed by one claim."""
 
-    at: float  # time of day of the claim, in s
-    team: str  # for whose replicas
+    claimed_at: float  # wall-clock time of the claim, in s
+    team: str  # whose replicas they are reclaimed for
     gpus: float
 
 
 class ReclaimPace:
-    """Counts GPUs, where the store counts preemptions: those of a minute, and those of victims not gone yet."""
+    """Limits the GPUs reclaimed for each team, in a minute and at once; the store limits preemptions, in tasks."""
 
-    def __init__(self, rules: LendingRules, before: ReclaimPace | None = None) -> None:
-        """Go on from what was counted ``before``."""
+    def __init__(self, rules: LendingRules, previous: ReclaimPace | None = None) -> None:
+        """``previous``: continue from its counts."""
         self.rules = rules
-        self.returned: deque[ReturnedGpus] = before.returned if before is not None else deque()
-        self.counted: set[tuple[str, float]] = before.counted if before is not None else set()  # machine, time of claim
-        self.stopping: Counter[str] = Counter()  # team -> GPUs of its claims whose victims are not known to be gone
+        self.reclaimed: deque[ReclaimedGpus] = previous.reclaimed if previous is not None else deque()
+        # (machine, time of claim)
+        self.counted: set[tuple[str, float]] = previous.counted if previous is not None else set()
+        self.stopping: Counter[str] = Counter()  # team -> GPUs of victims that may still run
 
-    def count_returned(
-        self, claims: Mapping[str, PreemptionClaim], specs: Mapping[str, JobSpec | None], wall: float
+    def count_reclaimed(
+        self, claims: Mapping[str, PreemptionClaim], specs: Mapping[str, JobSpec | None], wall_time: float
     ) -> None:
-        """Count the GPUs of claims of lending that are in the store, once each; ``specs``: of their victims' jobs."""
+        """Count the GPUs of each stored lending claim once; ``specs``: of the victims' jobs, by job."""
         for machine, claim in claims.items():
             if (machine, claim.at) in self.counted:
                 continue
             self.counted.add((machine, claim.at))
             gpus = sum(spec.gpus for job, _, _ in claim.victims if (spec := specs.get(job)) is not None)
-            self.returned.append(ReturnedGpus(claim.at, claim.team, gpus))
-        least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
-        self.returned = deque(one for one in self.returned if one[0] > least)
-        self.counted = {key for key in self.counted if key[1] > least or key[0] in claims}
-
-    def left(self, team: str) -> float:
-        """Return how many GPUs may still come back for the team now."""
-        spent = sum(gpus for _, other, gpus in self.returned if other == team)
-        return min(self.rules.gpus_a_minute - spent, self.rules.gpus_at_once - self.stopping[team])
+            self.reclaimed.append(ReclaimedGpus(claim.at, claim.team, gpus))
+        oldest = wall_time - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
+        self.reclaimed = deque(entry for entry in self.reclaimed if entry[0] > oldest)
+        self.counted = {key for key in self.counted if key[1] > oldest or key[0] in claims}
+
+    def remaining_gpus(self, team: str) -> float:
+        """Return how many more GPUs may be reclaimed for the team now."""
+        used = sum(gpus for _, owner, gpus in self.reclaimed if owner == team)
+        return min(self.rules.gpus_per_minute - used, self.rules.max_stopping_gpus - self.stopping[team])
--- a/alderbridge/lending/reserve.py
+++ b/alderbridge/lending/reserve.py
@@ -1,4 +1,4 @@
-"""What is not lent again yet: a reserve for each team, and the free GPUs that make it up. Pure."""
+"""GPUs reserved for each team's replicas, and the free GPUs on machines that make up the reserve."""
 
 from __future__ import annotations
 
@@ -8,28 +8,31 @@
 
 
 class GpuReserve:
-    """The most that each team's replicas used within the last ``keep_s``.
+    """Peak GPU use of each team's replicas within the retention time (``keep_s`` of the configuration).
 
-    A load that swings within that time finds its GPUs free, however often it swings: one reclaim, not one a swing.
-    In the leader's memory: a new one begins with what is used then, which costs at most one reclaim more.
+    Peak GPUs stay reserved, so that a load that rises and falls repeatedly within that time is served by one reclaim.
+    Held in memory only: a new leader starts from the current use, which costs at most one more reclaim.
     """
 
     def __init__(self) -> None:
-        """Begin without any use."""
-        self.peaks: dict[str, deque[tuple[float, float]]] = {}  # team -> (time, GPUs), falling
+        """Start without any recorded use."""
+        self.peaks: dict[str, deque[tuple[float, float]]] = {}  # team -> (time, GPUs), decreasing in GPUs
 
     def record_use(self, used: Mapping[str, float], now: float) -> None:
-        """Record the GPUs of each team's replicas, those that wait within its guarantee included."""
+        """Record the GPUs of each team's replicas, including replicas that wait within its guarantee."""
         for team in used.keys() | self.peaks.keys():
             peaks, gpus = self.peaks.setdefault(team, deque()), used.get(team, 0.0)
             while peaks and peaks[-1][1] <= gpus:
                 peaks.pop()
             peaks.append((now, gpus))
 
-    def gpus(self, team: str, declared: float, guarantee: float, used: float, keep_s: float, now: float) -> float:
-        """Return how many more than it uses are to be free for a team's replicas, within its guarantee."""
+    def gpus(self, team: str, declared: float, guarantee: float, used: float, retention_s: float, now: float) -> float:
+        """Return how many GPUs to reserve for a team's replicas beyond those in use, within its guarantee.
+
+        ``declared``: GPUs that the configuration reserves for the team.
+        """
         peaks = self.peaks.get(team, deque())
-        while peaks and now - peaks[0][0] > keep_s:
+        while peaks and now - peaks[0][0] > retention_s:
             peaks.popleft()
         peak = peaks[0][1] if peaks else 0.0
         return max(0.0, min(max(peak, used + declared), guarantee) - used)
@@ -40,22 +43,21 @@
 
     machine: str
     gpus: float
-    cached: bool  # weights of replicas
-    serves: bool  # replicas run there
+    cached: bool  # has the image of a service
+    serves: bool  # runs replicas
 
 
 def allocate_reserve(gpus: float, machines: Iterable[FreeGpus]) -> dict[str, float]:
-    """Return the free GPUs that lending work leaves alone, by machine.
+    """Return the free GPUs to reserve on each machine; nothing is preempted to fill a reserve.
 
-    First where weights are cached, then on whole machines, then where most are free. What is not free is not
-    reserved: nothing is stopped for a reserve.
+    Machines with a cached service image come first, then those without replicas, then those with the most free GPUs.
     """
-    held: dict[str, float] = {}
-    for one in sorted(machines, key=lambda one: (not one.cached, one.serves, -one.gpus, one.machine)):
+    result: dict[str, float] = {}
+    for machine in sorted(machines, key=lambda free: (not free.cached, free.serves, -free.gpus, free.machine)):
         if gpus <= 1e-9:
             break
-        reserved = min(one.gpus, gpus)
+        reserved = min(machine.gpus, gpus)
         if reserved > 0:
-            held[one.machine] = reserved
+            result[machine.machine] = reserved
             gpus -= reserved
-    return held
+    return result
--- a/alderbridge/lending/selection.py
+++ b/alderbridge/lending/selection.py
@@ -1,4 +1,4 @@
-"""Which lending tasks are preempted for replicas, and on which machines: one choice for all demands of a round."""
+"""Chooses the lending tasks to preempt for replicas, and the machines, for all demands of a planning round."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from alderbridge import constants, preemption
 from alderbridge.claims.records import ClaimGroup
-from alderbridge.lending.demands import FreeRoom, ServingDemands, ServingJob
+from alderbridge.lending.demands import FreeCapacity, ServingDemands, ServingJob
 from alderbridge.lending.pace import ReclaimPace
 from alderbridge.preemption import (
     CandidateMachine,
@@ -22,7 +22,7 @@
 
 
 class LendingSelection:
-    """Rules and costs of the choice; what is chosen counts against the pace and the teams at once."""
+    """Rules and costs of the choice of victims; each victim immediately counts against the rate limit and its team."""
 
     def __init__(
         self,
@@ -32,18 +32,18 @@
         teams: Teams,
         machines: Sequence[CandidateMachine],
     ) -> None:
-        """``teams``: as they stand; victims are taken from them. ``machines``: those without a claim."""
+        """``teams``: current usage, reduced as victims are chosen. ``machines``: those without a claim."""
         self.demands, self.pace, self.types, self.teams, self.machines = demands, pace, types, teams, machines
         self.rules, self.fleet = demands.rules, demands.fleet
         self.fleet.zone_of |= {one.machine: one.kind.zone for one in machines}
         self.machine_of = {(victim.job, victim.index): one.machine for one in machines for victim in one.tasks}
-        self.opened: Counter[str] = Counter()  # machine -> victims chosen there
-        self.left: dict[str, float] = {}  # team -> GPUs that may still come back for it
-        self.whole = self._whole()
-        self.demand: PreemptionDemand | None = None  # that victims are chosen for now
+        self.victims_on: Counter[str] = Counter()  # machine -> victims chosen there
+        self.remaining_gpus: dict[str, float] = {}  # team -> GPUs that may still be reclaimed for it
+        self.clearable = self._find_clearable()
+        self.demand: PreemptionDemand | None = None  # the demand that victims are being chosen for
 
-    def _whole(self) -> set[str]:
-        """Machines that could be all free: nothing but lending work is on them."""
+    def _find_clearable(self) -> set[str]:
+        """Machines whose GPUs would all be free without their preemptible tasks."""
         result: set[str] = set()
         for one in self.machines:
             all_gpus = self._gpus(one)
@@ -59,23 +59,23 @@
     def select(
         self, demands: Iterable[PreemptionDemand], budget: PreemptionBudget, max_changes: int
     ) -> list[ClaimGroup]:
-        """Return claims for the demands, zone after zone; see ``preemption.select_victims``."""
+        """Return claims for the demands, choosing zone by zone; see ``preemption.select_victims``."""
         rules = SelectionRules(self.allowed, self.victim_cost, self.count_victim, self.placement_cost)
         result: list[ClaimGroup] = []
         taken: set[str] = set()
-        rooms = [FreeRoom(one.kind, one.free) for one in self.machines]
+        free_capacity = [FreeCapacity(one.kind, one.free) for one in self.machines]
         for demand in demands:
             served = 0
-            if demand.spec.id in self.demands.unsure:
-                one = ServingJob(demand.spec, 0, zone=demand.zone)
-                free = self.demands.count_into(rooms, one, demand.count)
+            if demand.spec.id in self.demands.zones_unknown:
+                service = ServingJob(demand.spec, 0, zone=demand.zone)
+                free = self.demands.assign_to_free(free_capacity, service, demand.count)
                 demand = demand._replace(count=demand.count - free)
-            for zone, most_there in self._zones(demand):
+            for zone, zone_limit in self._zones(demand):
                 if served >= demand.count:
                     break
-                self.demand = demand._replace(zone=zone, count=min(demand.count - served, most_there))
-                here = [one for one in self.machines if one.machine not in taken and zone in (None, one.kind.zone)]
-                groups = preemption.select_victims([self.demand], here, rules, budget, max_changes)
+                self.demand = demand._replace(zone=zone, count=min(demand.count - served, zone_limit))
+                usable = [one for one in self.machines if one.machine not in taken and zone in (None, one.kind.zone)]
+                groups = preemption.select_victims([self.demand], usable, rules, budget, max_changes)
                 for group in groups:
                     taken.update(group)
                     served += sum(claim.count for claim in group.values())
@@ -83,7 +83,7 @@
         return result
 
     def _zones(self, demand: PreemptionDemand) -> list[tuple[str | None, int]]:
-        """Where to look, one after the other, and for how many there: no more than ``apart`` allows."""
+        """The zones to try, in order, and how many replicas each may take: a spread job's are limited per zone."""
         spec = demand.spec
         if not spec.spread:
             return [(demand.zone, demand.count)]
@@ -95,23 +95,21 @@
         candidates = Counter(zone_of[name] for name in self.machine_of.values())
         zones = sorted(set(candidates), key=lambda zone: (replicas[zone], -cached[zone], -candidates[zone], zone))
         return [
-            (zone, quota)
+            (zone, remaining)
             for zone in zones
-            if demand.zone in (None, zone) and (quota := self.fleet.quota(spec, replicas, zone)) > 0
+            if demand.zone in (None, zone) and (remaining := self.fleet.remaining_in_zone(spec, replicas, zone)) > 0
         ]
 
-    # -- rules and costs -----------------------------------------------------
-
     def allowed(self, demand: PreemptionDemand, victim: Victim) -> bool:
-        """Whether the protocol, the pace, the teams' guarantees and the victim's class allow it."""
+        """Whether protocol, rate limit, team guarantees and the victim's lending class allow preempting the victim."""
         spec, team = victim.spec, demand.spec.team
         lends = self.rules.lends(spec)
-        if lends is None or not self.rules.serves(demand.spec) or spec.gpus > self._left(team) + 1e-9:
+        if lends is None or not self.rules.serves(demand.spec) or spec.gpus > self._remaining_gpus_for(team) + 1e-9:
             return False
-        beyond = self.teams.beyond(spec)
-        if spec.team != team and (demand.spec.id in self.demands.own_only or not beyond):
+        keeps_guarantee = self.teams.beyond(spec)
+        if spec.team != team and (demand.spec.id in self.demands.at_team_limit or not keeps_guarantee):
             return False
-        if not preemption.allowed(demand.spec, demand.guaranteed, spec, beyond):
+        if not preemption.allowed(demand.spec, demand.guaranteed, spec, keeps_guarantee):
             return False
         return all(
             victim.ran_s >= one.least_run_s
@@ -120,31 +118,32 @@
             for one in lends
         )
 
-    def _left(self, team: str) -> float:
-        if team not in self.left:
-            self.left[team] = self.pace.left(team)
-        return self.left[team]
+    def _remaining_gpus_for(self, team: str) -> float:
+        if team not in self.remaining_gpus:
+            self.remaining_gpus[team] = self.pace.remaining_gpus(team)
+        return self.remaining_gpus[team]
 
     def count_victim(self, victim: Victim, sign: int) -> None:
-        """Count a victim as chosen (1), or not after all (-1)."""
+        """Count a victim as chosen (``sign`` 1), or as no longer chosen (-1)."""
         assert self.demand is not None
         team = self.demand.spec.team
-        self.left[team] = self._left(team) - sign * victim.spec.gpus
-        self.opened[self.machine_of[victim.job, victim.index]] += sign
+        self.remaining_gpus[team] = self._remaining_gpus_for(team) - sign * victim.spec.gpus
+        self.victims_on[self.machine_of[victim.job, victim.index]] += sign
         self.teams.count_victim(victim.spec, sign)
 
     def victim_cost(self, victim: Victim) -> float:
-        """Return the GPU seconds lost: work just saved goes first, as what is not saved is at risk until it is.
+        """Return the GPU-seconds lost by preempting the task.
 
-        What was preempted before costs as much more for each time: the same task is not preempted again and again.
+        A share of the unsaved work (``LEND_RISK``) counts as lost, since it is at risk until it is saved. Each earlier
+        preemption adds the same cost again, so that one task is not preempted repeatedly.
         """
         lost_s = lost_seconds(victim) + constants.LEND_RISK * (victim.saved_s_ago or 0.0)
         return victim.spec.gpus * (1 + victim.stops) * lost_s
 
     def placement_cost(self, demand: PreemptionDemand, machine: CandidateMachine) -> float:
-        """Return the GPU seconds that replicas' GPUs idle there, and what is to be avoided: see ``constants``."""
+        """Return the cost of placing a replica there, in GPU-seconds: idle GPU time and the ``LEND_*`` penalties."""
         spec, name = demand.spec, machine.machine
-        if self.opened[name] > 0:
+        if self.victims_on[name] > 0:
             return 0.0
         cost = constants.LEND_OPEN_S * spec.gpus
         if spec.image not in self.fleet.contents_of(name).images:
@@ -153,17 +152,17 @@
             cost += fetch_s * spec.gpus
             if fetch_s >= constants.LEND_HEAVY_S and self._image_elsewhere(spec, machine):
                 cost += constants.LEND_AVOID_S
-        if name in self.whole and spec.gpus < self._gpus(machine):
-            last = sum(not self.opened[one] for one in self.whole) <= 1
+        if name in self.clearable and spec.gpus < self._gpus(machine):
+            last = sum(not self.victims_on[clearable] for clearable in self.clearable) <= 1
             cost += 2 * constants.LEND_AVOID_S if last else constants.LEND_OPEN_S * spec.gpus
         return cost
 
     def _image_elsewhere(self, spec: JobSpec, machine: CandidateMachine) -> bool:
-        """Whether another candidate has the image, fetches it, or is to."""
+        """Whether another candidate has the image or fetches it, or has victims chosen and will fetch it."""
         assert self.demand is not None
         return any(
             self.demand.zone in (None, self.fleet.zone_of[name])
             and name != machine.machine
-            and (self.opened[name] > 0 or spec.image in self.fleet.contents_of(name).images)
+            and (self.victims_on[name] > 0 or spec.image in self.fleet.contents_of(name).images)
             for name in set(self.machine_of.values())
         )
