--- a/alderbridge/queues/__init__.py
+++ b/alderbridge/queues/__init__.py
@@ -1,7 +1,8 @@
-"""How a job shard's waiting jobs and its teams' usage reach the members that use them.
+"""Publication of each job shard's waiting jobs and team usage to the other members.
 
-A job shard publishes what has changed since it last told a member; the member keeps the whole. Members of an older
-version are sent the whole queue in every round. Why nothing unsafe rests on it: ``docs/design.md``, "Queues".
+A job shard sends each member the changes since the last message to it, and the member keeps the full state. While a
+member runs an older version, all are sent the full queue in every round. Safety does not depend on this data:
+``docs/design.md``, "Queues".
 """
 
 from alderbridge.queues.delta_tracker import DeltaTracker, QueueState
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -1,6 +1,6 @@
-"""What a machine shard makes of the job shards' queues: offers in the order of placement. Pure.
+"""A machine shard's view of the job shards' queues: offers in placement order.
 
-A row may arrive before its job's record does. It waits here for the record, as it is sent but once.
+A row may arrive before the record of its job does. It is kept until then, as it is sent only once.
 """
 
 from __future__ import annotations
@@ -17,55 +17,57 @@
     """The offers of all job shards under one view."""
 
     def __init__(self, spec_of: Callable[[str], JobSpec | None], keeps_turn: KeepsTurn = keep_no_turn) -> None:
-        """``spec_of``: the description of a job, where its record is known here; ``keeps_turn``: see ``order``."""
+        """``spec_of``: returns a job's spec, None before its record arrives; ``keeps_turn``: see ``offers.order``."""
         self.spec_of = spec_of
         self.keeps_turn = keeps_turn
         self.offers = Offers()
-        self.delta_senders: set[str] = set()  # members that send deltas: whole queues of theirs are late frames
-        self.unknown: dict[str, dict[str, tuple[QueueRow, float]]] = {}  # member -> job -> row, when it was sent
+        self.delta_senders: set[str] = set()  # members whose snapshots are ignored as late frames
+        self.pending_rows: dict[str, dict[str, tuple[QueueRow, float]]] = {}  # member -> job -> (row, when it was sent)
 
     def clear(self) -> None:
-        """A new view: nothing that was offered counts."""
+        """Begin a new view: drop all offers."""
         self.offers.clear()
         self.delta_senders.clear()
-        self.unknown.clear()
+        self.pending_rows.clear()
 
     def apply_snapshot(self, label: str, queue: QueueSnapshot, now: float) -> None:
-        """All that a job shard offers, sent in each round."""
+        """Replace all offers of a job shard that sends its full queue in each round."""
         if label not in self.delta_senders:
             self.offers.replace(label, self._offers_of(label, queue.rows, now))
 
-    def apply_delta(self, label: str, changes: QueueDelta, now: float) -> None:
-        """What a job shard offers otherwise than before."""
+    def apply_delta(self, label: str, changes: QueueDelta, sent_at: float) -> None:
+        """Update the offers of a job shard; ``sent_at``: local time at which the delta was sent."""
         self.delta_senders.add(label)
-        unknown = self.unknown.setdefault(label, {})
+        pending = self.pending_rows.setdefault(label, {})
         if changes.whole:
-            unknown.clear()
+            pending.clear()
             self.offers.replace(label, ())
         for job in changes.gone:
-            unknown.pop(job, None)
-        offers = self._offers_of(label, changes.rows, now)
-        known = {offer.row.job for offer in offers}
+            pending.pop(job, None)
+        offers = self._offers_of(label, changes.rows, sent_at)
+        resolved = {offer.row.job for offer in offers}
         for row in changes.rows:
-            unknown.pop(row.job, None)
-            if row.offer > 0 and row.job not in known:
-                unknown[row.job] = (row, now)
-        gone = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
-        self.offers.update(label, offers, gone)
+            pending.pop(row.job, None)
+            if row.offer > 0 and row.job not in resolved:
+                pending[row.job] = (row, sent_at)
+        removed = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
+        self.offers.update(label, offers, removed)
 
     def resolve_unknown_jobs(self) -> None:
-        """Records may have arrived for which rows wait."""
-        for label, rows in self.unknown.items():
-            known = [(row, at, spec) for row, at in rows.values() if (spec := self.spec_of(row.job)) is not None]
-            if known:
-                offers = [self._offer(label, row, spec, at) for row, at, spec in known]
+        """Add the offers of pending rows whose job records have arrived."""
+        for label, rows in self.pending_rows.items():
+            resolved = [
+                (row, sent_at, spec) for row, sent_at in rows.values() if (spec := self.spec_of(row.job)) is not None
+            ]
+            if resolved:
+                offers = [self._offer(label, row, spec, sent_at) for row, sent_at, spec in resolved]
                 self.offers.update(label, offers, ())
-                for row, _, _ in known:
+                for row, _, _ in resolved:
                     del rows[row.job]
 
-    def _offers_of(self, label: str, rows: Iterable[QueueRow], now: float) -> list[Offer]:
+    def _offers_of(self, label: str, rows: Iterable[QueueRow], sent_at: float) -> list[Offer]:
         specs = [(row, self.spec_of(row.job)) for row in rows if row.offer > 0]
-        return [self._offer(label, row, spec, now) for row, spec in specs if spec is not None]
+        return [self._offer(label, row, spec, sent_at) for row, spec in specs if spec is not None]
 
-    def _offer(self, label: str, row: QueueRow, spec: JobSpec, now: float) -> Offer:
-        return Offer(label, row, spec, now, constants.PACKING_WAIT_S, self.keeps_turn)
+    def _offer(self, label: str, row: QueueRow, spec: JobSpec, sent_at: float) -> Offer:
+        return Offer(label, row, spec, sent_at, constants.PACKING_WAIT_S, self.keeps_turn)
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -1,12 +1,12 @@
-"""What a job shard sends to each member in a round, in the form that the member reads. Pure.
+"""The messages that a job shard sends to each member in a round, in a format that every member can read.
 
 States, for one view::
 
     WHOLE_QUEUES ---> CHANGES
 
-* WHOLE_QUEUES: a member, or one that is about to be, runs an older version: each round the whole queue.
-* CHANGES: all have written the newer protocol version: what has changed, in numbered messages. Never back in the same
-  view, so that a whole queue from one that sends deltas can only be a late frame.
+* WHOLE_QUEUES: a current or joining member runs an older version; the full queue is sent in each round.
+* CHANGES: all members have published a protocol version with deltas; changes are sent in numbered messages. The state
+  does not return to WHOLE_QUEUES within a view, so receivers drop a full queue from a sender of deltas as a late frame.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 
 class QueueFormat(Enum):
-    """In which form members are sent the queue."""
+    """The format in which members are sent the queue."""
 
     WHOLE_QUEUES = "whole queues"
     CHANGES = "changes"
 
 
 class Link(Protocol):
-    """What is asked of a channel to another member."""
+    """What the publisher reads of a channel to another member."""
 
     received: int
     peer_fencing_token: int
 
     def backlog(self) -> int:
-        """How many messages have no acknowledgement yet."""
+        """Return the number of messages not acknowledged yet."""
 
 
 class OutgoingMessage(NamedTuple):
@@ -42,62 +42,62 @@
 
     label: str
     message: Message
-    numbered: bool  # it must arrive, in order
+    numbered: bool  # delivered reliably and in order
 
 
 class LastSent(NamedTuple):
-    """The queue or status that a member was last sent."""
+    """The queue or status last sent to a member."""
 
     message: Message
-    at: float
-    acknowledged: int  # the last number of the member's that went with it
+    sent_at: float
+    acknowledged: int  # number of the member's last message acknowledged with it
 
 
 _NEVER_SENT = LastSent(KeepAlive(), float("-inf"), 0)
 
 
 class PublishRound(NamedTuple):
-    """What one round is made from."""
+    """The input of one round."""
 
     now: float
     fencing_token: int
     leader: str
-    links: Mapping[str, Link]  # the channels to the other members of the view
+    links: Mapping[str, Link]  # channels to the other members of the view, by label
     queue: QueueState
     status: PeerStatus
 
 
 class QueuePublisher:
-    """Rounds of one job shard."""
+    """Publishes the queue of one job shard, round by round."""
 
-    def __init__(self, me: str) -> None:
-        """``me``: the label of this controller."""
-        self.me = me
+    def __init__(self, own_label: str) -> None:
+        """``own_label``: the label of this controller."""
+        self.own_label = own_label
         self.delta_tracker = DeltaTracker()
         self.enter()
 
     def enter(self) -> None:
-        """A new view."""
+        """Begin a new view: every member is sent the full state again."""
         self.form = QueueFormat.WHOLE_QUEUES
         self.delta_tracker.clear()
-        self.last_sent: dict[str, LastSent] = {}  # member -> queue or status
+        self.last_sent: dict[str, LastSent] = {}  # by member
 
-    def publish(self, round_: PublishRound, all_read_changes: bool) -> Iterator[OutgoingMessage]:
-        """All messages of a round; ``all_read_changes``: whoever takes part, or is about to, has written so."""
-        if all_read_changes:
+    def publish(self, round_: PublishRound, all_read_deltas: bool) -> Iterator[OutgoingMessage]:
+        """Yield all messages of a round; ``all_read_deltas``: all current and joining members can read deltas."""
+        if all_read_deltas:
             self.form = QueueFormat.CHANGES
         if self.form is QueueFormat.CHANGES:
-            yield from self._changes(round_)
-            yield from self._to_each(round_, round_.status)
+            yield from self._deltas(round_)
+            yield from self._broadcast(round_, round_.status)
         else:
-            self.delta_tracker.to_resend.clear()  # the next queue says it all
+            self.delta_tracker.to_resend.clear()  # the full queue contains these rows
             status = round_.status
             queue = QueueSnapshot(*round_.queue, status.suspected, status.failed, status.changes)
-            yield OutgoingMessage(self.me, queue, False)
-            yield from self._to_each(round_, queue)
+            yield OutgoingMessage(self.own_label, queue, False)
+            yield from self._broadcast(round_, queue)
 
-    def _changes(self, round_: PublishRound) -> Iterator[OutgoingMessage]:
-        """Members one after the other, as equal messages in a row are encoded once."""
+    def _deltas(self, round_: PublishRound) -> Iterator[OutgoingMessage]:
+        """Yield deltas member by member; equal messages in succession are encoded only once."""
         delta_tracker = self.delta_tracker
         delta_tracker.update(round_.queue.rows, round_.now)
         ready = [
@@ -105,28 +105,28 @@
             for label, link in round_.links.items()
             if link.peer_fencing_token >= round_.fencing_token and link.backlog() < constants.QUEUE_BACKLOG
         ]
-        for label in (self.me, *ready):
-            numbered = label != self.me
+        for label in (self.own_label, *ready):
+            numbered = label != self.own_label
             if label == round_.leader and (usage := delta_tracker.usage_for_leader(round_.queue)) is not None:
                 yield OutgoingMessage(label, usage, numbered)
-            if (changes := delta_tracker.delta_for(label, label == round_.leader)) is not None:
-                yield OutgoingMessage(label, changes, numbered)
-                self._note_acknowledgement(label, round_)
+            if (delta := delta_tracker.delta_for(label, label == round_.leader)) is not None:
+                yield OutgoingMessage(label, delta, numbered)
+                self._record_acknowledgement(label, round_)
 
-    def _note_acknowledgement(self, label: str, round_: PublishRound) -> None:
-        """The message that has just gone there carries the acknowledgement that the status would."""
+    def _record_acknowledgement(self, label: str, round_: PublishRound) -> None:
+        """Record that the delta just sent carries the acknowledgement, so that no status is sent only for that."""
         if label in self.last_sent:
-            message, at, _ = self.last_sent[label]
-            self.last_sent[label] = LastSent(message, at, round_.links[label].received)
+            message, sent_at, _ = self.last_sent[label]
+            self.last_sent[label] = LastSent(message, sent_at, round_.links[label].received)
 
-    def _to_each(self, round_: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
-        """To whom it is news; the same is sent again only now and then, or with an acknowledgement to pass on."""
+    def _broadcast(self, round_: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
+        """Yield the message for each member; an unchanged one only to acknowledge, or every ``MESH_PROBE_S``."""
         for label, link in round_.links.items():
-            last, at, received = self.last_sent.get(label, _NEVER_SENT)
+            last, sent_at, acknowledged = self.last_sent.get(label, _NEVER_SENT)
             if (
                 last != message
-                or received != link.received
-                or round_.now - at >= constants.MESH_PROBE_S
+                or acknowledged != link.received
+                or round_.now - sent_at >= constants.MESH_PROBE_S
                 or (isinstance(message, QueueSnapshot) and message.rows)
             ):
                 self.last_sent[label] = LastSent(message, round_.now, link.received)
--- a/alderbridge/queues/sender_clock.py
+++ b/alderbridge/queues/sender_clock.py
@@ -1,8 +1,8 @@
-"""When a message was made, on the clock of the process that receives it. Pure.
+"""Converts the send time of a message from its sender's clock to the local clock.
 
-A message says when it was made on its sender's steady clock, whose zero is unknown here. The one that was on its way
-for the shortest time shows the offset best; clocks drift apart, so what it showed is trusted less as time passes.
-Without this the times in a row that was held up for seconds would be wrong by them until it is sent again.
+A message carries its send time on the sender's monotonic clock, whose zero is unknown here. The message with the
+shortest delay gives the best estimate of the offset; as clocks drift, the bound on it widens with time. Without the
+conversion, times in a delayed row would be wrong by the delay until the row is sent again.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class SenderClock:
-    """The clock of one sender under one view."""
+    """The clock offset of one sender under one view."""
 
     def __init__(self) -> None:
-        """Nothing is known of it."""
-        self.offset = math.inf  # of this process's clock to the sender's, and the shortest way of a message
-        self.seen_at = 0.0
-
-    def local_time(self, made_at: float, now: float) -> float:
-        """The time here at which a message that arrives now was made; never later than now."""
-        trusted = self.offset + 2 * constants.CLOCK_DRIFT * (now - self.seen_at)
-        self.offset, self.seen_at = min(now - made_at, trusted), now
-        return made_at + self.offset
+        """Start without an estimate."""
+        self.offset = math.inf  # local minus sender clock, plus the shortest delay of a message, in s
+        self.updated_at = 0.0
+
+    def local_time(self, sent_at: float, now: float) -> float:
+        """Return the local time at which a message that arrives now was sent; never later than ``now``."""
+        max_offset = self.offset + 2 * constants.CLOCK_DRIFT * (now - self.updated_at)
+        self.offset, self.updated_at = min(now - sent_at, max_offset), now
+        return sent_at + self.offset
--- a/alderbridge/queues/shard_queue.py
+++ b/alderbridge/queues/shard_queue.py
@@ -1,4 +1,4 @@
-"""The receiving side: what one job shard has told of its queue and of its teams' usage. Pure."""
+"""The receiving side: the queue and the team usage of one job shard."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def aged(row: QueueRow, by_s: float) -> QueueRow:
-    """The row as it stands that many seconds after it was sent."""
+    """Return the row with its times adjusted to ``by_s`` seconds after it was sent."""
     return msgspec.structs.replace(row, due_in_s=row.due_in_s - by_s, waited_s=row.waited_s + by_s)
 
 
 class Received(Flag):
-    """What has arrived of a queue under this view; each later change leaves it complete."""
+    """Which parts of a queue have arrived under this view; once complete, it stays complete."""
 
     NOTHING = 0
     ROWS = 1
@@ -26,35 +26,35 @@
 
 
 class ShardQueue:
-    """A job shard's waiting jobs, and what its teams use, reserve and demand."""
+    """A job shard's waiting jobs, and the resources that its teams use, reserve and demand."""
 
     def __init__(self) -> None:
-        """Nothing is known."""
-        self.received_rows: dict[str, tuple[QueueRow, float]] = {}  # job -> its row, and when it arrived
+        """Start with nothing received."""
+        self.received_rows: dict[str, tuple[QueueRow, float]] = {}  # job -> (row, local time that its times refer to)
         self.used: dict[str, QuotaAmounts] = {}
         self.reserved: dict[str, QuotaAmounts] = {}
         self.demand: dict[str, QuotaAmounts] = {}
         self.allocations_received = 0
         self.received = Received.NOTHING
-        self.sends_deltas = False  # whole queues are from before: late frames
+        self.sends_deltas = False  # snapshots are then late frames, and ignored
 
     @property
     def rows(self) -> list[QueueRow]:
-        """All rows, with their times as they were sent."""
+        """All rows, with their times as of when they were sent."""
         return [row for row, _ in self.received_rows.values()]
 
     def row(self, job: str, now: float) -> QueueRow:
-        """The row of one job, with its times as they stand."""
-        row, at = self.received_rows[job]
-        return aged(row, now - at) if now != at else row
+        """Return the row of one job, with its times as of now."""
+        row, sent_at = self.received_rows[job]
+        return aged(row, now - sent_at) if now != sent_at else row
 
     def aged_rows(self, now: float) -> Iterator[QueueRow]:
-        """All rows, with their times as they stand."""
+        """Yield all rows, with their times as of now."""
         for job in self.received_rows:
             yield self.row(job, now)
 
     def apply_snapshot(self, queue: QueueSnapshot, now: float) -> bool:
-        """The whole of it, from a member that sends no deltas; False: it is older than what is known."""
+        """Replace the queue; returns False for a late snapshot from a member that has sent deltas since."""
         if self.sends_deltas:
             return False
         self.received_rows = {row.job: (row, now) for row in queue.rows}
@@ -65,54 +65,54 @@
         self.received = Received.COMPLETE
         return True
 
-    def apply_row_delta(self, changes: QueueDelta, now: float) -> None:
-        """Rows that are new or differ, and jobs that have none any more."""
-        self._count_delta(Received.ROWS)
+    def apply_row_delta(self, changes: QueueDelta, sent_at: float) -> None:
+        """Apply new, changed and removed rows; ``sent_at``: local time at which the delta was sent."""
+        self._record_delta(Received.ROWS)
         if changes.whole:
             self.received_rows = {}
         for job in changes.gone:
             self.received_rows.pop(job, None)
         for row in changes.rows:
-            self.received_rows[row.job] = (row, now)
+            self.received_rows[row.job] = (row, sent_at)
 
     def apply_usage_delta(self, changes: TeamUsageDelta) -> None:
-        """The usage of teams that differs."""
-        self._count_delta(Received.USAGE)
+        """Apply changed team usage."""
+        self._record_delta(Received.USAGE)
         if changes.whole:
             self.used, self.reserved, self.demand = {}, {}, {}
         self.allocations_received = changes.allocations_received
         for team, usage in changes.teams.items():
-            for known, amounts in (
+            for stored, amounts in (
                 (self.used, usage.used),
                 (self.reserved, usage.reserved),
                 (self.demand, usage.demand),
             ):
                 if amounts == NO_QUOTA:
-                    known.pop(team, None)
+                    stored.pop(team, None)
                 else:
-                    known[team] = amounts
+                    stored[team] = amounts
 
-    def _count_delta(self, what: Received) -> None:
+    def _record_delta(self, part: Received) -> None:
         self.sends_deltas = True
         if self.received is not Received.COMPLETE:
-            self.received |= what
+            self.received |= part
 
 
 class ShardQueues(dict[str, ShardQueue]):
-    """The job shards' queues that are complete, by label; those that are not yet are kept beside them."""
+    """The complete queues of job shards, by label; ``incomplete`` holds those that have arrived only in part."""
 
     def __init__(self) -> None:
-        """No job shard has told anything."""
+        """Start with no queues."""
         super().__init__()
         self.incomplete: dict[str, ShardQueue] = {}
 
     def of(self, label: str) -> ShardQueue:
-        """What has arrived of that job shard's queue so far, complete or not."""
-        known = self.get(label)
-        return known if known is not None else self.incomplete.setdefault(label, ShardQueue())
+        """Return the queue of the job shard, complete or not."""
+        queue = self.get(label)
+        return queue if queue is not None else self.incomplete.setdefault(label, ShardQueue())
 
     def promote(self, label: str) -> None:
-        """Something of that queue has arrived: it may be complete now."""
-        known = self.incomplete.get(label)
-        if known is not None and known.received is Received.COMPLETE:
+        """Move the job shard's queue out of ``incomplete`` once all of its parts have arrived."""
+        queue = self.incomplete.get(label)
+        if queue is not None and queue.received is Received.COMPLETE:
             self[label] = self.incomplete.pop(label)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Queues told as changes: what a member knows is what the home told, whatever is lost, late or slow."""
+"""Queue deltas: the members' copies match the job shard's queue when messages are delayed or members are slow."""
 
 import random
 
@@ -22,8 +22,8 @@
 from alderbridge.state.write_rate_limit import WriteRateLimit
 
 TEAMS = ("a", "b", "c")
-OLDER = constants.VERSION_WITH_QUEUE_DELTAS - 1
-NEW_MESSAGES = (messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus, messages.QuotaDelta)
+OLDER_VERSION = constants.VERSION_WITH_QUEUE_DELTAS - 1
+DELTA_MESSAGES = (messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus, messages.QuotaDelta)
 
 
 def row(job, waiting=5, offer=5, due=30.0, waited=1.0, **more):
@@ -35,7 +35,7 @@
 
 
 class Link:
-    """A channel as the teller sees it."""
+    """A channel as the publisher sees it."""
 
     def __init__(self):
         self.received, self.peer_fencing_token, self.unacknowledged = 0, 1, 0
@@ -44,20 +44,20 @@
         return self.unacknowledged
 
 
-class Run:
-    """A home whose queue changes at random, and two members of which the second is slow after its first seconds."""
+class PublishingRun:
+    """A job shard whose queue changes at random, with the leader and, after 4 s, a slow machine shard as members."""
 
     def __init__(self, seed):
         self.rng, self.now = random.Random(seed), 100.0
-        self.queue_publisher = QueuePublisher("home")
+        self.queue_publisher = QueuePublisher("owner")
         self.jobs: dict[str, dict] = {}
-        self.sums: dict[str, tuple[float, float]] = {}
+        self.usage: dict[str, tuple[float, float]] = {}
         self.allocations_received = 0
-        self.links = {"leader": Link(), "part": Link()}
-        self.known = {label: ShardQueue() for label in ("home", *self.links)}
-        self.clocks = {label: SenderClock() for label in self.known}
+        self.links = {"leader": Link(), "machine-shard": Link()}
+        self.copies = {label: ShardQueue() for label in ("owner", *self.links)}
+        self.clocks = {label: SenderClock() for label in self.copies}
         self.in_flight: dict[str, list[messages.Message]] = {label: [] for label in self.links}
-        self.messages = 0
+        self.messages_received = 0
 
     def change(self):
         rng = self.rng
@@ -73,7 +73,7 @@
                 one["waiting"] -= 1
                 one["offer"] = min(one["offer"], one["waiting"])
         if rng.random() < 0.4:
-            self.sums[rng.choice(TEAMS)] = (float(rng.choice([0, 0, 4, 8])), 0.0)
+            self.usage[rng.choice(TEAMS)] = (float(rng.choice([0, 0, 4, 8])), 0.0)
         self.allocations_received += rng.random() < 0.1
 
     def snapshot(self):
@@ -81,103 +81,103 @@
             row(job, one["waiting"], one["offer"], one["arrived"] + 60.0 - self.now, self.now - one["arrived"])
             for job, one in self.jobs.items()
         ]
-        reserved = {team: amounts for team, amounts in self.sums.items() if amounts != (0.0, 0.0)}
+        reserved = {team: amounts for team, amounts in self.usage.items() if amounts != (0.0, 0.0)}
         return QueueState(rows, reserved, reserved, {}, self.allocations_received)
 
     def step(self):
         self.now += constants.ROUND_S
         self.change()
-        one = PublishRound(self.now, 1, "leader", self.links, self.snapshot(), messages.PeerStatus([], [], 0))
-        for told in self.queue_publisher.publish(one, True):
-            if told.label in self.links and told.numbered:
-                self.in_flight[told.label].append(told.message)
-                self.links[told.label].unacknowledged += 1
-            elif told.label == "home":
-                self.take("home", told.message)
-        self.arrive("leader", 1.0)
-        self.arrive("part", 1.0 if self.now < 104.0 else 0.05)
-
-    def arrive(self, label, share):
-        """Messages reach a member in order, after a while."""
+        round_ = PublishRound(self.now, 1, "leader", self.links, self.snapshot(), messages.PeerStatus([], [], 0))
+        for outgoing in self.queue_publisher.publish(round_, True):
+            if outgoing.label in self.links and outgoing.numbered:
+                self.in_flight[outgoing.label].append(outgoing.message)
+                self.links[outgoing.label].unacknowledged += 1
+            elif outgoing.label == "owner":
+                self.receive("owner", outgoing.message)
+        self.deliver("leader", 1.0)
+        self.deliver("machine-shard", 1.0 if self.now < 104.0 else 0.05)
+
+    def deliver(self, label, share):
+        """Deliver queued messages in order; each further one with the probability ``share``."""
         while self.in_flight[label] and self.rng.random() < share:
-            self.take(label, self.in_flight[label].pop(0))
+            self.receive(label, self.in_flight[label].pop(0))
             self.links[label].unacknowledged -= 1
 
-    def take(self, label, message):
-        self.messages += 1
+    def receive(self, label, message):
+        self.messages_received += 1
         if isinstance(message, messages.QueueDelta):
-            self.known[label].apply_row_delta(message, self.clocks[label].local_time(message.at + 7.0, self.now))
+            self.copies[label].apply_row_delta(message, self.clocks[label].local_time(message.at + 7.0, self.now))
         elif isinstance(message, messages.TeamUsageDelta):
-            self.known[label].apply_usage_delta(message)
+            self.copies[label].apply_usage_delta(message)
 
     def check(self, label, offered_only):
-        """Rows within what may wait, and no other job; sums to the letter."""
+        """The copy has the same jobs, rows within the tolerance, and for the leader exactly the same usage."""
         rows = {one.job: one for one in self.snapshot().rows if one.offer > 0 or not offered_only}
-        known = {one.job: one for one in self.known[label].aged_rows(self.now)}
-        assert known.keys() == rows.keys()
-        for job, now in rows.items():
-            assert abs(known[job].due_in_s - now.due_in_s) <= constants.QUEUE_TIME_S + 1e-6
-            assert abs(known[job].waiting - now.waiting) * constants.QUEUE_SHARE <= max(
-                known[job].waiting, constants.QUEUE_SHARE
+        received = {one.job: one for one in self.copies[label].aged_rows(self.now)}
+        assert received.keys() == rows.keys()
+        for job, current in rows.items():
+            assert abs(received[job].due_in_s - current.due_in_s) <= constants.QUEUE_TIME_S + 1e-6
+            assert abs(received[job].waiting - current.waiting) * constants.QUEUE_SHARE <= max(
+                received[job].waiting, constants.QUEUE_SHARE
             )
         if not offered_only:
             snapshot = self.snapshot()
-            assert (self.known[label].used, self.known[label].reserved) == (snapshot.used, snapshot.reserved)
-            assert self.known[label].allocations_received == snapshot.allocations_received
+            assert (self.copies[label].used, self.copies[label].reserved) == (snapshot.used, snapshot.reserved)
+            assert self.copies[label].allocations_received == snapshot.allocations_received
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_members_know_what_the_job_shard_told_however_slow_they_are(seed):
-    run = Run(seed)
+def test_copies_match_the_queue_when_members_are_slow(seed):
+    run = PublishingRun(seed)
     for _ in range(400):
         run.step()
         run.check("leader", offered_only=False)
-        assert run.links["part"].unacknowledged <= constants.QUEUE_BACKLOG
-    run.arrive("part", 1.0)
+        assert run.links["machine-shard"].unacknowledged <= constants.QUEUE_BACKLOG
+    run.deliver("machine-shard", 1.0)
     run.step()
-    run.arrive("part", 1.0)
-    run.check("part", offered_only=True)
-    run.check("home", offered_only=True)
+    run.deliver("machine-shard", 1.0)
+    run.check("machine-shard", offered_only=True)
+    run.check("owner", offered_only=True)
 
 
-def test_what_was_held_up_counts_from_when_it_was_made():
+def test_delayed_messages_are_dated_by_their_send_time():
     clock = SenderClock()
-    assert clock.local_time(10.0, 500.0) == 500.0, "nothing better is known"
-    assert clock.local_time(20.0, 509.0) == 509.0, "it was quicker"
-    assert clock.local_time(30.0, 527.0) == pytest.approx(519.0, abs=0.02), "held up for 8 s"
-    assert clock.local_time(630.0, 1119.5) == pytest.approx(1119.5, abs=0.7), "clocks drift apart"
+    assert clock.local_time(10.0, 500.0) == 500.0, "no earlier message"
+    assert clock.local_time(20.0, 509.0) == 509.0, "shorter delay than before"
+    assert clock.local_time(30.0, 527.0) == pytest.approx(519.0, abs=0.02), "delayed by 8 s"
+    assert clock.local_time(630.0, 1119.5) == pytest.approx(1119.5, abs=0.7), "clock drift"
 
 
-def test_a_lost_change_is_seen_by_that(monkeypatch):
-    """The check above fails where one message does not arrive: the channel's order is what all of it rests on."""
-    run = Run(1)
+def test_a_lost_delta_is_detected(monkeypatch):
+    """Guards the check of copies: it must fail when one message is lost."""
+    run = PublishingRun(1)
     for _ in range(20):
         run.step()
     run.in_flight["leader"] = []
-    real = run.take
-    monkeypatch.setattr(run, "take", lambda label, message: label == "leader" or real(label, message))
+    receive = run.receive
+    monkeypatch.setattr(run, "receive", lambda label, message: label == "leader" or receive(label, message))
     run.jobs["wk-99"] = {"waiting": 3, "offer": 3, "arrived": run.now}
     run.step()
-    monkeypatch.setattr(run, "take", real)
+    monkeypatch.setattr(run, "receive", receive)
     with pytest.raises(AssertionError):
         for _ in range(5):
             run.step()
             run.check("leader", offered_only=False)
 
 
-def test_who_is_far_behind_is_told_the_whole_queue():
+def test_a_member_far_behind_is_sent_the_full_queue():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row(f"wk-{number}") for number in range(3)], 0.0)
     assert delta_tracker.delta_for("slow", True).whole and delta_tracker.delta_for("quick", True).whole
-    for at in range(1, constants.QUEUE_ENDED_JOBS + 10):
-        delta_tracker.update([row(f"wk-{3 + at}")], float(at))
+    for second in range(1, constants.QUEUE_ENDED_JOBS + 10):
+        delta_tracker.update([row(f"wk-{3 + second}")], float(second))
         delta_tracker.delta_for("quick", True)
-    assert len(delta_tracker.gone) <= constants.QUEUE_ENDED_JOBS
+    assert len(delta_tracker.removed) <= constants.QUEUE_ENDED_JOBS
     changes = delta_tracker.delta_for("slow", True)
     assert changes.whole and len(changes.rows) == 1
 
 
-def test_small_differences_wait_for_a_second_and_large_ones_do_not():
+def test_only_small_changes_are_delayed_by_a_second():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row("wk-1", 400, 400), row("wk-2", 9, 9)], 0.0)
     delta_tracker.delta_for("a", True)
@@ -188,45 +188,45 @@
     delta_tracker.update([row("wk-1", 339, 339, due=28.5), row("wk-2", 8, 8, due=28.5)], 1.5)
     assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-1"]
     delta_tracker.update([row("wk-1", 339, 339, due=28.3), row("wk-2", 8, 8, due=28.3)], 1.7)
-    assert delta_tracker.delta_for("a", True) is None, "nothing but the time has passed"
+    assert delta_tracker.delta_for("a", True) is None, "only time has passed"
     delta_tracker.resend_row("a", "wk-2")
-    assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-2"], "its copy was counted down"
+    assert [one.job for one in delta_tracker.delta_for("a", True).rows] == ["wk-2"], "the member has reduced its copy"
     assert delta_tracker.delta_for("a", True) is None
 
 
-def test_machine_shards_are_told_what_is_on_offer_and_the_leader_all():
+def test_machine_shards_are_sent_offered_rows_and_the_leader_all_rows():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row("wk-1"), row("wk-2", offer=0)], 0.0)
-    assert [one.job for one in delta_tracker.delta_for("part", False).rows] == ["wk-1"]
+    assert [one.job for one in delta_tracker.delta_for("machine-shard", False).rows] == ["wk-1"]
     assert [one.job for one in delta_tracker.delta_for("leader", True).rows] == ["wk-1", "wk-2"]
     delta_tracker.update([row("wk-1", offer=0), row("wk-2")], 0.2)
-    changes = delta_tracker.delta_for("part", False)
+    changes = delta_tracker.delta_for("machine-shard", False)
     assert [one.job for one in changes.rows] == ["wk-2"] and changes.gone == ["wk-1"]
 
 
-def test_a_late_whole_queue_hides_no_change():
-    known, book = ShardQueue(), OfferBook(spec)
+def test_a_late_snapshot_does_not_replace_a_delta():
+    queue, book = ShardQueue(), OfferBook(spec)
     stale = messages.QueueSnapshot([row("wk-1"), row("wk-2")], {"t": (4.0, 0.0)}, {"t": (4.0, 0.0)}, {}, 1)
-    assert known.apply_snapshot(stale, 1.0)
+    assert queue.apply_snapshot(stale, 1.0)
     book.apply_snapshot("a", stale, 1.0)
     changes = messages.QueueDelta(0.0, [row("wk-2", offer=1)], [], True)
-    known.apply_row_delta(changes, 2.0)
+    queue.apply_row_delta(changes, 2.0)
     book.apply_delta("a", changes, 2.0)
-    known.apply_usage_delta(
+    queue.apply_usage_delta(
         messages.TeamUsageDelta({"t": messages.TeamUsage((9.0, 0.0), (9.0, 0.0), (9.0, 0.0))}, 2, True)
     )
-    assert not known.apply_snapshot(stale, 2.1)
+    assert not queue.apply_snapshot(stale, 2.1)
     book.apply_snapshot("a", stale, 2.1)
     assert (
-        [one.job for one in known.rows] == ["wk-2"]
-        and known.reserved == {"t": (9.0, 0.0)}
-        and known.allocations_received == 2
+        [one.job for one in queue.rows] == ["wk-2"]
+        and queue.reserved == {"t": (9.0, 0.0)}
+        and queue.allocations_received == 2
     )
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-2"]
 
 
-def test_a_row_waits_for_its_jobs_record():
-    """It is told once: passed over, its job would have waited until something of it changed."""
+def test_a_row_is_kept_until_its_job_record_arrives():
+    """Guards against dropping a row, which is sent only once, when the job record arrives after it."""
     records = {}
     book = OfferBook(records.get)
     book.apply_delta("a", messages.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
@@ -242,50 +242,47 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_offers_that_change_stand_in_the_order_of_all_told_anew(seed):
+def test_offers_updated_by_deltas_match_a_full_snapshot(seed):
     rng = random.Random(seed)
-    changed, anew, rows = OfferBook(spec), OfferBook(spec), {}
-    changed.apply_delta("a", messages.QueueDelta(0.0, [], [], True), 0.0)
+    from_deltas, from_snapshot, rows = OfferBook(spec), OfferBook(spec), {}
+    from_deltas.apply_delta("a", messages.QueueDelta(0.0, [], [], True), 0.0)
     for step in range(200):
         job = f"wk-{rng.randint(0, 20)}"
         if rng.random() < 0.3:
             rows.pop(job, None)
-            changed.apply_delta("a", messages.QueueDelta(0.0, [], [job], False), 0.0)
+            from_deltas.apply_delta("a", messages.QueueDelta(0.0, [], [job], False), 0.0)
         else:
             rows[job] = row(
                 job, offer=rng.randint(0, 3), due=rng.choice([5.0, 9.0, 30.0]), priority_boost=rng.choice([0, 0, 1])
             )
-            changed.apply_delta("a", messages.QueueDelta(0.0, [rows[job]], [], False), 0.0)
+            from_deltas.apply_delta("a", messages.QueueDelta(0.0, [rows[job]], [], False), 0.0)
         if step % 3 == 0:
-            changed.offers.in_order()  # from here on it is kept in order
-        anew.apply_snapshot("a", messages.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
-        told = [entry[:5] for entry in changed.offers.in_order()]
-        assert told == [entry[:5] for entry in anew.offers.in_order()]
-        assert changed.offers.least_cpus == anew.offers.least_cpus
+            from_deltas.offers.in_order()  # builds the sorted list, which later deltas must keep in order
+        from_snapshot.apply_snapshot("a", messages.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
+        entries = [entry[:5] for entry in from_deltas.offers.in_order()]
+        assert entries == [entry[:5] for entry in from_snapshot.offers.in_order()]
+        assert from_deltas.offers.least_cpus == from_snapshot.offers.least_cpus
 
 
-def test_a_member_lends_what_others_left_of_their_share():
-    share = WriteRateLimit(90.0, 3, 0.0)
-    assert share.budget.rate == 30.0
-    share.is_short = True
-    share.refresh(0.1)
-    share.record_peer_rate("a", 5, 0.1)
-    share.record_peer_rate("b", 30, 0.1)
-    share.refresh(0.2)
-    assert share.reported_rate == 30 and share.budget.rate == 30.0 + 25.0 / 2
-    share.refresh(0.2 + constants.LENT_RATE_TTL_S)
-    assert share.budget.rate == 30.0, "what was told long ago is not lent"
+def test_unused_write_rate_of_peers_is_borrowed():
+    write_rate_limit = WriteRateLimit(90.0, 3, 0.0)
+    assert write_rate_limit.budget.rate == 30.0
+    write_rate_limit.is_short = True
+    write_rate_limit.refresh(0.1)
+    write_rate_limit.record_peer_rate("a", 5, 0.1)
+    write_rate_limit.record_peer_rate("b", 30, 0.1)
+    write_rate_limit.refresh(0.2)
+    assert write_rate_limit.reported_rate == 30 and write_rate_limit.budget.rate == 30.0 + 25.0 / 2
+    write_rate_limit.refresh(0.2 + constants.LENT_RATE_TTL_S)
+    assert write_rate_limit.budget.rate == 30.0, "expired reports of peers do not count"
 
 
-# -- versions side by side -----------------------------------------------------------------
-
-
-class Mixed(SimController):
-    """The controllers in ``world.older`` run the version before: they write its generation and read no new form."""
+class MixedVersionController(SimController):
+    """The controllers in ``world.older`` publish the previous protocol version and cannot read delta messages."""
 
     def call(self, then, fail, method, *args, **more):
         if self.label in self.world.older:
-            args = [self.as_older(one) for one in args]
+            args = [self.as_older(argument) for argument in args]
         super().call(then, fail, method, *args, **more)
 
     @staticmethod
@@ -293,38 +290,40 @@
         if not isinstance(argument, dict):
             return argument
         return {
-            key: msgspec.structs.replace(value, protocol_version=OLDER) if isinstance(value, MemberRecord) else value
+            key: msgspec.structs.replace(value, protocol_version=OLDER_VERSION)
+            if isinstance(value, MemberRecord)
+            else value
             for key, value in argument.items()
         }
 
     def flush(self):
         if self.core is not None:
             for label, frame in self.core.effects.outgoing_frames:
-                self.world.sent.add(type(frame.body))
-                known_older = self.core.membership.protocol_versions.get(label) == OLDER
-                if (self.label in self.world.older or known_older) and isinstance(frame.body, NEW_MESSAGES):
-                    raise Broken(f"form: {type(frame.body).__name__} from {self.label} to {label}")
+                self.world.sent_types.add(type(frame.body))
+                peer_is_older = self.core.membership.protocol_versions.get(label) == OLDER_VERSION
+                if (self.label in self.world.older or peer_is_older) and isinstance(frame.body, DELTA_MESSAGES):
+                    raise Broken(f"message format: {type(frame.body).__name__} from {self.label} to {label}")
         super().flush()
 
 
-class MixedWorld(World):
-    process = Mixed
+class MixedVersionWorld(World):
+    process = MixedVersionController
 
     def __init__(self, seed, older, **more):
-        self.older, self.sent = set(older), set()
+        self.older, self.sent_types = set(older), set()
         super().__init__(seed, **more)
 
 
 @pytest.mark.parametrize("seed", (41001, 41002))
-def test_changes_are_told_once_the_last_older_controller_has_gone_and_not_again_when_one_is_back(seed):
-    world = MixedWorld(seed, ["host-2"], jobs=20, random_faults=False)
+def test_deltas_are_sent_only_while_no_controller_runs_an_older_version(seed):
+    world = MixedVersionWorld(seed, ["host-2"], jobs=20, random_faults=False)
     world.run(60.0)
-    assert messages.QueueSnapshot in world.sent and not world.sent & set(NEW_MESSAGES)
+    assert messages.QueueSnapshot in world.sent_types and not world.sent_types & set(DELTA_MESSAGES)
     world.nodes["host-2"].crash()
     world.older.clear()
     world.restart(world.nodes["host-2"])
     world.run(100.0)
-    assert {messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus} <= world.sent
+    assert {messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus} <= world.sent_types
     assert all(sim.core.queue_round.publisher.form.name == "CHANGES" for sim in world.nodes.values())
     world.nodes["host-1"].crash()
     world.older.add("host-1")
@@ -335,16 +334,16 @@
     assert all(world.said.get(job) or job in world.cancelled_at for job in world.accepted)
 
 
-def test_an_older_controller_that_is_told_changes_is_seen(monkeypatch):
+def test_deltas_sent_to_an_older_controller_are_detected(monkeypatch):
     from alderbridge.membership.membership import Membership
 
-    real = Membership.all_support
+    all_support = Membership.all_support
     monkeypatch.setattr(
         Membership,
         "all_support",
         lambda self, protocol_version: (
-            protocol_version == constants.VERSION_WITH_QUEUE_DELTAS or real(self, protocol_version)
+            protocol_version == constants.VERSION_WITH_QUEUE_DELTAS or all_support(self, protocol_version)
         ),
     )
-    with pytest.raises(Broken, match="form"):
-        MixedWorld(41001, ["host-2"], jobs=20, random_faults=False).run(60.0)
+    with pytest.raises(Broken, match="message format"):
+        MixedVersionWorld(41001, ["host-2"], jobs=20, random_faults=False).run(60.0)
