--- a/alderbridge/claims/__init__.py
+++ b/alderbridge/claims/__init__.py
@@ -1,5 +1,5 @@
-"""Preemption claims as they are stored: which machine's room is made for which job, and which tasks stop for it.
+"""Preemption claims as stored: which job a machine's capacity is reserved for, and which tasks are preempted for it.
 
-The ledger keeps them for the leader, which plans them in ``preemption``, and for the owners of the machines, which
-carry them out. Pure.
+Every member keeps them in a ledger: the leader, which plans them (``alderbridge.preemption``), and the machine owners,
+which stop the victims. Does no I/O.
 """
--- a/alderbridge/claims/ledger.py
+++ b/alderbridge/claims/ledger.py
@@ -1,14 +1,15 @@
-"""Claims as the store has them, and the next change of them. Pure; on every member.
+"""Stored preemption claims, and the transactions that change them. Does no I/O; each member has one ledger.
 
 States of a claim:
 
-* PLANNED: chosen by the leader, its transaction is to be sent or on its way.
-* HELD: in the store; the machine's shard preempts the victims and keeps the room for the job.
-* CLEARED: held, and a report under this fencing token lacks all victims.
-* DROPPED: the leader wants the record gone, or the store has lost it.
+* PLANNED: selected by the leader; its transaction is not sent yet or is in flight.
+* HELD: in the store; the machine's shard preempts the victims and reserves the capacity for the job.
+* CLEARED: held, and a report under this fencing token lists none of the victims.
+* DROPPED: the leader has requested deletion of the record, or it is no longer in the store.
 
-One transaction is under way at a time. One without an answer may be carried out late: before anything new is
-planned the budgets' record is written again, whose revision it asserts. All assert the view (the controller adds it).
+At most one transaction is in flight. A transaction without an answer may still commit later. It is conditional on the
+revision of the budgets' record, so that record is rewritten before anything new is planned. The controller adds a
+condition on the view to each transaction.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 from alderbridge.protocol.keys import BUDGETS, CLAIMS, STOPS
 
 log = logging.getLogger("preemption")
-_claim = msgspec.json.Decoder(PreemptionClaim)
-_spent = msgspec.json.Decoder(PreemptionsSpent)
-_stops = msgspec.json.Decoder(JobPreemptions)
+_claim_decoder = msgspec.json.Decoder(PreemptionClaim)
+_spent_decoder = msgspec.json.Decoder(PreemptionsSpent)
+_stops_decoder = msgspec.json.Decoder(JobPreemptions)
 
 
 class ClaimState(str, Enum):
-    """See the module."""
+    """State of a claim; described in the docstring of this module."""
 
     PLANNED = "planned"
     HELD = "held"
@@ -49,110 +50,106 @@
     state: ClaimState = ClaimState.HELD
 
     def mark_cleared(self) -> None:
-        """A report under this fencing token lacks all victims."""
+        """Record that a report under this fencing token lists none of the victims."""
         if self.state is ClaimState.HELD:
             self.state = ClaimState.CLEARED
 
 
 @dataclass
 class ClaimTransaction:
-    """One change; ``groups`` are the claims that it makes."""
+    """One compare-and-swap on the store; ``groups`` are the claims that it creates."""
 
     conditions: dict[str, int] = field(default_factory=dict)
     puts: dict[str, object] = field(default_factory=dict)
     drops: list[str] = field(default_factory=list)
     groups: list[ClaimGroup] = field(default_factory=list)
 
-    def takes(
+    def can_add(
         self,
         group: ClaimGroup,
         spent: PreemptionsSpent,
         stops: Mapping[str, JobPreemptions],
-        most: int,
+        max_changes: int,
         value_bytes: int,
     ) -> bool:
-        """Whether one more group fits, with the budgets and the jobs' records that go with it.
+        """Whether the transaction can hold one more group along with the updated records of budgets and jobs.
 
-        ``most``: changes of a transaction. ``value_bytes``: size of one value.
+        ``max_changes``: limit of changes in a transaction. ``value_bytes``: maximum size of one value.
         """
         values = [*group.values(), *stops.values(), spent]
         values_fit = all(len(msgspec.json.encode(value)) <= value_bytes for value in values)
         count = sum(map(len, self.groups)) + len(group) + len(stops) + 1
-        # half of what the protocol allows for a transaction, as for other records
+        # At most half of the protocol's limit on a transaction.
         size = sum(len(msgspec.json.encode(value)) for value in self.puts.values())
-        return values_fit and count <= most and size <= constants.MAX_BODY // 2
+        return values_fit and count <= max_changes and size <= constants.MAX_BODY // 2
 
 
 class Ledger:
-    """All claims, what was spent of budgets, and how often jobs were preempted; what of it is to be written."""
+    """Stored claims, usage of budgets and preemptions by job, with the changes that are still to be written."""
 
     def __init__(self) -> None:
-        """Begin empty, until ``apply`` brings what the store has."""
-        self.entries: dict[str, ClaimEntry] = {}  # machine -> its claim in the store
-        self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its stops, and their revision
+        """Create an empty ledger; ``apply`` fills it from the store."""
+        self.entries: dict[str, ClaimEntry] = {}  # machine -> its stored claim
+        self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its preemptions, revision of the record
         self.spent, self.spent_revision = PreemptionsSpent(), 0
         self.planned: list[ClaimGroup] = []
-        self.dropping: dict[str, int] = {}  # machine -> revision of the claim that is to go
-        self.forgetting: dict[str, int] = {}  # job that is over -> revision of its record
-        self.sent: ClaimTransaction | None = None
-        self.doubt: ClaimTransaction | None = None  # without an answer: it may yet be carried out
-
-    # -- questions ---------------------------------------------------------
+        self.dropping: dict[str, int] = {}  # machine -> revision of the claim to delete
+        self.ended_jobs: dict[str, int] = {}  # ended job -> revision of its record, which is to be deleted
+        self.in_flight: ClaimTransaction | None = None
+        self.unconfirmed: ClaimTransaction | None = None  # without an answer: it may still commit
 
     def claim_of(self, machine: str) -> PreemptionClaim | None:
-        """Return the machine's claim in the store."""
+        """Return the machine's stored claim."""
         entry = self.entries.get(machine)
         return entry.claim if entry is not None else None
 
     def all(self) -> Mapping[str, PreemptionClaim]:
-        """Return the claims in the store by machine."""
+        """Return the stored claims by machine."""
         return {machine: entry.claim for machine, entry in self.entries.items()}
 
     def stops_of(self, job: str, index: int) -> int:
-        """Return how often claims have preempted the task."""
-        known = self.stops.get(job)
-        return known[0].tasks.get(index, 0) if known is not None else 0
+        """Return how often the task was preempted."""
+        record = self.stops.get(job)
+        return record[0].tasks.get(index, 0) if record is not None else 0
 
     def stopped_since(self, job: str, wall: float) -> float:
-        """Seconds since a task of the job was first stopped by a claim; 0: none ever was."""
-        known = self.stops.get(job)
-        return max(1e-9, wall - known[0].first) if known is not None else 0.0
+        """Return the seconds since a task of the job was first preempted; 0: none was."""
+        record = self.stops.get(job)
+        return max(1e-9, wall - record[0].first) if record is not None else 0.0
 
     @property
     def busy(self) -> bool:
-        """Whether claims are on their way, so that no others may be planned."""
-        return bool(self.planned) or self.sent is not None or self.doubt is not None
+        """Whether claims are being written, so that no others may be planned."""
+        return bool(self.planned) or self.in_flight is not None or self.unconfirmed is not None
 
     @property
     def idle(self) -> bool:
-        """Whether there is nothing to write."""
-        return self.sent is not None or not (self.planned or self.dropping or self.forgetting or self.doubt)
-
-    # -- facts of the store ------------------------------------------------
+        """Whether no transaction can be sent now: there is nothing to write, or one is in flight."""
+        return self.in_flight is not None or not (self.planned or self.dropping or self.ended_jobs or self.unconfirmed)
 
     def clear(self, revision: float = math.inf) -> None:
-        """All is read anew, as it was at ``revision``: what went unseen until then must not stay.
+        """Discard what was stored up to ``revision``, before the store is read again as it was at that revision.
 
-        But what was stored since then is, and what is on its way or in doubt is so still, unless a newer view is among
-        what is read: planned without either, jobs that were stopped asked for others' room.
+        Records with a newer revision stay, and so do transactions in flight or unconfirmed: without them, jobs that
+        were preempted could preempt others. A newer view resets the transactions (``enter``).
         """
         self.entries = {machine: entry for machine, entry in self.entries.items() if entry.revision > revision}
-        self.stops = {job: known for job, known in self.stops.items() if known[1] > revision}
+        self.stops = {job: record for job, record in self.stops.items() if record[1] > revision}
         if self.spent_revision <= revision:
             self.spent, self.spent_revision = PreemptionsSpent(), 0
-        self.planned, self.dropping, self.forgetting = [], {}, {}
+        self.planned, self.dropping, self.ended_jobs = [], {}, {}
 
     def enter(self) -> None:
-        """A new view: what was on its way under the older one is in the replica by now, or never will be."""
-        self.planned, self.dropping, self.forgetting, self.sent, self.doubt = [], {}, {}, None, None
+        """Enter a new view: a transaction of the previous one is either already in the replica or can't commit."""
+        self.planned, self.dropping, self.ended_jobs, self.in_flight, self.unconfirmed = [], {}, {}, None, None
         for entry in self.entries.values():
             entry.state = ClaimState.HELD
 
     def apply(self, key: str, data: bytes | msgspec.Raw | None, revision: int, now: float = 0.0) -> None:
-        """One change of a key of claims, from the replica; ``data`` None: it went."""
+        """Apply one change from the replica; other keys are ignored. ``data`` None: the key was deleted."""
         if key == BUDGETS:
             if revision > self.spent_revision:
-                self.spent = PreemptionsSpent() if data is None else _spent.decode(data)
+                self.spent = PreemptionsSpent() if data is None else _spent_decoder.decode(data)
                 self.spent_revision = revision
         elif key.startswith(STOPS):
             self._apply_stops(key[len(STOPS) :], data, revision)
@@ -160,29 +157,27 @@
             self._apply_claim(key[len(CLAIMS) :], data, revision)
 
     def _apply_stops(self, job: str, data: bytes | msgspec.Raw | None, revision: int) -> None:
-        known = self.stops.get(job)
-        if known is not None and revision <= known[1]:
+        existing = self.stops.get(job)
+        if existing is not None and revision <= existing[1]:
             return
-        self.forgetting.pop(job, None)
+        self.ended_jobs.pop(job, None)
         if data is None:
             self.stops.pop(job, None)
         else:
-            self.stops[job] = (_stops.decode(data), revision)
+            self.stops[job] = (_stops_decoder.decode(data), revision)
 
     def _apply_claim(self, machine: str, data: bytes | msgspec.Raw | None, revision: int) -> None:
-        known = self.entries.get(machine)
-        if known is not None and revision <= known.revision:
+        existing = self.entries.get(machine)
+        if existing is not None and revision <= existing.revision:
             return
         if data is None:
             self.entries.pop(machine, None)
             self.dropping.pop(machine, None)
         else:
-            self._hold(machine, _claim.decode(data), revision)
-
-    # -- changes of state, one function each --------------------------------
+            self._hold(machine, _claim_decoder.decode(data), revision)
 
     def plan(self, groups: list[ClaimGroup]) -> None:
-        """The leader has chosen; claims of a group are stored together or not at all."""
+        """Queue the claims that the leader selected; those of a group are stored together or not at all."""
         assert not self.busy
         self.planned = list(groups)
 
@@ -191,7 +186,7 @@
         self.dropping.pop(machine, None)
 
     def drop(self, machine: str, cause: str) -> None:
-        """The leader wants the record gone."""
+        """Request deletion of the machine's claim."""
         entry = self.entries.get(machine)
         if entry is not None and entry.state is not ClaimState.DROPPED:
             entry.state = ClaimState.DROPPED
@@ -199,41 +194,42 @@
             log.info("claim=%s state=dropped cause=%s for=%s", machine, cause, entry.claim.job)
 
     def forget(self, job: str) -> None:
-        """The job is over: nobody asks any more how often it was stopped."""
+        """Request deletion of the ended job's record of preemptions."""
         if job in self.stops:
-            self.forgetting[job] = self.stops[job][1]
+            self.ended_jobs[job] = self.stops[job][1]
 
-    # -- writing -------------------------------------------------------------
+    def due(self, wall: float, max_changes: int, value_bytes: int) -> ClaimTransaction | None:
+        """Return the next transaction, of at most ``max_changes`` puts and drops, and mark it as in flight.
 
-    def due(self, wall: float, most: int, value_bytes: int) -> ClaimTransaction | None:
-        """The next change, of at most ``most`` puts and drops; None: nothing is due, or one is under way."""
-        if self.sent is not None:
+        Returns None if there is nothing to write or one is in flight already.
+        """
+        if self.in_flight is not None:
             return None
-        if self.doubt is not None and self.doubt.conditions[BUDGETS] != self.spent_revision:
-            self.doubt = None  # carried out, or never to be
+        if self.unconfirmed is not None and self.unconfirmed.conditions[BUDGETS] != self.spent_revision:
+            self.unconfirmed = None  # it has committed, or its condition can't hold any more
         tx = ClaimTransaction()
-        if self.doubt is not None:
+        if self.unconfirmed is not None:
             tx.conditions[BUDGETS], tx.puts[BUDGETS] = self.spent_revision, self.spent
-        elif self.dropping or self.forgetting:
+        elif self.dropping or self.ended_jobs:
             keys = [(CLAIMS + machine, revision) for machine, revision in self.dropping.items()]
-            keys += [(STOPS + job, revision) for job, revision in self.forgetting.items()]
-            tx.conditions = dict(keys[:most])
+            keys += [(STOPS + job, revision) for job, revision in self.ended_jobs.items()]
+            tx.conditions = dict(keys[:max_changes])
             tx.drops = list(tx.conditions)
         else:
-            self._add_claims(tx, wall, most, value_bytes)
+            self._add_claims(tx, wall, max_changes, value_bytes)
         if not tx.puts and not tx.drops:
             return None
-        self.sent = tx
+        self.in_flight = tx
         return tx
 
-    def _add_claims(self, tx: ClaimTransaction, wall: float, most: int, value_bytes: int) -> None:
-        """Add as many planned groups as one transaction takes; one that no transaction takes is given up."""
+    def _add_claims(self, tx: ClaimTransaction, wall: float, max_changes: int, value_bytes: int) -> None:
+        """Add as many planned groups as fit; a group too large for any transaction is discarded."""
         spent = self.spent
         stops: dict[str, JobPreemptions] = {}
         while self.planned:
             group = self.planned[0]
-            more_spent, more_stops = _with_group(group, spent, stops, self.stops, wall)
-            if not tx.takes(group, more_spent, more_stops, most, value_bytes):
+            new_spent, new_stops = _with_group(group, spent, stops, self.stops, wall)
+            if not tx.can_add(group, new_spent, new_stops, max_changes, value_bytes):
                 if tx.groups:
                     break
                 log.info("claim=%s state=dropped cause=takes more than one transaction", min(group))
@@ -241,7 +237,7 @@
                 continue
             self.planned.pop(0)
             tx.groups.append(group)
-            spent, stops = more_spent, more_stops
+            spent, stops = new_spent, new_stops
             tx.puts |= {CLAIMS + machine: claim for machine, claim in group.items()}
             tx.conditions |= dict.fromkeys((CLAIMS + machine for machine in group), 0)
         if tx.groups:
@@ -251,13 +247,13 @@
                 tx.conditions[STOPS + job] = self.stops[job][1] if job in self.stops else 0
 
     def done(self, tx: ClaimTransaction, revision: int, now: float = 0.0) -> None:
-        """The store holds it; the replica may have said so before.
+        """Apply a transaction that has committed; the replica may already have applied it.
 
-        One that a newer view has overtaken is left to the replica: what it made may be gone again.
+        A transaction of an earlier view is ignored: its claims may already be deleted, and the replica has the result.
         """
-        if self.sent is not tx:
+        if self.in_flight is not tx:
             return
-        self.sent = None
+        self.in_flight = None
         for key, value in tx.puts.items():
             self.apply(key, msgspec.json.encode(value), revision, now)
         for key in tx.drops:
@@ -275,12 +271,12 @@
                 )
 
     def failed(self, tx: ClaimTransaction, now: float = 0.0) -> None:
-        """In conflict, refused or without an answer: it may yet be carried out, and is not sent again."""
-        if self.sent is not tx:
+        """Handle a conflict, a refusal or a missing answer: the transaction may still commit and is not resent."""
+        if self.in_flight is not tx:
             return
-        self.sent, self.planned = None, []
+        self.in_flight, self.planned = None, []
         if BUDGETS in tx.conditions:
-            self.doubt = tx
+            self.unconfirmed = tx
 
 
 def _with_group(
@@ -290,15 +286,15 @@
     stored: Mapping[str, tuple[JobPreemptions, int]],
     wall: float,
 ) -> tuple[PreemptionsSpent, dict[str, JobPreemptions]]:
-    """Return the budgets and the jobs' records with the preemptions of one more group.
+    """Return the records of budgets and jobs with the preemptions of one more group added.
 
-    ``stops``: records that the transaction has already; ``stored``: those of the store. ``wall``: time of day, in s.
+    ``stops``: job records already in the transaction; ``stored``: those in the store. ``wall``: Unix time in s.
     """
     result = dict(stops)
     for claim in group.values():
-        spent = spent.spend(budget_key(claim.team, claim.reason), len(claim.victims), claim.at)
+        spent = spent.add(budget_key(claim.team, claim.reason), len(claim.victims), claim.at)
         for job, index, _ in claim.victims:
-            known = result.get(job) or (stored[job][0] if job in stored else JobPreemptions({}, wall))
-            tasks = known.tasks | {index: known.tasks.get(index, 0) + 1}
-            result[job] = JobPreemptions(tasks, known.first)
+            existing = result.get(job) or (stored[job][0] if job in stored else JobPreemptions({}, wall))
+            tasks = existing.tasks | {index: existing.tasks.get(index, 0) + 1}
+            result[job] = JobPreemptions(tasks, existing.first)
     return spent, result
--- a/alderbridge/claims/records.py
+++ b/alderbridge/claims/records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of claims: one record a machine, one of budgets, one a job that was stopped."""
+"""Stored records of preemption: claims by machine, usage of the budgets, and preemptions by job."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 
 
 class PreemptionClaim(msgspec.Struct, frozen=True):
-    """Whose the room of one machine is, and which tasks stop for it; key ``ab/c/MACHINE``.
+    """Reserves a machine's capacity for one job and lists the tasks to preempt for it; key ``ab/c/MACHINE``.
 
-    Proof of nothing: what runs is known from reports alone.
+    It does not prove that the victims have stopped: only the machine's reports do.
     """
 
     reason: str  # "urgent", "guarantee" or "serving"
-    job: str  # for whom the room is
-    count: int  # tasks of it that the room is for; 0: its victims stop as part of a gang
+    job: str  # that the capacity is reserved for
+    count: int  # tasks of the job that fit the freed capacity; 0: only stops part of a gang
     victims: list[Task]
-    wind_down_s: float  # for the victims' last save, in s
-    until: float  # time of day; from then on the room is free for all
-    team: str  # whose budget was spent
-    at: float  # time of day when it was planned
+    wind_down_s: float  # time for the victims' final checkpoint
+    until: float  # Unix time in s when the reservation expires
+    team: str  # whose budget was charged
+    at: float  # Unix time in s when it was planned
 
 
 class JobPreemptions(msgspec.Struct, frozen=True):
-    """How often claims have stopped tasks of a job; key ``ab/s/JOB``. Goes when the job is over."""
+    """How often tasks of a job were preempted; key ``ab/s/JOB``. Deleted when the job has ended."""
 
-    tasks: dict[int, int]  # index -> times
-    first: float  # time of day of the first stop
+    tasks: dict[int, int]  # task index -> preemptions
+    first: float  # Unix time in s of the first preemption
 
 
 class PreemptionsSpent(msgspec.Struct, frozen=True):
-    """Stops of the last minute by budget, as (start of its step in s of the day's time, stops); key ``ab/b``."""
+    """Preemptions of the last minute, by budget, as (Unix time in s when the time step began, count); key ``ab/b``."""
 
     stops: dict[str, list[tuple[int, int]]] = {}
 
-    def within(self, budget: str, wall: float) -> int:
-        """Return the stops in the minute before ``wall``: never fewer than there were, up to a step's more."""
-        least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
-        return sum(count for at, count in self.stops.get(budget, ()) if at > least)
+    def in_last_minute(self, budget: str, wall: float) -> int:
+        """Return the preemptions in the minute before ``wall``: never too few, but some may be up to one step older."""
+        cutoff = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
+        return sum(count for step_start, count in self.stops.get(budget, ()) if step_start > cutoff)
 
-    def spend(self, budget: str, count: int, wall: float) -> PreemptionsSpent:
-        """Return the record with ``count`` more stops, and without what is over."""
-        least = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
+    def add(self, budget: str, count: int, wall: float) -> PreemptionsSpent:
+        """Return a record with ``count`` more preemptions at ``wall``, without steps older than the last minute."""
+        cutoff = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
         step = int(wall // constants.PREEMPTION_STEP_S * constants.PREEMPTION_STEP_S)
         stops = {
-            name: recent for name, entries in self.stops.items() if (recent := [e for e in entries if e[0] > least])
+            name: recent for name, entries in self.stops.items() if (recent := [e for e in entries if e[0] > cutoff])
         }
         entries = dict(stops.get(budget, ()))
         entries[step] = entries.get(step, 0) + count
@@ -56,8 +56,8 @@
 
 
 def budget_key(team: str, reason: str) -> str:
-    """Return the budget that a stop for a team and a reason is taken from."""
+    """Return the name of the budget that preemptions for this team and reason are charged to."""
     return f"{team}/{reason}"
 
 
-ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction
+ClaimGroup = dict[str, PreemptionClaim]  # machine -> claim; stored in one transaction or not at all
--- a/alderbridge/preemption/__init__.py
+++ b/alderbridge/preemption/__init__.py
@@ -1,7 +1,8 @@
-"""Room that is made for one job by preempting others: the durable claim on a machine, its budget, its victims.
+"""Preemption: frees capacity on machines for one job by stopping tasks of others.
 
-Shared by priorities and lending. The leader plans (``planner``, ``victim_selection``), the store remembers
-(``alderbridge.claims``), the machine's shard stops the victims, and its reports prove that they are gone.
+Shared by priorities and lending. The leader plans preemptions (``planner``, ``victim_selection``) and stores each as a
+durable claim on a machine (``alderbridge.claims``). The machine's shard stops the victims; a victim counts as gone once
+the shard's report no longer lists it.
 """
 
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
--- a/alderbridge/preemption/budget.py
+++ b/alderbridge/preemption/budget.py
@@ -1,4 +1,7 @@
-"""How many preemptions a team may cause: counted in the store with the claims, so that no crash gives any back."""
+"""Limits on the preemptions that a team may cause.
+
+Usage is stored in the same transaction as the claims, so that a crash of the leader does not reset it.
+"""
 
 from __future__ import annotations
 
@@ -11,39 +14,39 @@
 
 
 class PreemptionLimit(NamedTuple):
-    """What one priority class, or one lending rule, may cause."""
+    """Limits on the preemptions that one priority class or one lending rule may cause."""
 
-    a_minute: int  # preemptions in a minute
-    at_once: int  # victims at one time that are not yet known to be gone
-    share: float = 1.0  # of the tasks that run, preempted at one time; one in any case
+    a_minute: int  # preemptions per minute
+    at_once: int  # victims that are stopping at one time
+    share: float = 1.0  # of all running tasks, stopping at one time; rounded down, but at least one task
 
 
 class PreemptionBudget:
-    """What may still be preempted now, while victims are chosen."""
+    """The preemptions that remain allowed during one planning round."""
 
     def __init__(
         self,
-        spent: PreemptionsSpent,
+        used: PreemptionsSpent,
         wall: float,
         stopping: Mapping[str, int],
         running: int,
         limit: Callable[[PreemptionDemand], PreemptionLimit],
     ) -> None:
-        """Take over what was spent until ``wall``, the time of day in s.
+        """Start from the stored usage ``used``, at ``wall`` (Unix time in s).
 
-        ``stopping``: victims of claims that are not gone yet, by budget. ``running``: tasks that run in all.
+        ``stopping``: victims of stored claims that are not gone yet, by budget. ``running``: all running tasks.
         """
-        self.spent, self.wall, self.running, self.limit = spent, wall, running, limit
+        self.used, self.wall, self.running, self.limit = used, wall, running, limit
         self.stopping = Counter(stopping)
-        self.now: Counter[str] = Counter()  # chosen in this round
+        self.selected: Counter[str] = Counter()  # budget -> victims selected in this round
 
-    def left(self, demand: PreemptionDemand) -> int:
+    def remaining(self, demand: PreemptionDemand) -> int:
         """Return how many more tasks may be preempted for the demand."""
         name, limit = budget_key(demand.spec.team, demand.reason), self.limit(demand)
         at_once = min(limit.at_once, max(1, int(limit.share * self.running)))
-        left_in_minute = limit.a_minute - self.spent.within(name, self.wall)
-        return max(0, min(left_in_minute, at_once - self.stopping[name]) - self.now[name])
+        remaining_in_minute = limit.a_minute - self.used.in_last_minute(name, self.wall)
+        return max(0, min(remaining_in_minute, at_once - self.stopping[name]) - self.selected[name])
 
-    def spend(self, demand: PreemptionDemand, count: int) -> None:
-        """Count that many more victims chosen for the demand."""
-        self.now[budget_key(demand.spec.team, demand.reason)] += count
+    def use(self, demand: PreemptionDemand, count: int) -> None:
+        """Charge ``count`` victims selected for the demand to its budget."""
+        self.selected[budget_key(demand.spec.team, demand.reason)] += count
--- a/alderbridge/preemption/model.py
+++ b/alderbridge/preemption/model.py
@@ -1,4 +1,4 @@
-"""The values that preemption is planned with: who asks for room, who may stop for it, and on which machines."""
+"""The inputs of preemption planning: demands, candidate victims and candidate machines."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 
 class PreemptionDemand(NamedTuple):
-    """Tasks of one job that nothing else serves in time."""
+    """Tasks of one job that cannot start in time without preemption."""
 
     spec: JobSpec
-    count: int  # type: ignore[assignment]  # not the method of tuples, which nobody calls here
+    count: int  # type: ignore[assignment]  # hides the method of tuple, which is not used here
     due_in_s: float
     reason: str  # "urgent", "guarantee" or "serving"
-    zone: str | None = None  # the only zone it may use now
-    guaranteed: bool = False  # lies within its team's guarantee
+    zone: str | None = None  # the only zone that the job may use now
+    guaranteed: bool = False  # the job lies within its team's guarantee
 
 
 class Victim(NamedTuple):
     """A task that might be preempted."""
 
     job: str
-    index: int  # type: ignore[assignment]  # as ``count``
+    index: int  # type: ignore[assignment]  # as ``PreemptionDemand.count``
     attempt: int
     spec: JobSpec
-    ran_s: float  # this attempt, since it was first seen running
-    saved_s_ago: float | None = None  # since its last checkpoint; None: it never saves any
-    stops: int = 0  # by claims, so far
-    sure: bool = True  # ``ran_s`` is all; else at least that: it ran when its machine shard first heard of it
-    since_stop_s: float = 0.0  # since the first stop of its job; 0: none
+    ran_s: float  # of this attempt, since it was first observed running
+    saved_s_ago: float | None = None  # since its last checkpoint; None: it does not checkpoint
+    stops: int = 0  # preemptions so far
+    sure: bool = True  # ``ran_s`` is exact; else a minimum: the task ran before its machine shard first observed it
+    since_stop_s: float = 0.0  # since the first preemption of its job; 0: never preempted
 
 
 class CandidateMachine(NamedTuple):
-    """A machine as its shard reports it: no claim is on it, and tasks may be placed there."""
+    """A machine without a claim, as its shard reports it; tasks may be placed on it."""
 
     machine: str
     kind: MachineKind
     free: Resources
-    tasks: list[Victim]  # those that the policy may preempt
+    tasks: list[Victim]  # only those that the policy may preempt
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -1,8 +1,9 @@
-"""The leader's side of claims: which policy needs room, what is planned for it, which claims are over. Pure.
+"""Plans preemption claims on the leader and drops claims that are finished. Does no I/O.
 
-A round, once a second: claims that are over are dropped; each policy (priorities, lending) names its demands; if there
-are any, the machine shards are asked for their tasks. When all have answered, victims are chosen and the ledger gets
-the claims. Nothing is planned while claims are on their way, nor before the fleet is reconciled after a failover.
+Each planning round (``constants.LEADER_ROUND_S``) drops finished claims and collects the demands of each policy
+(priorities, lending). If there are any, the machine shards are asked for their tasks; once all have answered, victims
+are selected and the claims are passed to the ledger. Nothing is planned while earlier claims are being written, nor
+before the fleet is reconciled after a failover.
 """
 
 from __future__ import annotations
@@ -29,27 +30,27 @@
 
 
 class PreemptionPolicy(Protocol):
-    """Who may ask for others' room: its reason, its rules. ``teams`` is set before victims are chosen."""
+    """A source of preemption demands and its rules. The planner sets ``teams`` before victims are selected."""
 
     reason: str
     teams: Teams
 
     def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
-        """Return what nothing else serves in time, the most urgent first."""
+        """Return tasks that cannot start in time without preemption, the most urgent first."""
 
     def is_reported(self, spec: JobSpec) -> bool:
-        """Whether machine shards report such tasks to the leader."""
+        """Whether machine shards report tasks of such a job to the leader."""
 
     def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
-        """Take in what the shards reported of all machines; ``kinds``: of those that are up."""
+        """Process the shards' task lists of all machines; ``kinds``: of the machines that are up."""
 
     def preemptible(self, spec: JobSpec) -> bool:
-        """Whether such tasks may be victims at all."""
+        """Whether tasks of such a job may be preempted at all."""
 
     def limit(self, demand: PreemptionDemand) -> PreemptionLimit:
-        """Return how many preemptions the demand may cause."""
+        """Return the limits on preemptions for the demand."""
 
     def select_victims(
         self,
@@ -65,23 +66,21 @@
     """Plans preemptions for all policies, while this controller is the leader."""
 
     def __init__(self, leader: Leader, ledger: Ledger) -> None:
-        """Read what ``leader`` knows of queues and machines; claims go to ``ledger``."""
+        """Read queues and machines from ``leader`` and pass claims to ``ledger``."""
         self.leader, self.ledger = leader, ledger
         self.enter([])
 
     def enter(self, members: list[str]) -> None:
-        """Begin a new view: nothing that was reported or asked under the one before counts."""
+        """Enter a new view: discard all that was reported or requested in the previous one."""
         self.members = members
-        self.task_lists: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer to ``ListMachineTasks``
+        self.task_lists: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer, when it arrived
         self.claimed_machines: dict[str, MachineTasks] = {}  # machines with a claim, as last reported
-        self.round_at = self.asked_at = float("-inf")
-        self.pending: list[tuple[PreemptionPolicy, list[PreemptionDemand]]] = []  # until the shards have answered
-        self.unused_since: dict[str, float] = {}  # machine -> since when its claim serves nothing more
-
-    # -- what is known -------------------------------------------------------
+        self.last_round_at = self.tasks_requested_at = float("-inf")
+        self.pending: list[tuple[PreemptionPolicy, list[PreemptionDemand]]] = []  # until all shards have answered
+        self.unused_since: dict[str, float] = {}  # machine -> since when its claim has been unused
 
     def on_tasks(self, label: str, tasks: MachineTaskList, now: float) -> None:
-        """Take in a shard's report of its machines' tasks."""
+        """Process a shard's report of its machines' tasks; ignored unless the sender is a member of the view."""
         if label not in self.members:
             return
         if tasks.whole:
@@ -91,33 +90,34 @@
                 self.claimed_machines[row.machine] = row
 
     def queue_rows(self, now: float) -> dict[str, QueueRow]:
-        """Return the rows of all job shards' queues, by job, with their times as they stand."""
+        """Return the rows of all job shards' queues, by job, with their times advanced to ``now``."""
         return {row.job: row for queue in self.leader.queues.values() for row in queue.aged_rows(now)}
 
     def promised(self) -> Counter[str]:
-        """Return the tasks of each job that claims make room for; for a moment too many when some already run there."""
+        """Return, by job, the tasks that claims free capacity for.
+
+        This may briefly count too many: tasks that already run there are counted until their claim is dropped.
+        """
         result: Counter[str] = Counter()
         for claim in self.ledger.all().values():
             result[claim.job] += claim.count
         return result
 
     def victims_left(self, machine: str, claim: PreemptionClaim) -> int:
-        """Return how many victims are not known to be gone."""
+        """Return how many victims of the claim may still be on the machine."""
         row = self.claimed_machines.get(machine)
         if row is None:
             return len(claim.victims)
         present = {(job, index, attempt) for job, index, attempt, _, _ in row.tasks}
         return sum(tuple(victim) in present for victim in claim.victims)
 
-    def stopping(self) -> Counter[str]:
-        """Return how many victims are not known to be gone, by budget."""
+    def stopping_victims(self) -> Counter[str]:
+        """Return how many victims may still be on machines, by budget."""
         result: Counter[str] = Counter()
         for machine, claim in self.ledger.all().items():
             result[budget_key(claim.team, claim.reason)] += self.victims_left(machine, claim)
         return result
 
-    # -- planning ------------------------------------------------------------
-
     def plan(
         self,
         now: float,
@@ -126,17 +126,17 @@
         teams: Callable[[], Teams],
         max_changes: int,
     ) -> bool:
-        """Go one step on; True: the machine shards are to be asked for their tasks.
+        """Advance planning by one step; returns whether the caller must ask all machine shards for their tasks.
 
-        ``wall``: time of day, in s. ``teams``: called when victims are chosen. ``max_changes``: that one transaction
-        takes.
+        ``wall``: Unix time in s. ``teams``: called when victims are selected. ``max_changes``: maximum number of
+        changes in one transaction.
         """
         if not self.leader.ready(now):
             return False
-        if now - self.round_at >= constants.LEADER_ROUND_S:
+        if now - self.last_round_at >= constants.LEADER_ROUND_S:
             self._begin_round(now, wall, policies)
             if self.pending:
-                self.asked_at = now
+                self.tasks_requested_at = now
                 return True
         if self.pending and self._all_answered():
             if not self.ledger.busy:
@@ -146,7 +146,7 @@
         return False
 
     def _begin_round(self, now: float, wall: float, policies: Sequence[PreemptionPolicy]) -> None:
-        self.round_at = now
+        self.last_round_at = now
         if self.ledger.entries or self.ledger.stops:
             self._drop_finished(now, wall, policies)
         self.pending = []
@@ -155,10 +155,12 @@
             self.pending = [(policy, demands) for policy in policies if (demands := policy.find_demands(self, now))]
 
     def _all_answered(self) -> bool:
-        return all(label in self.task_lists and self.task_lists[label][1] >= self.asked_at for label in self.members)
+        return all(
+            label in self.task_lists and self.task_lists[label][1] >= self.tasks_requested_at for label in self.members
+        )
 
     def _confirm_demands(self, now: float) -> None:
-        """Of the pending demands, what is still there: tasks may have been granted while the shards were asked."""
+        """Reduce the pending demands to what is still unserved: tasks may have been granted in the meantime."""
         confirmed = []
         for policy, demands in self.pending:
             present = {demand.spec.id: demand.count for demand in policy.find_demands(self, now)}
@@ -167,40 +169,42 @@
         self.pending = confirmed
 
     def _select(self, wall: float, teams: Teams, max_changes: int) -> None:
-        """Choose victims for the pending demands, each machine for one policy."""
-        kinds = self._kinds()
+        """Select victims for the pending demands; each machine is used by at most one policy."""
+        kinds = self._machine_kinds()
         rows = [row for tasks, _ in self.task_lists.values() for row in tasks.rows]
         running = sum(len(row.tasks) for row in rows)
         self._count_stopping(teams)
-        taken: set[str] = set()
+        used_machines: set[str] = set()
         groups: list[ClaimGroup] = []
         for policy, demands in self.pending:
             machines = [
                 CandidateMachine(row.machine, kinds[row.machine], row.free, self._victims(row, policy, wall))
                 for row in rows
-                if row.machine in kinds and row.machine not in taken and self.ledger.claim_of(row.machine) is None
+                if row.machine in kinds
+                and row.machine not in used_machines
+                and self.ledger.claim_of(row.machine) is None
             ]
             policy.teams = teams
             policy.observe_machines(rows, kinds, self.leader.replica.spec)
-            budget = PreemptionBudget(self.ledger.spent, wall, self.stopping(), running, policy.limit)
-            chosen = policy.select_victims(demands, machines, budget, max_changes)
-            for group in chosen:
-                taken.update(group)
-            groups += chosen
+            budget = PreemptionBudget(self.ledger.spent, wall, self.stopping_victims(), running, policy.limit)
+            selected = policy.select_victims(demands, machines, budget, max_changes)
+            for group in selected:
+                used_machines.update(group)
+            groups += selected
         if groups:
             self.ledger.plan(groups)
 
-    def _kinds(self) -> dict[str, MachineKind]:
-        """What each machine that is up was rented as."""
+    def _machine_kinds(self) -> dict[str, MachineKind]:
+        """Return the type, zone and spot status of each machine that is up."""
         return {
             row.machine: MachineKind(row.type, row.zone, row.spot)
-            for room, _ in self.leader.machine_summaries.values()
-            for row in room.rows
+            for shard, _ in self.leader.machine_summaries.values()
+            for row in shard.rows
             if row.state == "up"
         }
 
     def _count_stopping(self, teams: Teams) -> None:
-        """Take the victims of standing claims from what their teams use."""
+        """Subtract the remaining victims of stored claims from their teams' usage."""
         for machine, claim in self.ledger.all().items():
             for job, _, _ in claim.victims[: self.victims_left(machine, claim)]:
                 spec = self.leader.replica.spec(job)
@@ -226,23 +230,21 @@
                 result.append(victim)
         return result
 
-    # -- claims that are over --------------------------------------------------
-
     def _drop_finished(self, now: float, wall: float, policies: Sequence[PreemptionPolicy]) -> None:
         ledger, replica = self.ledger, self.leader.replica
-        rooms = {row.machine: row for room, _ in self.leader.machine_summaries.values() for row in room.rows}
+        summaries = {row.machine: row for shard, _ in self.leader.machine_summaries.values() for row in shard.rows}
         waiting = Counter({job: row.waiting + row.inherited for job, row in self.queue_rows(now).items()})
         reasons = {policy.reason for policy in policies}
         for machine, claim in ledger.all().items():
-            left = self.victims_left(machine, claim)
-            if left == 0 and machine in self.claimed_machines:
+            remaining = self.victims_left(machine, claim)
+            if remaining == 0 and machine in self.claimed_machines:
                 ledger.entries[machine].mark_cleared()
-            room = rooms.get(machine)
-            cause = self._cause_to_drop(claim, room, wall, claim.reason in reasons or left < len(claim.victims))
+            summary = summaries.get(machine)
+            cause = self._cause_to_drop(claim, summary, wall, claim.reason in reasons or remaining < len(claim.victims))
             if cause:
                 ledger.drop(machine, cause)
                 continue
-            cause = self._cause_of_disuse(machine, claim, room, waiting[claim.job], left)
+            cause = self._cause_unused(machine, claim, summary, waiting[claim.job], remaining)
             if not cause:
                 self.unused_since.pop(machine, None)
             elif now - self.unused_since.setdefault(machine, now) >= constants.CLAIM_UNUSED_S:
@@ -251,36 +253,43 @@
             machine: row for machine, row in self.claimed_machines.items() if ledger.claim_of(machine) is not None
         }
         self.unused_since = {
-            machine: at for machine, at in self.unused_since.items() if ledger.claim_of(machine) is not None
+            machine: since for machine, since in self.unused_since.items() if ledger.claim_of(machine) is not None
         }
         for job in [job for job in ledger.stops if job in replica.ended]:
             ledger.forget(job)
 
-    def _cause_to_drop(self, claim: PreemptionClaim, room: MachineSummary | None, wall: float, needed: bool) -> str:
-        """Why the claim is to go at once; "": it stays. ``needed``: its policy stands, or victims have gone."""
+    def _cause_to_drop(self, claim: PreemptionClaim, summary: MachineSummary | None, wall: float, needed: bool) -> str:
+        """Return why the claim must be dropped at once, or "".
+
+        ``needed``: its policy is still in force, or some of its victims have already stopped.
+        """
         if self.leader.replica.spec(claim.job) is None or claim.job in self.leader.replica.ended:
             return "its job is over"
         if wall > claim.until:
             return "its time is over"
-        if room is not None and room.state not in ("up", "expected"):
-            return f"the machine is {room.state}"
+        if summary is not None and summary.state not in ("up", "expected"):
+            return f"the machine is {summary.state}"
         return "" if needed else "nothing is declared any more"
 
-    def _cause_of_disuse(
-        self, machine: str, claim: PreemptionClaim, room: MachineSummary | None, waiting: int, left: int
+    def _cause_unused(
+        self, machine: str, claim: PreemptionClaim, summary: MachineSummary | None, waiting: int, remaining: int
     ) -> str:
-        """Why the claim serves nothing now, for which it goes after a while; "": it does serve."""
-        if room is None:
+        """Return why the claim is unused now, or "".
+
+        A claim is dropped only after ``constants.CLAIM_UNUSED_S`` without use, because queues and machines are
+        reported at different times.
+        """
+        if summary is None:
             return "the machine is gone"
         if not waiting:
             return "its job wants nothing more"
         spec = self.leader.replica.spec(claim.job)
         assert spec is not None
-        if not left and not self._outstanding(machine, claim, spec):
+        if not remaining and not self._remaining_tasks(machine, claim, spec):
             return "its room is used"
         return ""
 
-    def _outstanding(self, machine: str, claim: PreemptionClaim, spec: JobSpec) -> int:
-        """How many of its tasks the claim's room has yet to take."""
+    def _remaining_tasks(self, machine: str, claim: PreemptionClaim, spec: JobSpec) -> int:
+        """Return how many more tasks of its job the claimed capacity can take."""
         row = self.claimed_machines.get(machine)
         return claim.count if row is None else min(claim.count, fits(spec, row.free))
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -1,4 +1,4 @@
-"""Which tasks are preempted for whom: the least loss, the fewest victims. Pure."""
+"""Selects the tasks to preempt for each demand: least lost work first, then fewest victims. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from alderbridge.scheduling.placement import allowed
 from alderbridge.scheduling.resources import Resources, fits, minus
 
-_OTHER_RECORDS = 2  # of one transaction: the budgets, and one claim beside jobs, or one job beside claims
+_OTHER_RECORDS = 2  # reserved in each transaction: the budgets, and a claim (when counting jobs) or a job (claims)
 
 
 def lost_seconds(victim: Victim) -> float:
-    """Return the seconds of its work that a preemption costs, with the checkpoint and a new start."""
+    """Return the seconds lost by preempting the victim: its run, or else its final checkpoint, and the restart."""
     if victim.spec.checkpoint_s > 0:
         return victim.spec.save_s + constants.DEPENDENCY_STEP_S
     return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.DEPENDENCY_STEP_S
 
 
 def lost_cpu_seconds(victim: Victim) -> float:
-    """Return the CPU seconds lost; what ends soon by itself is worth more than its room."""
+    """Return the CPU seconds lost by preempting the victim."""
     return lost_seconds(victim) * victim.spec.cpus
 
 
 def nearly_done(victim: Victim) -> bool:
-    """Whether it is about to end by itself, as far as its estimate tells."""
+    """Whether the victim is expected to end soon by itself, judged by its estimate; such tasks are not preempted."""
     spec = victim.spec
     if spec.service or not spec.estimate_s:
         return False
@@ -43,62 +43,62 @@
     pass
 
 
-def _all_alike(demand: PreemptionDemand, machine: CandidateMachine) -> float:
+def _no_placement_cost(demand: PreemptionDemand, machine: CandidateMachine) -> float:
     return 0.0
 
 
 class SelectionRules(NamedTuple):
-    """What a policy decides while victims are chosen."""
+    """The decisions that a policy makes during victim selection."""
 
     allowed: Callable[[PreemptionDemand, Victim], bool]
-    victim_cost: Callable[[Victim], float]  # loss of its preemption, above 0, in any unit
-    count_victim: Callable[[Victim, int], None] = _count_nothing  # one more is chosen (1), or one less (-1)
-    placement_cost: Callable[[PreemptionDemand, CandidateMachine], float] = _all_alike  # of room on that machine
+    victim_cost: Callable[[Victim], float]  # of preempting it; above 0, in any unit
+    count_victim: Callable[[Victim, int], None] = _count_nothing  # the victim is selected (1) or no longer (-1)
+    placement_cost: Callable[[PreemptionDemand, CandidateMachine], float] = _no_placement_cost  # of placing there
 
 
-class _Placed(NamedTuple):
-    """A victim, and the machine that it is on."""
+class _PlacedVictim(NamedTuple):
+    """A victim and the machine that it runs on."""
 
     machine: str
     victim: Victim
 
 
-class _PricedUnit(NamedTuple):
-    """Victims that are preempted together or not at all."""
+class _Unit(NamedTuple):
+    """Victims that must be preempted together (a single task or a whole gang), with their total cost."""
 
     cost: float
-    victims: list[_Placed]
+    victims: list[_PlacedVictim]
 
 
 class _Option(NamedTuple):
-    """The cheapest way to room for one more task on one machine."""
+    """The cheapest way to free capacity for one more task on one machine."""
 
     cost: float
-    victims: list[_Placed]  # of a gang some are elsewhere
+    victims: list[_PlacedVictim]  # members of a gang may be on other machines
 
 
 class _MachinePlan:
-    """A machine while victims are chosen on it for one demand."""
+    """The state of one machine during victim selection."""
 
-    __slots__ = ("candidate", "job", "room", "made", "victims", "chosen")
+    __slots__ = ("candidate", "job", "free", "served_tasks", "victims", "selected")
 
     def __init__(self, candidate: CandidateMachine) -> None:
         self.candidate = candidate
-        self.job = ""  # whose room is made here; "": nobody's yet
-        self.room = candidate.free
-        self.made = 0  # tasks that room is made for
+        self.job = ""  # job that capacity is freed for; "": none yet
+        self.free = candidate.free
+        self.served_tasks = 0  # tasks of the job that capacity is freed for
         self.victims: list[Victim] = []
-        self.chosen: set[tuple[str, int]] = set()
+        self.selected: set[tuple[str, int]] = set()
 
     def preempt(self, victim: Victim) -> None:
-        """Choose a victim; its room is free."""
+        """Select a victim and count its resources as free."""
         self.victims.append(victim)
-        self.chosen.add((victim.job, victim.index))
-        self.room = minus(self.room, victim.spec, -1)
+        self.selected.add((victim.job, victim.index))
+        self.free = minus(self.free, victim.spec, -1)
 
 
 class _Selection:
-    """One plan for all demands of one policy."""
+    """Selects victims for all demands of one policy in one planning round."""
 
     def __init__(
         self, machines: Iterable[CandidateMachine], rules: SelectionRules, budget: PreemptionBudget, max_changes: int
@@ -106,57 +106,55 @@
         self.machines = {candidate.machine: _MachinePlan(candidate) for candidate in machines}
         self.rules, self.budget = rules, budget
         self.max_records = max_changes - _OTHER_RECORDS
-        self.victims_of: Counter[str] = Counter()  # job -> its victims in this plan
-        self.gangs: dict[str, list[_Placed]] = {}
+        self.victims_of: Counter[str] = Counter()  # job -> its victims in this round
+        self.gangs: dict[str, list[_PlacedVictim]] = {}
         for name, machine in self.machines.items():
             for victim in machine.candidate.tasks:
                 if victim.spec.gang:
-                    self.gangs.setdefault(victim.job, []).append(_Placed(name, victim))
-        self.linked: dict[str, set[str]] = {}  # machine -> those whose claims are stored together with its own
-        self.served: set[str] = set()  # jobs that room was made for: none of them is preempted in this plan
+                    self.gangs.setdefault(victim.job, []).append(_PlacedVictim(name, victim))
+        self.linked: dict[str, set[str]] = {}  # machine -> machines whose claims are in the same group
+        self.served: set[str] = set()  # jobs that were served: none of them may be preempted in the same round
 
-    # -- options -------------------------------------------------------------
-
-    def option(self, name: str, demand: PreemptionDemand) -> _Option | None:
-        """Return the cheapest way to room for one more task on the machine; None: there is none."""
+    def cheapest_option(self, name: str, demand: PreemptionDemand) -> _Option | None:
+        """Return the cheapest way to free capacity for one more task on the machine, or None."""
         machine, spec = self.machines[name], demand.spec
         if machine.job not in ("", spec.id):
             return None
-        # What fits already was counted as served before there was a demand.
-        room = machine.room if machine.job else minus(machine.room, spec, fits(spec, machine.room))
-        if machine.job and fits(spec, room):
-            return _Option(0.0, [])  # what is preempted already makes room for more than one
-        chosen, room = self._add_units(name, demand, self._units(name, demand), room)
-        if not fits(spec, room):
+        # Tasks that fit without preemption are not part of the demand: their capacity is not available for it.
+        free = machine.free if machine.job else minus(machine.free, spec, fits(spec, machine.free))
+        if machine.job and fits(spec, free):
+            return _Option(0.0, [])  # the victims selected so far free capacity for another task
+        selected, free = self._add_units(name, demand, self._units(name, demand), free)
+        if not fits(spec, free):
             return None
-        self._drop_superfluous(name, demand, chosen, room)
-        victims = [placed for unit in chosen for placed in unit.victims]
+        self._remove_unneeded(name, demand, selected, free)
+        victims = [placed for unit in selected for placed in unit.victims]
         jobs = {placed.victim.job for placed in victims} | {victim.job for victim in machine.victims}
-        if not victims or len(jobs) > self.max_records or len(victims) > self.budget.left(demand):
+        if not victims or len(jobs) > self.max_records or len(victims) > self.budget.remaining(demand):
             return None
-        cost = sum(unit.cost for unit in chosen)
+        cost = sum(unit.cost for unit in selected)
         return _Option(cost + self.rules.placement_cost(demand, machine.candidate), victims)
 
-    def _units(self, name: str, demand: PreemptionDemand) -> list[_PricedUnit]:
-        """What might be preempted on the machine, the cheapest first."""
+    def _units(self, name: str, demand: PreemptionDemand) -> list[_Unit]:
+        """Return what may be preempted on the machine, the cheapest first."""
         machine = self.machines[name]
         units, seen = [], set()
         for victim in machine.candidate.tasks:
-            if (victim.job, victim.index) in machine.chosen or victim.job in self.served or nearly_done(victim):
+            if (victim.job, victim.index) in machine.selected or victim.job in self.served or nearly_done(victim):
                 continue
             if victim.spec.gang and victim.job in seen:
                 continue
             seen.add(victim.job)
             victims = self._with_gang(name, victim, demand)
             if victims is not None:
-                units.append(_PricedUnit(self._cost(victims), victims))
+                units.append(_Unit(self._cost(victims), victims))
         units.sort(key=lambda unit: unit.cost)
         return units
 
-    def _with_gang(self, name: str, victim: Victim, demand: PreemptionDemand) -> list[_Placed] | None:
-        """Return what stops with the victim: itself, or its gang as a whole; None where that can't be."""
+    def _with_gang(self, name: str, victim: Victim, demand: PreemptionDemand) -> list[_PlacedVictim] | None:
+        """Return the victim, or all tasks of its gang; None if the gang can't be preempted as a whole."""
         if not victim.spec.gang:
-            return [_Placed(name, victim)]
+            return [_PlacedVictim(name, victim)]
         gang = self.gangs[victim.job]
         names = {placed.machine for placed in gang}
         if len(gang) != victim.spec.tasks or len(names) > self.max_records:
@@ -165,32 +163,32 @@
             return None
         return gang
 
-    def _cost(self, victims: list[_Placed]) -> float:
+    def _cost(self, victims: list[_PlacedVictim]) -> float:
         return sum(
             self.rules.victim_cost(victim) * (1 + constants.VICTIM_SPREAD * self.victims_of[victim.job])
             for _, victim in victims
         )
 
     def _add_units(
-        self, name: str, demand: PreemptionDemand, units: list[_PricedUnit], room: Resources
-    ) -> tuple[list[_PricedUnit], Resources]:
-        """Choose units until one task fits; what the policy counted meanwhile is taken back."""
-        chosen: list[_PricedUnit] = []
+        self, name: str, demand: PreemptionDemand, units: list[_Unit], free: Resources
+    ) -> tuple[list[_Unit], Resources]:
+        """Add units until one task fits; returns them and the free capacity, and reverts the policy's counts."""
+        selected: list[_Unit] = []
         counted: list[Victim] = []
         try:
             for unit in units:
-                if fits(demand.spec, room):
+                if fits(demand.spec, free):
                     break
-                if self._count_unit(demand, unit, counted):
-                    chosen.append(unit)
-                    room = _room_changed(room, name, unit, -1)
+                if self._count_if_allowed(demand, unit, counted):
+                    selected.append(unit)
+                    free = _free_after(free, name, unit, -1)
         finally:
             for victim in counted:
                 self.rules.count_victim(victim, -1)
-        return chosen, room
+        return selected, free
 
-    def _count_unit(self, demand: PreemptionDemand, unit: _PricedUnit, counted: list[Victim]) -> bool:
-        """Whether the policy allows all victims of the unit; if so they are counted."""
+    def _count_if_allowed(self, demand: PreemptionDemand, unit: _Unit, counted: list[Victim]) -> bool:
+        """Count the victims of the unit if the policy allows all of them; returns whether it does."""
         allowed_victims = 0
         for _, victim in unit.victims:
             if not self.rules.allowed(demand, victim):
@@ -205,20 +203,18 @@
         return False
 
     @staticmethod
-    def _drop_superfluous(name: str, demand: PreemptionDemand, chosen: list[_PricedUnit], room: Resources) -> None:
-        """Spare the costliest units that the room is large enough without."""
-        for unit in sorted(chosen, key=lambda unit: -unit.cost):
-            without = _room_changed(room, name, unit, 1)
+    def _remove_unneeded(name: str, demand: PreemptionDemand, selected: list[_Unit], free: Resources) -> None:
+        """Remove units that are not needed to fit the task, the most expensive first."""
+        for unit in sorted(selected, key=lambda unit: -unit.cost):
+            without = _free_after(free, name, unit, 1)
             if fits(demand.spec, without):
-                room = without
-                chosen.remove(unit)
-
-    # -- one demand after the other ------------------------------------------
+                free = without
+                selected.remove(unit)
 
     def serve(self, demand: PreemptionDemand) -> None:
-        """Make room for the demand's tasks, one after the other where it costs least.
+        """Free capacity for the demand's tasks, each on the machine where it costs least.
 
-        Not for a job that this plan preempts already: what was preempted does not preempt.
+        A job with victims in this round is skipped: a preempted job must not preempt others.
         """
         spec = demand.spec
         if self.victims_of[spec.id]:
@@ -228,23 +224,23 @@
         for name, machine in self.machines.items():
             kind = machine.candidate.kind
             if allowed(spec, kind.type, kind.zone, kind.spot) and demand.zone in (None, kind.zone):
-                self._push(heap, name, self.option(name, demand))
-        left, zone = demand.count, demand.zone
-        while heap and left > 0:
-            cost, victims, name = heapq.heappop(heap)
+                self._push(heap, name, self.cheapest_option(name, demand))
+        remaining, zone = demand.count, demand.zone
+        while heap and remaining > 0:
+            cost, victim_count, name = heapq.heappop(heap)
             if spec.one_zone and zone is not None and self.machines[name].candidate.kind.zone != zone:
                 continue
-            option = self.option(name, demand)
+            option = self.cheapest_option(name, demand)
             if option is None:
                 continue
-            if heap and (option.cost, len(option.victims)) > (cost, victims) and option.cost > heap[0][0]:
-                self._push(heap, name, option)  # what was chosen since made it dearer
+            if heap and (option.cost, len(option.victims)) > (cost, victim_count) and option.cost > heap[0][0]:
+                self._push(heap, name, option)  # selections since the option was computed made it more expensive
                 continue
             zone = self.machines[name].candidate.kind.zone
             self._commit(name, demand, option)
-            left -= 1
+            remaining -= 1
             for other in {name} | {other for other, _ in option.victims}:
-                self._push(heap, other, self.option(other, demand))
+                self._push(heap, other, self.cheapest_option(other, demand))
 
     @staticmethod
     def _push(heap: list[tuple[float, int, str]], name: str, option: _Option | None) -> None:
@@ -257,29 +253,27 @@
         for other in names:
             plan = self.machines[other]
             if not plan.job:
-                plan.job, plan.room = spec.id, minus(plan.room, spec, fits(spec, plan.room))
+                plan.job, plan.free = spec.id, minus(plan.free, spec, fits(spec, plan.free))
         for other, victim in option.victims:
             self.machines[other].preempt(victim)
             self.rules.count_victim(victim, 1)
             self.victims_of[victim.job] += 1
-        self.budget.spend(demand, len(option.victims))
-        machine.made += 1
-        machine.room = minus(machine.room, spec, 1)
+        self.budget.use(demand, len(option.victims))
+        machine.served_tasks += 1
+        machine.free = minus(machine.free, spec, 1)
         if len(names) > 1:
             linked = set(names).union(*(self.linked.get(other, ()) for other in names))
             for other in linked:
                 self.linked[other] = linked
 
-    # -- the result ----------------------------------------------------------
-
     def groups(self, demands: Mapping[str, PreemptionDemand]) -> list[ClaimGroup]:
-        """Return the claims of this plan, those that share a gang's victims in one group."""
-        result, done = [], set()
+        """Return the claims of this round; claims with victims of the same gang form one group."""
+        result, grouped = [], set()
         for name, machine in self.machines.items():
-            if not machine.victims or name in done:
+            if not machine.victims or name in grouped:
                 continue
             names = sorted(self.linked.get(name, {name}))
-            done.update(names)
+            grouped.update(names)
             result.append({other: self._claim(self.machines[other], demands) for other in names})
         return result
 
@@ -289,7 +283,7 @@
         return PreemptionClaim(
             reason=demand.reason,
             job=demand.spec.id,
-            count=machine.made,
+            count=machine.served_tasks,
             victims=[(victim.job, victim.index, victim.attempt) for victim in machine.victims],
             wind_down_s=save_s,
             until=wall + save_s + constants.CLAIM_GRACE_S,
@@ -298,12 +292,12 @@
         )
 
 
-def _room_changed(room: Resources, name: str, unit: _PricedUnit, sign: int) -> Resources:
-    """The machine's room with the unit's victims on it running once more (1), or not (-1)."""
+def _free_after(free: Resources, name: str, unit: _Unit, sign: int) -> Resources:
+    """Return the machine's free capacity with the unit's victims on it running again (``sign`` 1) or stopped (-1)."""
     for other, victim in unit.victims:
         if other == name:
-            room = minus(room, victim.spec, sign)
-    return room
+            free = minus(free, victim.spec, sign)
+    return free
 
 
 def select_victims(
@@ -313,10 +307,10 @@
     budget: PreemptionBudget,
     max_changes: int,
 ) -> list[ClaimGroup]:
-    """Return claims for the demands, most urgent first, each machine for one job.
+    """Return claims for the demands, which are served in the given order; each machine serves one job.
 
-    ``machines``: those without a claim. ``max_changes``: changes that one transaction takes; groups that need more are
-    not chosen. The claims are made at the budget's time of day.
+    ``machines``: those without a claim. ``max_changes``: maximum number of changes in one transaction; groups that need
+    more are not selected. The claims are dated with the budget's ``wall``.
     """
     selection = _Selection(machines, rules, budget, max_changes)
     served: dict[str, PreemptionDemand] = {}
