--- a/alderbridge/priorities/__init__.py
+++ b/alderbridge/priorities/__init__.py
@@ -1,4 +1,4 @@
-"""Priority classes of each team: when urgent work may preempt other work, and which."""
+"""Priority classes of teams, which declare what work may preempt what other work."""
 
 from alderbridge.priorities.configuration import PriorityClass, PriorityConfiguration, check_lines, parse
 from alderbridge.priorities.policy import PriorityPolicy
--- a/alderbridge/priorities/configuration.py
+++ b/alderbridge/priorities/configuration.py
@@ -1,4 +1,4 @@
-"""Priority classes as operators declare them: read, checked, and said in words."""
+"""Parses, checks and describes the priority classes that operators declare."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
     "least run": NumberSetting(10.0, 0.0, 86_400.0),  # s
     "most stops": NumberSetting(2, 0, 1000, whole=True),
     "waits at most": NumberSetting(600.0, 0.0, 864_000.0),  # s
-}  # in the order of the fields of ``PriorityClass``
+}  # must be in the order of the fields of ``PriorityClass``
 _KEYS = ("workloads", "urgency", "may preempt", "preemptible", *_NUMBERS)
 
 
 class PriorityClass(msgspec.Struct, frozen=True):
-    """One class of one owner, or of all owners that a pattern names."""
+    """One priority class of one team, or of all teams that match a pattern."""
 
     owner: str  # team, or a pattern with * and ?
     name: str
-    workloads: list[str]  # patterns
-    urgency: list[str]  # the users' priorities; empty: any
-    may_preempt: list[str]  # CLASS or OWNER/CLASS, patterns; empty: stops nobody
+    workloads: list[str]  # patterns of job classes
+    urgency: list[str]  # priorities of the jobs; empty: any
+    may_preempt: list[str]  # patterns of CLASS or OWNER/CLASS; empty: preempts nothing
     preemptible: bool
-    stops_a_minute: int  # that work of this class may cause
-    stops_at_once: int
-    share: float  # of all tasks that run, stopped at one time by this class
-    least_run_s: float  # a task of this class is not stopped before
-    most_stops: int  # of one task of this class
-    waits_at_most_s: float  # so long after its first stop, a job of this class is not stopped any more
+    stops_a_minute: int  # maximum preemptions per minute caused by this class
+    stops_at_once: int  # maximum victims of this class stopping at one time
+    share: float  # of all running tasks, the maximum stopping at one time for this class
+    least_run_s: float  # minimum run time before a task of this class may be preempted
+    most_stops: int  # maximum preemptions of one task of this class
+    waits_at_most_s: float  # since its first preemption; after it a job of this class is no longer preempted
 
     @property
     def title(self) -> str:
-        """Return its name in the file."""
+        """Return the name of the class in the settings file."""
         return f"{self.owner}/{self.name}"
 
     def matches(self, spec: JobSpec) -> bool:
-        """Whether the job may belong to the class."""
+        """Whether the job matches the class; it belongs to the first class that it matches."""
         return (
             fnmatchcase(spec.team, self.owner)
             and (not self.urgency or spec.priority in self.urgency)
@@ -51,36 +51,36 @@
         )
 
     def names(self, other: PriorityClass) -> bool:
-        """Whether its ``may preempt`` names the other class."""
+        """Whether ``may_preempt`` matches the other class."""
         return any(fnmatchcase(other.title if "/" in pattern else other.name, pattern) for pattern in self.may_preempt)
 
 
 class PriorityConfiguration(msgspec.Struct, frozen=True):
-    """What is declared of priorities, compiled; also its form in the store."""
+    """The declared priority classes, compiled; stored in this form."""
 
-    classes: list[PriorityClass] = []  # a job belongs to the first that holds it
+    classes: list[PriorityClass] = []  # a job belongs to the first that it matches
 
     def class_of(self, spec: JobSpec) -> PriorityClass | None:
-        """Return the job's class, if it has any."""
-        return next((one for one in self.classes if one.matches(spec)), None)
+        """Return the job's class, or None."""
+        return next((priority_class for priority_class in self.classes if priority_class.matches(spec)), None)
 
 
 def parse(parser: configparser.ConfigParser, path: str) -> PriorityConfiguration:
-    """Compile the classes of an INI file; ``ConfigError``: one line for the first fault."""
+    """Compile the classes of an INI file; raises ``ConfigError`` with one line for the first error."""
     classes: list[PriorityClass] = []
     for section in sections(parser, path):
         classes.append(_parse_class(section, classes))
-    for one in classes:
-        _check_may_preempt(one, classes, path)
+    for priority_class in classes:
+        _check_may_preempt(priority_class, classes, path)
     return PriorityConfiguration(classes)
 
 
-def _parse_class(section: Section, before: list[PriorityClass]) -> PriorityClass:
+def _parse_class(section: Section, earlier: list[PriorityClass]) -> PriorityClass:
     expected = "expected [class OWNER/NAME]"
     if section.word != "class":
         raise section.error("", expected)
     owner, name = section.owner_and_name(expected)
-    if any((one.owner, one.name) == (owner, name) for one in before):
+    if any((priority_class.owner, priority_class.name) == (owner, name) for priority_class in earlier):
         raise section.error("", "declared twice")
     section.check_keys(_KEYS)
     urgency = section.words("urgency")
@@ -95,34 +95,36 @@
     return PriorityClass(owner, name, workloads, urgency, section.words("may preempt"), preemptible, *numbers)  # type: ignore[arg-type]
 
 
-def _check_may_preempt(one: PriorityClass, classes: list[PriorityClass], path: str) -> None:
-    """``SettingError`` for a pattern that names no class of the file."""
-    for pattern in one.may_preempt:
-        alone = msgspec.structs.replace(one, may_preempt=[pattern])
-        if not any(alone.names(other) for other in classes):
-            raise SettingError(path, f"class {one.title}", "may preempt", f"no class is named {pattern!r}")
+def _check_may_preempt(priority_class: PriorityClass, classes: list[PriorityClass], path: str) -> None:
+    """Raise ``SettingError`` for a pattern of ``may preempt`` that matches no class of the file."""
+    for pattern in priority_class.may_preempt:
+        single = msgspec.structs.replace(priority_class, may_preempt=[pattern])
+        if not any(single.names(other) for other in classes):
+            raise SettingError(path, f"class {priority_class.title}", "may preempt", f"no class is named {pattern!r}")
 
 
 def check_lines(configuration: PriorityConfiguration) -> list[str]:
-    """Say who may preempt whom, for ``--check``: one line a class."""
+    """Describe for ``--check`` what each class may preempt, one line per class."""
     lines = []
-    for one in configuration.classes:
-        others = [other.title for other in configuration.classes if one.names(other) and other.preemptible]
-        who = f"class {one.title} ({', '.join(one.workloads)}; {', '.join(one.urgency) or 'any urgency'})"
-        may = (
-            f"may stop {', '.join(others)} where the protocol allows it: {one.stops_a_minute} a minute, "
-            f"{one.stops_at_once} at once, {one.share:g} of what runs"
-            if others
+    for declared in configuration.classes:
+        preemptible = [other.title for other in configuration.classes if declared.names(other) and other.preemptible]
+        subject = (
+            f"class {declared.title} ({', '.join(declared.workloads)}; {', '.join(declared.urgency) or 'any urgency'})"
+        )
+        allowed = (
+            f"may stop {', '.join(preemptible)} where the protocol allows it: {declared.stops_a_minute} a minute, "
+            f"{declared.stops_at_once} at once, {declared.share:g} of what runs"
+            if preemptible
             else "stops nobody"
         )
         stopped = (
-            f"may be stopped after {one.least_run_s:g} s, {one.most_stops} times a task, until "
-            f"{one.waits_at_most_s:g} s after the first"
-            if one.preemptible and one.most_stops
+            f"may be stopped after {declared.least_run_s:g} s, {declared.most_stops} times a task, until "
+            f"{declared.waits_at_most_s:g} s after the first"
+            if declared.preemptible and declared.most_stops
             else "is never stopped"
         )
-        lines.append(f"{who}: {may}; {stopped}")
+        lines.append(f"{subject}: {allowed}; {stopped}")
     return lines
 
 
-configuration_type = PriorityConfiguration  # for ``configuration.ConfigurationReader``
+configuration_type = PriorityConfiguration  # part of the ``configuration.ConfigurationReader`` protocol
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -1,4 +1,4 @@
-"""Urgent work that nothing else serves in time: the only reason to preempt other work for it."""
+"""Finds the urgent tasks that cannot start in time without preemption."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from alderbridge.scheduling.resources import fits, minus
 from alderbridge.scheduling.walk import Walk
 
-_ROUNDING = 1e-9  # CPUs; free room may fall short of a task by so much
+_ROUNDING_CPUS = 1e-9  # tolerance when free CPUs are compared with a task's
 
 
 class UrgentClasses(Protocol):
-    """Which work may preempt; ``reason`` is that of its claims."""
+    """Decides which work may preempt other work; ``reason`` is stored in its claims."""
 
     reason: str
 
     def may_preempt(self, spec: JobSpec) -> bool:
-        """Whether work like this may ask for others' room at all."""
+        """Whether such a job may preempt others at all."""
 
 
 def unserved_demands(
@@ -34,34 +34,37 @@
     rows: Mapping[str, QueueRow],
     resources: Iterable[MachineResource],
     promised: Counter[str],
-    stopped: Container[str],
+    preempted_jobs: Container[str],
 ) -> list[PreemptionDemand]:
-    """Return tasks of classes that may preempt, left by free room, by room that comes free and by machines that boot.
+    """Return tasks of jobs that may preempt and that neither free nor soon-to-be-free nor booting capacity can serve.
 
-    ``demands``: all that waits, within the teams' limits. ``resources``: without machines that have a claim, whose
-    room is spoken for; ``promised``: tasks of a job that claims make room for. ``stopped``: jobs that claims have
-    stopped: what was preempted does not preempt. The walk is in the order of placement, which gives the room.
+    ``demands``: all waiting tasks within the teams' limits. ``resources``: machines without a claim, because claimed
+    capacity is reserved. ``promised``: tasks by job that claims free capacity for. ``preempted_jobs``: jobs with
+    preempted tasks, which must not preempt others. Jobs are considered in the order of placement, which assigns the
+    capacity.
     """
     queue = [demand for demand in demands if demand.spec.id in rows]
     queue.sort(key=lambda demand: order(rows[demand.spec.id], demand.spec, demand.due_in_s, classes.may_preempt))
-    mine = [
-        number
-        for number, demand in enumerate(queue)
-        if classes.may_preempt(demand.spec) and demand.spec.id not in stopped
+    preempting = [
+        position
+        for position, demand in enumerate(queue)
+        if classes.may_preempt(demand.spec) and demand.spec.id not in preempted_jobs
     ]
-    if not mine:
+    if not preempting:
         return []
     waiting = [
-        Demand(one.spec, max(0, one.count - promised[one.spec.id]), one.due_in_s, one.run_s, one.zone)
-        for one in queue[: mine[-1] + 1]
+        Demand(demand.spec, max(0, demand.count - promised[demand.spec.id]), demand.due_in_s, demand.run_s, demand.zone)
+        for demand in queue[: preempting[-1] + 1]
     ]
-    offered = [max(0, rows[one.spec.id].offer - promised[one.spec.id]) for one in waiting]
-    left, placed = place_on_free_room(waiting, offered, resources)
-    lacking = Walk(left, [less(one, count) for one, count in zip(waiting, placed, strict=True)]).lacking()
+    offered = [max(0, rows[demand.spec.id].offer - promised[demand.spec.id]) for demand in waiting]
+    remaining, placed = place_on_free_capacity(waiting, offered, resources)
+    shortfall = Walk(
+        remaining, [reduce_count(demand, count) for demand, count in zip(waiting, placed, strict=True)]
+    ).lacking()
     result = []
-    for number in mine:
-        demand, row = waiting[number], rows[waiting[number].spec.id]
-        count = min(lacking[number], offered[number] - placed[number])
+    for position in preempting:
+        demand, row = waiting[position], rows[waiting[position].spec.id]
+        count = min(shortfall[position], offered[position] - placed[position])
         if count > 0:
             result.append(
                 PreemptionDemand(demand.spec, count, demand.due_in_s, classes.reason, demand.zone, row.guaranteed)
@@ -69,38 +72,37 @@
     return result
 
 
-def less(demand: Demand, count: int) -> Demand:
-    """The demand without ``count`` of its tasks."""
+def reduce_count(demand: Demand, count: int) -> Demand:
+    """Return the demand without ``count`` of its tasks."""
     return replace(demand, count=demand.count - count) if count else demand
 
 
-def place_on_free_room(
+def place_on_free_capacity(
     queue: Sequence[Demand], offered: Sequence[int], resources: Iterable[MachineResource]
 ) -> tuple[list[MachineResource], list[int]]:
-    """Fill the room that is free now as placement does: on each machine all that fits, in the order of the queue.
+    """Assign the free capacity as placement does: on each machine all tasks that fit, in the order of the queue.
 
-    The walk cuts each machine into slots of the size of the first task that it may run. Where that task is larger than
-    what is free, the walk sees no room at all, and others' work was stopped beside room that would have done
-    (docs/incidents/claims-beside-free-room.md).
+    ``Walk`` divides each machine into slots of the size of the first task that it may run. If that task is larger than
+    the free capacity, ``Walk`` finds no slot, and smaller urgent tasks would cause needless preemptions.
 
-    ``offered``: how many tasks of each demand may start now. Returns the machines with what is then left of them, and
-    how many tasks of each demand they were given.
+    ``offered``: how many tasks of each demand may start now. Returns the machines with their remaining capacity, and
+    how many tasks of each demand were placed.
     """
     placed = [0] * len(queue)
-    least_cpus = min((demand.spec.cpus for demand in queue), default=math.inf) - _ROUNDING
-    left = []
+    min_cpus = min((demand.spec.cpus for demand in queue), default=math.inf) - _ROUNDING_CPUS
+    remaining = []
     for resource in resources:
         free, ends = resource.free, list(resource.ends)
-        for number, demand in enumerate(queue):
-            if free[0] < least_cpus:
+        for position, demand in enumerate(queue):
+            if free[0] < min_cpus:
                 break
-            most = min(demand.count, offered[number]) - placed[number]
-            if most <= 0 or not may_use(demand, resource.kind):
+            max_count = min(demand.count, offered[position]) - placed[position]
+            if max_count <= 0 or not may_use(demand, resource.kind):
                 continue
-            count = min(fits(demand.spec, free), most)
+            count = min(fits(demand.spec, free), max_count)
             if count > 0:
-                placed[number] += count
+                placed[position] += count
                 before, free = free, minus(free, demand.spec, count)
                 ends.append((demand.run_s, before[0] - free[0], before[1] - free[1], before[2] - free[2]))
-        left.append(MachineResource(resource.kind, free, ends))
-    return left, placed
+        remaining.append(MachineResource(resource.kind, free, ends))
+    return remaining, placed
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -1,6 +1,6 @@
-"""The priority classes in force as a preemption policy, for the leader and the machine shards.
+"""Preemption policy of the priority classes in force, used by the leader and the machine shards.
 
-While one configuration replaces another both are in force: the stricter counts.
+While one configuration replaces another, both are in force and the stricter rule applies.
 """
 
 from __future__ import annotations
@@ -26,62 +26,64 @@
 
 
 class PriorityPolicy:
-    """Work of urgent classes may preempt work of classes that it names."""
+    """Lets work of one priority class preempt work of the classes named in its ``may preempt``."""
 
     reason = REASON
 
     def __init__(self, configurations: Sequence[PriorityConfiguration]) -> None:
         """``configurations``: all that are in force."""
         self.configurations = list(configurations)
-        self.teams = Teams([], {})  # as they stand, while victims are chosen: set by the planner
-        self._known: dict[tuple[str, str, str], list[PriorityClass] | None] = {}
+        self.teams = Teams([], {})  # set by the planner before victims are selected
+        self._classes_cache: dict[tuple[str, str, str], list[PriorityClass] | None] = {}
 
     def classes(self, spec: JobSpec) -> list[PriorityClass] | None:
-        """Return the job's class in each configuration; None where one has none: then no rule speaks of it."""
+        """Return the job's class in each configuration, or None if any configuration has none for it."""
         key = (spec.team, spec.job_class, spec.priority)
-        if key not in self._known:
+        if key not in self._classes_cache:
             found = [configuration.class_of(spec) for configuration in self.configurations]
-            known = [one for one in found if one is not None]
-            self._known[key] = known if known and len(known) == len(found) else None
-        return self._known[key]
+            classes = [priority_class for priority_class in found if priority_class is not None]
+            self._classes_cache[key] = classes if classes and len(classes) == len(found) else None
+        return self._classes_cache[key]
 
     def may_preempt(self, spec: JobSpec) -> bool:
-        """Whether work like this may ask for others' room at all."""
+        """Whether such a job may preempt others at all."""
         classes = self.classes(spec)
-        return classes is not None and all(one.may_preempt for one in classes)
+        return classes is not None and all(priority_class.may_preempt for priority_class in classes)
 
     def preemptible(self, spec: JobSpec) -> bool:
-        """Whether work like this may be preempted at all; machine shards report it to the leader."""
+        """Whether tasks of such a job may be preempted at all; machine shards report these to the leader."""
         classes = self.classes(spec)
-        return classes is not None and all(one.preemptible and one.most_stops for one in classes)
+        return classes is not None and all(
+            priority_class.preemptible and priority_class.most_stops for priority_class in classes
+        )
 
     def limit(self, demand: PreemptionDemand) -> PreemptionLimit:
-        """Return how many preemptions the demand's class may cause."""
+        """Return the limits on preemptions caused by the demand's class."""
         classes = self.classes(demand.spec) or []
         return PreemptionLimit(
-            min((one.stops_a_minute for one in classes), default=0),
-            min((one.stops_at_once for one in classes), default=0),
-            min((one.share for one in classes), default=0.0),
+            min((priority_class.stops_a_minute for priority_class in classes), default=0),
+            min((priority_class.stops_at_once for priority_class in classes), default=0),
+            min((priority_class.share for priority_class in classes), default=0.0),
         )
 
     def allowed(self, demand: PreemptionDemand, victim: Victim) -> bool:
-        """Whether both the protocol and each configuration allow it; replicas stop only for replicas."""
-        ours, theirs = self.classes(demand.spec), self.classes(victim.spec)
-        if ours is None or theirs is None or (victim.spec.service and not demand.spec.service):
+        """Whether the protocol and each configuration allow it; only service replicas may preempt service replicas."""
+        demand_classes, victim_classes = self.classes(demand.spec), self.classes(victim.spec)
+        if demand_classes is None or victim_classes is None or (victim.spec.service and not demand.spec.service):
             return False
         if not allowed(demand.spec, demand.guaranteed, victim.spec, self.teams.beyond(victim.spec)):
             return False
         return all(
-            mine.names(other)
-            and other.preemptible
-            and victim.ran_s >= other.least_run_s
-            and victim.stops < other.most_stops
-            and victim.since_stop_s <= other.waits_at_most_s
-            for mine, other in zip(ours, theirs, strict=True)
+            demand_class.names(victim_class)
+            and victim_class.preemptible
+            and victim.ran_s >= victim_class.least_run_s
+            and victim.stops < victim_class.most_stops
+            and victim.since_stop_s <= victim_class.waits_at_most_s
+            for demand_class, victim_class in zip(demand_classes, victim_classes, strict=True)
         )
 
     def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
-        """Return urgent work that nothing else serves in time."""
+        """Return urgent tasks that cannot start in time without preemption."""
         ledger, leader = planner.ledger, planner.leader
         rows = planner.queue_rows(now)
         if not any(self.may_preempt(spec) for job in rows if (spec := leader.replica.spec(job)) is not None):
@@ -95,7 +97,7 @@
     def observe_machines(
         self, rows: Sequence[MachineTasks], kinds: Mapping[str, MachineKind], specs: Callable[[str], JobSpec | None]
     ) -> None:
-        """Nothing beside the victims is of use here."""
+        """Do nothing: this policy needs no data on machines beyond the candidate victims."""
 
     def select_victims(
         self,
@@ -109,9 +111,9 @@
         return select_victims(demands, machines, rules, budget, max_changes)
 
     def victim_cost(self, victim: Victim) -> float:
-        """Return the CPU seconds that a preemption loses."""
+        """Return the CPU seconds lost by preempting the victim."""
         return lost_cpu_seconds(victim)
 
     def count_victim(self, victim: Victim, sign: int) -> None:
-        """Count a victim as chosen (1), or not after all (-1)."""
+        """Count a victim as selected (``sign`` 1) or no longer selected (-1)."""
         self.teams.count_victim(victim.spec, sign)
