--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Claims: urgent work makes room for itself, under budgets, whatever falls; and the choice of victims."""
+"""Priority preemption: invariants of claims under faults, victim selection, and parsing of priority classes."""
 
 import configparser
 import random
@@ -49,42 +49,42 @@
 """
 
 
-def declared(text=INI) -> PriorityConfiguration:
+def parse_priorities(text=INI) -> PriorityConfiguration:
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
     return parse(parser, "p.ini")
 
 
 class ClaimsWorld(World):
-    """Long routine work on a full fleet, urgent bursts, and controllers that end in mid-claim.
+    """Long routine jobs on a full fleet, bursts of urgent jobs, and faults right after claims are stored.
 
-    Counts for itself what claims may do: from what lies in the store and what is on machines.
+    Checks each stored claim against the contents of the store and the tasks on machines.
     """
 
     def __init__(self, seed: int, falls_in_claims: bool = True, **more) -> None:
-        self.text = declared()
-        self.open: dict[str, PreemptionClaim] = {}  # machine -> the claim in the store
+        self.configuration = parse_priorities()
+        self.open: dict[str, PreemptionClaim] = {}  # machine -> its stored claim
         self.victims: Counter[tuple[str, int]] = Counter()
-        self.claimed: set[tuple[str, int]] = set()  # task, attempt
-        self.spent: list[tuple[float, str, int]] = []
-        self.left_s: dict[str, float] = {}
-        # a few seconds back: what was on no machine, and what was free on each
-        self.waiting: deque[tuple[float, Counter, dict]] = deque()
+        self.claimed: set[tuple[str, int]] = set()  # task id, attempt
+        self.spent: list[tuple[float, str, int]] = []  # time, team, victims
+        self.remaining_s: dict[str, float] = {}
+        # of the last 4 s: time, tasks by job that were on no machine, free capacity by machine
+        self.samples: deque[tuple[float, Counter, dict]] = deque()
         self.made = 0
-        self.falls_in_claims, self.quiet_from = falls_in_claims, 150.0
+        self.falls_in_claims, self.claim_faults_until = falls_in_claims, 150.0
         super().__init__(seed, jobs=0, machines=8, **more)
         commit = self.store.commit
 
-        def checked(conditions, puts, drops=(), lease_id=None):
+        def checked_commit(conditions, puts, drops=(), lease_id=None):
             answer = commit(conditions, puts, drops, lease_id)
             if not answer.failed:
-                self.stored(
+                self.check_commit(
                     {k[len(CLAIMS) :]: v for k, v in puts.items() if k.startswith(CLAIMS)},
                     [k[len(CLAIMS) :] for k in drops if k.startswith(CLAIMS)],
                 )
             return answer
 
-        self.store.commit = checked
+        self.store.commit = checked_commit
         for number in range(16):
             self.after(self.rng.uniform(1.0, 60.0), self.submit, self.routine(number))
         for number in range(8):
@@ -92,7 +92,7 @@
         self.after(0.5, self.count)
 
     def prepare(self, core) -> None:
-        core.preemption.priorities = lambda now: [self.text]
+        core.preemption.priorities = lambda now: [self.configuration]
 
     def routine(self, number: int) -> wire.JobSpec:
         rng, saves = self.rng, self.rng.random() < 0.5
@@ -124,43 +124,41 @@
             spread=False,
         )
 
-    def run_time(self, part: str) -> float:
-        return self.left_s.setdefault(part, super().run_time(part))
+    def run_time(self, task_id: str) -> float:
+        return self.remaining_s.setdefault(task_id, super().run_time(task_id))
 
-    def saved(self, part: str, left_s: float) -> None:
-        self.left_s[part] = left_s
-
-    # -- rules
+    def saved(self, task_id: str, remaining_s: float) -> None:
+        self.remaining_s[task_id] = remaining_s
 
     def count(self) -> None:
-        off: Counter[str] = Counter()
+        unplaced: Counter[str] = Counter()
         for job in self.accepted:
-            # A result that no report told of is no result: the task runs again.
+            # A result that was never reported does not count: the task runs again.
             record = msgspec.json.decode(self.store.data[JOBS + job][0], type=Record)
-            there = sum(wire.split_task_id(part)[0] == job for part in self.on)
+            placed = sum(wire.split_task_id(task_id)[0] == job for task_id in self.on)
             if record.state is JobState.ACTIVE:
-                off[job] = self.specs[job].tasks - sum(high - low for low, high in record.done) - there
-        free = {name: self.free(worker) for name, worker in self.machines.items() if worker is not None}
-        self.waiting.append((self.t, off, free))
-        while self.waiting[0][0] < self.t - 4.0:
-            self.waiting.popleft()
+                unplaced[job] = self.specs[job].tasks - sum(high - low for low, high in record.done) - placed
+        free = {name: self.free_capacity(worker) for name, worker in self.machines.items() if worker is not None}
+        self.samples.append((self.t, unplaced, free))
+        while self.samples[0][0] < self.t - 4.0:
+            self.samples.popleft()
         self.after(0.25, self.count)
 
     def lately_waiting(self, job: str) -> int:
-        return max((off[job] for _, off, _ in self.waiting), default=0)
+        return max((unplaced[job] for _, unplaced, _ in self.samples), default=0)
 
-    def free(self, worker):
+    def free_capacity(self, worker):
         kind, tasks = TYPES[worker.kind.type], worker.tasks.items()
-        room = (kind.cpus, kind.memory_gb, 0.0)
-        for part, task in tasks:
+        free = (kind.cpus, kind.memory_gb, 0.0)
+        for task_id, task in tasks:
             if task.status != "ended":
-                room = minus(room, self.specs[wire.split_task_id(part)[0]], 1)
-        return room
+                free = minus(free, self.specs[wire.split_task_id(task_id)[0]], 1)
+        return free
 
-    def lasting_room(self, spec: wire.JobSpec) -> int:
-        """Tasks that would have fitted all these seconds."""
+    def lasting_free_capacity(self, spec: wire.JobSpec) -> int:
+        """Tasks that would have fitted on unclaimed machines at every sample."""
         return sum(
-            min(fits(spec, free[name]) if name in free else 0 for _, _, free in self.waiting)
+            min(fits(spec, free[name]) if name in free else 0 for _, _, free in self.samples)
             for name, worker in self.machines.items()
             if worker is not None
             and name not in self.open
@@ -168,20 +166,20 @@
         )
 
     def within_guarantee(self, job: str) -> bool:
-        """Whether it fits its team's guarantee along with the team's earlier unfinished jobs."""
+        """Whether the job and its team's earlier unfinished jobs fit the team's guarantee together."""
         guarantee = next(team.cpus for team in TEAMS if team.name == self.specs[job].team)
         records = {name: msgspec.json.decode(self.store.data[JOBS + name][0], type=Record) for name in self.accepted}
-        taken = sum(
+        reserved_cpus = sum(
             (self.specs[name].tasks - sum(high - low for low, high in record.done)) * self.specs[name].cpus
             for name, record in records.items()
             if record.state is JobState.ACTIVE
             and self.specs[name].team == self.specs[job].team
             and record.at <= records[job].at
         )
-        return guarantee > 0 and taken <= guarantee + 1e-9
+        return guarantee > 0 and reserved_cpus <= guarantee + 1e-9
 
     def there(self, machine: str, claim: PreemptionClaim) -> int:
-        """Victims still on the machine, as the same attempt."""
+        """Victims whose same attempt is still on the machine."""
         worker = self.machines.get(machine)
         tasks = worker.tasks if worker is not None else {}
         return sum(
@@ -191,8 +189,8 @@
             for job, index, attempt in claim.victims
         )
 
-    def stored(self, new: dict, gone: list[str]) -> None:
-        for machine in gone:
+    def check_commit(self, new: dict, dropped: list[str]) -> None:
+        for machine in dropped:
             self.open.pop(machine, None)
         for machine, claim in new.items():
             if machine in self.open:
@@ -200,26 +198,26 @@
             self.open[machine] = claim
             self.made += 1
             self.may_claim(machine, claim)
-        if new and self.falls_in_claims and self.t < self.quiet_from:
-            self.shake(list(new.values()))
+        if new and self.falls_in_claims and self.t < self.claim_faults_until:
+            self.inject_claim_fault(list(new.values()))
 
     def may_claim(self, machine: str, claim: PreemptionClaim) -> None:
-        need, team = self.specs[claim.job], self.specs[claim.job].team
-        made_for = sum(
+        claimant, team = self.specs[claim.job], self.specs[claim.job].team
+        served_tasks = sum(
             other.count
             for name, other in self.open.items()
             if other.job == claim.job and (name == machine or self.there(name, other))
         )
-        if self.said.get(claim.job) == "done" or made_for > self.lately_waiting(claim.job):
-            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {made_for} for {self.lately_waiting(claim.job)}")
+        if self.said.get(claim.job) == "done" or served_tasks > self.lately_waiting(claim.job):
+            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.lately_waiting(claim.job)}")
         if any(task == claim.job for task, _ in self.victims):
             raise Broken(f"cascade: {claim.job}")
         for job, index, attempt in claim.victims:
             spec = self.specs[job]
-            # Only "bound" has a guarantee: all that "free" runs is beyond its own.
-            lower = wire.PRIORITIES.index(spec.priority) < wire.PRIORITIES.index(need.priority)
+            # Only team "bound" has a guarantee: all work of team "free" is beyond its own.
+            lower = wire.PRIORITIES.index(spec.priority) < wire.PRIORITIES.index(claimant.priority)
             if not lower and not (spec.team != team and self.within_guarantee(claim.job)):
-                raise Broken(f"preemption: {job} ({spec.priority}) for {claim.job} ({need.priority})")
+                raise Broken(f"preemption: {job} ({spec.priority}) for {claim.job} ({claimant.priority})")
             if any(
                 (job, index, attempt) in map(tuple, other.victims)
                 for name, other in self.open.items()
@@ -230,27 +228,28 @@
             self.victims[(job, index)] += 1
             if self.victims[(job, index)] > 2:
                 raise Broken(f"stops: {job}/{index} stopped {self.victims[(job, index)]} times")
-        # Room that lasted serves as many tasks as fit it; claims are for the rest of what waits.
-        rest = self.lately_waiting(claim.job) - self.lasting_room(need)
-        if not self.falls_in_claims and made_for > rest:
-            raise Broken(f"no_need: room for {claim.job} at {self.t:.2f}: {made_for} for {rest}")
+        # Claims are needed only for the tasks that lasting free capacity can't serve.
+        shortfall = self.lately_waiting(claim.job) - self.lasting_free_capacity(claimant)
+        if not self.falls_in_claims and served_tasks > shortfall:
+            raise Broken(f"no_need: claim for {claim.job} at {self.t:.2f}: {served_tasks} for {shortfall}")
         self.spent.append((claim.at, team, len(claim.victims)))
-        if sum(n for at, whose, n in self.spent if whose == team and at > claim.at - 60.0) > 12:
+        if sum(count for at, owner, count in self.spent if owner == team and at > claim.at - 60.0) > 12:
             raise Broken(f"budget: {team} a minute at {self.t:.2f}")
         if sum(self.there(name, other) for name, other in self.open.items() if other.team == team) > 8:
             raise Broken(f"budget: {team} at once")
 
-    def halted(self, part: str, task, worker) -> None:
-        parts = [
+    def halted(self, task_id: str, task, worker) -> None:
+        machines = [
             sim.core.machine_shard.machines.get(worker.name) for sim in self.nodes.values() if sim.core is not None
         ]
-        ours = any(wire.split_task_id(part) in machine.orders.claim_stops for machine in parts if machine is not None)
-        if ours and (part, task.attempt) not in self.claimed:  # homes stop tasks for other reasons, after falls
-            raise Broken(f"unclaimed: {part} stopped on {worker.name} at {self.t:.2f}")
-
-    # -- fault in mid-claim
+        stopped_by_claim = any(
+            wire.split_task_id(task_id) in machine.orders.claim_stops for machine in machines if machine is not None
+        )
+        # After failovers job shards also stop tasks for other reasons.
+        if stopped_by_claim and (task_id, task.attempt) not in self.claimed:
+            raise Broken(f"unclaimed: {task_id} stopped on {worker.name} at {self.t:.2f}")
 
-    def shake(self, made: list) -> None:
+    def inject_claim_fault(self, claims: list) -> None:
         rng, kind = self.rng, self.rng.random()
         if kind < 0.35:
             for sim in self.nodes.values() if kind < 0.2 else [rng.choice(list(self.nodes.values()))]:
@@ -260,7 +259,7 @@
         elif kind < 0.45:
             self.store.outage(rng.uniform(1.0, 20.0))
         elif kind < 0.6:
-            claim = rng.choice(made)
+            claim = rng.choice(claims)
             self.after(rng.uniform(0.0, 2.0), self.withdraw, rng.choice([claim.job, claim.victims[0][0]]))
 
     def over(self) -> bool:
@@ -285,21 +284,21 @@
     return world
 
 
-@pytest.mark.parametrize("seed", [*range(8), 23])  # 23: all machines that may be rented were idle, of the wrong type
-def test_claims_keep_their_rules_whatever_falls(seed):
+@pytest.mark.parametrize("seed", [*range(8), 23])  # 23: all rentable machines were idle but of the wrong type
+def test_claims_keep_their_invariants_under_faults(seed):
     assert play(seed, nodes=3 + 2 * (seed % 2)).starts > 0
 
 
-def test_calm_runs_make_claims_and_a_withdrawn_declaration_makes_none():
+def test_claims_are_made_without_faults_but_not_without_declared_priorities():
     worlds = [play(seed, random_faults=False, falls_in_claims=False) for seed in (101, 103)]
     assert all(world.made > 0 for world in worlds)
-    bare = ClaimsWorld(101, random_faults=False, falls_in_claims=False)
-    bare.text = PriorityConfiguration()
-    bare.run(200.0)
-    assert bare.made == 0 and worlds[0].made > 0
+    undeclared = ClaimsWorld(101, random_faults=False, falls_in_claims=False)
+    undeclared.configuration = PriorityConfiguration()
+    undeclared.run(200.0)
+    assert undeclared.made == 0 and worlds[0].made > 0
 
 
-def halted_before_stored(monkeypatch):
+def victims_stopped_before_commit(monkeypatch):
     def plan(self, groups):
         for group in groups:
             for machine, claim in group.items():
@@ -313,14 +312,14 @@
 def budget_not_stored(monkeypatch):
     real = Ledger._add_claims
 
-    def claim(self, tx, *more):
+    def add_claims(self, tx, *more):
         real(self, tx, *more)
         tx.puts[BUDGETS] = PreemptionsSpent()
 
-    monkeypatch.setattr(Ledger, "_add_claims", claim)
+    monkeypatch.setattr(Ledger, "_add_claims", add_claims)
 
 
-def claims_forgotten(monkeypatch):
+def claims_lost_on_view_change(monkeypatch):
     real = Ledger.enter
 
     def enter(self):
@@ -330,53 +329,51 @@
     monkeypatch.setattr(Ledger, "enter", enter)
 
 
-def protocol_not_asked(monkeypatch):
+def protocol_rule_ignored(monkeypatch):
     monkeypatch.setattr(policy, "allowed", lambda *args: True)
 
 
-def promises_not_counted(monkeypatch):
+def claimed_tasks_not_counted(monkeypatch):
     monkeypatch.setattr(PreemptionPlanner, "promised", lambda self: Counter())
 
 
-def victims_preempt(monkeypatch):
+def preempted_jobs_preempt(monkeypatch):
     real = demands.unserved_demands
     monkeypatch.setattr(policy, "unserved_demands", lambda *args: real(*args[:-1], ()))
 
 
 @pytest.mark.parametrize(
-    "fault, told, first",
+    "fault, violation, first_seed",
     [
-        (halted_before_stored, "unclaimed", 1),
+        (victims_stopped_before_commit, "unclaimed", 1),
         (budget_not_stored, "budget", 1),
-        (claims_forgotten, "claims_left", 2),
-        (protocol_not_asked, "preemption", 1),
-        (promises_not_counted, "no_need", 1),
-        (victims_preempt, "cascade", 19),
+        (claims_lost_on_view_change, "claims_left", 2),
+        (protocol_rule_ignored, "preemption", 1),
+        (claimed_tasks_not_counted, "no_need", 1),
+        (preempted_jobs_preempt, "cascade", 19),
     ],
 )
-def test_each_guard_is_seen_to_fail_when_it_is_broken(monkeypatch, fault, told, first):
+def test_each_invariant_detects_its_fault(monkeypatch, fault, violation, first_seed):
     fault(monkeypatch)
-    for seed in (first, *range(40)):
+    for seed in (first_seed, *range(40)):
         try:
             play(seed, until=260.0, nodes=3)
         except Broken as broken:
-            if str(broken).startswith(told):
+            if str(broken).startswith(violation):
                 return
-    pytest.fail(f"no run showed {told}")
+    pytest.fail(f"no run showed {violation}")
 
 
-# -- the choice of victims ------------------------------------------------------
+UNLIMITED = PreemptionLimit(99, 99)
 
-ANY = PreemptionLimit(99, 99)
 
-
-def job(name, rank="standard", cpus=2.0, **more):
+def job(name, priority="standard", cpus=2.0, **more):
     return wire.JobSpec(
         id=f"wk-{name}",
         job_class="x",
         team=more.pop("team", "t"),
         kind=more.pop("kind", "sweep"),
-        priority=rank,
+        priority=priority,
         tasks=more.pop("tasks", 8),
         cpus=cpus,
         memory_gb=1.0,
@@ -387,120 +384,136 @@
     )
 
 
-def held(name, *victims, cpus=8.0):
+def machine_with(name, *victims, cpus=8.0):
     free = (cpus, 64.0, 0.0)
     for victim in victims:
         free = minus(free, victim.spec, 1)
     return CandidateMachine(name, MachineKind("m", "a", False), free, list(victims))
 
 
-def pick(need_spec, count, *machines, most=12, limit=ANY, may=lambda need, victim: True):
-    need = PreemptionDemand(need_spec, count, 5.0, "urgent")
-    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: limit)
-    return select_victims([need], machines, SelectionRules(may, preemption.lost_cpu_seconds), budget, most)
+def select(spec, count, *machines, max_changes=12, limit=UNLIMITED, is_allowed=lambda demand, victim: True):
+    demand = PreemptionDemand(spec, count, 5.0, "urgent")
+    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda demand: limit)
+    return select_victims(
+        [demand], machines, SelectionRules(is_allowed, preemption.lost_cpu_seconds), budget, max_changes
+    )
 
 
-def stopped(groups):
+def victims_of(groups):
     return {(job, index) for group in groups for claim in group.values() for job, index, _ in claim.victims}
 
 
-def test_the_least_work_is_lost_and_what_is_nearly_done_is_spared():
+def test_victims_lose_the_least_work_and_nearly_finished_tasks_are_spared():
     long, saves = job("1"), job("2", checkpoint_s=10.0, save_s=4.0)
-    young, old, near = (Victim("wk-1", i, 1, long, ran) for i, ran in enumerate((12.0, 50.0, 95.0)))
-    saving = Victim("wk-2", 0, 1, saves, 60.0, 3.0)
+    short_run, long_run, nearly_done = (Victim("wk-1", i, 1, long, ran) for i, ran in enumerate((12.0, 50.0, 95.0)))
+    checkpointing = Victim("wk-2", 0, 1, saves, 60.0, 3.0)
     urgent = job("9", "high", cpus=2.0)
-    groups = pick(urgent, 1, held("a", old, near, cpus=4.0), held("b", young, saving, cpus=4.0))
-    assert stopped(groups) == {("wk-2", 0)} and groups[0]["b"].wind_down_s == 4.0
-    assert stopped(pick(urgent, 2, held("a", old, near, cpus=4.0), held("b", young, saving, cpus=4.0))) == {
+    groups = select(
+        urgent,
+        1,
+        machine_with("a", long_run, nearly_done, cpus=4.0),
+        machine_with("b", short_run, checkpointing, cpus=4.0),
+    )
+    assert victims_of(groups) == {("wk-2", 0)} and groups[0]["b"].wind_down_s == 4.0
+    assert victims_of(
+        select(
+            urgent,
+            2,
+            machine_with("a", long_run, nearly_done, cpus=4.0),
+            machine_with("b", short_run, checkpointing, cpus=4.0),
+        )
+    ) == {
         ("wk-2", 0),
         ("wk-1", 0),
     }
-    assert not pick(urgent, 1, held("a", near, cpus=2.0))
+    assert not select(urgent, 1, machine_with("a", nearly_done, cpus=2.0))
 
 
-def test_a_large_task_takes_one_machine_and_no_more_victims_than_it_needs():
+def test_a_large_task_claims_one_machine_with_the_fewest_victims():
     small, big = job("1", cpus=1.0), job("2", cpus=6.0)
     tasks = [Victim("wk-1", i, 1, small, 5.0) for i in range(8)]
-    groups = pick(
+    groups = select(
         job("9", "high", cpus=8.0),
         1,
-        held("a", *tasks[:2], Victim("wk-2", 0, 1, big, 20.0)),
-        held("b", *tasks[2:6], cpus=4.0),
+        machine_with("a", *tasks[:2], Victim("wk-2", 0, 1, big, 20.0)),
+        machine_with("b", *tasks[2:6], cpus=4.0),
     )
     assert list(groups[0]) == ["a"] and len(groups[0]["a"].victims) == 3
-    one = pick(job("9", "high", cpus=6.0), 1, held("a", *tasks[:2], Victim("wk-2", 0, 1, big, 20.0)))
-    assert stopped(one) == {("wk-2", 0)}  # the small ones would not make the room
+    one = select(job("9", "high", cpus=6.0), 1, machine_with("a", *tasks[:2], Victim("wk-2", 0, 1, big, 20.0)))
+    assert victims_of(one) == {("wk-2", 0)}  # the small tasks do not free enough capacity
 
 
-def test_one_plan_neither_stops_a_job_that_it_serves_nor_serves_one_that_it_stops():
-    """The record of stops tells only the next plan: one plan made room for a job that it stopped itself."""
+def test_one_selection_never_serves_and_preempts_the_same_job():
+    """Stored preemptions only protect later rounds: one selection could serve a job that it preempts."""
     middle, routine = job("5", "standard"), job("1", "best_effort", estimate_s=50.0)
-    young, old = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
-    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda need: ANY)
-    machines = [held("a", young, cpus=2.0), held("b", old, cpus=2.0)]
-    selection_rules = SelectionRules(lambda need, victim: True, preemption.lost_cpu_seconds)
+    short_run, long_run = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
+    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda demand: UNLIMITED)
+    machines = [machine_with("a", short_run, cpus=2.0), machine_with("b", long_run, cpus=2.0)]
+    selection_rules = SelectionRules(lambda demand, victim: True, preemption.lost_cpu_seconds)
     urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
-    for needs_in_turn, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
-        groups = select_victims(needs_in_turn, machines, selection_rules, budget, 12)
-        assert stopped(groups) == expected
+    for ordered_demands, expected in ((urgent_first, {("wk-5", 0)}), (urgent_first[::-1], {("wk-1", 0)})):
+        groups = select_victims(ordered_demands, machines, selection_rules, budget, 12)
+        assert victims_of(groups) == expected
 
 
-def test_gangs_stop_whole_or_not_at_all():
+def test_gangs_are_preempted_as_a_whole_or_not_at_all():
     gang = job("1", kind="group", tasks=4, cpus=4.0)
     members = [Victim("wk-1", i, 7, gang, 3.0) for i in range(4)]
-    two = held("a", *members[:2]), held("b", *members[2:])
-    groups = pick(job("9", "high", cpus=8.0), 2, *two)
-    assert len(groups) == 1 and len(stopped(groups)) == 4
+    both = machine_with("a", *members[:2]), machine_with("b", *members[2:])
+    groups = select(job("9", "high", cpus=8.0), 2, *both)
+    assert len(groups) == 1 and len(victims_of(groups)) == 4
     assert sum(claim.count for claim in groups[0].values()) == 2
-    assert not pick(job("9", "high", cpus=8.0), 1, two[0])  # the others are not known
-    assert not pick(job("9", "high", cpus=8.0), 1, *two, limit=PreemptionLimit(3, 99))
+    assert not select(job("9", "high", cpus=8.0), 1, both[0])  # the other members are not listed
+    assert not select(job("9", "high", cpus=8.0), 1, *both, limit=PreemptionLimit(3, 99))
 
 
-def test_choices_fit_their_room_their_budget_and_one_transaction():
+def test_claims_fit_their_machine_the_budget_and_one_transaction():
     rng = random.Random(5)
     for _ in range(60):
         jobs = [job(str(n), cpus=rng.choice([1.0, 2.0, 4.0]), checkpoint_s=rng.choice([0.0, 9.0])) for n in range(6)]
         machines = []
         for name in range(rng.randint(1, 8)):
-            room, victims = (16.0, 64.0, 0.0), []
-            while fits(spec := rng.choice(jobs), room) and len(victims) < 12:
+            free, victims = (16.0, 64.0, 0.0), []
+            while fits(spec := rng.choice(jobs), free) and len(victims) < 12:
                 victims.append(Victim(spec.id, rng.randrange(10**6), 1, spec, rng.uniform(0.0, 100.0)))
-                room = minus(room, spec, 1)
-            machines.append(held(str(name), *victims, cpus=16.0))
-        urgent, count, most = job("9", "high", cpus=rng.choice([2.0, 8.0])), rng.randint(1, 9), rng.randint(3, 12)
+                free = minus(free, spec, 1)
+            machines.append(machine_with(str(name), *victims, cpus=16.0))
+        urgent, count, max_changes = (
+            job("9", "high", cpus=rng.choice([2.0, 8.0])),
+            rng.randint(1, 9),
+            rng.randint(3, 12),
+        )
         limit = PreemptionLimit(rng.randint(1, 12), 99)
-        groups = pick(urgent, count, *machines, most=most, limit=limit)
-        known = {one.machine: one for one in machines}
-        assert len(stopped(groups)) <= limit.a_minute
+        groups = select(urgent, count, *machines, max_changes=max_changes, limit=limit)
+        candidates = {candidate.machine: candidate for candidate in machines}
+        assert len(victims_of(groups)) <= limit.a_minute
         assert sum(claim.count for group in groups for claim in group.values()) <= count
         for group in groups:
-            assert len(group) + len({v[0] for claim in group.values() for v in claim.victims}) + 1 <= most
+            assert len(group) + len({v[0] for claim in group.values() for v in claim.victims}) + 1 <= max_changes
             for name, claim in group.items():
-                room = known[name].free
-                before = fits(urgent, room)
-                for victim in known[name].tasks:
-                    if (victim.job, victim.index) in stopped([group]):
-                        room = minus(room, victim.spec, -1)
-                assert fits(urgent, room) >= before + claim.count > before
+                free = candidates[name].free
+                before = fits(urgent, free)
+                for victim in candidates[name].tasks:
+                    if (victim.job, victim.index) in victims_of([group]):
+                        free = minus(free, victim.spec, -1)
+                assert fits(urgent, free) >= before + claim.count > before
 
 
-def test_what_the_protocol_allows():
+def test_the_protocol_rule_on_preemption():
     high, low = job("1", "high", team="a"), job("2", "best_effort", team="b")
     assert preemption.allowed(high, False, low, False) and not preemption.allowed(low, False, high, True)
-    assert preemption.allowed(low, True, high, True)  # a guarantee, against another team's excess
+    assert preemption.allowed(low, True, high, True)  # guaranteed, and the victim is beyond its team's guarantee
     assert not preemption.allowed(low, True, high, False) and not preemption.allowed(low, False, low, True)
-    assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)  # within one team priority alone
+    # Within one team only priority counts.
+    assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)
     teams = preemption.Teams(TEAMS, {"bound": (10.0, 0.0)})
     assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
     teams.count_victim(job("5", team="bound"), 1)
     assert not teams.beyond(job("5", team="bound"))
 
 
-# -- the declaration ------------------------------------------------------------
-
-
 @pytest.mark.parametrize(
-    "change, told",
+    "change, message",
     [
         (("[class */urgent]", "[class urgent]"), "expected [class OWNER/NAME]"),
         (("preempt = *", "preempt = routin"), "no class is named 'routin'"),
@@ -510,15 +523,15 @@
         (("least run = 2", "least = 2"), "least: no such setting"),
     ],
 )
-def test_a_faulty_declaration_is_one_line(change, told):
-    with pytest.raises(ConfigError, match=f"^p.ini: .*{re.escape(told)}") as fault:
-        declared(INI.replace(*change))
-    assert "\n" not in str(fault.value)
+def test_an_invalid_declaration_raises_a_one_line_error(change, message):
+    with pytest.raises(ConfigError, match=f"^p.ini: .*{re.escape(message)}") as error:
+        parse_priorities(INI.replace(*change))
+    assert "\n" not in str(error.value)
 
 
-def test_what_is_declared_is_said():
-    lines = check_lines(declared())
+def test_check_describes_the_declared_classes():
+    lines = check_lines(parse_priorities())
     assert "may stop */urgent, */routine where the protocol allows it: 12 a minute, 8 at once" in lines[0]
     assert "may be stopped after 2 s, 2 times a task" in lines[1] and "stops nobody" in lines[1]
     with open("deploy/priorities.ini", encoding="utf-8") as file:
-        assert len(check_lines(declared(file.read()))) >= 4
+        assert len(check_lines(parse_priorities(file.read()))) >= 4
