--- a/alderbridge/machines/__init__.py
+++ b/alderbridge/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Machines and the shard of them that one controller serves: heartbeats, orders, worker leases."""
+"""The machine shard of one controller: heartbeats, worker orders, worker leases and free capacity."""
--- a/alderbridge/machines/claims.py
+++ b/alderbridge/machines/claims.py
@@ -1,4 +1,4 @@
-"""Preemption claims on a shard's machines: the tasks that might be stopped, and the stops of a claim's victims."""
+"""Preemption claims on a shard's machines: lists the tasks that may be preempted and stops the victims of a claim."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class MachineClaims:
-    """Carries out claims on machines, and lists to the leader what claims may stop."""
+    """Executes claims on machines and lists, for the leader, the tasks that claims may preempt."""
 
     def __init__(self, machines: dict[str, Machine], jobs: JobLookups, capacity: MachineCapacity) -> None:
-        """For all machines of a shard."""
+        """``machines`` is the shard's own table."""
         self.machines = machines
         self.jobs = jobs
         self.capacity = capacity
 
     @staticmethod
     def execute(machine: Machine, victims: Iterable[tuple[str, int, int]], wind_down_s: float) -> None:
-        """Stop the victims (job, index, attempt) that the newest heartbeat shows; others are passed over."""
+        """Request stops of the victims (job, index, attempt) that the latest heartbeat shows; others are skipped."""
         for job, index, attempt in victims:
             key = (job, index)
             task = machine.tasks.get(key)
@@ -36,7 +36,7 @@
 
     @staticmethod
     def drop(machine: Machine) -> None:
-        """The claim is gone: its stops are not repeated."""
+        """Cancel the claim's stop orders that have not taken effect yet."""
         for key, stop in machine.orders.claim_stops.items():
             if machine.orders.stops.get(key) == stop:
                 del machine.orders.stops[key]
@@ -45,7 +45,11 @@
     def machine_tasks(
         self, now: float, claimed: Container[str], may_stop: Callable[[JobSpec], bool] | None
     ) -> list[MachineTasks]:
-        """Machines that are up: all tasks of claimed ones; of others those that may stop, or no row without that."""
+        """All tasks of claimed machines; of other machines the tasks for which ``may_stop`` holds.
+
+        Lists only machines that are up, acknowledged and recorded, and no unclaimed machine that is quarantined.
+        Without ``may_stop``, lists only claimed machines and no images.
+        """
         rows = []
         for machine in self.machines.values():
             if machine.state is not MachineState.UP or not machine.acknowledged or not machine.recorded:
@@ -61,7 +65,7 @@
     def _stoppable_tasks(
         self, machine: Machine, now: float, may_stop: Callable[[JobSpec], bool] | None
     ) -> list[tuple[str, int, int, float, bool]]:
-        """Rows of ``MachineTasks``; ``may_stop`` None: of all tasks that have not ended."""
+        """Task rows of ``MachineTasks``; without ``may_stop``, of all tasks that have not ended."""
         rows = []
         for (job, index), task in machine.tasks.items():
             spec = self.jobs.spec_of(job) if task.status != "ended" else None
@@ -69,12 +73,12 @@
                 continue
             if may_stop is None or task.status in ("fetching", "running") and may_stop(spec):
                 ran_s = now - task.since if task.status == "running" else 0.0
-                is_all_it_ran = ran_s == 0.0 or task.since > machine.prior.observed_since
-                rows.append((job, index, task.attempt, ran_s, is_all_it_ran))
+                is_full_run_time = ran_s == 0.0 or task.since > machine.prior_view.observed_since
+                rows.append((job, index, task.attempt, ran_s, is_full_run_time))
         return rows
 
     def _images(self, machine: Machine) -> set[str]:
-        """Of a machine with GPUs the images that are cached, or being fetched."""
+        """The images that a machine with GPUs has cached or needs for its tasks; empty for a machine without GPUs."""
         kind = self.capacity.types.get(machine.type)
         if kind is None or kind.gpus <= 0:
             return set()
--- a/alderbridge/machines/context.py
+++ b/alderbridge/machines/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a machine shard share: the view that it serves, its lookups of jobs, and its outbox."""
+"""State shared by the components of a machine shard: machine table, current view, job lookups and outbox."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class JobLookups:
-    """What a machine shard asks about jobs, by job id."""
+    """Job lookups of a machine shard, by job id."""
 
     __slots__ = ("cancelled", "job_owner", "spec_of")
 
@@ -23,62 +23,63 @@
         job_owner: Callable[[str], str],
         cancelled: Callable[[str], bool],
     ) -> None:
-        """All are answered from what this process has read so far."""
-        self.spec_of = spec_of  # None: unknown, or ended for good
-        self.job_owner = job_owner  # label of the controller; "": no member
-        self.cancelled = cancelled  # whether the store says so
+        """All lookups use the job records that this process has read so far."""
+        self.spec_of = spec_of  # None: not read yet, or the job has ended
+        self.job_owner = job_owner  # label of the owning controller; "" if no member owns the job
+        self.cancelled = cancelled  # whether the store records the job as cancelled
 
 
 class Outbox:
-    """How a machine shard sends messages to members; both ways must arrive."""
+    """Sends a machine shard's messages to members; both send functions must deliver reliably."""
 
     __slots__ = ("processed_seq_of", "send", "send_deferred")
 
     def __init__(self, send: Send, send_deferred: Send, processed_seq_of: Callable[[str], int]) -> None:
-        """By label of the member; the result of both ways is the number of the message, or 0."""
+        """All take the member's label; both send functions return the message's sequence number, or 0."""
         self.send = send
-        self.send_deferred = send_deferred  # with the next message to that member, or in the next round
-        self.processed_seq_of = processed_seq_of  # number of that member's last message that was handled here
+        self.send_deferred = send_deferred  # sends with the next message to that member, or in the next round
+        self.processed_seq_of = processed_seq_of  # sequence number of the member's last message processed here
 
 
 class MachineTable:
-    """The machines of a shard by name, and what is known of others."""
+    """The machines of a shard by name, and the names of terminated and draining machines."""
 
     __slots__ = ("machines", "pending_drains", "terminated")
 
     def __init__(self) -> None:
-        """No machines yet."""
+        """Create an empty table."""
         self.machines: dict[str, Machine] = {}
-        self.terminated: set[str] = set()  # confirmed gone; late heartbeats mean nothing
-        self.pending_drains: set[str] = set()  # wanted back, also those that have yet to report
+        self.terminated: set[str] = set()  # termination confirmed by the cloud; late heartbeats are ignored
+        self.pending_drains: set[str] = set()  # to be drained, including machines without a heartbeat yet
 
 
 class ShardView:
-    """The view that the shard serves, how far it is reconciled, and since when heartbeats are answered."""
+    """The current view, its reconciliation progress, and since when this process answers heartbeats."""
 
     def __init__(self) -> None:
-        """No view yet."""
+        """Create the state before the first view."""
         self.fencing_token = 0
         self.members: list[str] = []
-        self.settled_at: float | None = None  # since when all members act under this view
+        self.settled_at: float | None = None  # since when all members act under this view; None: not yet
         self.reconciliation = ReconciliationProgress(0.0)
-        self.answering_since: float | None = None  # since when heartbeats could be answered; None: not now
+        self.answering_since: float | None = None  # None: heartbeats are not answered at present
 
     def enter(self, fencing_token: int, members: list[str], now: float) -> None:
-        """A new view, which has not settled yet."""
+        """Start a new view, which has not settled yet."""
         self.fencing_token, self.members, self.settled_at = fencing_token, members, None
         self.reconciliation = ReconciliationProgress(now)
 
-    def set_answering(self, now: float, acts: bool) -> None:
-        """Whether this process answers heartbeats now."""
-        if not acts:
+    def set_answering(self, now: float, is_answering: bool) -> None:
+        """Record whether this process answers heartbeats at present."""
+        if not is_answering:
             self.answering_since = None
         elif self.answering_since is None:
             self.answering_since = now
 
     def silence_s(self, machine: Machine, now: float) -> float:
-        """How long the machine has been silent while this process listened: other silence says nothing of it.
+        """How long the machine has sent no heartbeat while this process answered heartbeats, in s.
 
-        After 80 s without the store the leader returned the whole fleet as lost, a second before it reported again.
+        Time without answering does not count: after an outage of the controller or the store, live machines would
+        otherwise be terminated as lost.
         """
         return now - max(machine.last_heartbeat_at, now if self.answering_since is None else self.answering_since)
--- a/alderbridge/machines/heartbeats.py
+++ b/alderbridge/machines/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a shard's machines, and the answers to probes: what each one shows, and what follows from it."""
+"""Applies the heartbeats of a shard's machines, including those returned by probes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 
 log = logging.getLogger("machines")
 
-# The same tasks are reported again and again.
+# Cached because consecutive heartbeats report the same task ids.
 _task_key = functools.lru_cache(constants.TASK_KEY_CACHE)(split_task_id)
 
 
 class HeartbeatHandler:
-    """Applies heartbeats to the machines of a shard; the hottest code of a controller."""
+    """Applies heartbeats to the machines of a shard.
+
+    Runs for every heartbeat of every machine: work per reported task must stay small.
+    """
 
     def __init__(
         self,
@@ -35,7 +38,7 @@
         owner_reports: OwnerReports,
         task_outcomes: TaskOutcomes,
     ) -> None:
-        """All parts are the shard's own."""
+        """All arguments are components of the same shard."""
         self.machines = table.machines
         self.terminated = table.terminated
         self.pending_drains = table.pending_drains
@@ -47,7 +50,10 @@
         self.task_outcomes = task_outcomes
 
     def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> Machine | None:
-        """The machine; None where the heartbeat must not be answered with 200."""
+        """Apply a heartbeat and return its machine; None if the heartbeat must not be answered with 200.
+
+        Heartbeats that are not newer than the last one, and those of terminated machines, are rejected.
+        """
         machine = self.machines.get(heartbeat.machine)
         if machine is None:
             if heartbeat.machine in self.terminated:
@@ -60,20 +66,21 @@
         machine.type, machine.zone, machine.spot = heartbeat.type, heartbeat.zone, heartbeat.spot
         machine.address = heartbeat.address
         if heartbeat.fencing_token < self.view.fencing_token:
-            self._apply_older_token(machine, heartbeat, now)
+            self._apply_stale_token(machine, heartbeat, now)
             return machine
-        first = not machine.acknowledged or machine.state is MachineState.EXPIRED
-        if first:
+        is_first = not machine.acknowledged or machine.state is MachineState.EXPIRED
+        if is_first:
             self._acknowledge(machine, now)
         if heartbeat.recall_s is not None or heartbeat.machine in self.pending_drains:
             machine.drain()
-        self._apply(machine, heartbeat, first, now)
+        self._apply(machine, heartbeat, is_first, now)
         return machine
 
     def on_probe_answer(self, heartbeat: Heartbeat, now: float) -> None:
-        """The answer to an empty ``/commands``: proof only as the first acknowledgement of this view.
+        """Apply the heartbeat that answers a probe (an empty ``/commands`` request).
 
-        Later, a response with orders may be on its way to the worker, and this heartbeat know nothing of it.
+        Only the first acknowledgement under this view counts. After that, a response with orders may be in flight,
+        and this heartbeat does not prove that the worker has not received it.
         """
         machine = self.machines.get(heartbeat.machine)
         if (
@@ -85,18 +92,19 @@
             self.on_heartbeat(heartbeat, now)
 
     def _add_machine(self, name: str, now: float) -> Machine:
-        """The first heartbeat of a machine that is not recorded."""
+        """Add a machine that has no record, on its first heartbeat."""
         machine = self.machines[name] = Machine(name, now)
         machine.lease.exclusive_since = self.view.settled_at
         machine.lease.renewed_token = self.view.fencing_token
         log.info("machine=%s state=expected cause=first report", name)
         return machine
 
-    def _apply_older_token(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """The response brings the view's fencing token; only a later heartbeat proves what is there.
+    def _apply_stale_token(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
+        """Handle a heartbeat with an older fencing token; the tasks it reports are not evidence under this view.
 
-        The response renews the lease, too: of views in quick succession each would keep what is cancelled for one
-        heartbeat more, so it stops that.
+        The response carries the view's fencing token, which a later heartbeat acknowledges. The response also renews
+        the lease, so it has to stop cancelled tasks: otherwise each of several views in quick succession would let
+        them run for one more heartbeat.
         """
         self.view.reconciliation.record_report(machine.name)
         self.leases.check_unrenewed(machine, heartbeat.fencing_token, now)
@@ -104,38 +112,44 @@
         self.order_builder.stop_cancelled(machine, {key: (task.attempt, task.status) for key, task in tasks if key[0]})
 
     def _acknowledge(self, machine: Machine, now: float) -> None:
-        """The first heartbeat with the view's fencing token, also after the lease had expired."""
-        if not machine.prior.complete:
-            machine.prior.observed_since = now
+        """Handle the first heartbeat with the view's fencing token, or the first one after lease expiry."""
+        if not machine.prior_view.complete:
+            machine.prior_view.observed_since = now
         machine.acknowledge()
-        machine.prior.ordered.clear()  # under an older view: this heartbeat shows what came of it
+        machine.prior_view.unconfirmed.clear()  # this heartbeat shows whether the older orders were carried out
         self.view.reconciliation.acknowledge(machine.name)
         self.records.request_write(machine)
         log.debug("machine=%s state=up cause=acknowledged fencing_token=%d", machine.name, self.view.fencing_token)
 
-    # -- what a heartbeat with the view's fencing token shows ----------------
+    def _apply(self, machine: Machine, heartbeat: Heartbeat, is_first: bool, now: float) -> None:
+        """Update tasks and orders from a heartbeat with the view's fencing token.
 
-    def _apply(self, machine: Machine, heartbeat: Heartbeat, first: bool, now: float) -> None:
-        """Take over the tasks that it shows, and settle orders; ``first``: job owners are told, whatever it shows."""
-        before, orders = machine.tasks, machine.orders
+        ``is_first``: send reports to job owners even if no task has changed.
+        """
+        previous_tasks, orders = machine.tasks, machine.orders
         tasks: dict[TaskKey, ObservedTask] = {}
         machine.tasks = tasks
-        changed = urgent = first
-        still_there = 0
+        changed = urgent = is_first
+        still_reported = 0
         for task in heartbeat.tasks:
             key = _task_key(task.task_id)
             if not key[0]:
                 continue
-            seen = before.get(key)
-            still_there += seen is not None
-            if seen is None or seen.attempt != task.attempt or seen.status != task.status or seen.cause != task.cause:
+            observed = previous_tasks.get(key)
+            still_reported += observed is not None
+            if (
+                observed is None
+                or observed.attempt != task.attempt
+                or observed.status != task.status
+                or observed.cause != task.cause
+            ):
                 changed = True
                 urgent = urgent or task.status == "ended" and task.cause != "done"
-                seen = self._observe_change(machine, key, task, seen, now)
-            tasks[key] = seen
-        lost = still_there < len(before)
+                observed = self._observe_change(machine, key, task, observed, now)
+            tasks[key] = observed
+        lost = still_reported < len(previous_tasks)
         changed = changed or lost
-        urgent = urgent or lost and _lost_live_task(before, tasks)
+        urgent = urgent or lost and _lost_live_task(previous_tasks, tasks)
         if orders.pending:
             started, not_started = self._settle_pending(machine, now)
             changed = changed or started or not_started
@@ -150,18 +164,19 @@
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
-        if changed:  # what frees no task is not urgent
-            machine.changed()
+        if changed:  # urgent only if a task may have to be restarted: lost, failed or not started
+            machine.invalidate_cached_load()
             self.owner_reports.send(machine, urgent)
             self.view.reconciliation.mark_reconciled(machine.name)
 
     def _observe_change(
-        self, machine: Machine, key: TaskKey, task: ReportedTask, before: ObservedTask | None, now: float
+        self, machine: Machine, key: TaskKey, task: ReportedTask, previous: ObservedTask | None, now: float
     ) -> ObservedTask:
-        """A task that is new on the machine, or reported otherwise than ``before``."""
+        """Record a task that is new on the machine or differs from ``previous``."""
         job, index = key
-        if before is not None and before.attempt == task.attempt:
-            # Of a gang: started again under this attempt, and its new result is not to be acknowledged with the old.
+        if previous is not None and previous.attempt == task.attempt:
+            # A gang task can restart under the same attempt: an acknowledgement of its old result must not be sent
+            # for the new one.
             machine.orders.acknowledgements.discard((job, index, task.attempt))
         report = TaskStatusReport(job, index, task.attempt, task.status, task.cause)
         log.debug("machine=%s task=%s status=%s cause=%s", machine.name, task.task_id, task.status, task.cause)
@@ -169,13 +184,13 @@
         return ObservedTask(task.attempt, task.status, task.cause, now, report)
 
     def _settle_pending(self, machine: Machine, now: float) -> tuple[bool, bool]:
-        """Remove the granted tasks that this heartbeat settles: whether some were started, and some were not."""
+        """Remove the granted tasks that this heartbeat settles; returns whether any was, and any was not, started."""
         tasks, orders = machine.tasks, machine.orders
         orders_lost = False
         for key, pending in orders.pending.items():
             orders_lost = orders_lost or pending.sent >= constants.ORDER_TRIES and key not in tasks
         if orders_lost and now >= machine.health.quarantined_until:
-            # What it is sent does not arrive: tasks wait elsewhere, not on it.
+            # Responses do not reach the worker: quarantine the machine so that tasks are placed elsewhere.
             machine.health.quarantined_until = now + self.leases.lease_s
             log.info("machine=%s state=quarantined cause=orders do not arrive", machine.name)
         started = not_started = False
@@ -185,14 +200,14 @@
                 del orders.pending[key]
                 started = True
             elif machine.state is not MachineState.UP or key in orders.stops or orders_lost:
-                # Never sent, or settled by this newer heartbeat: it was not started.
+                # Not sent, or sent before this heartbeat, which does not show it: it was not started.
                 del orders.pending[key]
                 not_started = True
         return started, not_started
 
     @staticmethod
     def _settle_stop_orders(machine: Machine) -> None:
-        """Remove the stops of what has ended, or is not there."""
+        """Remove the stop orders of tasks that have ended or are no longer reported."""
         for key, (attempt, _) in list(machine.orders.stops.items()):
             observed = machine.tasks.get(key)
             if observed is None or observed.attempt != attempt or observed.status == "ended":
@@ -200,17 +215,20 @@
 
     @staticmethod
     def _settle_acknowledgements(machine: Machine) -> bool:
-        """Remove the acknowledgements of what the worker has forgotten; True if there were any, so all were sent."""
+        """Remove acknowledgements of tasks that the worker no longer reports.
+
+        True if any was removed: acknowledgements are sent together, so all of them have been sent.
+        """
         tasks, orders = machine.tasks, machine.orders
-        waiting = len(orders.acknowledgements)
+        unsettled = len(orders.acknowledgements)
         orders.acknowledgements = {
             (job, index, attempt)
             for job, index, attempt in orders.acknowledgements
             if (task := tasks.get((job, index))) is not None and task.attempt == attempt
         }
-        return len(orders.acknowledgements) < waiting
+        return len(orders.acknowledgements) < unsettled
 
 
-def _lost_live_task(before: dict[TaskKey, ObservedTask], tasks: dict[TaskKey, ObservedTask]) -> bool:
-    """Whether a task that had not ended is no longer there."""
-    return any(task.status != "ended" for key, task in before.items() if key not in tasks)
+def _lost_live_task(previous_tasks: dict[TaskKey, ObservedTask], tasks: dict[TaskKey, ObservedTask]) -> bool:
+    """Whether a task that had not ended is no longer reported."""
+    return any(task.status != "ended" for key, task in previous_tasks.items() if key not in tasks)
--- a/alderbridge/machines/leases.py
+++ b/alderbridge/machines/leases.py
@@ -1,12 +1,12 @@
-"""Worker leases: when one has run out for certain, so that nothing is left on its machine.
+"""Worker leases: determines when a lease has provably expired, so that no task is left on the machine.
 
-A worker stops all its tasks when no response has renewed its lease for ``lease_s``. What proves that none did:
+A worker stops all its tasks when no response has renewed its lease for ``lease_s``. Expiry is proven in two ways:
 
-* ``check``: the machine is silent for a lease, a bound for clock drift, and a margin.
-* ``check_unrenewed``: it reports, but with a fencing token that shows that no response was accepted for as long.
+* ``check``: the machine has sent no heartbeat for the lease, a bound for clock drift, and a margin.
+* ``check_unrenewed``: it sends heartbeats, but their fencing token shows that it accepted no response for as long.
 
-Both count only from when this process alone could answer the machine (``LeaseEvidence.exclusive_since``): in a new view
-that is when the view has settled.
+Both count only from the time when this process alone could answer the machine (``LeaseEvidence.exclusive_since``): in
+a new view, unless inherited, from when the view has settled.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class WorkerLeases:
-    """Expires the machines whose worker's lease has provably run out."""
+    """Expires machines whose worker lease has provably expired."""
 
     def __init__(
         self,
@@ -34,21 +34,21 @@
         records: MachineRecords,
         owner_reports: OwnerReports,
     ) -> None:
-        """``lease_s``: of the workers."""
+        """``lease_s``: duration of a worker's lease."""
         self.lease_s = lease_s
         self.machines = machines
         self.view = view
         self.records = records
         self.owner_reports = owner_reports
-        self.no_newer_view_until = math.inf  # no newer view had begun by then: its members renew leases, too
-        self.oldest_start = -math.inf  # no lease counts from before this
+        self.no_newer_view_until = math.inf  # no newer view, whose members would renew leases too, began before this
+        self.oldest_start = -math.inf  # lower bound of the times that leases are counted from
 
     def enter(self) -> None:
-        """A new view: all machines are to be checked anew."""
+        """Enter a new view: the next ``check`` examines all machines."""
         self.oldest_start = -math.inf
 
     def settle(self, now: float) -> None:
-        """Every member acts under this view: earlier responses are all older than now."""
+        """Mark the view as settled: all members act under it, so no older view's response is sent after ``now``."""
         view = self.view
         if view.settled_at is not None:
             return
@@ -57,16 +57,20 @@
         for machine in self.machines.values():
             if machine.lease.exclusive_since is None:
                 machine.lease.exclusive_since = now
-            if machine.prior.complete and not machine.acknowledged and machine.state is not MachineState.EXPIRED:
+            if machine.prior_view.complete and not machine.acknowledged and machine.state is not MachineState.EXPIRED:
                 view.reconciliation.mark_reconciled(machine.name)
                 self.owner_reports.send(machine)
 
     def check(self, now: float) -> None:
-        """Expire silent machines. While all report, they are gone through once in most of a lease."""
-        wait = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
-        if now - self.oldest_start <= wait:
+        """Expire silent machines.
+
+        ``oldest_start`` lets calls return early until the oldest lease may have expired, so that not every call
+        iterates over all machines.
+        """
+        proof_s = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
+        if now - self.oldest_start <= proof_s:
             return
-        self.oldest_start = now  # who comes later counts from later; a view, and its settling, check anew
+        self.oldest_start = now  # machines added later start later; a new view and its settling reset it
         for machine in self.machines.values():
             if machine.state is MachineState.EXPIRED or machine.state is MachineState.TERMINATED:
                 continue
@@ -77,20 +81,21 @@
                 if machine.acknowledged
                 else max(machine.last_heartbeat_at, machine.lease.exclusive_since)
             )
-            if not self._has_run_out(since, now):
+            if not self._has_expired(since, now):
                 self.oldest_start = min(self.oldest_start, since)
             else:
                 self._expire(machine, f"silent for {now - machine.last_heartbeat_at:.1f} s")
 
     def check_unrenewed(self, machine: Machine, fencing_token: int, now: float) -> None:
-        """A heartbeat with an older fencing token, newer than all before, and not answered yet.
+        """Expire a machine whose heartbeats show that no response has renewed its lease.
 
-        Whenever it was written, no response with a higher token to an earlier heartbeat was accepted, nor will be: it
-        would show here, and a worker has one heartbeat in flight. So the lease has not been renewed since. A machine
-        that does not hear its responses reports for as long as that lasts, and held up all that it might have run.
+        Called for a new heartbeat with an older fencing token, before it is answered. A worker has only one heartbeat
+        in flight and sends the highest token it has accepted, so no response with a higher token to an earlier
+        heartbeat has been or will be accepted. This covers machines that send heartbeats but receive no responses:
+        they never become silent, and their tasks could otherwise not be restarted elsewhere.
         """
         lease = machine.lease
-        if fencing_token >= lease.renewed_token:  # a response of a view between was accepted
+        if fencing_token >= lease.renewed_token:  # it accepted a response of a view since then
             lease.renewed_at, lease.renewed_token = now, self.view.fencing_token
         elif (
             not machine.acknowledged
@@ -98,16 +103,17 @@
             and machine.lease.exclusive_since is not None
         ):
             since = max(lease.renewed_at, machine.lease.exclusive_since)
-            if self._has_run_out(since, now):
+            if self._has_expired(since, now):
                 self._expire(machine, f"no answer accepted for {now - since:.1f} s")
 
-    def _has_run_out(self, since: float, now: float) -> bool:
-        """Whether a lease that nobody under this view has renewed after ``since`` has provably run out.
+    def _has_expired(self, since: float, now: float) -> bool:
+        """Whether a lease that no member of this view has renewed after ``since`` has provably expired.
 
-        A member of a newer view may have renewed it, unknown to one that is cut off: so none had begun by its end.
+        A newer view may exist without this process knowing it, and its members may have renewed the lease: so it must
+        be certain that no newer view began before the lease's end.
         """
-        lease = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
-        return now - since > lease + constants.PROOF_MARGIN_S and self.no_newer_view_until - since > lease
+        lease_s = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
+        return now - since > lease_s + constants.PROOF_MARGIN_S and self.no_newer_view_until - since > lease_s
 
     def _expire(self, machine: Machine, cause: str) -> None:
         log.info("machine=%s state=expired cause=%s", machine.name, cause)
--- a/alderbridge/machines/machine.py
+++ b/alderbridge/machines/machine.py
@@ -1,4 +1,4 @@
-"""One machine as its shard knows it: its state, the tasks observed on it, and what is on its way there.
+"""One machine of a shard: its state, the tasks observed on it, and its unconfirmed orders.
 
 States and their transitions::
 
@@ -7,11 +7,11 @@
     EXPECTED, UP, DRAINING --expire--> EXPIRED --acknowledge--> UP
     any state --terminate--> TERMINATED
 
-* EXPECTED: recorded or reporting, not yet heard from with this view's fencing token.
+* EXPECTED: recorded or sending heartbeats, but has not acknowledged this view's fencing token yet.
 * UP: has acknowledged the fencing token; tasks may be placed on it.
-* DRAINING: the cloud or the leader wants it back; nothing new is placed there.
-* EXPIRED: its worker's lease has provably run out; nothing is on it.
-* TERMINATED: the cloud has confirmed that it is gone.
+* DRAINING: the cloud reclaims it or the leader drains it; no new tasks are placed on it.
+* EXPIRED: its worker's lease has provably expired; no task is on it.
+* TERMINATED: the cloud has confirmed its termination.
 """
 
 from __future__ import annotations
@@ -27,12 +27,14 @@
 
 TaskKey = tuple[str, int]  # job, index
 StopOrder = tuple[int, float]  # attempt, wind-down in s
-TaskLoad = tuple[float | None, float, float, float, float]  # running since or None, run time in s, cpus, memory, gpus
+TaskLoad = tuple[
+    float | None, float, float, float, float
+]  # start time or None, run time in s, cpus, memory in GB, gpus
 JobTaskReports = tuple[list[TaskStatusReport], list[tuple[str, int, int]]]  # observed; pending: job, index, attempt
 
 
 class MachineState(str, Enum):
-    """State of a machine under the current view; the values go to the leader, see ``MachineSummary``."""
+    """State of a machine under the current view; the values are sent to the leader in ``MachineSummary``."""
 
     EXPECTED = "expected"
     UP = "up"
@@ -42,121 +44,119 @@
 
 
 class ObservedTask(msgspec.Struct, frozen=True):
-    """A task as a machine last reported it."""
+    """A task as reported in the machine's latest heartbeat."""
 
     attempt: int
     status: str
     cause: str | None
     since: float
-    report: TaskStatusReport = msgspec.field(name="seen")  # what job owners are told of it
+    report: TaskStatusReport = msgspec.field(name="seen")  # sent to job owners
 
 
-class Pending(msgspec.Struct):
-    """A task granted by its job owner, and not yet seen in a heartbeat."""
+class PendingTask(msgspec.Struct):
+    """A task granted by its job owner that no heartbeat has shown yet."""
 
     attempt: int
-    sent: int = 0  # in how many responses it was ordered; a heartbeat that came after them does not show it
+    sent: int = 0  # number of responses that ordered it
 
 
 class LeaseEvidence:
-    """What is known of a worker's lease.
+    """Latest possible renewal of a worker's lease, as far as its heartbeats show.
 
-    Heartbeats with an older fencing token leave open that it was renewed at ``renewed_at``, or by a response whose
-    token was at least ``renewed_token``: later heartbeats bear the token of a response that was accepted.
+    The lease may have been renewed at ``renewed_at``. A heartbeat with a fencing token of at least ``renewed_token``
+    shows that the worker has accepted a response since then; one with an older token shows that it has not.
     """
 
     __slots__ = ("exclusive_since", "renewed_at", "renewed_token")
 
     def __init__(self, renewed_at: float) -> None:
-        """Renewed by whoever served the machine until then."""
-        # Since when only this process could have answered its heartbeats; None: not yet.
+        """``renewed_at``: any controller may have renewed the lease until this time."""
+        # Since when only this process could have answered the machine's heartbeats; None: not yet.
         self.exclusive_since: float | None = None
         self.renewed_at = renewed_at
         self.renewed_token = 0
 
 
 class MachineOrders:
-    """What is to be ordered of a machine, or was ordered and has not shown in a heartbeat yet."""
+    """Orders for a machine that are unsent or not confirmed by a heartbeat yet."""
 
     __slots__ = ("acknowledgements", "acknowledgements_since", "claim_stops", "pending", "stops")
 
     def __init__(self, now: float) -> None:
-        """Nothing is to be ordered."""
-        self.pending: dict[TaskKey, Pending] = {}
+        """Create an empty set of orders."""
+        self.pending: dict[TaskKey, PendingTask] = {}
         self.stops: dict[TaskKey, StopOrder] = {}
-        self.claim_stops: dict[TaskKey, StopOrder] = {}  # of ``stops``, those for the machine's claim
+        self.claim_stops: dict[TaskKey, StopOrder] = {}  # those of ``stops`` that belong to a preemption claim
         self.acknowledgements: set[tuple[str, int, int]] = set()  # finished tasks: job, index, attempt
-        self.acknowledgements_since = now  # since when the oldest of them may have waited unsent
+        self.acknowledgements_since = now  # earliest time since which an acknowledgement may be unsent
 
 
-class PriorKnowledge:
-    """What this process knows of a machine from before its first heartbeat under the view."""
+class PriorViewState:
+    """State inherited from the previous view, for use before the machine's first heartbeat under this view."""
 
-    __slots__ = ("complete", "observed_since", "ordered")
+    __slots__ = ("complete", "observed_since", "unconfirmed")
 
     def __init__(self, now: float) -> None:
-        """Nothing is known until ``now``."""
-        # All that may be on it is known from the view before, in which this same process served it: the tasks of the
-        # machine, and ``ordered``, what was ordered then and not yet seen in a heartbeat.
+        """Nothing is inherited; the machine is observed from ``now`` on."""
+        # Whether ``Machine.tasks`` and ``unconfirmed`` together hold every task that may be on the machine. True only
+        # if this process served the machine in the previous view.
         self.complete = False
-        self.ordered: dict[TaskKey, int] = {}  # task -> attempt
-        self.observed_since = now  # what ran here when this process first heard of it ran for longer than is known
+        self.unconfirmed: dict[TaskKey, int] = {}  # ordered in the previous view, in no heartbeat yet: task -> attempt
+        self.observed_since = now  # tasks already running at this time have run for longer than observed
 
 
 class ReportHistory:
-    """What the job owners were told of a machine."""
+    """The last reports on a machine that were sent to job owners."""
 
-    __slots__ = ("last", "due")
+    __slots__ = ("last_sent", "owners_due")
 
     def __init__(self) -> None:
-        """They were told nothing."""
-        self.last: dict[str, JobTaskReports] = {}  # job owner -> its last report
-        self.due: set[str] = set()  # job owners that granted tasks since: they get a report even if nothing changed
+        """Create a history without reports."""
+        self.last_sent: dict[str, JobTaskReports] = {}  # job owner -> last report sent to it
+        self.owners_due: set[str] = set()  # job owners that granted tasks since: due a report even if nothing changed
 
 
 class MachineHealth:
-    """Failures of tasks on a machine, and until when it is quarantined for them or for lost orders."""
+    """Consecutive task errors on a machine, and the end of its quarantine for errors or lost orders."""
 
-    __slots__ = ("error_jobs", "quarantined_until")
+    __slots__ = ("consecutive_error_jobs", "quarantined_until")
 
     def __init__(self) -> None:
-        """Not quarantined."""
-        self.error_jobs: list[str] = []  # jobs of the errors in a row
+        """Create the state of a machine without errors or quarantine."""
+        self.consecutive_error_jobs: list[str] = []  # one entry per error since the last successful task
         self.quarantined_until = 0.0
 
 
 class Machine:
-    """A machine under one view. Times are of the steady clock, in s."""
+    """A machine under one view. Times are on the monotonic clock, in s."""
 
     def __init__(self, name: str, now: float) -> None:
-        """A machine that nothing is known of; ``now``: when this process first heard of it, or the view began."""
+        """Create a machine in state EXPECTED; ``now``: time of its first heartbeat, or start of the view."""
         self.name = name
         self.state = MachineState.EXPECTED
         self.type = self.zone = self.address = ""
         self.spot = False
-        self.recorded = False  # the store holds its record; no ``run`` order before that
-        # The replica shows its record; who wrote it, and what else is on its way, is not known yet.
+        self.recorded = False  # the store holds its record; no ``run`` order is sent before that
+        # The replica shows its record. This does not imply ``recorded``: a drop of the record may be in flight.
         self.seen_in_replica = False
-        self.acknowledged = False  # a heartbeat has borne this view's fencing token
-        self.prior = PriorKnowledge(now)
-        self.last_heartbeat_at = now  # receipt of the newest heartbeat, or the view's start
-        self.last_sequence = (0, 0)  # (incarnation, sequence) of the newest heartbeat
+        self.acknowledged = False  # a heartbeat has carried this view's fencing token
+        self.prior_view = PriorViewState(now)
+        self.last_heartbeat_at = now  # receipt of the latest heartbeat, or start of the view
+        self.last_sequence = (0, 0)  # (incarnation, sequence) of the latest heartbeat
         self.lease = LeaseEvidence(now)
-        self.free: Resources | None = None  # cached until ``changed``
-        self.busy: list[TaskLoad] | None = None  # cached until ``changed``
+        self.free: Resources | None = None  # cache, see ``invalidate_cached_load``
+        self.task_loads: list[TaskLoad] | None = None  # cache, see ``invalidate_cached_load``
         self.tasks: dict[TaskKey, ObservedTask] = {}
         self.reserved: dict[int, tuple[str, int]] = {}  # task request -> job, count
         self.orders = MachineOrders(now)
         self.reports = ReportHistory()
-        self.images: OrderedDict[str, float] = OrderedDict()  # cached images -> GB, the least recently used first
+        self.images: OrderedDict[str, float] = OrderedDict()  # cached image -> size in GB, least recently used first
         self.idle_since: float | None = now
         self.health = MachineHealth()
 
-    # -- entering a view ---------------------------------------------------
-
     @classmethod
     def from_record(cls, name: str, record: MachineRecord, fencing_token: int, now: float) -> Machine:
-        """A machine that the store has recorded, in a view that begins ``now``."""
+        """Create a recorded machine in a view that starts at ``now``."""
         machine = cls(name, now)
         machine.lease.renewed_token = fencing_token
         machine.recorded = True
@@ -164,86 +164,86 @@
         machine.zone, machine.spot = record.zone, record.spot
         return machine
 
-    def inherit(self, before: Machine) -> None:
-        """Take over what this process knew of the machine under an older view, whoever served it in between."""
-        if before.type:
-            self.type, self.zone, self.spot = before.type, before.zone, before.spot
-        self.address = before.address or self.address
-        self.images = before.images
-        self.last_sequence = before.last_sequence
-        self.idle_since = before.idle_since
-        if before.state is MachineState.DRAINING:
+    def inherit(self, previous: Machine) -> None:
+        """Inherit the state from an older view that stays valid even if another controller served it in between."""
+        if previous.type:
+            self.type, self.zone, self.spot = previous.type, previous.zone, previous.spot
+        self.address = previous.address or self.address
+        self.images = previous.images
+        self.last_sequence = previous.last_sequence
+        self.idle_since = previous.idle_since
+        if previous.state is MachineState.DRAINING:
             self.drain()
 
-    def inherit_exclusivity(self, before: Machine) -> None:
-        """Nobody but this process has answered its heartbeats since, if that held in the view just before."""
-        if before.lease.exclusive_since is None:
+    def inherit_exclusivity(self, previous: Machine) -> None:
+        """Inherit the lease evidence of the previous view, if only this process answered heartbeats then."""
+        if previous.lease.exclusive_since is None:
             return
-        self.lease.exclusive_since = before.lease.exclusive_since
-        self.last_heartbeat_at = self.lease.renewed_at = before.last_heartbeat_at
-        if not before.acknowledged:  # it may have heard no response for longer than that view lasted
-            self.lease.renewed_at = before.lease.renewed_at
-            self.lease.renewed_token = before.lease.renewed_token
-
-    def inherit_tasks(self, before: Machine) -> None:
-        """This process gave it all its orders under the view before, and knows the reports that answered them."""
-        self.tasks = dict(before.tasks)
-        sent = {key: pending.attempt for key, pending in before.orders.pending.items() if pending.sent}
-        self.prior.complete = True
-        self.prior.observed_since = before.prior.observed_since
-        self.prior.ordered = before.prior.ordered | sent
-
-    # -- changes of state, one method each ---------------------------------
+        self.lease.exclusive_since = previous.lease.exclusive_since
+        self.last_heartbeat_at = self.lease.renewed_at = previous.last_heartbeat_at
+        if not previous.acknowledged:  # it may have accepted no response under that view
+            self.lease.renewed_at = previous.lease.renewed_at
+            self.lease.renewed_token = previous.lease.renewed_token
+
+    def inherit_tasks(self, previous: Machine) -> None:
+        """Inherit tasks and unconfirmed orders; only if this process sent all orders under the previous view."""
+        self.tasks = dict(previous.tasks)
+        sent = {key: pending.attempt for key, pending in previous.orders.pending.items() if pending.sent}
+        self.prior_view.complete = True
+        self.prior_view.observed_since = previous.prior_view.observed_since
+        self.prior_view.unconfirmed = previous.prior_view.unconfirmed | sent
 
     def acknowledge(self) -> None:
-        """A heartbeat bore the view's fencing token."""
+        """Record that a heartbeat has carried the view's fencing token."""
         self.acknowledged = True
         if self.state is not MachineState.DRAINING:
             self.state = MachineState.UP
 
     def drain(self) -> None:
-        """Nothing new is to be placed on it."""
+        """Stop placing new tasks on the machine."""
         if self.state in (MachineState.UP, MachineState.EXPECTED):
             self.state = MachineState.DRAINING
 
     def expire(self) -> None:
-        """Its lease has run out for certain."""
+        """Record that the worker's lease has provably expired: no task is left on the machine."""
         self.state = MachineState.EXPIRED
         self.idle_since = None
         self._clear_tasks()
 
     def terminate(self) -> None:
-        """The cloud has confirmed that it is gone."""
+        """Record that the cloud has confirmed the termination."""
         self.state = MachineState.TERMINATED
         self._clear_tasks()
 
-    def changed(self) -> None:
-        """What is on it, or on its way there, has changed: the cached sums are void."""
-        self.free = self.busy = None
+    def invalidate_cached_load(self) -> None:
+        """Discard the cached free capacity and task loads after a change of tasks or orders."""
+        self.free = self.task_loads = None
 
     def _clear_tasks(self) -> None:
         self.tasks.clear()
-        self.prior.ordered.clear()
+        self.prior_view.unconfirmed.clear()
         self.orders.pending.clear()
         self.orders.stops.clear()
         self.orders.acknowledgements.clear()
-        self.changed()
-
-    # -- questions ---------------------------------------------------------
+        self.invalidate_cached_load()
 
     @property
     def is_proven(self) -> bool:
-        """Whether what is known of its tasks is complete under this view."""
-        return self.acknowledged or self.prior.complete or self.state in (MachineState.EXPIRED, MachineState.TERMINATED)
+        """Whether every task that may be on the machine under this view is known."""
+        return (
+            self.acknowledged
+            or self.prior_view.complete
+            or self.state in (MachineState.EXPIRED, MachineState.TERMINATED)
+        )
 
     @property
     def record(self) -> MachineRecord:
-        """What the store keeps of it."""
+        """The machine's record in the store."""
         return MachineRecord(self.address, self.type, self.zone, self.spot)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs on it, nor is on its way there."""
+        """Whether the machine has no live task, granted task or reservation."""
         if self.orders.pending or self.reserved:
             return False
         return all(task.status == "ended" for task in self.tasks.values())
--- a/alderbridge/machines/owner_reports.py
+++ b/alderbridge/machines/owner_reports.py
@@ -1,4 +1,4 @@
-"""Reports to job owners: all that is on one machine of their tasks, and so what is not."""
+"""Reports to job owners of all their tasks on a machine: a task that is not listed is known to be absent."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 
 class OwnerReports:
-    """Tells each job owner what is on a machine, once per change."""
+    """Sends each job owner a report on a machine, once per change."""
 
     def __init__(self, jobs: JobLookups, outbox: Outbox, view: ShardView) -> None:
-        """``view``: whose members are the job owners."""
+        """``view``: its members are the job owners."""
         self.jobs = jobs
         self.outbox = outbox
         self.view = view
 
     def send(self, machine: Machine, urgent: bool = True) -> None:
-        """To every member, what of its tasks is on the machine: no report would prove nothing.
+        """Send every member a report of its tasks on the machine, also if there are none.
 
-        One that was told just that, and has granted nothing since, gets none. ``urgent``: at once, not deferred.
+        Members that were last sent the same report and have granted no task since are skipped. ``urgent``: send at
+        once instead of deferring to the next message. Nothing is sent until the machine's tasks are fully known.
         """
         if not machine.is_proven:
             return
@@ -32,22 +33,22 @@
             lists = by_job[job] if job in by_job else by_job.setdefault(job, by_owner.get(job_owner(job)))
             if lists is not None:
                 lists[0].append(task.report)
-        for (job, index), attempt in _ordered_tasks(machine):
+        for (job, index), attempt in _unconfirmed_tasks(machine):
             lists = by_job[job] if job in by_job else by_job.setdefault(job, by_owner.get(job_owner(job)))
             if lists is not None:
                 lists[1].append((job, index, attempt))
         history, outbox = machine.reports, self.outbox
         send = outbox.send if urgent else outbox.send_deferred
         for label, lists in by_owner.items():
-            if label in history.due or history.last.get(label) != lists:
-                history.last[label] = lists
+            if label in history.owners_due or history.last_sent.get(label) != lists:
+                history.last_sent[label] = lists
                 processed_seq = outbox.processed_seq_of(label)
                 send(label, MachineTaskReport(machine.name, machine.zone, processed_seq, *lists))
-        history.due.clear()
+        history.owners_due.clear()
 
 
-def _ordered_tasks(machine: Machine) -> Iterable[tuple[TaskKey, int]]:
-    """Granted or ordered, and not yet seen in a heartbeat: neither proof of being there nor of not being there."""
-    yield from machine.prior.ordered.items()
+def _unconfirmed_tasks(machine: Machine) -> Iterable[tuple[TaskKey, int]]:
+    """Tasks granted or ordered but not yet in a heartbeat: they may or may not be on the machine."""
+    yield from machine.prior_view.unconfirmed.items()
     for key, pending in machine.orders.pending.items():
         yield key, pending.attempt
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -1,15 +1,15 @@
 """The machines that one controller serves.
 
-``MachineShard`` is the composition of the parts, and enters views; each part does one job for all machines:
+``MachineShard`` composes the components below and enters views. Each component serves all machines:
 
-* ``heartbeats``: what a heartbeat or the answer to a probe shows.
-* ``order_builder``: the orders of the response.
-* ``owner_reports``: what job owners are told of a machine.
-* ``leases``: when a worker's lease has run out for certain.
+* ``heartbeats``: applies heartbeats and probe responses.
+* ``order_builder``: builds the orders in a response.
+* ``owner_reports``: sends job owners the tasks on a machine.
+* ``leases``: expires machines whose worker lease has provably expired.
 * ``records``: the machines' records in the store.
-* ``capacity``: free room for placement, and the summaries for the leader.
+* ``capacity``: free capacity for placement, and machine summaries for the leader.
 * ``claims``: preemption claims on machines.
-* ``prober``: which machines to ask for their acknowledgement of a new view.
+* ``prober``: schedules the probes that request acknowledgements of a new view.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from alderbridge.machines.context import JobLookups, MachineTable, Outbox, ShardView
 from alderbridge.machines.heartbeats import HeartbeatHandler
 from alderbridge.machines.leases import WorkerLeases
-from alderbridge.machines.machine import Machine, MachineState, Pending
+from alderbridge.machines.machine import Machine, MachineState, PendingTask
 from alderbridge.machines.orders import OrderBuilder
 from alderbridge.machines.owner_reports import OwnerReports
 from alderbridge.machines.records import MachineRecords
@@ -38,15 +38,15 @@
 
 
 class ProbeTarget(NamedTuple):
-    """Where a machine is asked for its acknowledgement."""
+    """A machine to probe for its acknowledgement."""
 
     name: str
     address: str
-    incarnation: int  # the likeliest one of its worker
+    incarnation: int  # last known incarnation of its worker; at least 1
 
 
 class MachineShard:
-    """The machines that the view gives to this controller. Times are of the steady clock, in s."""
+    """The machines that the view assigns to this controller. Times are on the monotonic clock, in s."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         keep_record: Callable[[str], bool],
         rng: Random,
     ) -> None:
-        """``lease_s``: of the workers; ``keep_record``: see ``MachineRecords``; ``rng``: for the pauses of probes."""
+        """``lease_s``: worker lease; ``keep_record``: see ``MachineRecords``; ``rng``: for the jitter of probes."""
         self.outbox = outbox
         self.jobs = jobs
-        table = MachineTable()  # shared by the parts
+        table = MachineTable()  # shared by the components
         self.machines, self.terminated, self.pending_drains = table.machines, table.terminated, table.pending_drains
         self.last_request_id = 0
         self.view = ShardView()
@@ -80,8 +80,6 @@
             TaskOutcomes(jobs, self.capacity),
         )
 
-    # -- views -------------------------------------------------------------
-
     def enter(
         self,
         fencing_token: int,
@@ -91,14 +89,14 @@
         continued: bool = False,
         inherit_tasks: bool = False,
     ) -> None:
-        """A new view: these recorded machines are ours; all must acknowledge.
+        """Enter a new view with the ``recorded`` machines of this shard; all of them must acknowledge it.
 
-        ``continued``: this same process took part in the view just before, so what was its own then has been answered
-        by nobody else in between. ``inherit_tasks``: what it knew of such a machine is all that may be on it: job
-        owners are told so when the view has settled, and need not wait for the acknowledgement. Without that one dead
-        machine held up the inherited tasks of every planned restart.
+        ``continued``: this process was a member of the previous view, so no other controller has answered the machines
+        that it served there. ``inherit_tasks``: the tasks it recorded for such a machine are all that may be on it.
+        They are reported to job owners when the view has settled, without waiting for the acknowledgement; otherwise
+        a dead machine would delay inherited tasks on every planned restart.
         """
-        before = dict(self.machines)
+        previous = dict(self.machines)
         self.machines.clear()
         self.view.enter(fencing_token, members, now)
         self.records.enter()
@@ -106,16 +104,16 @@
         for name, record in recorded.items():
             machine = self.machines[name] = Machine.from_record(name, record, fencing_token, now)
             self.view.reconciliation.add_recorded(name)
-            if name in before:
-                _inherit(machine, before[name], continued, inherit_tasks)
-        # Its drop was overtaken by the view, or a late put brought the record back: no job owner need wait a lease for
-        # it.
+            if name in previous:
+                _inherit(machine, previous[name], continued, inherit_tasks)
+        # The view began before the record's drop, or a late put restored it: job owners need not wait a lease for a
+        # terminated machine.
         self.records.to_drop = self.on_terminated([name for name in recorded if name in self.terminated])
-        self._enter_prober(before, now)
+        self._enter_prober(previous, now)
 
-    def _enter_prober(self, before: Mapping[str, Machine], now: float) -> None:
-        """Probe the machines of the new view, those that this process heard from last first."""
-        last_heartbeats = {name: before[name].last_heartbeat_at for name in self.machines if name in before}
+    def _enter_prober(self, previous: Mapping[str, Machine], now: float) -> None:
+        """Queue probes of the new view's machines, those with the most recent heartbeat first."""
+        last_heartbeats = {name: previous[name].last_heartbeat_at for name in self.machines if name in previous}
         self.prober.enter(
             sorted(
                 (name for name, machine in self.machines.items() if machine.address),
@@ -125,7 +123,7 @@
         )
 
     def next_to_probe(self, now: float) -> ProbeTarget | None:
-        """A machine to be asked for its acknowledgement now."""
+        """The next machine to probe for its acknowledgement; None if no probe is due."""
         name = self.prober.next(now, self._needs_no_probe)
         if name is None:
             return None
@@ -139,50 +137,48 @@
         )
 
     def check_silence(self, now: float) -> None:
-        """Log the progress, one line a second, until every machine is reconciled, gone or known to be silent."""
+        """Mark silent machines and log the reconciliation progress until no machine is in a transient state."""
         reconciliation = self.view.reconciliation
-        waits = not reconciliation.over
+        is_unsettled = not reconciliation.over
         for machine in self.machines.values():
             if not machine.acknowledged and now - machine.last_heartbeat_at > constants.SILENT_S:
                 reconciliation.mark_silent(machine.name)
-        if waits:
+        if is_unsettled:
             log.info("machine_shard fencing_token=%d %s", self.view.fencing_token, reconciliation.line(now))
 
-    # -- messages of job owners --------------------------------------------
-
     def reserve(self, machine: Machine, job: str, count: int) -> int:
-        """Keep room for a task request until its grant; the number of the request."""
+        """Reserve capacity for a task request until its grant arrives; returns the request id."""
         self.last_request_id += 1
         machine.reserved[self.last_request_id] = (job, count)
-        machine.changed()
+        machine.invalidate_cached_load()
         machine.idle_since = None
         return self.last_request_id
 
     def on_task_grant(self, label: str, grant: TaskGrant, now: float) -> Machine | None:
-        """The machine that it is for, if that is still here."""
+        """Apply a grant, also an empty one, and return its machine; None if this shard no longer has it."""
         machine = self.machines.get(grant.machine)
         if machine is None:
-            if grant.tasks and grant.machine in self.terminated:  # gone while the grant was on its way
+            if grant.tasks and grant.machine in self.terminated:  # terminated while the grant was in flight
                 processed_seq = self.outbox.processed_seq_of(label)
                 self.outbox.send(label, MachineTaskReport(grant.machine, "", processed_seq, [], []))
             return None
         machine.reserved.pop(grant.request_id, None)
-        machine.changed()
+        machine.invalidate_cached_load()
         if not grant.tasks:
             if machine.idle and machine.idle_since is None:
                 machine.idle_since = now
             return machine
-        machine.reports.due.add(label)
+        machine.reports.owners_due.add(label)
         if machine.state is not MachineState.UP:
-            self.owner_reports.send(machine)  # never ordered: the job owner takes them back
+            self.owner_reports.send(machine)  # the tasks are never ordered: the report lets the job owner requeue them
             return machine
         for index, attempt in grant.tasks:
-            machine.orders.pending[(grant.job, index)] = Pending(attempt)
+            machine.orders.pending[(grant.job, index)] = PendingTask(attempt)
         machine.idle_since = None
         return machine
 
     def on_stop_task(self, stop: StopTask) -> None:
-        """Stop a task; one that was not ordered yet is only forgotten."""
+        """Request the stop of a task; a granted task that has not been ordered yet is only removed."""
         machine = self.machines.get(stop.machine)
         if machine is None:
             return
@@ -190,21 +186,19 @@
         pending = machine.orders.pending.get(key)
         if pending is not None and pending.attempt == stop.attempt and not pending.sent:
             del machine.orders.pending[key]
-            machine.changed()
+            machine.invalidate_cached_load()
             self.owner_reports.send(machine)
             return
         machine.orders.stops[key] = (stop.attempt, stop.wind_down_s)
 
     def on_acknowledge_finished(self, machine_name: str, job: str, index: int, attempt: int) -> None:
-        """The result of a finished task is stored: its worker may forget it."""
+        """Request the acknowledgement of a finished task, whose result is now stored."""
         machine = self.machines.get(machine_name)
         if machine is not None:
             machine.orders.acknowledgements.add((job, index, attempt))
 
-    # -- messages of the leader --------------------------------------------
-
     def drain(self, names: Iterable[str]) -> None:
-        """The leader wants these machines back: nothing new is placed on them."""
+        """Drain machines on behalf of the leader: no new tasks are placed on them."""
         for name in names:
             self.pending_drains.add(name)
             machine = self.machines.get(name)
@@ -213,17 +207,17 @@
                 self._cancel_unsent(machine)
 
     def _cancel_unsent(self, machine: Machine) -> None:
-        """Granted tasks that were not ordered yet go back to their job owners."""
+        """Remove granted tasks that have not been ordered yet, and report this to their job owners."""
         unsent = [key for key, pending in machine.orders.pending.items() if not pending.sent]
         for key in unsent:
             del machine.orders.pending[key]
         if unsent:
-            machine.changed()
+            machine.invalidate_cached_load()
             self.owner_reports.send(machine)
 
     def on_terminated(self, names: Iterable[str]) -> list[str]:
-        """The cloud has confirmed that these are gone; those of this shard, whose records may be dropped."""
-        result = []
+        """Handle confirmed terminations; returns the machines of this shard, whose records may be dropped."""
+        terminated = []
         for name in names:
             self.terminated.add(name)
             self.pending_drains.discard(name)
@@ -234,14 +228,14 @@
                 self.view.reconciliation.mark_terminated(name)
                 self.owner_reports.send(machine)
                 log.info("machine=%s state=terminated cause=confirmed by the cloud", name)
-                result.append(name)
-        return result
+                terminated.append(name)
+        return terminated
 
 
-def _inherit(machine: Machine, before: Machine, continued: bool, inherit_tasks: bool) -> None:
-    """What this process knew of the machine, as far as it still holds; see ``MachineShard.enter``."""
-    machine.inherit(before)
+def _inherit(machine: Machine, previous: Machine, continued: bool, inherit_tasks: bool) -> None:
+    """Inherit the still valid state of the machine; for the parameters see ``MachineShard.enter``."""
+    machine.inherit(previous)
     if continued:
-        machine.inherit_exclusivity(before)
-    if inherit_tasks and before.is_proven:
-        machine.inherit_tasks(before)
+        machine.inherit_exclusivity(previous)
+    if inherit_tasks and previous.is_proven:
+        machine.inherit_tasks(previous)
--- a/alderbridge/machines/task_outcomes.py
+++ b/alderbridge/machines/task_outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcomes of tasks say of their machine: which images it has cached, and whether it is to be quarantined."""
+"""Derives a machine's image cache and its quarantine for task errors from the status of its tasks."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class TaskOutcomes:
-    """Keeps a machine's image cache and its errors in a row up to date."""
+    """Updates a machine's image cache and consecutive errors."""
 
     def __init__(self, jobs: JobLookups, capacity: MachineCapacity) -> None:
-        """``capacity``: knows the types, and so the size of a machine's image cache."""
+        """``capacity``: provides the machine types, which define the size of the image cache."""
         self.jobs = jobs
         self.capacity = capacity
 
     def record(self, machine: Machine, job: str, status: str, cause: str | None, now: float) -> None:
-        """A task of the job has this status now; from when it runs, the machine has its image."""
+        """Record a task's new status; a machine has the image of a task that has started to run."""
         spec = self.jobs.spec_of(job)
         if spec is not None and (status in ("running", "saving") or cause == "done"):
             images = machine.images
@@ -29,18 +29,21 @@
             images.move_to_end(spec.image)
             kind = self.capacity.types.get(machine.type)
             while kind and kind.cache_gb and len(images) > 1 and sum(images.values()) > kind.cache_gb:
-                images.popitem(last=False)  # the least recently used
+                images.popitem(last=False)  # least recently used
         if cause == "done":
-            machine.health.error_jobs.clear()
+            machine.health.consecutive_error_jobs.clear()
         elif cause == "error":
             self._record_error(machine, job, now)
 
     @staticmethod
     def _record_error(machine: Machine, job: str, now: float) -> None:
-        """Errors in a row of several jobs are the machine's fault: it is quarantined."""
+        """Quarantine the machine after consecutive errors of more than one job: the machine is the likely cause."""
         health = machine.health
-        health.error_jobs.append(job)
-        if len(health.error_jobs) >= constants.QUARANTINE_ERRORS and len(set(health.error_jobs)) > 1:
+        health.consecutive_error_jobs.append(job)
+        if (
+            len(health.consecutive_error_jobs) >= constants.QUARANTINE_ERRORS
+            and len(set(health.consecutive_error_jobs)) > 1
+        ):
             health.quarantined_until = now + constants.QUARANTINE_S
-            health.error_jobs.clear()
+            health.consecutive_error_jobs.clear()
             log.info("machine=%s state=quarantined cause=errors in a row", machine.name)
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -390,7 +390,13 @@
         """What a part knows of its machines, and a home of its tasks."""
         return (
             {
-                name: (one.acknowledged, one.state, dict(one.tasks), dict(one.prior.ordered), dict(one.orders.pending))
+                name: (
+                    one.acknowledged,
+                    one.state,
+                    dict(one.tasks),
+                    dict(one.prior_view.unconfirmed),
+                    dict(one.orders.pending),
+                )
                 for name, one in core.machine_shard.machines.items()
             },
             {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
