--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -1,4 +1,4 @@
-"""Two faults at once, on the machines' side: quick boots, mute machines, old reports that meet a new leader."""
+"""Two concurrent machine faults: fast boots during late writes, blocked outbound traffic and stale heartbeats."""
 
 from collections import Counter
 
@@ -16,24 +16,21 @@
 from alderbridge.protocol.keys import MACHINES, VIEW
 from alderbridge.protocol.wire import Heartbeat, ReportedTask
 
-RUNNING_1 = ReportedTask("wk-000001/0", 70, "running")
+RUNNING_TASK = ReportedTask("wk-000001/0", 70, "running")
 
-# -- machines that boot at once ---------------------------------------------------
 
+@pytest.mark.parametrize("how", ("followed", "reloaded"))
+def test_a_record_shown_after_the_answer_to_its_drop_does_not_allow_runs(how):
+    """The replica shows the put of a record after its drop was answered, before it shows the drop.
 
-@pytest.mark.parametrize("how", ("followed", "read anew"))
-def test_a_record_that_is_shown_after_the_answer_to_its_drop_is_no_leave_to_run(how):
-    """Its put is answered as the machine lapses, its drop at once; then the copy of the store shows the put, only that.
-
-    A report came before the copy had caught up, and the machine was taken for recorded: what ran there, no later view
-    waited for.
+    Counting the machine as recorded then would let it run tasks that no later view waits for.
     """
     alone, name = Alone(), "n-000001"
     alone.heartbeat(name, 1)
-    alone.go(LEASE_S + 0.5)  # writes lag, and the machine is silent
+    alone.go(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
     put = alone.batch()
     revision, since = alone.carry_out(put).revision, alone.core.replica.revision
-    rows, changes = alone.store.rows(), alone.store.since(since)  # what the store answers a reading here
+    rows, changes = alone.store.rows(), alone.store.since(since)  # what the store returns for a read at this revision
     alone.t += 1.0
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
@@ -50,12 +47,12 @@
     assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.follow()
     alone.write()
-    assert machine.recorded and MACHINES + name in alone.store.data, "put anew"
+    assert machine.recorded and MACHINES + name in alone.store.data, "its record is put again"
 
 
-@pytest.mark.parametrize("carried_out", ("before the view", "after the view", "before it, unanswered"))
-def test_what_may_run_on_a_new_machine_is_waited_for_by_the_next_view(carried_out):
-    """The put of its record is on its way, a task is granted, and the leader that owns the machine ends."""
+@pytest.mark.parametrize("write_outcome", ("before the view", "after the view", "before the view, unanswered"))
+def test_the_next_view_waits_for_a_new_machine_that_may_have_run_tasks(write_outcome):
+    """The put of its record is in flight and a task is granted when the leader that owns the machine ends."""
     alone = Alone("host-1")
     other, name = alone.other("host-1"), machine_of("host-0", "host-0", "host-1")
     alone.job()
@@ -68,62 +65,62 @@
         alone.t,
     )
     assert not alone.core.machine_shard.order_builder.orders(machine), "not before the store holds its record"
-    if carried_out == "before the view":
+    if write_outcome == "before the view":
         alone.core.batch_results.on_written(put, alone.carry_out(put).revision, alone.t)
         assert [order["verb"] for order in alone.core.machine_shard.order_builder.orders(machine)] == ["run"]
-    elif carried_out == "before it, unanswered":
+    elif write_outcome == "before the view, unanswered":
         assert not alone.carry_out(put).failed
         alone.core.batch_results.on_failed(put, alone.t)
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
-    if carried_out == "after the view":
+    if write_outcome == "after the view":
         assert VIEW in alone.carry_out(put).failed
         assert not alone.core.machine_shard.order_builder.orders(machine), (
-            "nor ever, though it acts under the older view for a while"
+            "no run order after the failed put, though it still acts under the older view"
         )
     other.follow()
-    waits = carried_out != "after the view"
-    assert (name in other.core.machine_shard.machines) is waits and (
+    is_waited_for = write_outcome != "after the view"
+    assert (name in other.core.machine_shard.machines) is is_waited_for and (
         name in other.core.job_shard.inherited.barrier
-    ) is waits
+    ) is is_waited_for
     job = other.core.job_shard.jobs["wk-000001"]
-    assert job.unknown == ({0, 1, 2} if waits else set())
-    if waits:
-        other.heartbeat(name, 2, [RUNNING_1])
+    assert job.unknown == ({0, 1, 2} if is_waited_for else set())
+    if is_waited_for:
+        other.heartbeat(name, 2, [RUNNING_TASK])
         assert not job.unknown and list(job.runs) == [0]
 
 
-def test_a_machine_whose_rental_was_answered_to_nobody_is_known_before_the_list_shows_it_and_gets_work():
-    """The requester ends between rental and answer; machines are up within a second; the list is behind for long."""
-    world = QuickBoots(2, jobs=14)
-    world.ends_until = 0.0
+def test_a_machine_is_served_before_it_is_listed_when_the_scale_out_answer_was_lost():
+    """The requesting leader ends before the scale-out answer, and the cloud's list lags by 60 s."""
+    world = FastBootWorld(2, jobs=14)
+    world.faults_until = 0.0
     world.listing = lambda: [host for host in World.listing(world) if world.t > 60.0]
     world.run(20.0)
     kind = next(kind for kind, _ in world.kinds.values())
     leader, names = world.leader(), world.rent(kind, 3)
     world.end(leader, 40.0)
     world.run(40.0)
-    is_leader = world.leader()
-    assert is_leader is not leader
-    machines = world.known()
+    new_leader = world.leader()
+    assert new_leader is not leader
+    machines = world.shard_machines()
     for name in names:
         assert machines[name].state is MachineState.UP and machines[name].recorded
-        assert is_leader.core.leader.rented_machines[name].state.value == "up"
+        assert new_leader.core.leader.rented_machines[name].state.value == "up"
     world.run(130.0)
-    assert all(name not in world.kinds or world.ran[name] for name in names), "used, or returned"
-    assert any(world.ran[name] for name in names)
+    assert all(name not in world.kinds or world.run_orders[name] for name in names), "used or terminated"
+    assert any(world.run_orders[name] for name in names)
 
 
-class QuickWorker(SimWorker):
+class FastBootWorker(SimWorker):
     def carry_out(self, order):
-        """The world's own account: whoever is told to run something is in the store."""
+        """Fail if a machine without a record in the store gets a run order."""
         if order["verb"] == "run" and MACHINES + self.name not in self.world.store.data:
             raise Broken(f"unrecorded: {order['part']} on {self.name} at {self.world.t:.2f}")
-        self.world.ran[self.name] += order["verb"] == "run"
+        self.world.run_orders[self.name] += order["verb"] == "run"
         super().carry_out(order)
 
 
-class QuickNode(World.process):
-    """Its rentals are carried out at once, their answers come late or, if it has ended, to nobody."""
+class FastBootController(World.process):
+    """Scales out at once; the answers arrive late, or are lost if the process has ended since."""
 
     def lead(self):
         core, world, rng, life = self.core, self.world, self.world.rng, self.life
@@ -135,31 +132,31 @@
         for kind, count in decision.scale_out:
             names = world.rent(kind, count)
 
-            def told(kind=kind, names=names):
+            def on_response(kind=kind, names=names):
                 if life == self.life:
                     core.leader.on_scaled_out(kind, names, world.t)
 
-            world.after(rng.uniform(0.2, 4.0), told)
-            world.rented += len(names)
+            world.after(rng.uniform(0.2, 4.0), on_response)
+            world.rented_count += len(names)
         if decision.terminate:
             world.remove(decision.terminate)
             if rng.random() < 0.7:
                 core.on_terminated(decision.terminate, world.t)
-        if decision.scale_out and world.t < world.ends_until and rng.random() < 0.8:
-            world.ended_leaders += 1
+        if decision.scale_out and world.t < world.faults_until and rng.random() < 0.8:
+            world.ended_leader_count += 1
             world.after(rng.uniform(0.0, 2.5), world.end_if_up, self, life)
 
 
-class QuickBoots(DeafMachines):
-    """All machines are up within two seconds, some of them are gone again within seconds; writes lag, leaders end."""
+class FastBootWorld(DeafMachines):
+    """Machines boot within 2 s and some fail within seconds, while store writes are delayed and leaders end."""
 
-    process = QuickNode
-    ends_until = 110.0
-    rented = ended_leaders = 0
+    process = FastBootController
+    faults_until = 110.0
+    rented_count = ended_leader_count = 0
 
-    def __init__(self, *args, **more):
-        self.ran = Counter()
-        super().__init__(*args, **more)
+    def __init__(self, *args, **kwargs):
+        self.run_orders = Counter()
+        super().__init__(*args, **kwargs)
 
     def end_if_up(self, sim, life):
         if sim.life == life:
@@ -168,24 +165,28 @@
     def rent(self, kind, count):
         names = super().rent(kind, count)
         for name in names:
-            self.after(self.rng.uniform(0.2, 2.0), self.boot, name, kind)  # the slow boot of the world finds it up
+            self.after(
+                self.rng.uniform(0.2, 2.0), self.boot, name, kind
+            )  # before the slower boot of ``World``, which then has no effect
         return names
 
     def boot(self, name, kind):
         if name not in self.kinds or self.machines[name] is not None:
             return
-        worker = self.machines[name] = QuickWorker(self, name, kind)
-        short = self.rng.random() if self.t < self.ends_until else 1.0
-        at = self.rng.uniform(0.3, 5.0)
-        if short < 0.15:
-            self.after(at, worker.die)
-        elif short < 0.3:
-            worker.recall_at = self.t + at
-        elif short < 0.5:  # around its lease, so that it lapses or nearly does
-            self.after(at, setattr, worker, "hangs_until", self.t + at + self.rng.uniform(10.0, 30.0))
-
-    def known(self):
-        """All machines, as their parts know them."""
+        worker = self.machines[name] = FastBootWorker(self, name, kind)
+        fault_draw = self.rng.random() if self.t < self.faults_until else 1.0
+        fault_after_s = self.rng.uniform(0.3, 5.0)
+        if fault_draw < 0.15:
+            self.after(fault_after_s, worker.die)
+        elif fault_draw < 0.3:
+            worker.recall_at = self.t + fault_after_s
+        elif fault_draw < 0.5:  # hangs for about a lease, so that the lease expires or nearly does
+            self.after(
+                fault_after_s, setattr, worker, "hangs_until", self.t + fault_after_s + self.rng.uniform(10.0, 30.0)
+            )
+
+    def shard_machines(self):
+        """The machines of all machine shards, by name."""
         return {
             name: machine
             for sim in self.nodes.values()
@@ -203,21 +204,19 @@
 
 
 @pytest.mark.parametrize("seed, nodes", ((44, 3), (35, 5)))
-def test_machines_that_boot_at_once_run_nothing_unrecorded_and_are_used_or_returned(seed, nodes):
-    world = QuickBoots(seed, jobs=24, nodes=nodes, machines=200)
+def test_fast_booting_machines_run_nothing_unrecorded_and_are_used_or_terminated(seed, nodes):
+    world = FastBootWorld(seed, jobs=24, nodes=nodes, machines=200)
     world.late_writes(3.0, 50.0)
     world.late_writes(65.0, 40.0)
     world.run(210.0)
     world.remembered()
-    assert world.ended_leaders >= 2 and world.starts > 20
-    known = world.known()
-    for name, (_, since) in world.kinds.items():
+    assert world.ended_leader_count >= 2 and world.starts > 20
+    shard_machines = world.shard_machines()
+    for name, (_, rented_at) in world.kinds.items():
         worker = world.machines[name]
-        if (
-            world.t - since > constants.BOOT_PATIENCE * 10.0 + constants.LOST_MACHINE_S + OUT_S + 20.0
-        ):  # rented that long ago
-            assert worker is not None and worker.alive, f"{name} is gone, or never came, and is paid for"
-            assert known[name].recorded, f"{name} is up, and nobody's"
+        if world.t - rented_at > constants.BOOT_PATIENCE * 10.0 + constants.LOST_MACHINE_S + OUT_S + 20.0:
+            assert worker is not None and worker.alive, f"{name} is rented but not running"
+            assert shard_machines[name].recorded, f"{name} is running but not recorded"
     assert not [
         job
         for job in world.accepted
@@ -228,8 +227,7 @@
     ]
 
 
-# -- mute machines, and old reports for a new leader ------------------------------------
-OLD = [
+STALE_TASK_LISTS = [
     [RUNNING],
     [],
     [ReportedTask("wk-1/0", 60, "ended", "done")],
@@ -238,52 +236,62 @@
 ]
 
 
-@pytest.mark.parametrize("shows", OLD)
-def test_old_heartbeats_tell_nothing_to_a_controller_that_was_owner_and_becomes_it_again(shows):
-    """Owner under 5 and 7, another under 6; copies and reports held back, first that of the highest mandate."""
-    one = Reports()
-    one.heartbeat(1.0, 50)
-    one.machine_shard.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
-    assert "n-1" not in one.machine_shard.machines
-    one.enter(7, 10.0, carry=True)
-    one.told_home()
+@pytest.mark.parametrize("reported", STALE_TASK_LISTS)
+def test_stale_heartbeats_change_nothing_at_a_controller_that_owns_the_machine_again(reported):
+    """The controller owns the machine under tokens 5 and 7, another under 6; delayed heartbeats arrive under 7."""
+    harness = Reports()
+    harness.heartbeat(1.0, 50)
+    harness.machine_shard.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
+    assert "n-1" not in harness.machine_shard.machines
+    harness.enter(7, 10.0, carry=True)
+    harness.told_home()
     for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
-        one.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=shows)
-        assert not one.machine.acknowledged and not one.machine.tasks and not one.told_home() and not one.orders()
-    assert one.machine.last_sequence == (2, 61), "the highest mandate came first: all others are older"
-    one.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=shows, asked=True)
-    one.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=shows, asked=True)
-    assert not one.machine.acknowledged, "an acknowledgement is newer than all reports of an older mandate"
-    one.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
-    assert one.machine.acknowledged and one.told_home() == [([0], [])]
+        harness.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=reported)
+        assert (
+            not harness.machine.acknowledged
+            and not harness.machine.tasks
+            and not harness.told_home()
+            and not harness.orders()
+        )
+    assert harness.machine.last_sequence == (2, 61), (
+        "the newer incarnation's heartbeats arrived first: all others are older"
+    )
+    harness.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=reported, asked=True)
+    harness.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=reported, asked=True)
+    assert not harness.machine.acknowledged, (
+        "probe answers with an older token, or not newer than the last heartbeat, are ignored"
+    )
+    harness.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
+    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
     for fencing_token, sequence in ((6, 60), (6, 61), (7, 62)):
-        assert one.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=shows) is None
-    assert not one.told_home() and one.machine.last_heartbeat_at == 11.0
-
-
-@pytest.mark.parametrize("shows", OLD)
-def test_a_heartbeat_held_back_for_the_next_view_changes_nothing_of_what_was_carried_over(shows):
-    """Newer than all that was heard, and of the view before: it shows what was ordered, what has ended, or not."""
-    one = Reports()
-    one.heartbeat(1.0, 1, tasks=[RUNNING])
-    one.grant(3, 73)
-    assert one.orders() == [("run", "wk-1/3", 73)]
-    one.enter(6, 2.0, settle=False, carry=True)
-    one.told_home()
-    one.heartbeat(2.1, 2, fencing_token=5, tasks=shows)
-    assert not one.told_home()
-    one.machine_shard.leases.settle(3.0)
-    assert one.told_home() == [([0], [("wk-1", 3, 73)])]
+        assert harness.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=reported) is None
+    assert not harness.told_home() and harness.machine.last_heartbeat_at == 11.0
+
+
+@pytest.mark.parametrize("reported", STALE_TASK_LISTS)
+def test_a_heartbeat_delayed_until_the_next_view_changes_nothing_of_the_inherited_tasks(reported):
+    """A new heartbeat with the previous view's token may show any outcome of the inherited tasks and orders."""
+    harness = Reports()
+    harness.heartbeat(1.0, 1, tasks=[RUNNING])
+    harness.grant(3, 73)
+    assert harness.orders() == [("run", "wk-1/3", 73)]
+    harness.enter(6, 2.0, settle=False, carry=True)
+    harness.told_home()
+    harness.heartbeat(2.1, 2, fencing_token=5, tasks=reported)
+    assert not harness.told_home()
+    harness.machine_shard.leases.settle(3.0)
+    assert harness.told_home() == [([0], [("wk-1", 3, 73)])]
     assert (
-        one.heartbeat(3.1, 2, fencing_token=5, tasks=shows) is None and one.heartbeat(3.2, 1, tasks=[RUNNING]) is None
+        harness.heartbeat(3.1, 2, fencing_token=5, tasks=reported) is None
+        and harness.heartbeat(3.2, 1, tasks=[RUNNING]) is None
     )
-    assert not one.told_home()
-    one.heartbeat(4.0, 3, fencing_token=6, tasks=[RUNNING])
-    assert one.told_home() == [([0], [])], "this one is proof that 73 is not there"
+    assert not harness.told_home()
+    harness.heartbeat(4.0, 3, fencing_token=6, tasks=[RUNNING])
+    assert harness.told_home() == [([0], [])], "this heartbeat proves that attempt 73 is not there"
 
 
-class MuteWorker(SimWorker):
-    """For a while it reaches no controller; commands reach it, and are answered."""
+class OutboundBlockedWorker(SimWorker):
+    """For some time its heartbeats reach no controller, while probes reach it and are answered."""
 
     mute_until = 0.0
 
@@ -291,75 +299,81 @@
         if not self.alive or self.world.t >= self.mute_until or self.world.t < self.hangs_until:
             return super().send_heartbeat()
         self.tick()
-        self.sequence += 1  # of a report that nobody hears
+        self.sequence += 1  # of a heartbeat that is lost
         self.in_flight += 1
         self.next_node()
 
     def command(self, fencing_token, incarnation, reply):
         self.tick()
-        if incarnation != self.incarnation and self.alive:  # 409, and asked again as ``WorkerProber`` does
+        if incarnation != self.incarnation and self.alive:  # 409, and probed again as ``WorkerProber`` does
             self.world.after(self.way(), super().command, fencing_token, self.incarnation, reply)
         else:
             super().command(fencing_token, incarnation, reply)
 
     def carry_out(self, order):
         if order["verb"] == "run" and self.world.t < self.mute_until:
-            raise Broken(f"run by a mute machine: {order['part']} on {self.name}")
+            raise Broken(f"run order to a machine with blocked outbound traffic: {order['part']} on {self.name}")
         super().carry_out(order)
 
 
-class Keeping(World.process):
-    """Some reports are kept for the next leader, copies or the report itself; see ``Mute.deliver``."""
+class ReplayingController(World.process):
+    """Captures a share of the heartbeats for replay under the next view; some of them are withheld until then."""
 
-    def heartbeat(self, raw, reply, again=False):
+    def heartbeat(self, raw, reply, is_replay=False):
         world = self.world
-        if not again and world.rng.random() < world.held_share:
-            world.held_reports.append(raw)
+        if not is_replay and world.rng.random() < world.capture_share:
+            world.captured_heartbeats.append(raw)
             if world.rng.random() < 0.3:
-                return  # held back: nobody has heard it yet
+                return  # withheld: only the replay is received
         super().heartbeat(raw, reply)
 
 
-class Mute(DeafMachines):
-    process = Keeping
-    held_share = 0.0
+class OutboundBlockedWorld(DeafMachines):
+    """Heartbeats of some machines are lost, and captured heartbeats are replayed under the next view."""
+
+    process = ReplayingController
+    capture_share = 0.0
 
-    def __init__(self, *args, **more):
-        self.held_reports, self.view_seen, self.delivered = [], 0, 0
-        super().__init__(*args, **more)
-        self.after(0.0, self.deliver)
+    def __init__(self, *args, **kwargs):
+        self.captured_heartbeats, self.last_view_revision, self.replayed_count = [], 0, 0
+        super().__init__(*args, **kwargs)
+        self.after(0.0, self.replay_heartbeats)
 
     def boot(self, name, kind):
         if name in self.kinds:
-            self.machines[name] = MuteWorker(self, name, kind)
+            self.machines[name] = OutboundBlockedWorker(self, name, kind)
 
     def make_job(self, number):
-        """Half of the jobs have many short tasks, so that some begin and end in each moment."""
+        """Every other job has many short tasks, so that tasks start and end all the time."""
         spec = super().make_job(number)
         if number % 2:
             return spec
         return msgspec.structs.replace(spec, kind="sweep", team="free", tasks=30, cpus=1.0, estimate_s=8.0)
 
-    def deliver(self):
-        """As a new view begins, or when it has acted for some seconds, all controllers get what was kept."""
+    def replay_heartbeats(self):
+        """Replay the captured heartbeats to all controllers, within two leases of the start of a new view."""
         revision = self.store.data[VIEW][1] if VIEW in self.store.data else 0
-        if revision != self.view_seen:
-            self.view_seen, kept, self.held_reports = revision, self.held_reports, []
-            for raw in kept:
-                at = self.rng.choice([0.0, 0.2, 0.5, self.rng.uniform(0.5, 8.0), self.rng.uniform(8.0, 2 * LEASE_S)])
+        if revision != self.last_view_revision:
+            self.last_view_revision, captured, self.captured_heartbeats = revision, self.captured_heartbeats, []
+            for raw in captured:
+                delay_s = self.rng.choice(
+                    [0.0, 0.2, 0.5, self.rng.uniform(0.5, 8.0), self.rng.uniform(8.0, 2 * LEASE_S)]
+                )
                 for sim in self.nodes.values():
-                    self.after(at + self.rng.uniform(0.0, 0.3), sim.heartbeat, raw, lambda status, body: None, True)
-            self.delivered += len(kept)
-        self.after(0.05, self.deliver)
+                    self.after(
+                        delay_s + self.rng.uniform(0.0, 0.3), sim.heartbeat, raw, lambda status, body: None, True
+                    )
+            self.replayed_count += len(captured)
+        self.after(0.05, self.replay_heartbeats)
 
-    def mute(self, share, for_s):
+    def block_outbound(self, share, for_s):
         for worker in self.rng.sample(self.workers(), int(len(self.workers()) * share)):
             worker.mute_until = self.t + for_s
             if self.rng.random() < 0.8:
                 worker.held_up_until = self.t + for_s
 
-    def runs(self, machines):
-        """Tasks that homes have on these machines."""
+    def runs_on(self, machines):
+        """The tasks that job owners have on these machines."""
         return [
             (name, index, run.state)
             for sim in self.nodes.values()
@@ -370,76 +384,80 @@
         ]
 
 
-def test_five_controllers_get_an_old_heartbeat_as_a_new_leader_begins_and_none_takes_it_for_news():
-    """Reports from before, some of which nobody has heard, at all five: at once, and when the new leader has acted."""
-    world = Mute(9, jobs=24, nodes=5)
+def test_stale_heartbeats_at_all_five_controllers_under_a_new_leader_change_nothing():
+    """Heartbeats of the previous view, some not received before, arrive soon and some seconds after the change."""
+    world = OutboundBlockedWorld(9, jobs=24, nodes=5)
     world.run(40.0)
-    world.held_share = 1.0
+    world.capture_share = 1.0
     world.run(45.0)
-    world.held_share, kept, world.held_reports = 0.0, world.held_reports, []
+    world.capture_share, captured, world.captured_heartbeats = 0.0, world.captured_heartbeats, []
     leader = world.leader()
     fencing_token = leader.core.membership.fencing_token
     world.end(leader, 30.0)
 
-    def newer():
+    def cores_in_newer_view():
         return [
             sim.core for sim in world.nodes.values() if sim.core and sim.core.membership.fencing_token > fencing_token
         ]
 
-    def known(core):
-        """What a part knows of its machines, and a home of its tasks."""
+    def snapshot(core):
+        """The state of a machine shard's machines and of a job shard's tasks."""
         return (
             {
                 name: (
-                    one.acknowledged,
-                    one.state,
-                    dict(one.tasks),
-                    dict(one.prior_view.unconfirmed),
-                    dict(one.orders.pending),
+                    machine.acknowledged,
+                    machine.state,
+                    dict(machine.tasks),
+                    dict(machine.prior_view.unconfirmed),
+                    dict(machine.orders.pending),
                 )
-                for name, one in core.machine_shard.machines.items()
+                for name, machine in core.machine_shard.machines.items()
             },
             {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
         )
 
-    while not newer():
+    while not cores_in_newer_view():
         world.run(world.t + 0.02)
-    heard = set()
+    receivers = set()
     for pause in (0.0, 0.2, 3.0, 9.0):
         world.run(world.t + pause)
-        for raw in kept:
-            for core in newer():
-                machines, jobs = known(core)
+        for raw in captured:
+            for core in cores_in_newer_view():
+                machines, jobs = snapshot(core)
                 world.nodes[core.me].heartbeat(raw, lambda status, body: None, True)
-                after, jobs_after = known(core)
-                assert jobs_after == jobs and {name: after[name] for name in machines} == machines
-                heard.add(core.me)
-    assert len(kept) > 5 and len(heard) == 4
+                machines_after, jobs_after = snapshot(core)
+                assert jobs_after == jobs and {name: machines_after[name] for name in machines} == machines
+                receivers.add(core.me)
+    assert len(captured) > 5 and len(receivers) == 4
     world.run(world.t + OUT_S)
     assert not world.inherited()
 
 
-@pytest.mark.parametrize("lost", (True, False))
-def test_a_mute_machine_expires_by_the_clock_whatever_it_answers_to_commands(lost):
-    """Three views within a lease: each asks it. Its last one may have no answer, or one of its new session."""
-    one = Reports()
-    one.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
-    assert one.machine.acknowledged and one.told_home() == [([0], [])]
-    one.enter(6, 8.0)
-    one.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
-    assert one.told_home() == [([0], [])]
-    assert one.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and one.machine.last_heartbeat_at == 9.0
-    one.enter(7, 16.0)
-    if not lost:
-        one.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
-        assert one.machine.state is MachineState.UP and one.told_home() == [([], [])], "its lease is out, by itself"
+@pytest.mark.parametrize("is_lost", (True, False))
+def test_a_machine_with_blocked_outbound_traffic_expires_in_time_whatever_it_answers_to_probes(is_lost):
+    """Each of three views within a lease probes it; the last probe is unanswered or answered by a new incarnation."""
+    harness = Reports()
+    harness.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
+    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
+    harness.enter(6, 8.0)
+    harness.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
+    assert harness.told_home() == [([0], [])]
+    assert harness.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and harness.machine.last_heartbeat_at == 9.0
+    harness.enter(7, 16.0)
+    if not is_lost:
+        harness.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
+        assert harness.machine.state is MachineState.UP and harness.told_home() == [([], [])], (
+            "a new incarnation starts without tasks, as the old one's lease has expired"
+        )
         return
-    one.machine_shard.leases.check(9.0 + OUT_S - 0.1)
-    assert one.machine.state is MachineState.EXPECTED and not one.told_home()
-    one.machine_shard.leases.check(9.0 + OUT_S + 0.1)
-    assert one.machine.state is MachineState.EXPIRED and one.told_home() == [([], [])], "16 s is no beginning"
+    harness.machine_shard.leases.check(9.0 + OUT_S - 0.1)
+    assert harness.machine.state is MachineState.EXPECTED and not harness.told_home()
+    harness.machine_shard.leases.check(9.0 + OUT_S + 0.1)
+    assert harness.machine.state is MachineState.EXPIRED and harness.told_home() == [([], [])], (
+        "the lease does not start again with the view at 16 s"
+    )
     for incarnation, sequence in ((1, 5), (2, 1)):
-        one.heartbeat(
+        harness.heartbeat(
             30.0,
             sequence,
             fencing_token=7,
@@ -447,17 +465,18 @@
             tasks=[RUNNING] if incarnation == 1 else [],
             asked=True,
         )
-        assert one.machine.state is MachineState.EXPIRED and not one.told_home() and not one.orders()
-    one.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
-    assert one.machine.state is MachineState.UP and one.machine_shard.capacity.candidate(one.machine, 40.0) is None, (
-        "put anew first"
-    )
-    one.machine_shard.records.on_recorded("n-1")
-    assert one.machine_shard.capacity.candidate(one.machine, 40.0) is not None
+        assert harness.machine.state is MachineState.EXPIRED and not harness.told_home() and not harness.orders()
+    harness.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
+    assert (
+        harness.machine.state is MachineState.UP
+        and harness.machine_shard.capacity.candidate(harness.machine, 40.0) is None
+    ), "its record has to be put again first"
+    harness.machine_shard.records.on_recorded("n-1")
+    assert harness.machine_shard.capacity.candidate(harness.machine, 40.0) is not None
 
 
-def test_a_machine_that_is_heard_by_command_alone_is_given_no_task():
-    """It can't be told to run any: what is kept for it would wait until it lapses."""
+def test_a_machine_that_only_answers_probes_gets_no_task():
+    """Run orders are sent only in responses to heartbeats: its tasks would wait until its lease expires."""
     alone, name = Alone(), "n-000001"
     alone.up(name)
     alone.view("host-0")
@@ -476,10 +495,10 @@
         and not machine.orders.pending
     )
     alone.heartbeat(name, 8)
-    assert machine.orders.pending, "its next report brings it"
+    assert machine.orders.pending, "its next heartbeat lets tasks be placed on it"
 
 
-class Many(Mute):
+class ManyMachinesWorld(OutboundBlockedWorld):
     """More than a hundred machines, each with a long task."""
 
     def __init__(self, seed, machines):
@@ -501,71 +520,73 @@
         )
 
 
-def test_nothing_waits_for_a_hundred_mute_machines_when_the_leader_ends():
-    """All their tasks, inherited or not, are free once their leases are out; jobs on them are cancelled meanwhile."""
-    world = Many(6, machines=125)
+def test_tasks_of_a_hundred_machines_with_blocked_outbound_traffic_are_released_after_their_leases():
+    """The leader ends, and some jobs on the blocked machines are cancelled, before their leases expire."""
+    world = ManyMachinesWorld(6, machines=125)
     world.run(45.0)
     leader, fencing_token = world.leader(), world.leader().core.membership.fencing_token
     busy = sorted(set(world.on.values()))
-    mute = set(world.rng.sample(busy, 100))
-    for name in mute:
+    blocked = set(world.rng.sample(busy, 100))
+    for name in blocked:
         world.machines[name].mute_until = world.t + 240.0
     world.run(world.t + 3.0)
     world.end(leader, 30.0)
-    for job in sorted({part.split("/")[0] for part, name in world.on.items() if name in mute})[:4]:
+    for job in sorted({task_id.split("/")[0] for task_id, name in world.on.items() if name in blocked})[:4]:
         world.withdraw(job)
     while all(sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.nodes.values()):
         world.run(world.t + 0.25)
-    began = world.t
-    world.run(began + 4.0)
-    known = {
+    view_began_at = world.t
+    world.run(view_began_at + 4.0)
+    shard_machines = {
         name: machine
         for sim in world.nodes.values()
         if sim.core is not None
         for name, machine in sim.core.machine_shard.machines.items()
     }
-    acknowledged = [name for name in mute if known[name].acknowledged]
-    assert len(acknowledged) > 70, "they are asked, and acknowledge; some of the commands are late"
-    assert world.runs(set(acknowledged)), "what they run counts as theirs until proof"
-    world.run(began + OUT_S + 4.0)
+    acknowledged = [name for name in blocked if shard_machines[name].acknowledged]
+    assert len(acknowledged) > 70, "they acknowledge when probed; some probes are delayed"
+    assert world.runs_on(set(acknowledged)), "their tasks stay assigned until the leases have expired"
+    world.run(view_began_at + OUT_S + 4.0)
     assert not world.inherited()
-    world.run(began + 2 * OUT_S + 4.0)  # an acknowledgement that came late, and the lease from there
-    assert not world.runs(mute) and not any(name in mute for name in world.on.values())
-    homes = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
-    assert not [job for jobs in homes for job in jobs.values() if job.state is JobState.ABORTED and job.on_machines]
-    aborted = [job for job, at in world.cancelled_at.items() if at < float("inf")]
+    world.run(view_began_at + 2 * OUT_S + 4.0)  # a late acknowledgement, and a lease from then on
+    assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
+    job_owners = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
+    assert not [
+        job for jobs in job_owners for job in jobs.values() if job.state is JobState.ABORTED and job.on_machines
+    ]
+    aborted = [job for job, cancelled_at in world.cancelled_at.items() if cancelled_at < float("inf")]
     assert aborted and all(world.said[job] == "aborted" for job in aborted)
 
 
-def test_a_mute_machine_that_speaks_again_gets_work():
-    world = Mute(8, jobs=20)
+def test_a_machine_whose_outbound_traffic_is_restored_gets_tasks():
+    world = OutboundBlockedWorld(8, jobs=20)
     world.run(50.0)
-    mute = [worker.name for worker in world.workers()]
-    for name in mute:
+    blocked = [worker.name for worker in world.workers()]
+    for name in blocked:
         world.machines[name].mute_until = world.t + 50.0
     world.run(60.0)
     world.end(world.leader(), 2.0)
-    world.run(97.0)  # an acknowledgement may be late by seconds, and counts for a lease
-    assert not world.runs(mute) and not any(name in mute for name in world.on.values())
+    world.run(97.0)  # an acknowledgement may be delayed by seconds, and a lease counts from it
+    assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
     world.run(125.0)
-    assert any(name in mute for name in world.on.values())
+    assert any(name in blocked for name in world.on.values())
 
 
 @pytest.mark.parametrize("seed, nodes", ((63, 5), (66, 3)))
-def test_rules_hold_while_machines_are_mute_and_old_heartbeats_meet_new_leaders(seed, nodes):
-    """Leaders end every 4 to 20 s; some for long, so that machines change hands there and back."""
-    world = Mute(seed, jobs=24, nodes=nodes)
-    world.held_share = 0.2
-    at = 20.0
-    while at < 120.0:
-        world.after(at, lambda: world.mute(world.rng.uniform(0.2, 0.8), world.rng.uniform(3.0, 40.0)))
-        world.after(at + 2.0, world.end_leaders, 1, 0.0)
-        world.after(at + 3.0, lambda: world.end(world.rng.choice(list(world.nodes.values())), 11.0))
-        world.after(at + 1.0, world.cancel_any)
-        at += world.rng.uniform(4.0, 20.0)
+def test_invariants_hold_with_blocked_outbound_traffic_and_stale_heartbeats_under_new_leaders(seed, nodes):
+    """Leaders end every 4 to 20 s; some stay away for long, so that machine ownership moves away and back."""
+    world = OutboundBlockedWorld(seed, jobs=24, nodes=nodes)
+    world.capture_share = 0.2
+    fault_at = 20.0
+    while fault_at < 120.0:
+        world.after(fault_at, lambda: world.block_outbound(world.rng.uniform(0.2, 0.8), world.rng.uniform(3.0, 40.0)))
+        world.after(fault_at + 2.0, world.end_leaders, 1, 0.0)
+        world.after(fault_at + 3.0, lambda: world.end(world.rng.choice(list(world.nodes.values())), 11.0))
+        world.after(fault_at + 1.0, world.cancel_any)
+        fault_at += world.rng.uniform(4.0, 20.0)
     world.run(125.0)
-    world.held_share = 0.0
+    world.capture_share = 0.0
     world.run(220.0)
     world.remembered()
-    assert world.delivered > 10 and world.starts > 60
+    assert world.replayed_count > 10 and world.starts > 60
     assert not world.inherited()
