--- a/alderbridge/controller/__init__.py
+++ b/alderbridge/controller/__init__.py
@@ -1,3 +1,5 @@
-"""One controller: ``core`` decides, without I/O; ``process`` moves what it decides between store, cloud, workers, users
-and the other controllers.
+"""One controller process.
+
+``core`` makes all decisions without I/O; ``process`` does the I/O with the store, the cloud, the workers, the users and
+the other controllers.
 """
--- a/alderbridge/controller/admission.py
+++ b/alderbridge/controller/admission.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job may be accepted, from what this controller knows without asking the store."""
+"""Admission of submitted jobs, decided from this controller's memory without reading the store."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from alderbridge.scheduling import placement
 from alderbridge.settings import Team
 
-_ROUNDING = 1e-9  # CPUs or GPUs by which a sum may exceed a limit
+_QUOTA_TOLERANCE = 1e-9  # CPUs or GPUs: floating-point error allowed when comparing a sum with a limit
 
 
 class Admission(StrEnum):
-    """What becomes of a submission."""
+    """Result of the admission check."""
 
-    ADMITTED = "admitted"  # it may be stored, once its dependencies are found
-    ALREADY_KNOWN = "already known"  # its job was submitted before
-    REJECTED = "rejected"  # it can never run, unless its job was accepted elsewhere
-    UNAVAILABLE = "unavailable"  # it can't be decided now
+    ADMITTED = "admitted"  # may be stored once its dependencies have been checked
+    ALREADY_KNOWN = "already known"  # a job with this id is cached or recorded here
+    REJECTED = "rejected"  # can never run; refused unless the store has already accepted the job
+    UNAVAILABLE = "unavailable"  # cannot be decided now; the user retries
 
 
 class AdmissionDecision(NamedTuple):
-    """The decision, and for a rejection or an unavailable service the text for the user."""
+    """The result; ``reason`` is the error text for the user if rejected or unavailable."""
 
     admission: Admission
     reason: str = ""
 
 
 def decide(core: ControllerCore, spec: wire.JobSpec, now: float, store_failing: bool) -> AdmissionDecision:
-    """What becomes of a well-formed submission; ``store_failing``: a call to the store has failed a moment ago."""
+    """Decide on a well-formed submission; ``store_failing``: the backoff after a failed store call is active."""
     if core.directory.knows_job(spec.id):
         return AdmissionDecision(Admission.ALREADY_KNOWN)
     if not core.state.loaded or not core.machine_shard.capacity.types:
@@ -48,7 +48,7 @@
 
 
 def rejection_reason(spec: wire.JobSpec, teams: Iterable[Team], machine_types: Iterable[wire.MachineType]) -> str:
-    """Why the job can never run, empty if it can."""
+    """The reason why the job can never run; empty if it can."""
     team = next((team for team in teams if team.name == spec.team), None)
     if team is None:
         return "unknown team"
@@ -60,8 +60,8 @@
 
 
 def _exceeds_quota(spec: wire.JobSpec, team: Team) -> bool:
-    """Whether what has to run at once, one task or all of a service, is more than the team may ever use."""
+    """Whether the tasks that must run together (one, or all of a service) exceed the team's limits."""
     tasks = spec.tasks if spec.service else 1
-    return (team.cpus_max > 0 and spec.cpus * tasks > team.cpus_max + _ROUNDING) or (
-        team.gpus_max > 0 and spec.gpus * tasks > team.gpus_max + _ROUNDING
+    return (team.cpus_max > 0 and spec.cpus * tasks > team.cpus_max + _QUOTA_TOLERANCE) or (
+        team.gpus_max > 0 and spec.gpus * tasks > team.gpus_max + _QUOTA_TOLERANCE
     )
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -1,4 +1,4 @@
-"""What the dependencies of this member's jobs mean for them: blocked, ready, or aborted in a cascade. Pure."""
+"""Applies the state of dependencies to this member's jobs: blocked, ready, or aborted in a cascade. No I/O."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class DependencyTracker:
-    """Applies the facts of the dependency graph to the job shard."""
+    """Applies changes of the dependency graph to the job shard."""
 
     def __init__(self, state: ControllerState, replica: Replica, job_shard: JobShard) -> None:
-        """The graph and the replica hold all jobs, the shard this member's."""
+        """The graph and the replica contain the jobs of all members, the shard only this member's."""
         self.state = state
         self.graph = replica.graph
         self.replica = replica
         self.job_shard = job_shard
-        self.cascade_aborted_at: dict[str, float] = {}  # job -> since when a job before it is known here to be aborted
+        self.cascade_aborted_at: dict[str, float] = {}  # job -> when an aborted dependency was first seen here
 
     def apply(self, job: Job) -> None:
-        """Block the job, unblock it with the time from which its queue time counts, or abort it."""
+        """Block the job, unblock it and set the start of its queue time, or abort it."""
         name = job.spec.id
         if self.graph.waiting(name):
             job.block()
@@ -34,7 +34,7 @@
         job.unblock(min(self.state.now, ready_at - self.state.wall_offset_s) if ready_at else job.submitted, ready_at)
 
     def process_events(self) -> None:
-        """Facts of the store have arrived: apply them to the jobs that are ready now, or aborted in a cascade."""
+        """Update the jobs that the last changes of the graph made ready or aborted in a cascade."""
         graph = self.graph
         ready, graph.newly_ready = graph.newly_ready, []
         cascade_aborted, graph.newly_cascade_aborted = graph.newly_cascade_aborted, []
@@ -46,27 +46,28 @@
                 self.apply(job)
         if len(self.cascade_aborted_at) > 2 * len(graph.cascade_aborted):
             self.cascade_aborted_at = {
-                name: at for name, at in self.cascade_aborted_at.items() if name in graph.cascade_aborted
+                name: seen_at for name, seen_at in self.cascade_aborted_at.items() if name in graph.cascade_aborted
             }
 
     def needs_of(self, job: Job) -> list[str]:
-        """The jobs that it depends on, from its record and the lists beside it."""
+        """The jobs that this job depends on, from its record and its dependency lists."""
         result = list(job.spec.needs or ())
         for key in list_keys(job.spec.id, job.dependency_digest):
             result += self.replica.lists.get(key, ())
         return result
 
     def is_cascade_aborted(self, job: str) -> bool:
-        """Whether the job is aborted, or a job before it is."""
+        """Whether the job or one of its direct or indirect dependencies is aborted."""
         return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.cascade_aborted
 
     def cascade_abort_is_settled(self, job: str) -> bool:
-        """Whether every member that still acts knows, too, that a job before this one is aborted.
+        """Whether every member that may act has received the abort of the dependency, too.
 
-        Members act only on a view and records that are fresh to within the ttl. Given any sooner,
-        the answer could be taken back by an owner that has yet to hear of it.
+        Members may act only while their view and records are at most one store lease TTL old. Reported before that time
+        has passed, the abort could be contradicted by a job owner that has not received it.
         """
-        at = self.cascade_aborted_at.get(job)
+        seen_at = self.cascade_aborted_at.get(job)
         return (
-            at is not None and self.state.now - at > self.state.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
+            seen_at is not None
+            and self.state.now - seen_at > self.state.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
         )
--- a/alderbridge/controller/health.py
+++ b/alderbridge/controller/health.py
@@ -13,18 +13,18 @@
 
 
 class HealthCheck:
-    """Answers ``/healthz``."""
+    """Handler of ``/healthz``."""
 
     def __init__(self, core: ControllerCore) -> None:
-        """``core``: whose membership and loaded replica are judged."""
+        """``core``: its membership and replica decide the result."""
         self.core = core
         self.membership = core.membership
 
     def check(self) -> Response:
-        """200 while this controller takes part in the view, or shares an outage of the store with all others.
+        """200 while this controller is a member, or its store lease expired in an outage that affects all members.
 
-        An expired member stays healthy in an outage that all share: it can tell of ended jobs, and is there when the
-        store is. One that others may have replaced does not: its users would be told nothing of any job.
+        In such an outage an expired member stays healthy, as it can still report ended jobs and resumes with the store.
+        If the other members may have replaced it, it is unhealthy, as it could not report the status of active jobs.
         """
         status = self.membership.status(now())
         may_be_replaced = any(
@@ -36,5 +36,5 @@
             or status is MemberStatus.OUTSIDE
             or (status is MemberStatus.EXPIRED and may_be_replaced)
         ):
-            return responses.unavailable("not taking part")
+            return responses.unavailable("this controller is not an active member")
         return responses.ok(b'{"status":"ok"}')
--- a/alderbridge/controller/job_directory.py
+++ b/alderbridge/controller/job_directory.py
@@ -1,4 +1,4 @@
-"""What this controller knows of any job: its own, and those that the store's replica shows. Pure."""
+"""Look-up of jobs: those of this controller's shard and those in the replica. No I/O."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 
 class JobDirectory:
-    """Looks jobs up in the job shard, then in the replica."""
+    """Looks up jobs in the job shard, then in the replica."""
 
     def __init__(self, membership: Membership, replica: Replica, job_shard: JobShard) -> None:
-        """``membership`` tells which member owns the jobs that a label has accepted."""
+        """``membership``: maps the label that accepted a job to the job's owner."""
         self.me = membership.me
         self.membership = membership
         self.replica = replica
         self.job_shard = job_shard
 
     def spec_of(self, job: str) -> wire.JobSpec | None:
-        """The job's spec; None where it is not known, or over."""
-        known = self.job_shard.jobs.get(job)
-        if known is not None:
-            return known.spec
+        """The job's spec; None if the job is unknown here or has ended."""
+        local_job = self.job_shard.jobs.get(job)
+        if local_job is not None:
+            return local_job.spec
         stored = self.replica.active.get(job)
         return stored[0].spec if stored is not None else None
 
     def cancelled(self, job: str) -> bool:
-        """Whether the store says that it is aborted, as far as it has been read here: never taken back."""
+        """Whether the replica has the job as aborted, which is final."""
         return self.replica.ended.get(job) is JobState.ABORTED
 
     def job_owner(self, job: str) -> str:
-        """The label of the member that owns the job; empty where no active job is known."""
+        """The label of the member that owns the job; empty if no active job with this id is known here."""
         if job in self.job_shard.jobs:
             return self.me
         label = self.replica.accepted_by(job)
         return self.membership.job_owner(label) if label else ""
 
     def knows_job(self, job: str) -> bool:
-        """Whether the job is known here, active or ended."""
+        """Whether the job is in the job shard or the replica: active, ended or with an unreadable record."""
         replica = self.replica
         return (
             job in replica.ended
--- a/alderbridge/controller/job_records.py
+++ b/alderbridge/controller/job_records.py
@@ -1,4 +1,4 @@
-"""Reads the records of jobs from the store, for what memory can't tell."""
+"""Reads job records from the store, for jobs that are not in memory."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 
 class StoreUnreachableError(Exception):
-    """The store has refused the read, or not answered it, or not with what can be read."""
+    """The read was refused, got no response, or got a response that cannot be decoded."""
 
 
 class UnreadableJobError(StoreUnreachableError):
-    """The store has answered, and the job's record can't be decoded: nothing can be said of the job."""
+    """The store responded, but the job's record cannot be decoded, so its state is unknown."""
 
 
 class StoredJob(NamedTuple):
-    """A job's record, and the revision of its key."""
+    """A job's record and the revision of its key."""
 
     record: Record
     revision: int
 
 
 class JobRecordReader:
-    """Reads one record after the other; a read that fails starts the backoff."""
+    """Reads single records; a failed read starts the store backoff."""
 
     def __init__(self, store: Store, store_backoff: StoreBackoff) -> None:
-        """``store``: read from; ``store_backoff``: told of reads that fail."""
+        """``store_backoff``: records the failed reads."""
         self.store = store
         self.store_backoff = store_backoff
 
     async def read(self, job: str) -> StoredJob | None:
-        """The job's record, None where the store has none.
+        """The job's record; None if the store has none.
 
-        Raises ``StoreUnreachableError``; ``UnreadableJobError`` for a record that can't be decoded. That one is no
-        failure of the store: other jobs are served meanwhile.
+        Raises ``StoreUnreachableError``, or ``UnreadableJobError`` for a record that cannot be decoded. The latter does
+        not start the backoff: the store works, and other jobs can be served.
         """
         try:
             row = await self.store.get(JOBS + job)
--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -1,4 +1,4 @@
-"""Answers to users about a job from memory, and cancellation. Pure."""
+"""Status of jobs from memory, and cancellation of this shard's jobs. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LocalJobs:
-    """Answers that no member can contradict: a state given here is in the store, or changes only onwards."""
+    """Returns only states that no other member can contradict: stored ones, or those of a job that this member owns."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         directory: JobDirectory,
         dependencies: DependencyTracker,
     ) -> None:
-        """All but the job shard's jobs is looked up in the replica."""
+        """Jobs that are not in ``job_shard`` are looked up in ``replica``."""
         self.state = state
         self.replica = replica
         self.job_shard = job_shard
@@ -30,41 +30,42 @@
         self.graph = replica.graph
 
     def local_job_state(self, job: str, now: float) -> tuple[str, int, int] | None:
-        """State, finished and running tasks from memory: of an end that the store holds, or of this shard's own job."""
+        """State, finished and running tasks of a job; None unless its end is stored or this member owns it."""
         self.state.now = now
         ended = self.replica.ended.get(job)
         if ended is not None:
             return ended.value, 0, 0
         if job in self.graph.cascade_aborted:
             return (JobState.ABORTED.value, 0, 0) if self.dependencies.cascade_abort_is_settled(job) else None
-        mine = self.job_shard.jobs.get(job)
-        if mine is None or not self.state.may_act():
+        local_job = self.job_shard.jobs.get(job)
+        if local_job is None or not self.state.may_act():
             return None
-        if mine.stored_state is not JobState.ACTIVE:
-            return mine.stored_state.value, mine.done.count, 0
-        if mine.state is not JobState.ACTIVE:
-            # Its end may be in the store without an answer to this member, and others may have told the user.
+        if local_job.stored_state is not JobState.ACTIVE:
+            return local_job.stored_state.value, local_job.done.count, 0
+        if local_job.state is not JobState.ACTIVE:
+            # The write of its end may have been applied without a response to this member, and other members may have
+            # reported the end.
             return None
-        running = mine.running
-        return "running" if running else "pending", mine.done.count, running
+        running = local_job.running
+        return "running" if running else "pending", local_job.done.count, running
 
     def is_certainly_pending(self, job: str, now: float) -> bool:
-        """Whether a job whose record was active in the store when it was read a moment ago may be called pending."""
+        """Whether a job whose record was active when just read from the store may be reported as pending."""
         self.state.now = now
         spec = self.directory.spec_of(job)
         return spec is not None and job not in self.graph.cascade_aborted and self.state.may_act()
 
     def cancel(self, job: str, now: float) -> str | None:
-        """The job's stored state, "" while its end is being written, None where this member does not own it."""
+        """Cancel a job: its stored state, "" while its end is being written, None if this member may not act on it."""
         self.state.now = now
         if job in self.replica.ended:
             return self.replica.ended[job].value
-        mine = self.job_shard.jobs.get(job)
-        if mine is None or not self.state.may_act():
+        local_job = self.job_shard.jobs.get(job)
+        if local_job is None or not self.state.may_act():
             return None
-        if mine.stored_state is JobState.ACTIVE:
-            mine.abort(now)
-            mine.end_awaited = True
+        if local_job.stored_state is JobState.ACTIVE:
+            local_job.abort(now)
+            local_job.end_awaited = True
             return ""
-        state: JobState = mine.stored_state
+        state: JobState = local_job.stored_state
         return state.value
--- a/alderbridge/controller/responses.py
+++ b/alderbridge/controller/responses.py
@@ -1,4 +1,4 @@
-"""Responses of the HTTP handlers, and those that several of them give."""
+"""Response types of the HTTP handlers, and responses that several handlers share."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from alderbridge.transport.http_server import Answer
 
 Responder: TypeAlias = Callable[[Answer], None]
-"""Sends the response to a request whose handler has returned without one."""
+"""Sends the response to a request whose handler returned None."""
 
 Handled: TypeAlias = Answer | Awaitable[Answer] | None
-"""What a handler returns: a response, what is awaited for it, or nothing: then it calls its ``Responder``."""
+"""What a handler returns: a response, an awaitable of one, or None if it calls its ``Responder`` later."""
 
 RETRY_LATER = [("Retry-After", str(constants.RETRY_AFTER_S))]
 STORE_UNREACHABLE = "the state service is out of reach"
-STORE_BUSY = "more is submitted than the state service takes"
+STORE_BUSY = "the state service cannot store more submissions now"
 STORE_SLOW = "the state service is slow"
 UNREADABLE = "the job's record can't be read here"
 NO_SUCH_JOB = "no such job"
 
 
 class Response(NamedTuple):
-    """A response as the transport takes it."""
+    """A response in the form that the transport expects."""
 
     status: int
     body: bytes
@@ -37,15 +37,15 @@
 
 
 def error(status: int, text: str) -> Response:
-    """An error with its text, and without a header."""
+    """An error with this text and no extra headers."""
     return Response(status, wire.error_body(text), [])
 
 
 def unavailable(text: str) -> Response:
-    """503: the same request may succeed here or at another controller a little later."""
+    """503 with ``Retry-After``: the same request may succeed later, here or at another controller."""
     return Response(503, wire.error_body(text), RETRY_LATER)
 
 
 def method_not_allowed(allowed: str) -> Response:
-    """405, with the method that the path is for."""
+    """405 with the method that the path allows."""
     return Response(405, wire.error_body("wrong method"), [("Allow", allowed)])
--- a/alderbridge/controller/router.py
+++ b/alderbridge/controller/router.py
@@ -1,4 +1,4 @@
-"""Which handler serves a request: a table of methods and paths."""
+"""Routes requests to handlers by method and path."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class Route(NamedTuple):
-    """The handler of a path, which takes the request's body."""
+    """The handler of a fixed path; it receives the request's body."""
 
     method: str
     handler: Callable[[bytes, Responder], Handled]
 
 
 class JobRoute(NamedTuple):
-    """The handler of a path below a job, which takes the job's id."""
+    """The handler of a path below a job; it receives the job's id."""
 
     method: str
     handler: Callable[[str, Responder], Handled]
 
 
 class Router:
-    """Passes requests on to their handlers; 404 and 405 for those that have none.
+    """Calls the handler of each request; 404 or 405 if there is none.
 
-    ``routes``: by path. ``job_routes``: by what follows the job's id in ``/v1/jobs/ID/...``, empty for the job itself.
+    ``routes``: by path. ``job_routes``: by what follows the id in ``/v1/jobs/ID/...``; empty for the job itself.
     """
 
     def __init__(self, routes: Mapping[str, Route], job_routes: Mapping[str, JobRoute]) -> None:
-        """The arguments are as the class says."""
+        """The arguments are described at the class."""
         self.routes = routes
         self.job_routes = job_routes
 
     def handle(self, method: str, target: str, body: bytes, reply: Responder) -> Handled:
-        """Serve one request; the query of ``target`` is ignored."""
-        route = self.routes.get(target)  # a heartbeat has no query
+        """Serve one request; the query string of ``target`` is ignored."""
+        route = self.routes.get(target)  # paths without a query string, as of heartbeats, need no split
         if route is None:
             path = target.split("?", 1)[0]
             route = self.routes.get(path)
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -1,4 +1,4 @@
-"""Jobs on their way into the store. Pure."""
+"""Submissions that are not stored yet. No I/O."""
 
 from __future__ import annotations
 
@@ -22,32 +22,33 @@
 log = logging.getLogger("core")
 
 
-def split_dependencies(record: Record, room: int) -> tuple[Record, dict[str, list[str]]]:
-    """The record without its dependencies, and these as lists that take ``room`` bytes each, by key."""
+def split_dependencies(record: Record, max_bytes: int) -> tuple[Record, dict[str, list[str]]]:
+    """Move the dependencies out of the record into lists of at most ``max_bytes`` each, by key."""
     assert record.spec is not None and record.spec.needs is not None
     needs = sorted(record.spec.needs)
-    names_per_list = max(1, (room - 2) // (max(map(len, needs)) + 3))
+    names_per_list = max(1, (max_bytes - 2) // (max(map(len, needs)) + 3))
     count = -(-len(needs) // names_per_list)
     digest = f"{hashlib.blake2b(' '.join(needs).encode(), digest_size=8).hexdigest()}/{count}"
-    parts = [needs[at : at + names_per_list] for at in range(0, len(needs), names_per_list)]
+    lists = [needs[start : start + names_per_list] for start in range(0, len(needs), names_per_list)]
     spec = msgspec.structs.replace(record.spec, needs=None)
     return (
         msgspec.structs.replace(record, spec=spec, dependency_digest=digest),
-        dict(zip(list_keys(spec.id, digest), parts, strict=True)),
+        dict(zip(list_keys(spec.id, digest), lists, strict=True)),
     )
 
 
 @dataclass(eq=False)
 class Submission:
-    """A job on its way into the store."""
+    """A submitted job whose record is not stored yet."""
 
     job: Job
-    outcome: str = ""  # "accepted", "known", "refused" or "too long"; empty: not decided
-    lists: dict[str, list[str]] = field(default_factory=dict)  # what has no room in its record, to be stored before it
+    outcome: str = ""  # "accepted", "known", "refused" or "too long"; empty while undecided
+    # Dependencies that do not fit into the record, by key: stored before the record.
+    lists: dict[str, list[str]] = field(default_factory=dict)
 
 
 class Submissions:
-    """The submissions that are not decided, by job."""
+    """The undecided submissions, by job id."""
 
     def __init__(
         self,
@@ -57,17 +58,17 @@
         dependencies: DependencyTracker,
         on_decided: Callable[[Submission], None],
     ) -> None:
-        """``on_decided`` is called with each submission whose outcome is known."""
+        """``on_decided`` is called with each submission once its outcome is set."""
         self.state = state
         self.replica = replica
         self.job_shard = job_shard
         self.dependencies = dependencies
         self.on_decided = on_decided
         self.pending: dict[str, Submission] = {}
-        self.has_new = False  # one has come since the last look for what to write
+        self.has_new = False  # a submission has been added since the last write batch was built
 
     def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
-        """Queue a job for the store; None where its record would not fit, whatever is put beside it."""
+        """Queue a job for the store; None if its record is too long even with its dependencies in separate lists."""
         self.state.now, self.state.wall_offset_s = now, wall - now
         if spec.id in self.pending:
             return self.pending[spec.id]
@@ -76,10 +77,10 @@
         spec = msgspec.structs.replace(spec, needs=needs or None)
         record = Record(JobState.ACTIVE, self.state.me, wall, min(spec.tasks, constants.START_LIMIT_AHEAD), [], spec)
         lists: dict[str, list[str]] = {}
-        room = self.job_shard.value_bytes - 64
-        if needs and len(msgspec.json.encode(record)) > room:
-            record, lists = split_dependencies(record, room)
-        if len(msgspec.json.encode(record)) > room:
+        max_record_bytes = self.job_shard.value_bytes - 64
+        if needs and len(msgspec.json.encode(record)) > max_record_bytes:
+            record, lists = split_dependencies(record, max_record_bytes)
+        if len(msgspec.json.encode(record)) > max_record_bytes:
             return None
         submission = Submission(Job(record, 0, now, 0.0, never_started=True), lists=lists)
         self.pending[spec.id] = submission
@@ -87,21 +88,21 @@
         return submission
 
     def refuse_all(self) -> None:
-        """The store carries nothing out: users are answered at once, and ask again later."""
+        """Refuse all pending submissions while the store is unavailable, so that users get a response and can retry."""
         for submission in list(self.pending.values()):
             self.decide(submission, "refused")
 
     def expire(self, now: float) -> None:
-        """Refuse what has waited for so long that its user tries elsewhere.
+        """Refuse submissions older than ``SUBMISSION_TTL_S``: their users retry at other controllers.
 
-        Stored here later, it would be met there as a conflict, which costs both controllers their transactions.
+        Stored here as well, a record would conflict with the retry's, which costs both controllers a transaction.
         """
         for submission in list(self.pending.values()):
             if now - submission.job.submitted > constants.SUBMISSION_TTL_S:
                 self.decide(submission, "refused")
 
     def decide(self, submission: Submission, outcome: str) -> None:
-        """Set the outcome, as ``Submission.outcome`` has it."""
+        """Set the outcome, one of the values of ``Submission.outcome``."""
         spec = submission.job.spec
         log.info(
             "job=%s state=%s class=%s team=%s tasks=%d cpus=%g",
@@ -118,16 +119,16 @@
         self.on_decided(submission)
 
     def drop_known_lists(self, submission: Submission) -> None:
-        """An earlier try, here or elsewhere, may have stored some: what is under a key never changes."""
+        """Skip the lists that an earlier attempt has stored: the value of a list key never changes."""
         for key in [key for key in submission.lists if key in self.replica.lists]:
             del submission.lists[key]
 
     def adopt_late_record(self, name: str) -> None:
-        """A job that this process stored under this view and does not serve: its submission was given up meanwhile.
+        """Add a job that this controller owns and whose record was stored after its submission had been decided.
 
-        Its transaction had no answer and was carried out late, after a refusal had ended the submission, or another
-        try of the user's met its record. It was called accepted then, and nothing ran until the next view.
-        Nothing of it was granted, as it was in no job shard.
+        The transaction got no response and was applied late: after the submission was refused, or while a retry found
+        its record. Without this, an accepted job would not run until the next view. No task of it can have been
+        granted, as it was in no job shard.
         """
         record, revision = self.replica.active.get(name, (None, 0))
         if (
--- a/alderbridge/controller/unanswered_jobs.py
+++ b/alderbridge/controller/unanswered_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs about which users are answered 503 again and again: logged, as their users take them for lost."""
+"""Logs the jobs whose status requests keep getting 503, as their users may believe them lost."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class UnansweredTimes(NamedTuple):
-    """Since when a job is not answered for, and when that was last logged (or the job first not answered for)."""
+    """When the current run of 503 responses began, and when it was last logged (initially, when it began)."""
 
     since: float
     logged_at: float
 
 
 class UnansweredJobs:
-    """Counts, for each job, the time without an answer, and logs it at intervals of ``UNANSWERED_S``."""
+    """Tracks for each job the time since its first 503 and logs it at intervals of ``UNANSWERED_S``."""
 
     def __init__(self) -> None:
-        """No question is unanswered yet."""
+        """Start without any unanswered job."""
         self.times: dict[str, UnansweredTimes] = {}
 
     def record_answer(self, job: str) -> None:
-        """A user was told something of the job."""
+        """Record that a user got a response other than 503."""
         if self.times:
             self.times.pop(job, None)
 
     def record_no_answer(self, job: str) -> None:
-        """A user was answered 503."""
+        """Record that a user got a 503."""
         if len(self.times) > constants.UNANSWERED_JOBS:
             self.times.clear()
         since, logged_at = self.times.setdefault(job, UnansweredTimes(now(), now()))
@@ -40,6 +40,6 @@
             self.times[job] = UnansweredTimes(since, now())
             log.info("job=%s state=unanswered cause=no answer here for %.1f s", job, now() - since)
 
-    def forget_since(self, at: float) -> None:
-        """Drop the jobs that have gone unanswered since ``at`` or later; what began before stays."""
-        self.times = {job: times for job, times in self.times.items() if times.since < at}
+    def forget_since(self, outage_began_at: float) -> None:
+        """Drop the jobs whose first 503 was at or after ``outage_began_at``; those that failed before it stay."""
+        self.times = {job: times for job, times in self.times.items() if times.since < outage_began_at}
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -1,7 +1,8 @@
 """The users' API: status, submission and cancellation of jobs.
 
-Nothing told to one user may be taken back for another, at whichever controller they ask: an accepted job is never
-called unknown, and an end is followed by nothing older. ``docs/design-meetings.md`` lists how that could come about.
+Responses are monotonic across all controllers: once a user got a response that a job is accepted, no response says that
+it does not exist, and once a final state was returned, no response shows an earlier one.
+``docs/design-meetings.md`` lists the races that could violate this.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class StatusHandler:
-    """Tells the status of a job: from memory, else from its owner, else from the store."""
+    """Returns the status of a job from memory, else from its owner, else from the store."""
 
     def __init__(
         self,
@@ -51,17 +52,17 @@
         queries: JobQueries,
         unanswered: UnansweredJobs,
     ) -> None:
-        """``records``, ``queries``: asked where ``core`` does not know a job; ``unanswered``: told of each outcome."""
+        """``records``, ``queries``: used if memory has no answer; ``unanswered``: records whether users got one."""
         self.core = core
         self.records = records
         self.queries = queries
         self.unanswered = unanswered
 
     def poll_status(self, job: str, reply: Responder) -> Handled:
-        """``status`` without a task where memory has the answer, here or at the job's owner."""
-        known = self._status_in_memory(job)
-        if known is not None:
-            return known
+        """Like ``status``, but spawns a task only if the store must be read."""
+        cached = self._status_in_memory(job)
+        if cached is not None:
+            return cached
         owner = self._other_owner(job)
         if not owner:
             return self.status_from_store(job)
@@ -69,23 +70,23 @@
         return None
 
     async def status(self, job: str) -> Response:
-        """The job's status for a user; 404 only where the store has no such job, 503 where nobody can tell."""
-        known = self._status_in_memory(job)
-        if known is not None:
-            return known
+        """The job's status for a user; 404 only if the store has no such job, 503 if that cannot be determined."""
+        cached = self._status_in_memory(job)
+        if cached is not None:
+            return cached
         owner = self._other_owner(job)
         response = await self.queries.query(owner, job_queries.STATUS, job) if owner else None
         return self.finalize_status(job, response) if response is not None else await self.status_from_store(job)
 
     async def status_from_store(self, job: str) -> Response:
-        """The status according to the job's record."""
+        """The status according to the job's stored record."""
         return self.finalize_status(job, await self._read_status(job))
 
     def finalize_status(self, job: str, response: Response) -> Response:
-        """What a user is told of a job, after its owner or the store has answered.
+        """Replace a response by the job's final state if the replica has it, and record whether there was an answer.
 
-        That may have taken seconds. If the job's end has arrived here meanwhile, the same user may have been told so
-        already: an end is followed by nothing older.
+        The owner or the store may have taken seconds to respond. If the replica has received the job's end meanwhile, a
+        user may already have received it, so an earlier state must not be returned.
         """
         ended = self.core.replica.ended.get(job)
         if ended is not None:
@@ -105,7 +106,7 @@
         return self.finalize_status(job, responses.ok(wire.job_status_body(job, *state)))
 
     def _other_owner(self, job: str) -> str:
-        """The job's owner, empty where that is not known, or is this controller."""
+        """The label of the job's owner; empty if it is unknown or is this controller."""
         owner = self.core.directory.job_owner(job)
         return owner if owner != self.core.me else ""
 
@@ -130,21 +131,21 @@
         except StoreUnreachableError:
             return responses.unavailable(responses.STORE_UNREACHABLE)
         if stored is None:
-            if self.core.directory.knows_job(job):  # read before it was stored, and its user may have been told since
-                return responses.unavailable("stored a moment ago")
+            if self.core.directory.knows_job(job):  # stored after the read; its user may have got 201 since
+                return responses.unavailable("the job was stored during the request")
             return responses.error(404, responses.NO_SUCH_JOB)
         record = stored.record
         if record.state is not JobState.ACTIVE:
             return responses.ok(wire.job_status_body(job, record.state.value, 0, 0))
         has_dependencies = record.spec is not None and (record.spec.needs or record.dependency_digest)
         if has_dependencies and not self.core.local_jobs.is_certainly_pending(job, now()):
-            # A job before it may be aborted, and with it this one, and others may have told so.
-            return responses.unavailable("not known here yet")
+            # A dependency may be aborted, which aborts this job, and another controller may have reported that.
+            return responses.unavailable("the state of the job's dependencies cannot be determined here yet")
         return responses.ok(wire.job_status_body(job, "pending", sum(end - begin for begin, end in record.done), 0))
 
 
 class SubmissionHandler:
-    """Accepts jobs: 201 once the store has one; a repeated submission gets the job's status."""
+    """Accepts jobs: 201 once the job is stored; a repeated submission gets the job's status."""
 
     def __init__(
         self,
@@ -154,7 +155,7 @@
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """``status``: answers for jobs that exist; ``waiters``: wake a request once its record is stored."""
+        """``status``: responds for jobs that exist; ``waiters``: wake a request once its submission is decided."""
         self.core = core
         self.records = records
         self.status = status
@@ -162,7 +163,7 @@
         self.dispatch_effects = dispatch_effects
 
     async def submit(self, body: bytes) -> Response:
-        """Validate the submission, decide on it, store its job, and answer."""
+        """Validate the submission, check its admission, store the job and respond."""
         try:
             spec = wire.parse_job(body)
         except wire.MalformedBodyError as error:
@@ -180,32 +181,32 @@
         return await self._store(spec)
 
     async def refuse_unless_accepted(self, job: str, reason: str, status: int = 422) -> Response:
-        """Refuse a job, but never one that is known: the store is asked before."""
-        known = await self.status.status(job)
-        return responses.error(status, reason) if known.status == 404 else known
+        """Refuse a job only if its status is 404; otherwise return the status, so that no accepted job is refused."""
+        current = await self.status.status(job)
+        return responses.error(status, reason) if current.status == 404 else current
 
     async def answer_resubmission(self, job: str) -> Response:
-        """The response to a repeated submission of a job that was stored: its status, and never 404."""
-        known = await self.status.status(job)
-        if known.status == 404:
-            return Response(503, known.body, responses.RETRY_LATER)
-        return known
+        """The response to a repeated submission of a recorded job: its status, with 503 in place of 404."""
+        current = await self.status.status(job)
+        if current.status == 404:
+            return Response(503, current.body, responses.RETRY_LATER)
+        return current
 
     async def _refuse_malformed(self, body: bytes, reason: str) -> Response:
-        """Whatever has become of the body of a retry: an accepted job is never refused, here or elsewhere."""
+        """Refuse a malformed body; if it names a job that was accepted, return that job's status instead."""
         job = wire.job_id_in(body)
         return await self.refuse_unless_accepted(job, reason, 400) if job else responses.error(400, reason)
 
     async def _check_dependencies(self, spec: wire.JobSpec) -> Response | None:
-        """The response where what the job depends on is not all accepted, or that can't be told."""
+        """The error response if a dependency was not accepted or cannot be checked; None if all were accepted."""
         if not self.core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES):
-            return responses.unavailable("a controller still runs a version that knows of no dependencies")
+            return responses.unavailable("a controller still runs a version without support for dependencies")
         for dependency in spec.needs or ():
             if dependency == spec.id:
                 return await self.refuse_unless_accepted(spec.id, f"waits_on: {dependency} is this job")
             if self.core.directory.knows_job(dependency):
                 continue
-            # Another controller may have accepted it a moment ago: only the store can tell.
+            # Another controller may just have accepted it, so the store must be read.
             try:
                 stored = await self.records.read(dependency)
             except UnreadableJobError:
@@ -218,7 +219,7 @@
         return None
 
     async def _store(self, spec: wire.JobSpec) -> Response:
-        """Have the job stored, and answer for what has become of that."""
+        """Store the job and return the response for the outcome."""
         submission = self.core.submissions.submit(spec, now(), time.time())
         if submission is None:
             return await self.refuse_unless_accepted(spec.id, TOO_LONG, 400)
@@ -236,7 +237,7 @@
 
 
 class CancellationHandler:
-    """Cancels jobs: 200 once the store has the job's end, whichever that is."""
+    """Cancels jobs: 200 with the final state (aborted or done) once that is stored."""
 
     def __init__(
         self,
@@ -246,7 +247,7 @@
         waiters: Waiters,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """``queries``: cancel at the owner; ``waiters``: wake a request once the end is stored."""
+        """``queries``: send cancellations to owners; ``waiters``: wake a request once the job's end is stored."""
         self.core = core
         self.queries = queries
         self.status = status
@@ -262,15 +263,17 @@
             return await self.cancel_here(job)
         if owner:
             response = await self.queries.query(owner, job_queries.CANCEL, job)
-            return response or responses.unavailable("the job's controller is out of reach")
+            return response or responses.unavailable(
+                "the controller that owns the job did not confirm the cancellation"
+            )
         stored = await self.status.status_from_store(job)
-        return stored if stored.status != 200 else responses.unavailable("not known here yet")
+        return stored if stored.status != 200 else responses.unavailable("the owner of the job is not known here yet")
 
     async def cancel_here(self, job: str) -> Response:
-        """Cancel a job of this controller's shard, and wait until the store has its end."""
+        """Cancel a job of this controller's shard and wait until its end is stored."""
         state = self.core.local_jobs.cancel(job, now())
         if state is None:
-            return responses.unavailable("not entitled")
+            return responses.unavailable("this controller cannot act on the job now")
         if not state:
             await self.dispatch_effects()
             if not await self.waiters.wait_for(job, constants.SUBMIT_WAIT_S):
--- a/alderbridge/controller/waiters.py
+++ b/alderbridge/controller/waiters.py
@@ -1,4 +1,4 @@
-"""Tasks that wait until the core has news of a submission or a job."""
+"""Tasks that wait for the core's notification of a submission or a job."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class Waiters:
-    """Events by what they wait for; whoever dispatches the core's notifications takes them out and sets them."""
+    """Events of waiting tasks; the dispatcher of the core's notifications removes and sets them."""
 
     def __init__(self) -> None:
-        """Nothing is waited for yet."""
-        self.events: dict[object, list[curio.Event]] = {}  # submission or id of a job -> of the tasks that wait for it
+        """Start without waiting tasks."""
+        self.events: dict[object, list[curio.Event]] = {}  # submission or job id -> events of the waiting tasks
 
-    async def wait_for(self, what: object, timeout_s: float) -> bool:
-        """Wait until the core has news of it; False after ``timeout_s``."""
+    async def wait_for(self, key: object, timeout_s: float) -> bool:
+        """Wait for the notification of this submission or job id; False after ``timeout_s``."""
         event = curio.Event()
-        self.events.setdefault(what, []).append(event)
+        self.events.setdefault(key, []).append(event)
         try:
             await curio.timeout_after(timeout_s, event.wait)
         except curio.TaskTimeout:
-            self._discard(what, event)
+            self._discard(key, event)
             return False
         return True
 
-    def _discard(self, what: object, event: curio.Event) -> None:
-        waiting = self.events.get(what, [])
+    def _discard(self, key: object, event: curio.Event) -> None:
+        waiting = self.events.get(key, [])
         if event in waiting:
             waiting.remove(event)
         if not waiting:
-            self.events.pop(what, None)
+            self.events.pop(key, None)
