--- a/alderbridge/controller/calendar_control.py
+++ b/alderbridge/controller/calendar_control.py
@@ -1,4 +1,4 @@
-"""Which calendars are in force here. Pure."""
+"""Applies the calendars in force to the shards. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CalendarControl:
-    """Gives the shards the gate that is made from the calendars in force."""
+    """Builds the gate from the calendars in force and sets it on the shards."""
 
     def __init__(
         self,
@@ -30,29 +30,33 @@
         rank: Callable[[wire.JobSpec], int],
         skew_ms: float,
     ) -> None:
-        """``rank``: the priority that jobs depending on a job give it; ``skew_ms``: of the members' clocks, at most."""
+        """``rank``: the priority a job inherits from its dependents; ``skew_ms``: maximum clock skew of members."""
         self.state = state
         self.declared = declared
         self.job_shard = job_shard
         self.machine_shard = machine_shard
         self.rank = rank
         self.skew_ms = skew_ms
-        self.gate: CalendarGate | None = None  # None: no calendar is declared
+        self.gate: CalendarGate | None = None  # None until a calendar is declared
 
     def refresh(self) -> None:
-        """Apply what is in force now: calendars come into force with what arrives, and with time."""
+        """Apply the calendars in force now; they change with declarations from the store and with time."""
         if "hours" in self.declared.kinds:
             self.apply(cast(list[CalendarConfiguration], self.declared.in_force("hours", self.state.now)))
 
-    def apply(self, texts: list[CalendarConfiguration]) -> None:
-        """Apply the calendars that hold now: the one in force, and one that is about to be."""
+    def apply(self, configurations: list[CalendarConfiguration]) -> None:
+        """Apply these calendars: the one in force and, if there is one, the next."""
         if self.gate is not None:
-            texts = texts or [CalendarConfiguration()]  # withdrawn: no class is closed any more, and turns start anew
-        if texts != (self.gate.configurations if self.gate is not None else []):
-            # The clock's offset is from the last change that was followed, within the ttl while this member acts.
+            # An empty list means that the calendars were withdrawn: no class is closed, and turns start again.
+            configurations = configurations or [CalendarConfiguration()]
+        if configurations != (self.gate.configurations if self.gate is not None else []):
+            # While this member may act, its clock offset is at most one store lease TTL old, so the clocks can have
+            # drifted for that long.
             skew = self.skew_ms / 1000 + constants.CLOCK_DRIFT * self.state.membership.store_lease.ttl_s
-            self.gate = CalendarGate(texts, self.state.wall, skew, self.rank)
+            self.gate = CalendarGate(configurations, self.state.wall, skew, self.rank)
             self.job_shard.job_calendars.gate = self.machine_shard.order_builder.calendars = self.gate
             log.info(
-                "calendars state=applied texts=%d classes=%d", len(texts), sum(len(text.classes) for text in texts)
+                "calendars state=applied texts=%d classes=%d",
+                len(configurations),
+                sum(len(configuration.classes) for configuration in configurations),
             )
--- a/alderbridge/controller/leader_messages.py
+++ b/alderbridge/controller/leader_messages.py
@@ -1,4 +1,4 @@
-"""What the members tell the leader of their machines, and what it tells them of quotas. Pure."""
+"""Machine summaries from members to the leader, and quota allocations from the leader to members. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LeaderMessages:
-    """Regular messages to and from the leader, beside the queues."""
+    """Periodic messages to and from the leader, other than queues."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         machine_shard: MachineShard,
         run_time: Callable[[wire.JobSpec], float],
     ) -> None:
-        """``run_time``: expected seconds of a task of a job."""
+        """``run_time``: expected run time of a job's task, in seconds."""
         self.state = state
         self.membership = state.membership
         self.messenger = messenger
@@ -31,13 +31,13 @@
         self.ledger = leader.replica.ledger
         self.machine_shard = machine_shard
         self.run_time = run_time
-        self._reported_at = 0.0  # when the leader was last told of this member's machines
+        self._last_report_at = 0.0  # when the machine summaries were last sent
 
     def report_machines(self, now: float) -> None:
-        """Tell the leader of this member's machines, once a second."""
-        if now - self._reported_at < constants.LEADER_ROUND_S:
+        """Send summaries of this member's machines to the leader, every ``LEADER_ROUND_S``."""
+        if now - self._last_report_at < constants.LEADER_ROUND_S:
             return
-        self._reported_at = now
+        self._last_report_at = now
         leader = self.membership.view.leader
         self.machine_shard.check_silence(now)
         self.messenger.send_unreliable(
@@ -52,10 +52,10 @@
             )
 
     def send_quota_updates(self, now: float) -> None:
-        """Send new quota allocations, in the form that all members read."""
-        by_changes = self.membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)
+        """Send changed quota allocations, as deltas if all members support them."""
+        deltas_supported = self.membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)
         for label, teams in self.leader.quota_updates(now).items():
-            if by_changes:
+            if deltas_supported:
                 self.messenger.send(label, messages.QuotaDelta(teams))
             else:
                 self.messenger.send(label, messages.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -1,4 +1,4 @@
-"""Which tasks are asked for when a machine has reported room. Pure."""
+"""Requests tasks for a machine after a heartbeat that shows free capacity. No I/O."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlacementRound:
-    """Places tasks of the members' offers on this member's machines, one machine at a time."""
+    """Places tasks from the members' offers on this member's machines, one machine at a time."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         preemption: PreemptionRound,
         offers: Offers,
     ) -> None:
-        """``offers`` are kept up to date by others; ``ledger`` has the claims on the machines."""
+        """``offers``: updated by the offer book; ``ledger``: the preemption claims on machines."""
         self.state = state
         self.messenger = messenger
         self.machine_shard = machine_shard
@@ -42,15 +42,14 @@
         self.directory = directory
         self.preemption = preemption
         self.offers = offers
-        self.busy: placement.BusyMachines | None = (
-            None  # room of the busy machines; made when first asked for in a round
-        )
-        # The machine whose room is kept, and when it last was for something.
+        # Free capacity of busy machines, computed at most once a round.
+        self.busy: placement.BusyMachines | None = None
+        # The reserved machine, and when an offer last needed the reservation.
         self.reserved_machine: tuple[str, float] = ("", float("-inf"))
-        self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> its claim's revision, tasks asked for
+        self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> revision of its claim, tasks requested for it
 
     def place(self, machine: Machine, now: float) -> None:
-        """Ask job shards for tasks that fit this machine."""
+        """Request tasks that fit this machine from job shards."""
         candidate = self.machine_shard.capacity.candidate(machine, now)
         if candidate is None:
             return
@@ -58,76 +57,78 @@
         if self.ledger.entries:
             candidate = self._place_claimed(machine, candidate)
 
-        def room_on_busy_machines(offer: Offer) -> int:
-            """An idle machine leaves young tasks to busy ones with room."""
+        def capacity_on_busy_machines(offer: Offer) -> int:
+            """The number of recently queued tasks that an idle machine leaves to busy machines with free capacity."""
             if not idle or now >= offer.young_until:
                 return 0
             if self.busy is None:
                 self.busy = self.machine_shard.capacity.busy(now)
             return self.busy.capacity_for(offer.spec)
 
-        room_elsewhere: Callable[[Offer], int] = room_on_busy_machines
+        capacity_elsewhere: Callable[[Offer], int] = capacity_on_busy_machines
         lender = self.preemption.lender
         if lender is not None and now < self.preemption.reserved_gpus_until:
-            held = self.preemption.reserved_gpus.get(machine.name, 0.0)
-            if held:
-                room_elsewhere = lender.limit_lending(candidate.free[2] - held, room_elsewhere)
+            reserved = self.preemption.reserved_gpus.get(machine.name, 0.0)
+            if reserved:
+                capacity_elsewhere = lender.limit_lending(candidate.free[2] - reserved, capacity_elsewhere)
 
         for request in placement.fill(
             candidate,
             self.offers,
             lambda spec: self.machine_shard.capacity.fetch_s(machine, spec),
-            room_elsewhere,
-            functools.partial(self._keeps_room, machine, now),
+            capacity_elsewhere,
+            functools.partial(self._try_reserve, machine, now),
             now,
             self.preemption.may_preempt,
         ):
-            take = self.machine_shard.reserve(machine, request.job, request.count)
+            request_id = self.machine_shard.reserve(machine, request.job, request.count)
             self.messenger.send(
-                request.owner, messages.TaskRequest(take, request.job, request.machine, request.zone, request.count)
+                request.owner,
+                messages.TaskRequest(request_id, request.job, request.machine, request.zone, request.count),
             )
         self.messenger.pump()
 
-    def _keeps_room(self, machine: Machine, now: float, offer: Offer) -> bool:
-        """One machine at a time keeps its room: some slots stay empty for some seconds, whatever is waited for."""
-        name, at = self.reserved_machine
-        kind, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
+    def _try_reserve(self, machine: Machine, now: float, offer: Offer) -> bool:
+        """Reserve the machine for an offer that does not fit it yet; one at a time, which bounds the idle capacity."""
+        reserved_name, reserved_at = self.reserved_machine
+        machine_type, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
         if (
-            (name != machine.name and now - at < constants.RESERVE_IDLE_S)
-            or kind is None
+            (reserved_name != machine.name and now - reserved_at < constants.RESERVE_IDLE_S)
+            or machine_type is None
             or (zone is not None and zone != machine.zone)
             or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
-            or not fits(offer.spec, (kind.cpus, kind.memory_gb, kind.gpus))
+            or not fits(offer.spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus))
         ):
             return False
         self.reserved_machine = machine.name, now
         return True
 
     def _place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
-        """Ask for tasks of the job that a claim keeps room for; the candidate with what is left for others."""
+        """Request tasks of the job that holds the claim; the candidate with the capacity that remains for others."""
         entry = self.ledger.entries.get(machine.name)
         if entry is None or self.state.wall() >= entry.claim.until:
             return candidate
         claim, spec = entry.claim, self.directory.spec_of(entry.claim.job)
-        revision, used = self.claim_requests.get(machine.name, (0, 0))
+        revision, requested = self.claim_requests.get(machine.name, (0, 0))
         if revision != entry.revision:
-            used = 0
+            requested = 0
             if len(self.claim_requests) > 2 * len(self.ledger.entries) + constants.QUEUE_ROWS:
                 self.claim_requests.clear()
-        if spec is None or used >= claim.count:
+        if spec is None or requested >= claim.count:
             return candidate
-        room = candidate.free
-        for request in placement.fill_claimed(candidate, self.offers, claim.job, claim.count - used):
-            take = self.machine_shard.reserve(machine, request.job, request.count)
+        free = candidate.free
+        for request in placement.fill_claimed(candidate, self.offers, claim.job, claim.count - requested):
+            request_id = self.machine_shard.reserve(machine, request.job, request.count)
             self.messenger.send(
-                request.owner, messages.TaskRequest(take, request.job, request.machine, request.zone, request.count)
+                request.owner,
+                messages.TaskRequest(request_id, request.job, request.machine, request.zone, request.count),
             )
-            used, room = used + request.count, minus(room, spec, request.count)
-        self.claim_requests[machine.name] = (entry.revision, used)
-        return msgspec.structs.replace(candidate, free=minus(room, spec, claim.count - used))
+            requested, free = requested + request.count, minus(free, spec, request.count)
+        self.claim_requests[machine.name] = (entry.revision, requested)
+        return msgspec.structs.replace(candidate, free=minus(free, spec, claim.count - requested))
 
     def execute_claim(self, machine: Machine) -> None:
-        """Stop the victims of its claim, in the answer to the report that has just come."""
+        """Stop the victims of the machine's claim in the response to the heartbeat that has just arrived."""
         claim = self.ledger.claim_of(machine.name) if self.ledger.entries else None
         if claim is None:
             if machine.orders.claim_stops:
--- a/alderbridge/controller/preemption_round.py
+++ b/alderbridge/controller/preemption_round.py
@@ -1,4 +1,4 @@
-"""The leader's round of preemption claims, and the policies that may ask for others' room. Pure."""
+"""The leader's planning round of preemption claims, and the policies that may preempt. No I/O."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PreemptionRound:
-    """Holds the policies in force; on the leader, plans claims by them."""
+    """Keeps the policies in force and, on the leader, plans preemption claims with them."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         record_writer: RecordWriter,
         teams: Sequence[Team],
     ) -> None:
-        """``machine_shard`` knows the machine types, ``record_writer`` how many changes a transaction takes."""
+        """``machine_shard``: the machine types; ``record_writer``: the maximum number of changes in a transaction."""
         self.state = state
         self.membership = state.membership
         self.messenger = messenger
@@ -46,38 +46,40 @@
         self.priorities: Callable[[float], list[Any]] = lambda now: self.declared.in_force("priorities", now)
         self.lendings: Callable[[float], list[Any]] = lambda now: self.declared.in_force("lending", now)
         self.rules = PriorityPolicy([])
-        self.rules_refreshed_at = float("-inf")
+        self.priorities_refreshed_at = float("-inf")
         self.lender: CapacityLender | None = None
-        self.reserved_gpus: dict[str, float] = {}  # machine -> GPUs that lending leaves free, as the leader told last
+        self.reserved_gpus: dict[
+            str, float
+        ] = {}  # machine -> GPUs that lending leaves free, from the leader's last message
         self.reserved_gpus_until = float("-inf")
-        self.gpus_reserved_at = float("-inf")  # when the leader last sent a reservation
+        self.reservation_sent_at = float("-inf")  # when the leader last sent a reservation
 
     def reserve_gpus(self, reservation: messages.GpuReservation) -> None:
-        """The leader says which GPUs lending leaves free; it holds for a while."""
+        """Record the GPUs that lending must leave free, as sent by the leader; expires after a TTL."""
         self.reserved_gpus = reservation.gpus
         self.reserved_gpus_until = self.state.now + constants.GPU_RESERVATION_TTL_S
 
     def tasks_served_by_lending(self, row: messages.QueueRow, spec: wire.JobSpec) -> int:
-        """How many of a job's waiting tasks lending makes room for: no machine is rented for these."""
+        """The number of a job's waiting tasks that lending frees capacity for: no machine is rented for these."""
         return self.lender.serves_soon(row, spec) if self.lender is not None else 0
 
     def may_preempt(self, spec: wire.JobSpec) -> bool:
-        """Whether such a job may ask for others' room by the priorities in force; looked up once a round."""
-        if self.state.now - self.rules_refreshed_at >= constants.ROUND_S:
-            self._refresh_rules()
+        """Whether the priorities in force let this job preempt; they are refreshed once a round."""
+        if self.state.now - self.priorities_refreshed_at >= constants.ROUND_S:
+            self._refresh_priorities()
         return bool(self.rules.configurations) and self.rules.may_preempt(spec)
 
-    def _refresh_rules(self) -> None:
-        """Take the priorities in force; none while a member runs a version that knows no claims."""
-        self.rules_refreshed_at = self.state.now
-        knows_claims = self.membership.all_support(constants.VERSION_WITH_CONFIGURATION)
-        configurations = self.priorities(self.state.now) if knows_claims else []
+    def _refresh_priorities(self) -> None:
+        """Load the priorities in force; none while a member runs a version without support for claims."""
+        self.priorities_refreshed_at = self.state.now
+        claims_supported = self.membership.all_support(constants.VERSION_WITH_CONFIGURATION)
+        configurations = self.priorities(self.state.now) if claims_supported else []
         if configurations != self.rules.configurations:
             self.rules = PriorityPolicy(configurations)
 
     def policies(self) -> list[PreemptionPolicy]:
-        """Who may ask for others' room now; none while a member runs a version that knows no claims."""
-        self._refresh_rules()
+        """The policies that may preempt now; none while a member runs a version without support for claims."""
+        self._refresh_priorities()
         result: list[PreemptionPolicy] = [self.rules] if self.rules.configurations else []
         lendings = (
             self.lendings(self.state.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
@@ -85,7 +87,7 @@
         if not lendings:
             self.lender = None
         elif self.lender is None or self.lender.configurations != lendings:
-            from alderbridge.lending import CapacityLender  # only here: start-up is charged
+            from alderbridge.lending import CapacityLender  # imported only if lending is declared: shortens start-up
 
             self.lender = CapacityLender(lendings, self.teams, self.machine_shard.capacity.types, self.lender)
         if self.lender is not None:
@@ -94,26 +96,26 @@
         return result
 
     def plan(self, now: float) -> None:
-        """The leader's round: which claims are over, who needs room, and which tasks are to stop for it."""
+        """The leader's round: drop finished claims, collect the demands for capacity and choose victims."""
 
         def teams() -> Teams:
             used: dict[str, tuple[float, float]] = {}
             for queue in self.leader.queues.values():
                 for team, (cpus, gpus) in queue.used.items():
-                    have = used.get(team, (0.0, 0.0))
-                    used[team] = (have[0] + cpus, have[1] + gpus)
+                    team_used = used.get(team, (0.0, 0.0))
+                    used[team] = (team_used[0] + cpus, team_used[1] + gpus)
             return Teams(self.teams, used)
 
-        sources = self.policies()
-        if self.planner.plan(now, now + self.state.wall_offset_s, sources, teams, self.record_writer.max_changes):
+        policies = self.policies()
+        if self.planner.plan(now, now + self.state.wall_offset_s, policies, teams, self.record_writer.max_changes):
             for label in self.membership.view.members:
                 self.messenger.send_unreliable(label, messages.ListMachineTasks())
         if (
             self.lender is not None
-            and now - self.gpus_reserved_at >= constants.LEADER_ROUND_S
+            and now - self.reservation_sent_at >= constants.LEADER_ROUND_S
             and self.leader.ready(now)
         ):
-            self.gpus_reserved_at = now
+            self.reservation_sent_at = now
             gpus = self.lender.gpus_to_reserve(self.planner, now)
             if gpus or self.reserved_gpus:
                 for label in self.membership.view.members:
--- a/alderbridge/controller/queue_inbox.py
+++ b/alderbridge/controller/queue_inbox.py
@@ -1,4 +1,4 @@
-"""The members' queues as they arrive here. Pure."""
+"""Receives the queues that members publish. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class QueueInbox:
-    """Passes queues on to the book of offers and, on the leader, to it."""
+    """Applies received queues to the offer book and, on the leader, to the leader's state."""
 
     def __init__(
         self, state: ControllerState, leader: Leader, write_rate_limit: WriteRateLimit, offer_book: OfferBook
     ) -> None:
-        """Nothing has arrived."""
+        """Start without any queue."""
         self.state = state
         self.me = state.me
         self.membership = state.membership
@@ -25,20 +25,20 @@
         self.sender_clocks: dict[str, SenderClock] = {}
 
     def clear(self) -> None:
-        """A new view: everybody tells the whole."""
+        """Drop all queues on a new view: every member publishes its whole queue again."""
         self.offer_book.clear()
         self.sender_clocks.clear()
 
     def on_queue_snapshot(self, label: str, queue: messages.QueueSnapshot) -> None:
-        """The whole queue of a job shard that sends no deltas."""
+        """Apply the whole queue of a job shard that sends no deltas."""
         self.offer_book.apply_snapshot(label, queue, self.state.now)
         self.leader.on_queue(label, queue, self.state.now)
         if label != self.me:
             self.write_rate_limit.record_peer_rate(label, queue.changes, self.state.now)
 
     def on_queue_delta(self, label: str, changes: messages.QueueDelta) -> None:
-        """Rows of a job shard's queue that have changed."""
-        at = self.sender_clocks.setdefault(label, SenderClock()).local_time(changes.at, self.state.now)
-        self.offer_book.apply_delta(label, changes, at)
+        """Apply the changed rows of a job shard's queue."""
+        sent_at = self.sender_clocks.setdefault(label, SenderClock()).local_time(changes.at, self.state.now)
+        self.offer_book.apply_delta(label, changes, sent_at)
         if self.membership.view.leader == self.me:
-            self.leader.on_queue_changes(label, changes, at)
+            self.leader.on_queue_changes(label, changes, sent_at)
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -1,4 +1,4 @@
-"""What this member publishes of its queue in each round. Pure."""
+"""Publishes this member's queue in each round. No I/O."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         write_rate_limit: WriteRateLimit,
         teams: Sequence[Team],
     ) -> None:
-        """``teams`` have the guarantees."""
+        """``teams``: their guarantees decide which jobs are guaranteed."""
         self.state = state
         self.membership = state.membership
         self.messenger = messenger
@@ -46,11 +46,11 @@
         self.write_rate_limit = write_rate_limit
         self.teams = teams
         self.publisher = QueuePublisher(state.me)
-        self.guaranteed_at = float("-inf")  # when it was last computed which jobs are guaranteed
+        self.guaranteed_at = float("-inf")  # when ``guaranteed_jobs`` was last computed
         self.guaranteed_jobs: set[str] = set()
 
     def snapshot(self, now: float) -> QueueState:
-        """This job shard's queue and sums as they stand."""
+        """This job shard's current queue, and its used, reserved and demanded resources."""
         used = self.job_shard.usage.used(now)
         if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
@@ -68,14 +68,16 @@
         )
 
     def publish(self, now: float, snapshot: QueueState) -> None:
-        """Publish the queue to the members, and to whoever is none that this process is alive."""
+        """Send the queue to the members, and keep-alive messages to all other controllers."""
         membership, failure_detector = self.membership, self.membership.failure_detector
         links = {label: self.messenger.channels[label] for label in self._subscribers()}
         status = messages.PeerStatus(
             failure_detector.unreachable_peers(), failure_detector.failed_peers(), self.write_rate_limit.reported_rate
         )
-        one = PublishRound(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
-        for message in self.publisher.publish(one, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)):
+        publish_round = PublishRound(now, membership.fencing_token, membership.view.leader, links, snapshot, status)
+        for message in self.publisher.publish(
+            publish_round, membership.all_support(constants.VERSION_WITH_QUEUE_DELTAS)
+        ):
             if message.numbered:
                 self.messenger.send(message.label, message.message)
             else:
@@ -85,7 +87,7 @@
                 self.messenger.send_unreliable(label, messages.KeepAlive())
 
     def _subscribers(self) -> list[str]:
-        """The other members of the view; without older processes in a member's place once deltas are published."""
+        """The other members; once deltas are published, without those whose version does not support deltas."""
         others = [label for label in self.messenger.channels if label in self.membership.view.members]
         if self.publisher.form is QueueFormat.WHOLE_QUEUES:
             return others
@@ -96,36 +98,41 @@
         ]
 
     def jobs_within_guarantee(self) -> set[str]:
-        """Jobs that fit their team's guarantee along with the team's earlier unfinished jobs, on any shard."""
-        room = {team.name: (team.cpus, team.gpus) for team in self.teams if team.cpus > 0 or team.gpus > 0}
+        """Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs of all shards."""
+        remaining = {team.name: (team.cpus, team.gpus) for team in self.teams if team.cpus > 0 or team.gpus > 0}
         result: set[str] = set()
-        if not room:
+        if not remaining:
             return result
-        active, left, waiting, jobs = self.replica.active, self.replica.left, self.graph.nodes, self.job_shard.jobs
+        active, tasks_left, nodes, jobs = self.replica.active, self.replica.left, self.graph.nodes, self.job_shard.jobs
         gate = self.calendars.gate
-        warm: list[tuple[float, str]] = []  # closed, about to open: what is left then, so that the leader can tell
-        for at, name in itertools.chain(self.replica.oldest_first(), warm):
-            known = active.get(name)
-            if known is None:
+        # Jobs whose calendar is about to open get what remains after all others, so that the leader can plan for them.
+        opening_soon: list[tuple[float, str]] = []
+        for submitted_at, name in itertools.chain(self.replica.oldest_first(), opening_soon):
+            stored = active.get(name)
+            if stored is None:
                 continue
-            spec = known[0].spec
-            assert spec is not None  # the replica has active jobs with theirs
-            free = room.get(spec.team)
-            # what waits for others holds no part of the guarantee
-            if free is None or known[0].state is not JobState.ACTIVE or (name in waiting and self.graph.waiting(name)):
+            spec = stored[0].spec
+            assert spec is not None  # active jobs in the replica always have their spec
+            team_remaining = remaining.get(spec.team)
+            # Jobs that wait for dependencies do not count against the guarantee.
+            if (
+                team_remaining is None
+                or stored[0].state is not JobState.ACTIVE
+                or (name in nodes and self.graph.waiting(name))
+            ):
                 continue
-            if gate is not None and at != NEVER and not (opening := gate.eligibility(spec)).may_start:
+            if gate is not None and submitted_at != NEVER and not (opening := gate.eligibility(spec)).may_start:
                 if opening.warm:
-                    warm.append((NEVER, name))
-                continue  # nor does what waits for its calendar
-            mine = jobs.get(name)
-            tasks = left[name] if mine is None else spec.tasks - mine.done.count
-            cpus, gpus = free[0] - tasks * spec.cpus, free[1] - tasks * spec.gpus
+                    opening_soon.append((NEVER, name))
+                continue  # nor do jobs that wait for their calendar
+            local_job = jobs.get(name)
+            tasks = tasks_left[name] if local_job is None else spec.tasks - local_job.done.count
+            cpus, gpus = team_remaining[0] - tasks * spec.cpus, team_remaining[1] - tasks * spec.gpus
             if cpus >= -1e-9 and gpus >= -1e-9:
-                room[spec.team] = (cpus, gpus)
+                remaining[spec.team] = (cpus, gpus)
                 result.add(name)
             else:
-                del room[spec.team]  # the team's later jobs lie beyond its guarantee as well
-                if not room:
+                del remaining[spec.team]  # the team's later jobs are not guaranteed either
+                if not remaining:
                     break
         return result
--- a/alderbridge/controller/queue_times.py
+++ b/alderbridge/controller/queue_times.py
@@ -1,4 +1,4 @@
-"""How long a waiting job may still wait, by its objectives and by the jobs that depend on it. Pure."""
+"""Remaining queue time of waiting jobs, by their objectives and by the jobs that depend on them. No I/O."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class QueueTimes:
-    """Queue times of jobs; owns the graph of dependencies, which passes deadlines and ranks on."""
+    """Queue times of jobs; owns the dependency graph, through which jobs inherit deadlines and ranks."""
 
     def __init__(self, state: ControllerState, tuning: Tuning, objectives: Sequence[Objective]) -> None:
-        """``objectives``: queue-time objectives of the settings."""
+        """``objectives``: the service-level objectives of the settings."""
         self.state = state
         self.tuning = tuning
         self.objectives = objectives
@@ -24,9 +24,9 @@
         self.graph = Graph(self.run_time, deadline_multiples)
 
     def due_in(self, job: Job, now: float, guaranteed: bool) -> tuple[float, bool]:
-        """Seconds until the job is due, and whether it is late, as ``policy.due_in`` has them."""
-        needed = self.graph.dependents_due(job.spec.id)
-        basis = (job.waiting_since, needed, guaranteed)  # all may change while it waits for room
+        """Seconds until the job is due, and whether it is late, as ``queue_times.due_in`` defines them."""
+        dependents_due = self.graph.dependents_due(job.spec.id)
+        basis = (job.waiting_since, dependents_due, guaranteed)  # all may change while the job waits for capacity
         if job.queue_times is None or job.queue_times[0] != basis:
             job.queue_times = (
                 basis,
@@ -36,19 +36,21 @@
                     self.objectives,
                     guaranteed,
                     job.waiting_since - job.submitted,
-                    [by - self.state.wall_offset_s - job.waiting_since for by in needed],
+                    [due_at - self.state.wall_offset_s - job.waiting_since for due_at in dependents_due],
                 ),
             )
-            if job.opened_at and job.queue_times[1][-1][1] < 0:  # missed before it opened: no reason to rent then
+            # All objectives were missed before its calendar opened: the default maximum queue time applies, as renting
+            # machines could not help.
+            if job.opened_at and job.queue_times[1][-1][1] < 0:
                 floor = queue_times.max_queue_time(job.spec, self.tuning)
                 job.queue_times = basis, [(floor, floor)]
         return queue_times.due_in(now - job.waiting_since, job.queue_times[1])
 
     def rank(self, spec: wire.JobSpec) -> int:
-        """The priority of the jobs that need it, where higher than its own; else -1."""
-        needed = self.graph.dependents_rank(spec.id)
-        return needed if needed >= 0 and needed > spec.rank else -1
+        """The highest priority of the jobs that depend on it, if higher than its own; else -1."""
+        dependents_rank = self.graph.dependents_rank(spec.id)
+        return dependents_rank if dependents_rank >= 0 and dependents_rank > spec.rank else -1
 
     def run_time(self, spec: wire.JobSpec) -> float:
-        """Expected seconds of one of the job's tasks."""
+        """Expected run time in seconds of one of the job's tasks."""
         return queue_times.expected_run_time(spec, self.tuning)
