--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -1,4 +1,4 @@
-"""What follows from the store's answer to a transaction of records. Pure."""
+"""Handles the store's answers to transactions of records."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class BatchResults:
-    """Brings the owners of the records up to date with what is stored, or has all that failed written again."""
+    """Updates the owners of records after a commit, and schedules the records of a failed one to be written again."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         dependencies: DependencyTracker,
         record_writer: RecordWriter,
     ) -> None:
-        """``record_writer`` made the transactions."""
+        """``record_writer`` builds the transactions."""
         self.state = state
         self.effects = effects
         self.messenger = messenger
@@ -54,14 +54,12 @@
         self.dependencies = dependencies
         self.record_writer = record_writer
 
-    # -- not carried out -------------------------------------------------------
-
     def on_failed(self, batch: WriteBatch, now: float) -> None:
-        """Refused, in conflict, or without an answer: all of it is due again."""
+        """The transaction was refused, in conflict or not answered: all its records are due again."""
         for job, _, _ in batch.jobs:
             job.mark_dirty(now)
         self.record_writer.lists_to_drop += batch.dropped_lists
-        batch.dropped_lists = []  # once: a conflict that can't be read fails again
+        batch.dropped_lists = []  # not added twice: called again if reading a conflict's key fails
         if batch.proposal is not None:
             self.declared.failed(batch.proposal, now)
         if batch.claims is not None:
@@ -69,18 +67,18 @@
             self.record_writer.claims_deferred = True
 
     def on_too_large(self, batch: WriteBatch, now: float) -> None:
-        """The store takes less than the settings said: the same again would never be carried out."""
+        """The store refused the transaction as too large: reduce the limit that the settings gave."""
         self.on_failed(batch, now)
         if batch.changes > 1:
             self.record_writer.max_changes = max(1, batch.changes // 2)
             return
         self.reduce_value_limit(max((len(msgspec.json.encode(value)) for value in batch.puts.values()), default=0))
-        for submission in [one for one, _ in batch.submissions] + [one for one, _ in batch.lists]:
+        for submission in [entry for entry, _ in batch.submissions] + [entry for entry, _ in batch.lists]:
             if self.submissions.pending.get(submission.job.spec.id) is submission:
                 self.submissions.decide(submission, "too long")
 
     def reduce_value_limit(self, size: int) -> None:
-        """The store has refused a value of ``size`` bytes."""
+        """The store refused a value of ``size`` bytes: use a lower limit from here on."""
         self.job_shard.value_bytes = min(self.job_shard.value_bytes, max(constants.MIN_VALUE_BYTES, size * 3 // 4))
         log.error(
             "store state=limits_reduced cause=400 values=%d bytes changes=%d",
@@ -88,10 +86,8 @@
             self.record_writer.max_changes,
         )
 
-    # -- carried out -----------------------------------------------------------
-
     def on_written(self, batch: WriteBatch, revision: int, now: float) -> None:
-        """The store holds all of it, at ``revision``."""
+        """The transaction was committed at ``revision``."""
         self.state.now = now
         current = batch.fencing_token == self.state.membership.fencing_token
         if batch.proposal is not None:
@@ -111,18 +107,18 @@
         self.messenger.pump()
 
     def _machines_written(self, batch: WriteBatch, revision: int, current: bool) -> None:
-        """``current``: the batch was written under the view in force."""
+        """``current``: the batch was written under the current view."""
         for name in batch.dropped_machines:
-            if not self.machine_records.written_since(name, batch):
+            if not self.machine_records.has_newer_record(name, batch):
                 self.machine_records.dropped(name)
         for name in batch.machines if current else ():
-            self.machine_records.recorded(name, revision)
+            self.machine_records.on_recorded(name, revision)
 
     def _job_stored(self, job: Job, record: Record, revision: int) -> None:
         self.replica.observe_job(job.spec.id, record, revision)
         if record.state is not JobState.ACTIVE:
             self.effects.notifications.append(JobEndStored(job.spec.id))
-        if job.dependency_digest and not record.dependency_digest:  # from here on nobody reads them
+        if job.dependency_digest and not record.dependency_digest:  # the stored record no longer refers to the lists
             self.record_writer.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
             job.dependency_digest = ""
         if job.is_complete and self.job_shard.jobs.get(job.spec.id) is job:
@@ -132,29 +128,27 @@
         job = submission.job
         job.revision = revision
         self.replica.observe_job(job.spec.id, record, revision)
-        if current and record.state is JobState.ACTIVE:  # else the view that has arrived gave it to its owner
+        if current and record.state is JobState.ACTIVE:  # otherwise the newer view has assigned it to its owner
             self.job_shard.add(job)
             self.dependencies.apply(job)
         self.submissions.decide(submission, "accepted")
 
-    # -- in conflict -----------------------------------------------------------
-
     def resolve_conflict(self, batch: WriteBatch, key: str, row: wire.KeyValue | None, now: float) -> None:
-        """What the store holds under a key whose condition failed: decide anew."""
+        """Handle a conflict: ``row`` is what the store holds under a key whose condition failed."""
         self.state.now = now
         current = batch.fencing_token == self.state.membership.fencing_token
         if batch.proposal is not None:
-            return  # a head that has changed: the replica will tell
+            return  # the configuration head has changed: the replica will show it
         if key.startswith(MACHINES):
             self._resolve_machine(batch, key[len(MACHINES) :], row, current)
             return
         if row is None or batch.claims is not None:
-            return  # claims in conflict are given up: the replica will show them
+            return  # claims in conflict are abandoned: the replica will show those stored
         name, record = key[len(JOBS) :], decode_or_none(_record, key, row.data)
         for submission, _ in batch.submissions + batch.lists:
             if submission.job.spec.id != name or submission.outcome:
                 continue
-            if record is None:  # tried again, it would fail all that is written with it
+            if record is None:  # a retry would fail every transaction that contains it
                 self.replica.unreadable_jobs.add(name)
                 self.submissions.decide(submission, "known")
             else:
@@ -168,30 +162,30 @@
         self.messenger.pump()
 
     def _resolve_machine(self, batch: WriteBatch, name: str, row: wire.KeyValue | None, current: bool) -> None:
-        """An earlier write of this member's had no answer."""
+        """An earlier, unanswered write of this member has committed."""
         if name in batch.dropped_machines and row is None:
-            if not self.machine_records.written_since(name, batch):
+            if not self.machine_records.has_newer_record(name, batch):
                 self.machine_records.dropped(name)
         elif not current:
-            pass  # what was read may be gone again, and the replica tells
+            pass  # the row that was read may be outdated; the replica will show the current one
         elif name in batch.dropped_machines and row is not None:
             self.replica.machines[name] = row.revision
         elif row is not None:
-            self.machine_records.recorded(name, row.revision)
+            self.machine_records.on_recorded(name, row.revision)
 
     def _resolve_submission(self, submission: Submission, record: Record, revision: int, current: bool) -> None:
         job = submission.job
         name = job.spec.id
         self.replica.observe_job(name, record, revision)
-        ours = record.accepted_by == self.state.me and record.at == job.at and record.state is JobState.ACTIVE
-        if ours and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
-            job.revision = revision  # an earlier write of this member's had no answer
+        accepted_here = record.accepted_by == self.state.me and record.at == job.at and record.state is JobState.ACTIVE
+        if accepted_here and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
+            job.revision = revision  # an earlier, unanswered write of this member has committed
             self.job_shard.add(job)
             self.dependencies.apply(job)
         self.submissions.decide(submission, "known")
 
     def _resolve_job(self, job: Job, record: Record, revision: int) -> None:
-        """Only its owner writes it under this view: an earlier write of this member's."""
+        """Apply an earlier, unanswered write of this member: only the owner writes the record under this view."""
         job.revision = revision
         if record.state is not JobState.ACTIVE:
             job.apply_stored_end(record.state)
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -1,8 +1,8 @@
-"""One controller without its I/O: constructs the owners of state, connects them, and takes in what happens. Pure.
+"""The logic of one controller, without I/O: constructs the components, connects them, and handles events.
 
-It takes time as an argument, so that random runs can drive several of them against a simulated store, simulated workers
-and a bad network. ``process`` moves what it leaves in ``effects``, writes what ``record_writer.next_batch`` and
-``view_entry.next_view`` ask for, and carries out what ``leader.decide`` decides.
+The time is an argument of each method, so that simulations can run several controllers against a simulated store,
+simulated workers and an unreliable network. ``process`` sends what is queued in ``effects``, commits the transactions
+of ``record_writer.next_batch`` and ``view_entry.next_view``, and carries out the decisions of ``leader.decide``.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class ControllerCore:
-    """Frames, heartbeats and rounds come in here; all else goes to the owner of what it is about."""
+    """Entry point for frames, heartbeats and periodic rounds, which it delegates to the component concerned."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         rng: Random | None = None,
         own: dict[str, ConfigurationRevision] | None = None,
     ) -> None:
-        """``own``: what the operators' files of this process declare, by kind; ``now``: steady clock, in seconds."""
+        """``own``: configuration from this process's operator files, by kind; ``now``: monotonic time in seconds."""
         self.me = platform.label
         self.shared = platform.settings
         peers = [peer.label for peer in platform.peers]
@@ -85,14 +85,15 @@
         self._construct_followers()
         self.messenger.handlers = self._construct_handlers().by_type()
 
-    # -- construction ----------------------------------------------------------
-
     def _construct_membership(self) -> Membership:
-        """With a store lease as long as the lease of the workers and the time limit of a cancellation allow."""
+        """The time to live of the store lease follows from the worker lease and the time limit of a cancellation.
+
+        Both leases have to expire, one after the other, within the time limit ``cancel_s``.
+        """
         lease_s = self.shared.workers.lease_s
-        longest_s = self.shared.workers.cancel_s - lease_s - constants.CANCEL_SLACK_S
-        ttl_s = min(max(constants.STORE_LEASE_TTL_S, constants.TOTAL_LEASE_S - lease_s), longest_s)
-        return Membership(self.me, ttl_s, min(constants.STORE_LEASE_TTL_S, longest_s))
+        max_ttl_s = self.shared.workers.cancel_s - lease_s - constants.CANCEL_SLACK_S
+        ttl_s = min(max(constants.STORE_LEASE_TTL_S, constants.TOTAL_LEASE_S - lease_s), max_ttl_s)
+        return Membership(self.me, ttl_s, min(constants.STORE_LEASE_TTL_S, max_ttl_s))
 
     def _construct_shards(self, rng: Random) -> None:
         value_bytes = int(self.shared.state.effective.value_kb * 1024)
@@ -108,7 +109,7 @@
             self.shared.workers.lease_s,
             JobLookups(self.directory.spec_of, self.directory.job_owner, self.directory.cancelled),
             Outbox(self.messenger.send, self.messenger.send_deferred, self.messenger.processed_seq_of),
-            lambda name: self.machine_records.keep(name),
+            lambda name: self.machine_records.cancel_drop(name),
             rng,
         )
         self.machine_records = MachineRecordTracker(self.replica, self.machine_shard)
@@ -129,7 +130,7 @@
         self.local_jobs = LocalJobs(self.state, self.replica, self.job_shard, self.directory, self.dependencies)
 
     def _construct_records(self, controllers: int) -> None:
-        """Until a view says who else writes, all ``controllers`` share what the store takes."""
+        """The write rate of the store is divided by ``controllers`` until a view gives the number of members."""
         limits = self.shared.state.effective
         self.write_rate_limit = WriteRateLimit(limits.write_rps * constants.RATE_SHARE, controllers, self.state.now)
         self.record_writer = RecordWriter(
@@ -233,10 +234,8 @@
         """Whether this process is a member whose store lease, view and replica are valid now."""
         return self.state.may_act()
 
-    # -- messages ------------------------------------------------------------
-
     def on_frame(self, frame: messages.Frame, now: float) -> None:
-        """A frame from a peer has arrived."""
+        """Handle a frame from a peer."""
         self.state.now = now
         channel, membership = self.messenger.channels.get(frame.sender), self.membership
         if channel is None:
@@ -244,13 +243,15 @@
         body = None
         if frame.fencing_token != membership.fencing_token or membership.failure_detector.accepts(frame.sender):
             if membership.status(now) is MemberStatus.OUTSIDE:
-                self.state.is_member = False  # its lease is lost: an acknowledgement would count for its earlier life
+                # Its lease is lost: acknowledgements would be taken for those of the expired incarnation.
+                self.state.is_member = False
             if self.state.is_member or isinstance(frame.body, messages.JobQuery | messages.JobQueryReply):
                 body = channel.receive(frame, now)
             else:
-                # What the view's members say is meant for an earlier life of this label, which acknowledgements do not
-                # tell from this one. Accepted, the job shard of that life, empty here, had the peers' machines stop all
-                # that it ran, and acknowledge results that were not stored (docs/incidents/former-life.md).
+                # Messages are addressed to an earlier incarnation of this controller, which acknowledgements do not
+                # distinguish from this one. If they were accepted, the empty job shard here would make the peers'
+                # machines stop that incarnation's tasks and acknowledge results that are not stored
+                # (docs/incidents/former-life.md).
                 channel.observe_view(frame)
             if frame.fencing_token == membership.fencing_token:
                 self.observe_frame(frame, channel.acked_at, now)
@@ -259,7 +260,7 @@
             self.messenger.pump()
 
     def observe_frame(self, frame: messages.Frame, acked_at: float, now: float) -> None:
-        """A frame under this fencing token: its sender may have restarted, and know nothing of whom it had failed."""
+        """Update the failure detector from a frame with the current fencing token; its sender may have restarted."""
         failure_detector = self.membership.failure_detector
         failure_detector.excluded.discard(frame.sender)
         if frame.sender_lease_id and frame.sender_lease_id == self.membership.view.members.get(frame.sender):
@@ -267,10 +268,8 @@
             if isinstance(frame.body, messages.QueueSnapshot | messages.PeerStatus):
                 failure_detector.record_peer_report(frame.sender, frame.body.suspected, frame.body.failed)
 
-    # -- workers -------------------------------------------------------------------
-
     def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Machine | None:
-        """A heartbeat of a machine of this machine shard; None where it must not be answered with 200."""
+        """Apply a heartbeat of a machine of this shard; returns None if it must not be answered with 200."""
         self.state.now = now
         machine = self.machine_shard.heartbeats.on_heartbeat(heartbeat, now)
         self.messenger.pump()
@@ -280,16 +279,14 @@
         return machine
 
     def on_probe_answered(self, heartbeat: wire.Heartbeat, now: float) -> None:
-        """What a machine of this machine shard answered to an empty ``/commands`` under this view."""
+        """Apply the answer of a machine of this shard to an empty ``/commands`` request under this view."""
         self.state.now = now
         if self.may_act():
             self.machine_shard.heartbeats.on_probe_answer(heartbeat, now)
             self.messenger.pump()
 
-    # -- rounds ----------------------------------------------------------------------
-
     def round(self, now: float) -> None:
-        """What is due every ``constants.ROUND_S``."""
+        """Periodic work, once every ``constants.ROUND_S``."""
         self.state.now = now
         self.machine_shard.view.set_answering(now, self.may_act())
         self.calendars.refresh()
@@ -312,7 +309,7 @@
         self.messenger.pump()
 
     def refresh_machines(self, now: float) -> None:
-        """Expire workers' leases; what is known of room and offers may have changed."""
+        """Expire workers' leases, and invalidate what was derived from free capacity and offers."""
         self.machine_shard.leases.no_newer_view_until = self.membership.synced_at
         if self.may_act():
             self.machine_shard.leases.check(now)
@@ -320,7 +317,7 @@
         self.queue_inbox.offer_book.resolve_unknown_jobs()
 
     def on_terminated(self, names: list[str], now: float) -> None:
-        """The cloud has confirmed that these machines are gone: tell all members."""
+        """The cloud has confirmed that these machines are terminated: notify all members."""
         self.state.now = now
         self.leader.on_terminated(names)
         for label in self.membership.view.members:
@@ -328,7 +325,7 @@
         self.messenger.pump()
 
     def drain_machines(self, names: list[str], now: float) -> None:
-        """Tell the members that serve these machines to place nothing more there."""
+        """Ask the owners of these machines to place no more tasks on them."""
         self.state.now = now
         by_owner: dict[str, list[str]] = {}
         for name in names:
--- a/alderbridge/controller/effects.py
+++ b/alderbridge/controller/effects.py
@@ -1,4 +1,4 @@
-"""What a ``ControllerCore`` wants done by the process around it, which takes it from here."""
+"""Output queues of a ``ControllerCore``, emptied by the process around it."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class JobEndStored(NamedTuple):
-    """The store holds the end of a job."""
+    """The store holds the final state of a job."""
 
     job: str
 
 
-# A submission that is decided, a job whose end is stored, a machine that has all task grants it asked for. Submissions
-# and machines go as they are: a placement allocates nothing for its notification.
+# A decided submission, a job whose final state is stored, or a machine that has received all task grants it requested.
+# Submissions and machines are queued without a wrapper, so that a placement allocates no object for its notification.
 Notification = Submission | JobEndStored | Machine
 
 
 @dataclass(eq=False)
 class Effects:
-    """Work for the process, each kind in the order in which it arose."""
+    """Work for the process, each kind in order of occurrence."""
 
-    outgoing_frames: list[tuple[str, messages.Frame]] = field(default_factory=list)  # with their receivers
-    channel_renewals: list[str] = field(default_factory=list)  # peers to be connected anew
-    queries: deque[tuple[str, messages.JobQuery]] = field(default_factory=deque)  # with their senders
+    outgoing_frames: list[tuple[str, messages.Frame]] = field(default_factory=list)  # with the receivers' labels
+    channel_renewals: list[str] = field(default_factory=list)  # peers to reconnect to
+    queries: deque[tuple[str, messages.JobQuery]] = field(default_factory=deque)  # with the senders' labels
     query_replies: deque[messages.JobQueryReply] = field(default_factory=deque)
     notifications: deque[Notification] = field(default_factory=deque)
 
     def take_outgoing_frames(self) -> list[tuple[str, messages.Frame]]:
-        """The frames to send; they are not given again."""
+        """Remove and return the frames to send."""
         frames, self.outgoing_frames = self.outgoing_frames, []
         return frames
 
     def take_channel_renewals(self) -> list[str]:
-        """The peers to connect anew; they are not given again."""
+        """Remove and return the peers to reconnect to."""
         labels, self.channel_renewals = self.channel_renewals, []
         return labels
--- a/alderbridge/controller/loops/__init__.py
+++ b/alderbridge/controller/loops/__init__.py
@@ -1,1 +1,1 @@
-"""The loops of a controller: each keeps one thing up to date for as long as the process runs."""
+"""Background loops of a controller, which run for the lifetime of the process."""
--- a/alderbridge/controller/loops/machine_types.py
+++ b/alderbridge/controller/loops/machine_types.py
@@ -1,4 +1,4 @@
-"""Keeps the cloud's machine types and their prices up to date."""
+"""Refreshes the cloud's machine types and their prices."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class MachineTypesLoop:
-    """Reads the machine types: the leader again and again, for the prices, others until they know them."""
+    """Reads the machine types: periodically on the leader, for current prices, and once on other members."""
 
     def __init__(self, core: ControllerCore, store: Store, cloud: Cloud, rate_limit: TokenBucket) -> None:
-        """``cloud``: asked for the types; ``rate_limit``: of calls to it; ``store``: keeps them for the others."""
+        """``cloud``: source of the types; ``rate_limit``: of calls to it; ``store``: where the leader records them."""
         self.core = core
         self.membership = core.membership
         self.store = store
@@ -34,14 +34,14 @@
         self.rate_limit = rate_limit
 
     async def keep_types(self) -> None:
-        """Read them for ever; a failure is logged, and they are read again at the next turn."""
-        known = False
+        """Run the loop; a failure is logged, and the read is repeated in the next iteration."""
+        loaded = False
         while True:
-            if not known or self.membership.is_leader(now()):
+            if not loaded or self.membership.is_leader(now()):
                 try:
                     if self.rate_limit.try_take(now()):
                         self.core.machine_types.update(await self.cloud.machine_types())
-                        known = True
+                        loaded = True
                         await self.store_types()
                 except (
                     CloudError,
@@ -51,10 +51,10 @@
                     msgspec.DecodeError,
                 ) as error:
                     log.info("cloud state=failed cause=%s", error)
-            await curio.sleep(constants.MACHINE_TYPES_REFRESH_S if known else constants.LEADER_ROUND_S)
+            await curio.sleep(constants.MACHINE_TYPES_REFRESH_S if loaded else constants.LEADER_ROUND_S)
 
     async def store_types(self) -> None:
-        """Store them for a controller that starts while the cloud is out of reach."""
+        """Store the types for controllers that start while the cloud is unavailable."""
         machine_types = self.core.machine_types.to_store()
         if machine_types is not None:
             conditions = {VIEW: self.membership.fencing_token, TYPES: self.core.replica.types_revision}
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -1,4 +1,4 @@
-"""Keeps the records in the store up to date."""
+"""Writes due records to the store."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RecordsLoop:
-    """Writes the core's batches, one transaction after the other."""
+    """Commits the core's batches, one transaction at a time."""
 
     def __init__(
         self,
@@ -32,16 +32,16 @@
         store_backoff: StoreBackoff,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """``core``: makes the batches and takes the results; ``dispatch_effects``: sends what follows from them."""
+        """``core``: builds the batches and handles the results; ``dispatch_effects``: sends the resulting messages."""
         self.core = core
         self.store = store
         self.store_backoff = store_backoff
         self.dispatch_effects = dispatch_effects
-        self.work = curio.Event()  # set when there may be something to write, while ``is_waiting``
+        self.work = curio.Event()  # set while ``is_waiting`` when a record may be due
         self.is_waiting = False
 
     async def keep_records(self) -> None:
-        """Write what is due, for ever."""
+        """Write due records for the lifetime of the process."""
         while True:
             await curio.sleep(constants.WRITER_PAUSE_S)
             batch = self.core.record_writer.next_batch(now())
@@ -51,7 +51,7 @@
                 await self._write(batch)
 
     async def wait_for_work(self) -> None:
-        """Until there may be something to write: looking again and again costs more than all the writing."""
+        """Wait until a record may be due; polling in each iteration would cost more CPU time than the writes."""
         pause = self.core.record_writer.next_write_in(now())
         if pause > constants.WRITER_PAUSE_S and self.core.record_writer.nothing_to_write():
             self.is_waiting = True
@@ -64,11 +64,11 @@
 
     async def _write(self, batch: WriteBatch) -> None:
         try:
-            done = await self.store.commit(batch.conditions, batch.puts, batch.drops)
-            if done.failed:
-                await self._resolve_conflicts(batch, done.failed)
+            result = await self.store.commit(batch.conditions, batch.puts, batch.drops)
+            if result.failed:
+                await self._resolve_conflicts(batch, result.failed)
             else:
-                self.core.batch_results.on_written(batch, done.revision, now())
+                self.core.batch_results.on_written(batch, result.revision, now())
                 self.store_backoff.record_success()
             await self.dispatch_effects()
         except TransactionTooLargeError as error:
@@ -82,7 +82,7 @@
             await curio.sleep(constants.ROUND_S)
 
     async def _resolve_conflicts(self, batch: WriteBatch, failed: list[str]) -> None:
-        """Something else is in the store: read it and decide anew."""
+        """Read the keys whose conditions failed, and resolve the conflict with what the store holds."""
         log.info("records state=conflict failed=%s", failed)
         self.core.batch_results.on_failed(batch, now())
         if VIEW in failed:
@@ -92,7 +92,7 @@
             self.core.batch_results.resolve_conflict(batch, key, await self.store.get(key), now())
 
     async def _on_failure(self, batch: WriteBatch, error: Exception) -> None:
-        """The batch may have been written, or not: its records stay due."""
+        """Handle a refusal or a missing answer: the batch may have committed or not, so its records stay due."""
         self.core.batch_results.on_failed(batch, now())
         if isinstance(error, RateLimitedError):
             budget = self.core.write_rate_limit.budget
--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -1,4 +1,4 @@
-"""Keeps this controller's replica of the store up to date."""
+"""Keeps this controller's replica of the store up to date with a watch."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ReplicaLoop:
-    """Reads the store, and then follows its changes."""
+    """Reads the whole store, and then watches its changes."""
 
     def __init__(self, core: ControllerCore, store: Store, prober: WorkerProber, unanswered: UnansweredJobs) -> None:
-        """``store``: watched for ``core``; ``unanswered``: told when the store is back."""
+        """``store``: watched for ``core``; ``unanswered``: updated when the store is reachable again."""
         self.core = core
         self.membership = core.membership
         self.store = store
@@ -29,43 +29,45 @@
         self.unanswered = unanswered
 
     async def keep_replica(self) -> None:
-        """Watch the store for ever; read everything again where it no longer has the changes."""
+        """Watch the store; reload the replica if the store has compacted the changes."""
         await self.load_replica()
         while True:
-            sent = now()
+            requested_at = now()
             try:
-                # Well within the ttl, however short the deployment makes it: answers keep the view fresh.
+                # Well within the lease's time to live: an answer confirms that no newer view was missed.
                 wait_s = min(constants.WATCH_WAIT_S, self.membership.store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
                 changes = await self.store.watch(self.core.replica.revision, wait_s)
             except WatchCompactedError:
                 await self.load_replica()
                 continue
-            self.record_watch_answer(sent)
+            self.record_watch_answer(requested_at)
             self.core.store_follower.apply_events(changes.events, now(), time.time())
             self.core.replica.revision = max(self.core.replica.revision, changes.revision)
             await self.prober.probe_workers()
             await curio.sleep(constants.WATCH_PAUSE_S)
 
     async def load_replica(self) -> None:
-        """Read everything; following on from the first page's revision repeats, and misses, nothing."""
+        """Read all pages, and the changes since the first page's revision, which later pages may lack."""
         page = await self.store.list_page(ROOT, None)
         revision, rows = page.revision, list(page.rows)
         while page.has_next and page.rows:
             page = await self.store.list_page(ROOT, rows[-1].key)
             rows += page.rows
-        sent = now()
+        requested_at = now()
         changes = await self.store.watch_now(revision)
-        self.record_watch_answer(sent)
+        self.record_watch_answer(requested_at)
         self.core.store_follower.load(rows, changes.events, changes.revision, now(), time.time())
 
-    def record_watch_answer(self, sent: float) -> None:
-        """The store has answered what it was asked at ``sent``.
+    def record_watch_answer(self, requested_at: float) -> None:
+        """Record that the store has answered a request sent at ``requested_at``.
 
-        If that was the first time for a while, and quick, jobs that have gone unanswered only since then could not be
-        answered for, and can be now: the next outage is not added to this one
-        (``test_a_job_that_nobody_asks_about_between_two_outages_is_not_called_unanswered_through_both``).
+        A prompt answer that is the first one in ``STORE_REACHABLE_S`` ends an outage. Jobs whose queries went
+        unanswered only during that outage are cleared, so that it is not added to the next outage.
         """
-        before = self.membership.synced_at
-        self.membership.record_sync(sent)
-        if sent - before >= constants.STORE_REACHABLE_S and now() - sent < constants.STATE_TIMEOUT_S:
-            self.unanswered.forget_since(before)
+        previous_sync_at = self.membership.synced_at
+        self.membership.record_sync(requested_at)
+        if (
+            requested_at - previous_sync_at >= constants.STORE_REACHABLE_S
+            and now() - requested_at < constants.STATE_TIMEOUT_S
+        ):
+            self.unanswered.forget_since(previous_sync_at)
--- a/alderbridge/controller/loops/rounds.py
+++ b/alderbridge/controller/loops/rounds.py
@@ -1,4 +1,4 @@
-"""Keeps up what the core does at regular intervals."""
+"""Runs the core's periodic rounds."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     """Runs the core's rounds, each followed by the probes that are due."""
 
     def __init__(self, core: ControllerCore, prober: WorkerProber) -> None:
-        """``core``: whose rounds are due; ``prober``: sends the probes."""
+        """``core``: runs the rounds; ``prober``: sends the probes."""
         self.core = core
         self.prober = prober
 
     async def keep_rounds(self) -> None:
-        """One round each ``ROUND_S``."""
+        """Run one round every ``ROUND_S``."""
         while True:
             await curio.sleep(constants.ROUND_S)
             self.core.round(now())
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet at the size that the leader decides on."""
+"""Scales the fleet out and in as the leader decides."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 log = logging.getLogger("controller")
 now = time.monotonic
 
-MAX_RETURNED = 100  # machines in one call to the cloud
+MAX_MACHINES_PER_RETURN = 100  # limit of one call to the cloud
 
 
 class ScalingLoop:
-    """The leader's round: list the rented machines, decide, rent and return."""
+    """The leader's scaling round: list the rented machines, decide, rent and return machines."""
 
     def __init__(
         self,
@@ -34,19 +34,19 @@
         rate_limit: TokenBucket,
         dispatch_effects: Callable[[], Awaitable[None]],
     ) -> None:
-        """``cloud``: rented from; ``rate_limit``: of calls to it."""
+        """``cloud``: rents the machines; ``rate_limit``: of calls to it."""
         self.core = core
         self.membership = core.membership
         self.cloud = cloud
         self.rate_limit = rate_limit
         self.dispatch_effects = dispatch_effects
-        self.rentals = 0  # calls, of which each has a name of its own
+        self.rental_calls = 0  # part of each call's unique name
         self._listed_at = float("-inf")
-        self._listed_under = 0  # fencing token of the last listing
+        self._listing_fencing_token = 0  # of the view under which machines were last listed
 
     async def keep_machines(self) -> None:
-        """Scale while this controller is the leader; a failure of the cloud is logged."""
-        self._listed_at, self._listed_under = float("-inf"), 0
+        """Scale the fleet while this controller is the leader; failures of the cloud are logged."""
+        self._listed_at, self._listing_fencing_token = float("-inf"), 0
         while True:
             await curio.sleep(constants.LEADER_ROUND_S)
             if not self.membership.is_leader(now()) or not self.core.machine_shard.capacity.types:
@@ -54,22 +54,22 @@
             try:
                 await self._run_round()
             except NoCapacityError:
-                raise  # only a rental may be refused so, and there it is handled
+                raise  # unexpected here: ``_rent`` handles it, and no other call may raise it
             except (CloudError, UnansweredError, msgspec.DecodeError) as error:
                 log.info("cloud state=failed cause=%s", error)
 
     async def _run_round(self) -> None:
-        if self._listed_under != self.membership.fencing_token:
-            self._listed_under, self._listed_at = self.membership.fencing_token, float("-inf")
+        if self._listing_fencing_token != self.membership.fencing_token:
+            self._listing_fencing_token, self._listed_at = self.membership.fencing_token, float("-inf")
         if now() - self._listed_at >= constants.MACHINE_LIST_S and self.rate_limit.try_take(now()):
             self._listed_at = now()
             await self.list_machines()
-        # What one call did not fill, another kind may: at once, while the budget lasts.
+        # After a partial rental, decide again at once: another machine type or zone may have capacity.
         while await self.apply_decision(self.core.leader.decide(now())) and self.rate_limit.available(now()) >= 1:
             pass
 
     async def list_machines(self) -> None:
-        """Read all rented machines for the leader, without those that are known to be terminated."""
+        """List all rented machines for the leader, except those confirmed as terminated."""
         hosts: list[wire.ListedMachine] = []
         after = ""
         while True:
@@ -82,7 +82,7 @@
         self.core.leader.on_listing([host for host in hosts if host.id not in terminated], now())
 
     async def apply_decision(self, decision: ScalingDecision) -> bool:
-        """Drain, rent and return machines; True if a rental was refused in part or whole."""
+        """Drain, rent and return machines; returns True if a rental was refused in part or completely."""
         self.core.drain_machines(decision.drain, now())
         await self.dispatch_effects()
         refused = False
@@ -92,17 +92,17 @@
             if not await self._rent(kind, count):
                 refused = True
         if decision.terminate and self.membership.is_leader(now()) and self.rate_limit.try_take(now()):
-            names = decision.terminate[:MAX_RETURNED]
+            names = decision.terminate[:MAX_MACHINES_PER_RETURN]
             await self.cloud.return_machines(names)
             self.core.on_terminated(names, now())
             await self.dispatch_effects()
         return refused
 
     async def _rent(self, kind: MachineKind, count: int) -> bool:
-        """Rent ``count`` machines; True if all of them were granted."""
+        """Rent ``count`` machines; returns True if all of them were granted."""
         leader = self.core.leader
-        self.rentals += 1
-        name = f"{self.core.me}-{self.membership.fencing_token}-{self.rentals}"
+        self.rental_calls += 1
+        name = f"{self.core.me}-{self.membership.fencing_token}-{self.rental_calls}"
         try:
             names = await self.cloud.rent(name, kind.type, kind.zone, kind.spot, count)
         except NoCapacityError:
--- a/alderbridge/controller/loops/store_lease.py
+++ b/alderbridge/controller/loops/store_lease.py
@@ -1,4 +1,4 @@
-"""Keeps this controller registered in the state service."""
+"""Keeps this controller registered in the state service with a lease."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class StoreLeaseLoop:
-    """Acquires the store lease, and renews it until it has expired."""
+    """Acquires the store lease, and renews it until it expires."""
 
     def __init__(self, core: ControllerCore, store: Store, store_backoff: StoreBackoff) -> None:
-        """``core``: whose membership the lease is for; ``store_backoff``: told of calls that fail."""
+        """``core``: its membership holds the lease; ``store_backoff``: records failed calls."""
         self.core = core
         self.membership = core.membership
         self.store = store
         self.store_backoff = store_backoff
 
     async def keep_store_lease(self) -> None:
-        """Return when the lease has expired, to acquire another."""
+        """Acquire the lease if there is none, and renew it; returns when it has expired."""
         store_lease = self.membership.store_lease
         if not store_lease.lease_id:
             await self.acquire_store_lease()
@@ -47,10 +47,10 @@
 
     async def _renew(self) -> None:
         store_lease = self.membership.store_lease
-        sent = now()  # the lease counts from here: the answer may be late
+        sent_at = now()  # the lease counts from the request, as the answer may be delayed
         try:
             await self.store.renew_lease(store_lease.lease_id)
-            store_lease.record_renewal(store_lease.lease_id, sent)
+            store_lease.record_renewal(store_lease.lease_id, sent_at)
         except LeaseExpiredError:
             log.info("store_lease=%d state=expired", store_lease.lease_id)
             store_lease.mark_expired()
@@ -59,28 +59,28 @@
             log.info("store_lease=%d state=unconfirmed cause=%s", store_lease.lease_id, error)
 
     async def acquire_store_lease(self) -> None:
-        """Enter as a new incarnation; an earlier process of this label is dead."""
+        """Register as a new incarnation; the earlier process of this label is assumed to have ended."""
         key = MEMBERS + self.core.me
         row = await self.store.get(key)
-        sent = now()
+        sent_at = now()
         lease_id = await self.store.grant_lease(self.membership.store_lease.ttl_s)
-        # The key passes from one lease to the other in one step: were it gone for a moment, the
-        # others would change the view twice, and workers are slow to see a second new fencing token.
+        # The key moves from the old lease to the new one atomically. If it were missing in between, the other members
+        # would change the view twice, and workers learn of a second new fencing token only after a delay.
         condition = {key: row.revision if row is not None else 0}
         member = MemberRecord(lease_id, constants.PROTOCOL_VERSION)
-        done = await self.store.commit(condition, {key: member}, lease_id=lease_id)
-        if done.failed:
+        result = await self.store.commit(condition, {key: member}, lease_id=lease_id)
+        if result.failed:
             await self.store.revoke_lease(lease_id)
             raise StoreRefusedError("the key of this label has changed meanwhile")
-        self.core.view_entry.lease_acquired(lease_id, sent, now())
+        self.core.view_entry.lease_acquired(lease_id, sent_at, now())
         log.info("store_lease=%d state=acquired", lease_id)
         if row is not None:
             await self._revoke_earlier(row)
 
     async def _revoke_earlier(self, row: wire.KeyValue) -> None:
-        """End the lease of the earlier incarnation.
+        """Revoke the lease of the earlier incarnation.
 
-        No key is attached to it any more: if this fails it expires by itself, and nothing has to be acquired again.
+        A failure is harmless: no key is attached to that lease any more, and it will expire.
         """
         try:
             await self.store.revoke_lease(msgspec.json.decode(row.data, type=MemberRecord).lease_id)
--- a/alderbridge/controller/loops/supervisor.py
+++ b/alderbridge/controller/loops/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts a loop again after whatever fault ended it."""
+"""Restarts background loops after failures."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def run_forever(loop: Callable[[], Awaitable[None]]) -> None:
-    """Run ``loop`` again and again, a round apart: a fault is logged, and does not end the process."""
+    """Run ``loop`` repeatedly, ``ROUND_S`` apart; exceptions are logged and do not end the process."""
     name = loop.__name__
     while True:
         try:
@@ -25,7 +25,7 @@
             log.info("loop=%s state=interrupted cause=%s", name, error)
         except (UnreadableRecordError, msgspec.DecodeError) as error:
             log.error("loop=%s state=interrupted cause=%s", name, error)
-            await curio.sleep(constants.STORE_BACKOFF_S)  # the same is read again: hardly anything else by then
+            await curio.sleep(constants.STORE_BACKOFF_S)  # the retry will probably read the same record
         except curio.CancelledError:
             raise
         except Exception:
--- a/alderbridge/controller/loops/view.py
+++ b/alderbridge/controller/loops/view.py
@@ -1,4 +1,4 @@
-"""Keeps the view in agreement with which members are alive."""
+"""Proposes view changes to the store."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class ViewLoop:
-    """Proposes the next view when the membership calls for one."""
+    """Commits the next view when the membership requires a change."""
 
     def __init__(self, core: ControllerCore, store: Store) -> None:
-        """``core``: decides on the view; ``store``: keeps it."""
+        """``core``: decides on the view; ``store``: holds it."""
         self.core = core
         self.store = store
 
     async def keep_view(self) -> None:
-        """Look for a change each round; after a conflict wait one more, for the other's view to arrive."""
+        """Check for a change each round; after a conflict wait one more round for the other member's view."""
         while True:
             await curio.sleep(constants.ROUND_S)
             change = self.core.view_entry.next_view(now())
             if change is None:
                 continue
             view, conditions, drops = change
-            done = await self.store.commit(conditions, {VIEW: view}, drops)
-            if done.failed:
-                log.info("view state=conflict failed=%s", done.failed)
+            result = await self.store.commit(conditions, {VIEW: view}, drops)
+            if result.failed:
+                log.info("view state=conflict failed=%s", result.failed)
                 await curio.sleep(constants.ROUND_S)
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -1,4 +1,4 @@
-"""Records of this member's machines that are to be dropped, and what the store's answers say of the others. Pure."""
+"""Pending deletions of machine records, and the store's answers to writes of machine records."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
 
 
 class MachineRecordTracker:
-    """Keeps the replica and the machine shard in step with what was written of machines."""
+    """Updates the replica and the machine shard when machine records are written or deleted."""
 
     def __init__(self, replica: Replica, machine_shard: MachineShard) -> None:
-        """Nothing is to be dropped."""
+        """Start without pending deletions."""
         self.replica = replica
         self.machine_shard = machine_shard
-        self.to_drop: list[str] = []  # machines whose records go
-        self.drops_in_flight: set[str] = set()  # machines whose drop was sent, and that were not recorded since
+        self.to_drop: list[str] = []  # machines whose records are to be deleted
+        self.drops_in_flight: set[str] = set()  # machines whose deletion was sent, without a newer put since
 
     def enter(self) -> None:
-        """A new view: only machines that are terminated for certain still lose their records.
+        """Enter a new view: keep pending deletions only of machines that are confirmed as terminated.
 
-        What was sent under an older view was carried out before this one, or never will be.
+        Transactions are conditional on the view, so one of an older view has committed already or never will.
         """
         self.to_drop = [name for name in self.to_drop if name in self.machine_shard.terminated]
         self.drops_in_flight.clear()
 
     def collect_drops(self, now: float) -> None:
-        """Add the drops that are due in the machine shard."""
+        """Move due deletions from the machine shard to ``to_drop``."""
         if drops := self.machine_shard.records.due_drops(now):
             self.to_drop = list(dict.fromkeys(self.to_drop + drops))
             self.machine_shard.records.to_drop = [
                 name for name in self.machine_shard.records.to_drop if name not in drops
             ]
 
-    def keep(self, name: str) -> bool:
-        """A machine whose lease expired is back: its record stays, if no drop of it was ever sent under this view.
+    def cancel_drop(self, name: str) -> bool:
+        """Keep the record of a machine that reports again after its lease expired; returns whether it is kept.
 
-        One that was sent may be carried out late, when tasks are on the machine again. One that was answered may yet
-        have to arrive in the replica, which shows the record until then: taken for recorded by that, the machine ran
-        tasks that no later view waited for (docs/incidents/record-shown-late.md). So only a newer put is an answer.
+        It is not kept once a deletion was sent under this view. An unanswered deletion may commit when tasks run on the
+        machine again. After an answered one the replica shows the record until the watch delivers the deletion;
+        trusting it would run tasks that no later view waits for (docs/incidents/record-shown-late.md). Only a newer put
+        confirms that the machine is recorded.
         """
         if name in self.drops_in_flight or not (name in self.machine_shard.records.to_drop or name in self.to_drop):
             return False
@@ -47,26 +48,28 @@
         self.to_drop = [other for other in self.to_drop if other != name]
         return True
 
-    def recorded(self, name: str, revision: int) -> None:
-        """Under the view in force: what was written under an older one the replica had when that ended.
+    def on_recorded(self, name: str, revision: int) -> None:
+        """Apply a put of the current view.
 
-        Since then the machine's new owner may have dropped the record. Kept here alone it stayed in the barrier of
-        later views, from which no owner would ever remove it.
+        One of an older view must not be applied: the replica had it when that view ended, and the machine's new owner
+        may have deleted the record since. Restored here only, it would block every later view's barrier, because no
+        owner would delete it.
         """
         self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
-        self.drops_in_flight.discard(name)  # all of them are settled, or assert an older record
+        # Deletions sent before have committed, or are conditional on an older record.
+        self.drops_in_flight.discard(name)
         self.machine_shard.records.on_recorded(name)
 
-    def written_since(self, name: str, batch: WriteBatch) -> bool:
-        """Whether the replica has a newer record than the one that the batch was to drop.
+    def has_newer_record(self, name: str, batch: WriteBatch) -> bool:
+        """Whether the replica has a newer record than the one that the batch was to delete.
 
-        An answer may come after the next view, whose owner has recorded the machine anew. Taken for unrecorded, what
-        runs on it was free under the view after that, and started elsewhere.
+        The answer may arrive after the next view, under which the new owner has recorded the machine again. If the
+        machine counted as unrecorded, a later view would not wait for its tasks and would start them elsewhere.
         """
         return self.replica.machines.get(name, 0) > batch.conditions[MACHINES + name]
 
     def dropped(self, name: str) -> None:
-        """The store has dropped the record."""
+        """The store has deleted the record."""
         self.replica.machines.pop(name, None)
         self.replica.records.pop(name, None)
         self.to_drop = [other for other in self.to_drop if other != name]
--- a/alderbridge/controller/machine_types.py
+++ b/alderbridge/controller/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud rents, and their record in the store. Pure."""
+"""The machine types that the cloud offers, and their record in the store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MachineTypeRegistry:
-    """Tells the owners of machines of the types; the machine shard has them."""
+    """Passes the machine types to the machine shard, which holds them, and to the leader."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         job_shard: JobShard,
         machine_shard: MachineShard,
     ) -> None:
-        """``job_shard`` knows how long a value in the store may be."""
+        """``job_shard`` has the size limit of a value in the store."""
         self.state = state
         self.membership = state.membership
         self.replica = replica
@@ -32,17 +32,17 @@
         self.machine_shard = machine_shard
 
     def update(self, types: dict[str, wire.MachineType]) -> None:
-        """Set the types, by name, as the cloud or the store tells them."""
+        """Set the types, by name, as read from the cloud or the store."""
         self.machine_shard.capacity.types = types
         self.leader.on_types(types)
 
     def to_store(self) -> wire.MachineTypes | None:
-        """The machine types, where the store has none or others; spot prices alone are no news."""
-        lasting = [
+        """The machine types to store, if the stored ones differ in more than their spot prices; otherwise None."""
+        current = [
             msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.capacity.types.values()
         ]
-        known = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
-        if not lasting or lasting == known or not self.membership.is_leader(self.state.now):
+        stored = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
+        if not current or current == stored or not self.membership.is_leader(self.state.now):
             return None
         machine_types = wire.MachineTypes(list(self.machine_shard.capacity.types.values()))
         return machine_types if len(msgspec.json.encode(machine_types)) < self.job_shard.value_bytes else None
--- a/alderbridge/controller/message_handlers.py
+++ b/alderbridge/controller/message_handlers.py
@@ -1,4 +1,4 @@
-"""What each type of message between the members does. Pure."""
+"""Handlers of the messages between members."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         queue_inbox: QueueInbox,
         queue_round: QueueRound,
     ) -> None:
-        """The owners of what messages change."""
+        """The components that messages are delegated to."""
         self.state = state
         self.effects = effects
         self.messenger = messenger
@@ -46,7 +46,7 @@
         self.write_rate_limit = queue_inbox.write_rate_limit
 
     def by_type(self) -> dict[type[messages.Message], Handler]:
-        """The table of handlers for ``Messenger``; types that are not in it need none."""
+        """The table of handlers for ``Messenger``; other types of messages are ignored."""
         return {
             messages.MachineTaskReport: self._on_task_report,
             messages.AcknowledgeFinished: self._on_acknowledge_finished,
@@ -106,9 +106,9 @@
         self.machine_records.to_drop += self.machine_shard.on_terminated(terminated.machines)
 
     def _on_list_machine_tasks(self, label: str, request: messages.ListMachineTasks) -> None:
-        sources = self.preemption.policies()
+        policies = self.preemption.policies()
         tasks = self.machine_shard.claims.machine_tasks(
-            self.state.now, self.ledger.entries, lambda spec: any(source.is_reported(spec) for source in sources)
+            self.state.now, self.ledger.entries, lambda spec: any(policy.is_reported(spec) for policy in policies)
         )
         self.messenger.send_unreliable(label, messages.MachineTaskList(tasks, True))
 
--- a/alderbridge/controller/messenger.py
+++ b/alderbridge/controller/messenger.py
@@ -1,4 +1,4 @@
-"""Messages to the other members and to this controller itself. Pure: frames leave through ``Effects``."""
+"""Messages to the other members and to this controller itself; frames are queued in ``Effects`` for sending."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Messenger:
-    """The channels to the peers, the inbox of messages to itself, and the dispatch of what arrives."""
+    """Channels to the peers, the inbox for messages to itself, and dispatch of received messages."""
 
     def __init__(self, state: ControllerState, effects: Effects, peers: Iterable[str]) -> None:
         """``peers``: labels of the other controllers. Messages are dispatched once ``handlers`` is set."""
@@ -25,18 +25,20 @@
         self.handlers: Mapping[type[messages.Message], Handler] = {}
         self.channels = {label: Channel(self.me) for label in peers}
         self.inbox: deque[tuple[int, messages.Message]] = deque()
-        self.deferred: dict[str, list[messages.Message]] = {}  # before the next message there, or in the next round
+        self.deferred: dict[
+            str, list[messages.Message]
+        ] = {}  # sent with the next message to that member, or in the next round
         self.local_seq = self.local_processed_seq = 0
 
     def enter(self, fencing_token: int, lease_id: int, now: float) -> None:
-        """A new view: what was on its way under the one before is dropped."""
+        """Reset for a new view: undelivered messages of the previous one are dropped."""
         for channel in self.channels.values():
             channel.reset(fencing_token, now, lease_id)
         self.inbox.clear()
         self.deferred.clear()
 
     def send(self, label: str, body: messages.Message) -> int:
-        """Send a message that must arrive; its sequence in that member's channel, 0 if there is none."""
+        """Send a message reliably; returns its sequence in that member's channel, 0 if there is no channel."""
         if label == self.me:
             self.local_seq += 1
             self.inbox.append((self.local_seq, body))
@@ -51,10 +53,10 @@
         return frame.seq
 
     def send_deferred(self, label: str, body: messages.Message) -> int:
-        """Send one that must arrive with the next message there, or in the next round.
+        """Send a message reliably, but batched with the next message to that member or in the next round.
 
-        A write for each wakes the peer, which costs more than the message. The result is as that of ``send``, or 0 if
-        it waits.
+        A separate socket write would wake the peer, which costs more than the message. Returns the sequence as ``send``
+        does, or 0 while the message is deferred.
         """
         if label == self.me:
             return self.send(label, body)
@@ -63,28 +65,28 @@
         return 0
 
     def flush_deferred(self, label: str) -> None:
-        """Send the messages to that member that wait for others."""
+        """Send the deferred messages to that member."""
         channel = self.channels[label]
         self.effects.outgoing_frames += [
             (label, channel.post(body, self.state.now)) for body in self.deferred.pop(label, ())
         ]
 
     def send_unreliable(self, label: str, body: messages.Message) -> None:
-        """Send a message that may be lost; to this controller itself it is dispatched at once."""
+        """Send a message that may be lost; one to this controller itself is dispatched at once."""
         if label == self.me:
             self.dispatch(label, body)
         elif label in self.channels:
             self.effects.outgoing_frames.append((label, self.channels[label].post_unreliable(body)))
 
     def pump(self) -> None:
-        """Deliver messages to this controller itself, until none is left."""
+        """Deliver messages to this controller itself until its inbox is empty."""
         while self.inbox:
             seq, body = self.inbox.popleft()
             self.local_processed_seq = seq
             self.dispatch(self.me, body)
 
     def dispatch(self, label: str, body: messages.Message) -> None:
-        """Handle a message; kinds that nobody handles are dropped."""
+        """Handle a message; types without a handler are dropped."""
         handler = self.handlers.get(type(body))
         if handler is not None:
             handler(label, body)
@@ -94,7 +96,7 @@
         return self.local_processed_seq if label == self.me else self.channels[label].received
 
     def maintain_channels(self, now: float) -> None:
-        """Probe what is quiet, send again what has no acknowledgement, and connect anew what stalls."""
+        """Send keepalives on idle channels, resend unacknowledged frames, and reconnect stalled channels."""
         for label, channel in self.channels.items():
             if label in self.state.membership.view.members and channel.is_quiet(now):
                 self.send(label, messages.KeepAlive())
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -1,4 +1,4 @@
-"""One controller: the I/O around a ``ControllerCore``, to store, cloud, workers, users and peers."""
+"""The process of one controller: I/O between a ``ControllerCore`` and the store, cloud, workers, users and peers."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 
 class Controller:
-    """Constructs the parts of a controller, connects them, and runs them.
+    """Constructs the components of a controller, connects them, and runs them.
 
-    ``own``: what the operators' files of this process declare, by kind. ``store``: the client of the state service,
-    if it is not to be one of the platform's endpoint.
+    ``own``: configuration from the operators' files of this process, by kind. ``store``: client of the state service;
+    by default one for the endpoint that the platform names.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         own: dict[str, ConfigurationRevision] | None = None,
         store: Store | None = None,
     ) -> None:
-        """The arguments are as the class says; nothing is started yet."""
+        """Construct all components without starting them."""
         self.platform, self.poll = platform, poll
         self.core = ControllerCore(platform, tuning, now(), own=own)
         self.membership = self.core.membership
@@ -105,7 +105,7 @@
         )
 
     def _make_loops(self, prober: WorkerProber) -> list[Callable[[], Awaitable[None]]]:
-        """In the order in which they are started."""
+        """The background loops, in the order in which they are started."""
         core, store = self.core, self.store
         cloud = Cloud(self.platform.endpoints.cloud)
         rate = self.platform.settings.cloud.rps * constants.RATE_SHARE
@@ -121,7 +121,7 @@
         ]
 
     async def run(self) -> None:
-        """Serve until one of the servers ends; the loops are started again and again."""
+        """Serve until one of the servers ends; loops that end are restarted."""
         host, port = address(self.platform.listen)
         log.info("controller=%s state=started", self.platform.label)
         async with curio.TaskGroup(wait=any) as group:
@@ -134,12 +134,12 @@
                 await group.spawn(run_forever, loop)
 
     def on_frames(self, frames: list[messages.Frame]) -> None:
-        """Pass on what other controllers have sent."""
+        """Hand frames from other controllers to the core."""
         for frame in frames:
             self.core.on_frame(frame, now())
 
     async def dispatch_effects(self) -> None:
-        """Move what the core has left for others; called after each turn of the selector."""
+        """Send and deliver what the core has queued; called after each iteration of the selector."""
         effects = self.core.effects
         if self.record_writer.is_waiting and not self.core.record_writer.nothing_to_write():
             await self.record_writer.work.set()
@@ -157,7 +157,7 @@
         await self.mesh.flush()
 
     async def _answer_queries(self) -> None:
-        """Answer what other controllers ask: a status at once, a cancellation when it is stored."""
+        """Answer queries of other controllers: a status at once, a cancellation when it is stored."""
         queries = self.core.effects.queries
         while queries:
             label, query = queries.popleft()
@@ -167,7 +167,7 @@
                 await curio.spawn(self.query_responder.answer_cancellation, label, query, daemon=True)
 
     async def _deliver_query_replies(self) -> None:
-        """Hand the replies of other controllers to whoever asked."""
+        """Hand the replies of other controllers to the requests that wait for them."""
         replies = self.core.effects.query_replies
         while replies:
             reply = replies.popleft()
@@ -179,7 +179,7 @@
                 await waiting.answered.set()
 
     async def _notify_waiters(self) -> None:
-        """Wake users' requests, and answer heartbeats whose machines have all the grants that they asked for."""
+        """Wake users' requests, and answer heartbeats of machines that have received all requested grants."""
         notifications = self.core.effects.notifications
         while notifications:
             notification = notifications.popleft()
@@ -190,10 +190,10 @@
                 self.workers_api.answer_pending_heartbeats(notification)
 
     async def _expire_waits(self) -> None:
-        """Answer what has waited long enough, and have the selector wake for the next to expire."""
+        """Answer requests whose deadline has passed, and set the selector's wake-up time to the next deadline."""
         if self.workers_api.grant_deadlines:
             self.workers_api.answer_overdue_heartbeats()
         if self.queries.poll_deadlines:
             await self.queries.expire_polls()
         deadlines = (self.workers_api.grant_deadlines, self.queries.poll_deadlines)
-        self.poll.wake_at = min((one[0][0] for one in deadlines if one), default=float("inf"))
+        self.poll.wake_at = min((queue[0][0] for queue in deadlines if queue), default=float("inf"))
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -1,4 +1,4 @@
-"""What of the due records goes into the next transaction. Pure."""
+"""Selects which due records go into the next transaction."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 
 log = logging.getLogger("core")
 
-URGENT_BELOW = 2.0  # ranks of due writes below this are ends, for which users wait
-SHORTAGE_LOG_S = 10.0  # s; between two lines about changes that wait for the write budget
-LEAST_SUBMISSIONS_QUEUED = 4  # submissions; a controller takes so many however low its write budget is
-RECORD_OVERHEAD = 100  # bytes of a transaction's body for each record, beside its value
+MIN_NON_URGENT_RANK = 2.0  # due writes with a lower rank are final states, for which users wait
+BACKLOG_LOG_INTERVAL_S = 10.0  # minimum time between log lines about a write backlog
+MIN_QUEUED_SUBMISSIONS = 4  # accepted into the queue even if the write budget is lower
+RECORD_OVERHEAD_BYTES = 100  # estimated size of a record in the transaction's body, without its value
 
 
-class WriteRoom(NamedTuple):
+class BatchLimits(NamedTuple):
     """How many changes the next transaction may make."""
 
-    most: int  # with what users wait for
-    plain: int  # without
+    max_changes: int  # in total
+    max_non_urgent: int  # excluding final states and submissions, for which users wait
 
 
-def entry_id(entry: Job | Submission) -> str:
-    """The id of the job that a due record is of."""
+def job_id_of(entry: Job | Submission) -> str:
+    """The id of the job that a due record belongs to."""
     return entry.job.spec.id if isinstance(entry, Submission) else entry.spec.id
 
 
 class RecordWriter:
     """Builds the transactions, one at a time, within the write rate limit.
 
-    Preemption claims go first, then configuration if no user waits, each in a transaction of its own. Others hold what
-    is assured to each class (``state/write_classes.py``), and then, in this order: new records of machines, drops of
-    machine records for up to half of the room, ends and submissions, progress of running jobs, the rest of the drops,
-    and drops of dependency lists.
+    Preemption claims are written first, then configuration if no user waits, each in a separate transaction. Other
+    transactions hold the assured number of changes of each class (``state/write_classes.py``), and then, in this order:
+    new machine records, deletions of machine records in up to half of the remaining capacity, final states and
+    submissions, progress of running jobs, the other deletions of machine records, and deletions of dependency lists.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         write_rate_limit: WriteRateLimit,
         max_changes: int,
     ) -> None:
-        """``max_changes``: of one transaction, as the settings say."""
+        """``max_changes``: limit of one transaction, from the settings."""
         self.state = state
         self.membership = state.membership
         self.replica = replica
@@ -75,15 +75,13 @@
         self.submissions = submissions
         self.dependencies = dependencies
         self.write_rate_limit = write_rate_limit
-        self.max_changes = max_changes  # less once the store has refused that many
-        self.claims_deferred = False  # the last transaction of claims failed: what else is due goes first, once
-        self.shortage_logged_at = float("-inf")
-        self.lists_to_drop: list[str] = []  # keys of lists whose jobs are over
-
-    # -- when to write ---------------------------------------------------------
+        self.max_changes = max_changes  # reduced when the store refuses a transaction as too large
+        self.claims_deferred = False  # the last claims transaction failed: the next one writes other records
+        self.backlog_logged_at = float("-inf")
+        self.lists_to_drop: list[str] = []  # keys of dependency lists that are no longer needed
 
     def nothing_to_write(self) -> bool:
-        """Whether nothing has come since the last look that found nothing, or nothing affordable, to write."""
+        """Whether nothing became due since ``next_batch`` last found nothing that it could write."""
         return not (
             self.submissions.has_new
             or self.job_shard.tally.changed
@@ -95,48 +93,46 @@
         )
 
     def next_write_in(self, now: float) -> float:
-        """How long a look for what to write can wait, in seconds, if nothing comes."""
+        """Seconds until the next call of ``next_batch`` is needed if nothing else becomes due."""
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        ahead = available + constants.WRITE_AHEAD_SHARE * budget.burst
+        with_overdraft = available + constants.WRITE_AHEAD_SHARE * budget.burst
         pause = min(constants.ROUND_S, self.job_shard.record_writes.due_at - now)
-        if ahead < 1:
-            pause = min(constants.ROUND_S, (1 - ahead) / budget.rate)
+        if with_overdraft < 1:
+            pause = min(constants.ROUND_S, (1 - with_overdraft) / budget.rate)
         elif available < 1:
             pause = min(pause, (1 - available) / budget.rate)
         return max(constants.WRITER_PAUSE_S, pause)
 
     def can_take_submission(self, now: float) -> bool:
-        """Whether one more submission could be stored before its user's time is up.
+        """Whether one more submission could be stored within ``SUBMIT_WAIT_S``.
 
-        Beyond that a user is better told so at once: another controller may have room.
+        If not, it is refused at once, because another controller may have write capacity.
         """
         rate_limit = self.write_rate_limit
         assured = ASSURED_SHARES[WriteClass.SUBMISSION] * rate_limit.budget.rate
-        ahead = constants.WRITE_AHEAD_SHARE * rate_limit.budget.burst
-        storable = ahead + assured * constants.SUBMIT_WAIT_S
-        return len(self.submissions.pending) < max(storable, LEAST_SUBMISSIONS_QUEUED)
-
-    # -- one transaction -------------------------------------------------------
+        overdraft = constants.WRITE_AHEAD_SHARE * rate_limit.budget.burst
+        storable = overdraft + assured * constants.SUBMIT_WAIT_S
+        return len(self.submissions.pending) < max(storable, MIN_QUEUED_SUBMISSIONS)
 
     def next_batch(self, now: float) -> WriteBatch | None:
-        """One transaction of what is due, most urgent first, within the write budget."""
+        """Build a transaction of due records, most urgent first, within the write budget; None if there is none."""
         self.state.now = now
         if not self.state.may_act():
             return None
-        room = self._room(now)
+        limits = self._batch_limits(now)
         self.submissions.has_new = False
-        if room.most < 1:
+        if limits.max_changes < 1:
             return None
         batch = WriteBatch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
-        if not self._fill(batch, room):
+        if not self._fill(batch, limits):
             return None
         self.write_rate_limit.spend(batch.changes, now)
         self._spend_assured(batch, now)
         return batch
 
     def _spend_assured(self, batch: WriteBatch, now: float) -> None:
-        """Account for the classes of the batch's changes."""
+        """Charge the batch's changes to the assured rates of their classes."""
         assured = self.write_rate_limit.assured
         is_urgent = [
             record.state is not JobState.ACTIVE or record.start_limit > job.start_limit for job, record, _ in batch.jobs
@@ -147,69 +143,69 @@
         assured.spend(WriteClass.PROGRESS, now, len(is_urgent) - sum(is_urgent))
         assured.spend(WriteClass.SUBMISSION, now, len(batch.submissions) + len(batch.lists))
 
-    def _fill(self, batch: WriteBatch, room: WriteRoom) -> bool:
-        """Put into the batch what is due; False: nothing is."""
-        if self._add_claims(batch, room):
+    def _fill(self, batch: WriteBatch, limits: BatchLimits) -> bool:
+        """Add due records to the batch; returns False if there are none."""
+        if self._add_claims(batch, limits):
             return True
         now = self.state.now
         self.machine_records.collect_drops(now)
         due = sorted(self.job_shard.record_writes.due(now), key=lambda entry: entry[0])
-        urgent = self._urgent_entries([job for rank, job in due if rank < URGENT_BELOW], room)
-        if not urgent and self._add_configuration(batch, room):
+        urgent = self._urgent_entries([job for rank, job in due if rank < MIN_NON_URGENT_RANK], limits)
+        if not urgent and self._add_configuration(batch, limits):
             return True
-        self._add_records(batch, room, urgent, [job for rank, job in due if rank >= URGENT_BELOW])
+        self._add_records(batch, limits, urgent, [job for rank, job in due if rank >= MIN_NON_URGENT_RANK])
         return batch.changes > 0
 
-    def _room(self, now: float) -> WriteRoom:
-        """Users wait for submissions and ends: these may run ahead of an equal share of the changes.
+    def _batch_limits(self, now: float) -> BatchLimits:
+        """Limits from the write budget, which submissions and final states may overdraw because users wait for them.
 
-        The store allows bursts of a second's worth, and what is not urgent pays it back.
+        The store allows bursts of one second of its rate; non-urgent writes wait until the overdraft is repaid.
         """
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        most = min(self.max_changes, int(available + constants.WRITE_AHEAD_SHARE * budget.burst))
-        return WriteRoom(most, min(most, int(max(0.0, available))))
+        max_changes = min(self.max_changes, int(available + constants.WRITE_AHEAD_SHARE * budget.burst))
+        return BatchLimits(max_changes, min(max_changes, int(max(0.0, available))))
 
-    def _add_claims(self, batch: WriteBatch, room: WriteRoom) -> bool:
-        """Preemption claims, if any are due; True: the batch is whole.
+    def _add_claims(self, batch: WriteBatch, limits: BatchLimits) -> bool:
+        """Add preemption claims if any are due; returns True if the batch is complete.
 
-        Claims in doubt meet a conflict until the replica shows them. Tried again and again before all else, they kept
-        the leader's ends, progress and submissions waiting for as long as its watch hung.
+        Unconfirmed claims fail with a conflict until the replica shows them. After a failure other records are written
+        once, so that claims cannot block the leader's other writes while its watch is stalled.
         """
-        waits, self.claims_deferred = self.claims_deferred, False
-        if waits or self.ledger.idle or not self.membership.is_leader(self.state.now):
+        deferred, self.claims_deferred = self.claims_deferred, False
+        if deferred or self.ledger.idle or not self.membership.is_leader(self.state.now):
             return False
-        batch.claims = self.ledger.due(self.state.wall(), room.most, self.job_shard.value_bytes)
+        batch.claims = self.ledger.due(self.state.wall(), limits.max_changes, self.job_shard.value_bytes)
         if batch.claims is None:
             return False
         batch.conditions |= batch.claims.conditions
         batch.puts, batch.drops = batch.claims.puts, batch.claims.drops
         return True
 
-    def _urgent_entries(self, ends: list[Job], room: WriteRoom) -> list[Job | Submission]:
-        """Jobs with an end to write, and submissions.
+    def _urgent_entries(self, ends: list[Job], limits: BatchLimits) -> list[Job | Submission]:
+        """Jobs with a final state to write, and submissions.
 
-        If there is no room for all, who has waited longest goes first. Ends before all submissions had users wait for
-        as long as ends alone took all the changes; and small jobs end as fast as they are taken.
+        If they exceed the limit, they are sorted by waiting time. A fixed priority of final states would starve
+        submissions when small jobs end as fast as they are accepted.
         """
         pending = self.submissions.pending
-        if len(ends) + len(pending) <= room.most:
+        if len(ends) + len(pending) <= limits.max_changes:
             return [*ends, *pending.values()]
         self.write_rate_limit.is_short = True
         now = self.state.now
         self.submissions.expire(now)
-        waited: list[tuple[float, Job | Submission]] = [
+        by_waiting_since: list[tuple[float, Job | Submission]] = [
             (job.dirty_since if job.dirty_since is not None else now, job) for job in ends
         ]
-        waited += [(submission.job.submitted, submission) for submission in pending.values()]
-        return [entry for _, entry in sorted(waited, key=lambda entry: entry[0])]
+        by_waiting_since += [(submission.job.submitted, submission) for submission in pending.values()]
+        return [entry for _, entry in sorted(by_waiting_since, key=lambda entry: entry[0])]
 
-    def _add_configuration(self, batch: WriteBatch, room: WriteRoom) -> bool:
-        """What operators declare, if it is due; True: the batch is whole."""
-        if not room.plain:
+    def _add_configuration(self, batch: WriteBatch, limits: BatchLimits) -> bool:
+        """Add a due change of operator configuration; returns True if the batch is complete."""
+        if not limits.max_non_urgent:
             return False
         proposal = self.declared.due(
-            self.membership, self.state.now, self.state.wall(), room.plain, self.job_shard.value_bytes
+            self.membership, self.state.now, self.state.wall(), limits.max_non_urgent, self.job_shard.value_bytes
         )
         if proposal is None:
             return False
@@ -218,29 +214,32 @@
         return True
 
     def _add_records(
-        self, batch: WriteBatch, room: WriteRoom, urgent: list[Job | Submission], progress: list[Job]
+        self, batch: WriteBatch, limits: BatchLimits, urgent: list[Job | Submission], progress: list[Job]
     ) -> None:
-        """Records of machines and jobs, and drops: first what is assured to each class, then the rest in order."""
-        self._log_shortage(room, urgent, progress)
-        self._add_assured(batch, room, urgent, progress)
+        """Add machine and job records and deletions: assured changes of each class first, then the rest in order."""
+        self._log_backlog(limits, urgent, progress)
+        self._add_assured(batch, limits, urgent, progress)
         others = batch.changes - len(batch.machines)
-        self._add_machine_records(batch, min(room.plain, room.most - others))
-        still_urgent = sum(JOBS + entry_id(entry) not in batch.conditions for entry in urgent)
-        self._reserve_machine_drops(batch, room, still_urgent)
-        for number, entry in enumerate([*urgent, *progress]):
-            if batch.changes >= (room.most if number < len(urgent) else room.plain):
+        self._add_machine_records(batch, min(limits.max_non_urgent, limits.max_changes - others))
+        still_urgent = sum(JOBS + job_id_of(entry) not in batch.conditions for entry in urgent)
+        self._reserve_machine_drops(batch, limits, still_urgent)
+        for index, entry in enumerate([*urgent, *progress]):
+            if batch.changes >= (limits.max_changes if index < len(urgent) else limits.max_non_urgent):
                 break
-            if not self._add_entry(batch, room, entry):
+            if not self._add_entry(batch, limits, entry):
                 break
-        self._add_machine_drops(batch, room)
-        self._add_list_drops(batch, room)
+        self._add_machine_drops(batch, limits)
+        self._add_list_drops(batch, limits)
 
-    def _log_shortage(self, room: WriteRoom, urgent: list[Job | Submission], progress: list[Job]) -> None:
-        """Now and then, while more waits than may be written: how much of each class."""
+    def _log_backlog(self, limits: BatchLimits, urgent: list[Job | Submission], progress: list[Job]) -> None:
+        """Log the backlog of each class, rate-limited, while more is due than may be written."""
         now, machines, drops = self.state.now, self.machine_shard.records.to_write, self.machine_records.to_drop
-        if now < self.shortage_logged_at + SHORTAGE_LOG_S or len(machines) + len(drops) + len(urgent) <= room.most:
+        if (
+            now < self.backlog_logged_at + BACKLOG_LOG_INTERVAL_S
+            or len(machines) + len(drops) + len(urgent) <= limits.max_changes
+        ):
             return
-        self.shortage_logged_at = now
+        self.backlog_logged_at = now
         submissions = sum(isinstance(entry, Submission) for entry in urgent)
         log.info(
             "records state=short rate=%.1f machines=%d drops=%d ends=%d submissions=%d progress=%d",
@@ -253,15 +252,15 @@
         )
 
     def _add_assured(
-        self, batch: WriteBatch, room: WriteRoom, urgent: list[Job | Submission], progress: list[Job]
+        self, batch: WriteBatch, limits: BatchLimits, urgent: list[Job | Submission], progress: list[Job]
     ) -> None:
-        """What no other class may keep waiting, whichever of them floods."""
+        """Add the assured changes of each class, which a flood in another class must not delay."""
         assured = self.write_rate_limit.assured
         now = self.state.now
         records = assured.available(WriteClass.MACHINE_RECORD, bool(self.machine_shard.records.to_write), now)
         drops = assured.available(WriteClass.MACHINE_DROP, bool(self.machine_records.to_drop), now)
-        self._add_machine_records(batch, min(records, room.most))
-        batch.dropped_machines = self.machine_records.to_drop[: min(drops, room.most - batch.changes)]
+        self._add_machine_records(batch, min(records, limits.max_changes))
+        batch.dropped_machines = self.machine_records.to_drop[: min(drops, limits.max_changes - batch.changes)]
         waiting: tuple[tuple[WriteClass, list[Job | Submission]], ...] = (
             (WriteClass.JOB_END, [entry for entry in urgent if isinstance(entry, Job)]),
             (WriteClass.SUBMISSION, [entry for entry in urgent if isinstance(entry, Submission)]),
@@ -269,22 +268,22 @@
         )
         for write_class, entries in waiting:
             for entry in entries[: assured.available(write_class, bool(entries), now)]:
-                if batch.changes >= room.most or not self._add_entry(batch, room, entry):
+                if batch.changes >= limits.max_changes or not self._add_entry(batch, limits, entry):
                     break
 
-    def _add_entry(self, batch: WriteBatch, room: WriteRoom, entry: Job | Submission) -> bool:
-        """A job or a submission, unless the batch has it already; False: the batch is full."""
-        if JOBS + entry_id(entry) in batch.conditions:
+    def _add_entry(self, batch: WriteBatch, limits: BatchLimits, entry: Job | Submission) -> bool:
+        """Add a job or submission unless the batch has it already; returns False if the batch is full."""
+        if JOBS + job_id_of(entry) in batch.conditions:
             return True
         if isinstance(entry, Submission):
-            return self._add_submission(batch, room, entry)
+            return self._add_submission(batch, limits, entry)
         return self._add_job(batch, entry)
 
-    def _add_machine_records(self, batch: WriteBatch, most: int) -> None:
-        """New records of machines that report here, until the batch has ``most`` of them."""
+    def _add_machine_records(self, batch: WriteBatch, limit: int) -> None:
+        """Add new records of machines that this member owns, until the batch has ``limit`` of them."""
         to_drop = self.machine_records.to_drop
         for name in self.machine_shard.records.to_write:
-            if len(batch.machines) >= most:
+            if len(batch.machines) >= limit:
                 break
             if name in to_drop or MACHINES + name in batch.puts:
                 continue
@@ -292,23 +291,25 @@
             batch.conditions[MACHINES + name] = 0
             batch.puts[MACHINES + name] = self.machine_shard.machines[name].record
 
-    def _reserve_machine_drops(self, batch: WriteBatch, room: WriteRoom, urgent: int) -> None:
-        """Half of the room for drops of machine records, beside the ``urgent`` entries.
+    def _reserve_machine_drops(self, batch: WriteBatch, limits: BatchLimits, urgent: int) -> None:
+        """Reserve half of the non-urgent changes for deletions of machine records, beside the ``urgent`` entries.
 
-        Before the progress of running jobs, which alone may take all of the budget for as long as the fleet is busy:
-        each record left behind by a machine that is gone holds up the inherited tasks of every later view.
+        They precede progress records, which may use the whole budget while the fleet is busy: each record that remains
+        of a terminated machine delays the inherited tasks of every later view.
         """
-        left = min((room.plain - len(batch.machines) + 1) // 2, room.most - len(batch.puts) - urgent)
-        if left > len(batch.dropped_machines):
-            batch.dropped_machines = self.machine_records.to_drop[:left]
+        reserved = min(
+            (limits.max_non_urgent - len(batch.machines) + 1) // 2, limits.max_changes - len(batch.puts) - urgent
+        )
+        if reserved > len(batch.dropped_machines):
+            batch.dropped_machines = self.machine_records.to_drop[:reserved]
 
-    def _add_submission(self, batch: WriteBatch, room: WriteRoom, submission: Submission) -> bool:
-        """The lists beside a submission, or its record once they are stored; False: the batch is full."""
+    def _add_submission(self, batch: WriteBatch, limits: BatchLimits, submission: Submission) -> bool:
+        """Add a submission's dependency lists, or its record once they are stored; False: the batch is full."""
         job = submission.job
-        self._add_lists(batch, room, submission)
+        self._add_lists(batch, limits, submission)
         if submission.lists:
-            return True  # its record follows when they are stored
-        if any(self.dependencies.is_cascade_aborted(need) for need in self.dependencies.needs_of(job)):
+            return True  # the record is written in a later batch, after the lists
+        if any(self.dependencies.is_cascade_aborted(dependency) for dependency in self.dependencies.needs_of(job)):
             job.abort(self.state.now, "it needs an aborted job")
         record = self._put_record(batch, job)
         if record is None:
@@ -316,20 +317,20 @@
         batch.submissions.append((submission, record))
         return True
 
-    def _add_lists(self, batch: WriteBatch, room: WriteRoom, submission: Submission) -> None:
-        """As many of the lists beside a submission as there is room for."""
+    def _add_lists(self, batch: WriteBatch, limits: BatchLimits, submission: Submission) -> None:
+        """Add as many of the submission's dependency lists as the batch can hold."""
         self.submissions.drop_known_lists(submission)
         for key, names in submission.lists.items():
-            if batch.changes >= room.most or batch.size > constants.MAX_BODY // 2:
+            if batch.changes >= limits.max_changes or batch.size > constants.MAX_BODY // 2:
                 break
             batch.lists.append((submission, key))
             batch.puts[key] = names
-            # Carried out late, it must not come back when the job is over and its lists are dropped.
+            # A late commit must not restore a list that was deleted after the job's end.
             batch.conditions[JOBS + submission.job.spec.id] = 0
             batch.size += self.job_shard.value_bytes
 
     def _add_job(self, batch: WriteBatch, job: Job) -> bool:
-        """The end or progress of a job; False: the batch is full."""
+        """Add the final state or progress of a job; returns False if the batch is full."""
         record = self._put_record(batch, job)
         if record is None:
             return False
@@ -338,27 +339,27 @@
         return True
 
     def _put_record(self, batch: WriteBatch, job: Job) -> Record | None:
-        """The job's record as it was put into the batch; None: it is too long for what is left."""
+        """Add the job's record to the batch and return it; None if it exceeds the remaining size."""
         record = job.to_record(self.job_shard.value_bytes, self.job_shard.may_end(job))
-        batch.size += len(msgspec.json.encode(record)) + RECORD_OVERHEAD
+        batch.size += len(msgspec.json.encode(record)) + RECORD_OVERHEAD_BYTES
         if batch.size > constants.MAX_BODY * 3 // 4 and batch.puts:
             return None
         batch.conditions[JOBS + job.spec.id] = job.revision
         batch.puts[JOBS + job.spec.id] = record
         return record
 
-    def _add_machine_drops(self, batch: WriteBatch, room: WriteRoom) -> None:
-        """The drops that were reserved, and as many more as there is room for."""
-        count = len(batch.dropped_machines) + max(0, room.plain - batch.changes)
+    def _add_machine_drops(self, batch: WriteBatch, limits: BatchLimits) -> None:
+        """Add the reserved deletions of machine records, and as many more as the limit allows."""
+        count = len(batch.dropped_machines) + max(0, limits.max_non_urgent - batch.changes)
         batch.dropped_machines = self.machine_records.to_drop[:count]
         batch.drops = [MACHINES + name for name in batch.dropped_machines]
         self.machine_records.drops_in_flight.update(batch.dropped_machines)
-        # Carried out late, a drop must not hit a record that has been written again since.
+        # A late commit must not delete a record that was written again since.
         batch.conditions |= {MACHINES + name: self.replica.machines.get(name, 0) for name in batch.dropped_machines}
 
-    def _add_list_drops(self, batch: WriteBatch, room: WriteRoom) -> None:
-        """Drops of lists that nobody reads any more: twice, or late, they take nothing away."""
-        count = room.plain - batch.changes
+    def _add_list_drops(self, batch: WriteBatch, limits: BatchLimits) -> None:
+        """Add deletions of unused dependency lists, without conditions: repeated or late deletions are harmless."""
+        count = limits.max_non_urgent - batch.changes
         if count > 0:
             batch.dropped_lists = self.lists_to_drop[:count]
             batch.drops += batch.dropped_lists
--- a/alderbridge/controller/store_backoff.py
+++ b/alderbridge/controller/store_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff from the state service after a call to it has failed."""
+"""Backoff after a failed call to the state service."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class StoreBackoff:
-    """Whether a call to the store has failed lately: no job is accepted then."""
+    """Tracks recent failures of store calls; no job is accepted during the backoff."""
 
     def __init__(self) -> None:
-        """No call has failed yet."""
+        """Start without a backoff."""
         self.until = 0.0
 
     def record_failure(self) -> None:
-        """A call was refused or not answered."""
+        """Start the backoff: a call was refused or not answered."""
         self.until = now() + constants.STORE_BACKOFF_S
 
     def record_success(self) -> None:
-        """A transaction was answered."""
+        """End the backoff: a transaction was answered."""
         self.until = 0.0
 
     def is_active(self) -> bool:
-        """True for a while after a failure, unless a transaction has succeeded since."""
+        """True for ``STORE_BACKOFF_S`` after a failure, unless a transaction has succeeded since."""
         return now() < self.until
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -1,4 +1,4 @@
-"""What the store's changes mean for this controller. Pure."""
+"""Applies changes of the store to the replica and to the components that depend on it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StoreFollower:
-    """Applies rows and changes to the replica, and has their consequences drawn."""
+    """Applies rows and changes to the replica, and notifies the components that depend on them."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         calendars: CalendarControl,
         view_entry: ViewEntry,
     ) -> None:
-        """The replica, and who is told what has changed in it."""
+        """The replica, and the components to notify of its changes."""
         self.state = state
         self.membership = state.membership
         self.replica = replica
@@ -50,42 +50,44 @@
         self.view_entry = view_entry
 
     def apply_events(self, changes: list[wire.WatchEvent], now: float, wall: float) -> None:
-        """Apply changes of the store, in order; ``now``: steady clock, ``wall``: time of day, in seconds."""
+        """Apply changes of the store in order; ``now``: monotonic, ``wall``: wall-clock time, both in seconds."""
         self.state.now, self.state.wall_offset_s = now, wall - now
-        recorded: list[str] = []
+        machine_names: list[str] = []
         for change in changes:
             if self.replica.apply(change):
                 self.view_entry.enter(now, wall)
             elif change.put is not None and change.put.startswith(JOBS):
                 self.submissions.adopt_late_record(change.put[len(JOBS) :])
             elif change.put is not None and change.put.startswith(MACHINES):
-                recorded.append(change.put[len(MACHINES) :])
-        self._observe_recorded_machines(recorded)
+                machine_names.append(change.put[len(MACHINES) :])
+        self._observe_recorded_machines(machine_names)
         self.dependencies.process_events()
         self._process_configuration()
 
     def load(
         self, rows: list[wire.KeyValue], changes: list[wire.WatchEvent], revision: int, now: float, wall: float
     ) -> None:
-        """Load all rows, whose pages may be of different store revisions, and the changes that followed the first page.
+        """Load all rows, whose pages may be of different store revisions, and the changes since the first page.
 
-        Nothing is built on the rows before the changes have caught up with them.
+        No component is notified before the changes have been applied, as the rows alone may be inconsistent.
         """
         self.state.now, self.state.wall_offset_s = now, wall - now
-        newer = False
-        self.view_entry.entered_lease_id = 0  # views may have passed unseen: nothing known under them holds any more
+        view_changed = False
+        self.view_entry.entered_lease_id = 0  # views may have been missed: shards must not carry over state
         self.replica.machines, self.replica.records = {}, {}
         self.membership.registered.clear()
         self.declared.reload()
         self.replica.ledger.clear(revision)
-        for row in sorted(rows, key=lambda row: not row.key.startswith(LISTS)):  # before the records that name them
-            newer = self.replica.apply(wire.WatchEvent(put=row.key, data=row.data, revision=row.revision)) or newer
+        for row in sorted(rows, key=lambda row: not row.key.startswith(LISTS)):  # before the records that refer to them
+            view_changed = (
+                self.replica.apply(wire.WatchEvent(put=row.key, data=row.data, revision=row.revision)) or view_changed
+            )
         for change in changes:
-            newer = self.replica.apply(change) or newer
+            view_changed = self.replica.apply(change) or view_changed
         self.replica.revision = revision
-        if newer:
+        if view_changed:
             self.view_entry.enter(now, wall)
-        # Read anew after trouble with following: what was carried out late meanwhile is among the rows, no change.
+        # After a reload, transactions that committed late appear among the rows and not among the changes.
         for name in list(self.replica.active):
             self.submissions.adopt_late_record(name)
         self._observe_recorded_machines(self.replica.machines)
@@ -97,24 +99,24 @@
         log.info("replica state=loaded revision=%d jobs=%d", revision, len(self.replica.active))
 
     def observe_end(self, name: str, record: Record, revision: int) -> None:
-        """A record that was read from the store ahead of the changes that bring it: an end is one under every view.
+        """Apply a record that was read from the store before the watch delivered it, if it is a final state.
 
-        Of an active one nothing is taken. It may be written under a newer view than the next that arrives here; by
-        that one this member may own the jobs that the label accepted. It then answered for it, and could have started
-        it, beside its owner (docs/incidents/read-ahead.md).
+        A final state holds under every view. An active record is ignored: it may be of a newer view than this member
+        has entered, and under an older view this member may own the job, answer for it and start its tasks while
+        another member owns it (docs/incidents/read-ahead.md).
         """
         if record.state is not JobState.ACTIVE and not self.directory.knows_job(name):
             self.replica.observe_job(name, Record(record.state, done_at=record.done_at), revision)
             self.dependencies.process_events()
 
     def _observe_recorded_machines(self, names: Iterable[str]) -> None:
-        """Records of machines that have arrived, some of them gone again."""
+        """Notify the machine shard of its machines' new records, except those already deleted again."""
         for name in names:
             if name in self.replica.machines and self.membership.machine_owner(name) == self.state.me:
                 self.machine_shard.records.on_observed(name)
 
     def _process_configuration(self) -> None:
-        """Operator configuration has arrived, or something in the store that counts can't be read here."""
+        """Apply changed operator configuration, and mark the member if configuration is unreadable here."""
         if self.declared.changed:
             self.declared.refresh(self.state.now)
         if self.declared.unreadable:
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -1,4 +1,4 @@
-"""Changes of the view: what this controller rebuilds for a new one, and the next one that it asks for. Pure."""
+"""View changes: rebuilds the controller's state for a new view, and proposes the next view."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ViewEntry:
-    """Has all owners of state enter a new view, in order."""
+    """Makes all components that depend on the view enter a new one, in order."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         queue_round: QueueRound,
         record_writer: RecordWriter,
     ) -> None:
-        """The owners of state that depends on the view."""
+        """The components whose state depends on the view."""
         self.state = state
         self.membership = state.membership
         self.effects = effects
@@ -63,32 +63,32 @@
         self.record_writer = record_writer
         self.write_rate_limit = record_writer.write_rate_limit
         self.entered_lease_id = 0  # the store lease under which the shards were last built
-        self.entered_at = state.now  # when the view arrived here
+        self.entered_at = state.now  # when this controller applied the view, monotonic seconds
 
     def enter(self, now: float, wall: float) -> None:
-        """Rebuild job shard, machine shard and channels for the view that has just arrived."""
+        """Rebuild job shard, machine shard and channels for the view that was just applied."""
         view, fencing_token = self.membership.view, self.membership.fencing_token
         members = sorted(view.members)
         log.info("view fencing_token=%d leader=%s members=%s", fencing_token, view.leader, members)
         self.entered_at = now
-        inside = self.membership.status(now) is not MemberStatus.OUTSIDE
-        self.messenger.enter(fencing_token, self.membership.store_lease.lease_id if inside else 0, now)
+        is_member = self.membership.status(now) is not MemberStatus.OUTSIDE
+        self.messenger.enter(fencing_token, self.membership.store_lease.lease_id if is_member else 0, now)
         self.queue_round.publisher.enter()
         self.queue_inbox.clear()
-        continued = inside and self.state.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
-        old = self.job_shard.jobs if continued else {}
-        self.entered_lease_id = self.membership.store_lease.lease_id if inside else 0
-        self.state.is_member = inside
-        jobs = self._owned_jobs(old, now, wall) if inside else {}
-        recorded = {name: self.replica.record(name) for name in self.replica.machines} if inside else {}
+        continued = is_member and self.state.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
+        previous_jobs = self.job_shard.jobs if continued else {}
+        self.entered_lease_id = self.membership.store_lease.lease_id if is_member else 0
+        self.state.is_member = is_member
+        jobs = self._owned_jobs(previous_jobs, now, wall) if is_member else {}
+        recorded = {name: self.replica.record(name) for name in self.replica.machines} if is_member else {}
         self.job_shard.enter(fencing_token, jobs, recorded)
-        mine = {
+        owned_records = {
             name: record for name, record in recorded.items() if self.membership.machine_owner(name) == self.state.me
         }
         self.machine_shard.enter(
             fencing_token,
-            members if inside else [],
-            mine,
+            members if is_member else [],
+            owned_records,
             now,
             continued,
             continued and self.membership.all_support(constants.VERSION_WITH_CARRY_OVER),
@@ -100,18 +100,18 @@
         self.machine_records.enter()
         self.messenger.pump()
 
-    def _owned_jobs(self, old: dict[str, Job], now: float, wall: float) -> dict[str, Job]:
-        """The jobs that this member owns under the view; ``old`` are those that it owned before and goes on with."""
+    def _owned_jobs(self, previous_jobs: dict[str, Job], now: float, wall: float) -> dict[str, Job]:
+        """The jobs that this member owns under the view; ``previous_jobs`` carry over their state from the last one."""
         jobs: dict[str, Job] = {}
         for name, (record, revision) in self.replica.active.items():
             if self.membership.job_owner(record.accepted_by) != self.state.me:
                 continue
-            job = old.get(name)
+            job = previous_jobs.get(name)
             if job is None:
                 job = self._inherit(name, record, revision, now, wall)
             elif record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
-                # A write of its end had no answer, and was carried out: others may have told it. Taken for active until
-                # the view has settled, it was written so again, with the revision of its end.
+                # A write of its final state committed without an answer, and others may have reported it. If the job
+                # counted as active until the view has settled, that state would be overwritten with an active record.
                 job.apply_stored_end(record.state)
                 job.stored_state = record.state
                 job.mark_dirty(now)
@@ -121,23 +121,22 @@
         return jobs
 
     def _inherit(self, name: str, record: Record, revision: int, now: float, wall: float) -> Job:
-        """A job of an earlier owner, or of an earlier life of this process.
+        """Construct a job that an earlier owner, or an earlier incarnation of this controller, has accepted.
 
-        Every write asserts the view: what is not done here yet was not when the view changed, so nothing of a job that
-        waits for it was ever started.
+        Every write is conditional on the view. A dependency that is unfinished here was unfinished when the view
+        changed, so no task of a job that waits for it has ever been started.
         """
-        waits = self.dependencies.graph.waiting(name)
-        job = Job(record, revision, now, max(0.0, wall - record.at), never_started=waits)
+        is_waiting = self.dependencies.graph.waiting(name)
+        job = Job(record, revision, now, max(0.0, wall - record.at), never_started=is_waiting)
         job.inherited = True
         self.dependencies.apply(job)
         return job
 
     def lease_acquired(self, lease_id: int, sent_at: float, now: float) -> None:
-        """This process is that life of its label; its store lease counts from ``sent_at``.
+        """Record the acquired store lease, which is valid from ``sent_at``, and enter the view if it has this lease.
 
-        The view that has it may have arrived before the store's answer. What was built for that view was an
-        outsider's: acting on it, a job shard without its jobs stopped all their tasks and served none until the next
-        view.
+        That view may have been applied before the store answered, when this process was not yet a member of it, so its
+        shards are empty. Acting with an empty job shard would stop all tasks of its jobs.
         """
         self.state.now = now
         self.membership.store_lease.record_renewal(lease_id, sent_at, now)
@@ -145,17 +144,20 @@
             self.enter(now, now + self.state.wall_offset_s)
 
     def refresh_settlement(self, now: float) -> None:
-        """Whether every member is known to act under this view, or not at all."""
+        """Settle the view once every member has entered it, or the store leases of those that have not have expired.
+
+        From then on no member acts under an earlier view.
+        """
         fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.state.me]
-        everyone = all(self.messenger.channels[label].peer_fencing_token >= fencing_token for label in others)
-        if everyone or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
+        all_entered = all(self.messenger.channels[label].peer_fencing_token >= fencing_token for label in others)
+        if all_entered or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
             self.machine_shard.leases.settle(now)
             if not self.job_shard.settled:
                 self.job_shard.settle()
 
     def next_view(self, now: float) -> tuple[View, dict[str, int], list[str]] | None:
-        """The change of view to try, with the revisions to assert and the keys of members that are removed."""
+        """The next view to propose, with the revisions to compare and the member keys to delete; None: no change."""
         change = self.membership.next_view(now, self.record_writer.max_changes - 1) if self.state.loaded else None
         if change is None:
             return None
@@ -166,6 +168,9 @@
         drops = [MEMBERS + label for label, revision in revisions.items() if revision and label not in view.members]
         return (
             view,
-            {VIEW: self.membership.fencing_token, **{MEMBERS + label: s for label, s in revisions.items()}},
+            {
+                VIEW: self.membership.fencing_token,
+                **{MEMBERS + label: revision for label, revision in revisions.items()},
+            },
             drops,
         )
--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -1,6 +1,6 @@
 """Probes: requests to workers to acknowledge a new fencing token.
 
-Their machines' next heartbeats would say the same only seconds later.
+Without a probe the acknowledgement arrives with the machine's next heartbeat, seconds later.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 
 class Probe(NamedTuple):
-    """One request; ``retried``: the worker has already told that its incarnation is another."""
+    """One request; ``retried``: it repeats a probe that the worker refused for a different incarnation."""
 
     fencing_token: int
     machine: str
-    worker: str  # address
+    worker_address: str
     incarnation: int
     retried: bool = False
 
 
 class WorkerProber:
-    """Sends the probes that the machine shard asks for, ``PROBES_AT_ONCE`` at most at a time."""
+    """Sends the probes that the machine shard requests, at most ``PROBES_AT_ONCE`` concurrently."""
 
     def __init__(self, core: ControllerCore, poll: Poll, dispatch_effects: Callable[[], Awaitable[None]]) -> None:
-        """``core``: asks for probes and takes the answers; ``poll``: waits for their sockets."""
+        """``core``: requests probes and handles the answers; ``poll``: polls their sockets."""
         self.core = core
         self.membership = core.membership
         self.poll = poll
@@ -46,9 +46,9 @@
         self.exchanges: set[Exchange] = set()
 
     async def probe_workers(self) -> None:
-        """After a new view, and in each round: give up what is overdue, and start what is due."""
+        """Close timed-out probes and start due ones; called after store changes and in each round."""
         await self.dispatch_effects()
-        for exchange in [one for one in self.exchanges if one.overdue(now(), constants.PROBE_TIMEOUT_S)]:
+        for exchange in [started for started in self.exchanges if started.overdue(now(), constants.PROBE_TIMEOUT_S)]:
             exchange.close()
         self._start_probes()
 
@@ -62,12 +62,12 @@
 
     def _send(self, probe: Probe) -> None:
         def on_answer(answer: tuple[int, bytes] | None) -> None:
-            """The exchange has ended; None: without an answer."""
+            """Called when the exchange ends; ``answer`` is None if there was none."""
             self.exchanges.discard(exchange)
             self._on_answer(probe, answer)
 
         try:
-            host, port = address(probe.worker)
+            host, port = address(probe.worker_address)
             request = wire.acknowledge_request(probe.fencing_token, probe.incarnation)
             exchange = Exchange(self.poll, host, port, ResponseReader(host, "POST", "/commands", request), on_answer)
         except (OSError, ValueError, h11.ProtocolError) as error:
@@ -77,7 +77,7 @@
             self.exchanges.add(exchange)
 
     def _on_answer(self, probe: Probe, answer: tuple[int, bytes] | None) -> None:
-        in_force = probe.fencing_token == self.membership.fencing_token
+        is_current_view = probe.fencing_token == self.membership.fencing_token
         try:
             if answer is None:
                 raise wire.MalformedBodyError("no answer")
@@ -86,10 +86,10 @@
             if status == 409 and heartbeat.incarnation != probe.incarnation and not probe.retried:
                 self._send(probe._replace(incarnation=heartbeat.incarnation, retried=True))
                 return
-            if status == 200 and heartbeat.machine == probe.machine and in_force:
+            if status == 200 and heartbeat.machine == probe.machine and is_current_view:
                 self.core.on_probe_answered(heartbeat, now())
         except wire.MalformedBodyError as error:
-            if in_force:
+            if is_current_view:
                 self.core.machine_shard.prober.unanswered(probe.machine, now())
             log.debug("machine=%s state=probe_failed cause=%s", probe.machine, error)
         self._start_probes()
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -1,4 +1,4 @@
-"""The workers' API: heartbeats, and their responses, which may wait for task grants of other controllers."""
+"""The workers' API: heartbeats, whose responses may be delayed until other controllers have granted tasks."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     """Serves ``/agent/beat``."""
 
     def __init__(self, core: ControllerCore) -> None:
-        """``core``: which the heartbeats are given to."""
+        """``core``: handles the heartbeats."""
         self.core = core
         self.membership = core.membership
-        # Heartbeats whose machine waits for grants, each with the fencing token that it was taken under:
+        # Unanswered heartbeats of machines that wait for grants, with the fencing token when each was received.
         self.pending_heartbeats: dict[Machine, list[tuple[int, Responder]]] = {}
-        self.grant_deadlines: deque[tuple[float, Machine]] = deque()  # until when they wait, in this order
+        self.grant_deadlines: deque[tuple[float, Machine]] = deque()  # in ascending order
 
     def on_heartbeat(self, body: bytes, reply: Responder) -> Answer | None:
-        """Take in one heartbeat. Its response has the orders; none yet (None) where grants for it are to come."""
+        """Handle a heartbeat; returns the response with its orders, or None if that waits for task grants."""
         try:
             heartbeat = wire.parse_heartbeat(body)
         except wire.MalformedBodyError as error:
@@ -40,31 +40,31 @@
             return responses.unavailable("not entitled")
         owner = self.membership.report_to(heartbeat.machine)
         if heartbeat.fencing_token > self.membership.fencing_token:
-            # A 200 would be dropped, and hold the worker here for its lease.
-            return responses.unavailable("a newer view has begun")
+            # The worker would discard a 200, yet keep reporting here until its lease expires.
+            return responses.unavailable("the worker has a newer fencing token")
         if owner != core.me:
             return 421, wire.encode({"steward": owner}), []
         fencing_token = self.membership.fencing_token
         machine = core.on_heartbeat(heartbeat, now())
         if machine is None:
-            return responses.unavailable("not the newest report")
-        if machine.reserved:  # other controllers answer within a few ms
+            return responses.unavailable("stale heartbeat or terminated machine")
+        if machine.reserved:  # waits for the task grants that were requested from other controllers
             self.pending_heartbeats.setdefault(machine, []).append((fencing_token, reply))
             self.grant_deadlines.append((now() + constants.GRANT_WAIT_S, machine))
             return None
         return self.heartbeat_response(machine, fencing_token)
 
     def heartbeat_response(self, machine: Machine, fencing_token: int) -> Answer:
-        """The machine's orders, if the view in which its heartbeat was taken is still in force.
+        """The machine's orders, if the view under which its heartbeat was received is still current.
 
-        A plain tuple: one is made for each heartbeat.
+        Returns a plain tuple because one is allocated for each heartbeat.
         """
         if fencing_token != self.membership.fencing_token or not self.membership.may_act(now()):
             return responses.unavailable("not entitled")
         return 200, wire.heartbeat_response(fencing_token, self.core.machine_shard.order_builder.orders(machine)), []
 
     def answer_pending_heartbeats(self, machine: Machine) -> None:
-        """Answer the machine's heartbeats that wait for its grants."""
+        """Answer the machine's heartbeats that wait for task grants."""
         for fencing_token, reply in self.pending_heartbeats.pop(machine, ()):
             try:
                 answer = self.heartbeat_response(machine, fencing_token)
@@ -74,7 +74,7 @@
             reply(answer)
 
     def answer_overdue_heartbeats(self) -> None:
-        """Answer those for which the grants have not come in time."""
+        """Answer heartbeats whose task grants have not arrived by the deadline."""
         deadlines = self.grant_deadlines
         while deadlines and (deadlines[0][1] not in self.pending_heartbeats or deadlines[0][0] <= now()):
             self.answer_pending_heartbeats(deadlines.popleft()[1])
--- a/alderbridge/controller/write_batch.py
+++ b/alderbridge/controller/write_batch.py
@@ -1,4 +1,4 @@
-"""One transaction of records that are due, and whose they are."""
+"""A transaction of due records, with the objects that they belong to."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass
 class WriteBatch:
-    """One transaction, and whose records it carries."""
+    """One transaction of the record writer, with the objects whose records it writes."""
 
     fencing_token: int
     conditions: dict[str, int]
@@ -24,12 +24,12 @@
     machines: list[str] = field(default_factory=list)
     dropped_machines: list[str] = field(default_factory=list)
     lists: list[tuple[Submission, str]] = field(default_factory=list)
-    dropped_lists: list[str] = field(default_factory=list)  # keys of lists that it drops
-    proposal: ConfigurationProposal | None = None  # then nothing else
-    size: int = 0  # bytes of its body, estimated
-    claims: ClaimTransaction | None = None  # then nothing else is in it
+    dropped_lists: list[str] = field(default_factory=list)  # keys
+    proposal: ConfigurationProposal | None = None  # excludes all other records
+    size: int = 0  # estimated size of the request body, bytes
+    claims: ClaimTransaction | None = None  # excludes all other records
 
     @property
     def changes(self) -> int:
-        """How many changes of the store it makes."""
+        """Number of puts and deletions."""
         return len(self.puts) + max(len(self.dropped_machines), len(self.drops))
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -68,14 +68,14 @@
     )
     core.machine_shard.machines[name].expire()
     core.machine_shard.records.drop(core.machine_shard.machines[name])
-    assert core.machine_records.keep(name) and not core.machine_records.keep(name), (
+    assert core.machine_records.cancel_drop(name) and not core.machine_records.cancel_drop(name), (
         "once: nothing is to be dropped any more"
     )
     core.machine_shard.records.to_drop.append(name)
     batch = core.record_writer.next_batch(world.t)
     assert batch is not None and name in batch.dropped_machines
-    assert not core.machine_records.keep(name)
+    assert not core.machine_records.cancel_drop(name)
     core.batch_results.on_failed(batch, world.t)
-    assert not core.machine_records.keep(name), "unanswered, it may yet be carried out"
+    assert not core.machine_records.cancel_drop(name), "unanswered, it may yet be carried out"
     core.view_entry.enter(world.t, world.t)
     assert name not in core.machine_records.to_drop and not core.machine_records.drops_in_flight
