--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -47,7 +47,7 @@
             await curio.sleep(constants.WATCH_PAUSE_S)
 
     async def load_replica(self) -> None:
-        """Read all pages, and the changes since the first page's revision, which later pages may lack."""
+        """Read all pages, and then the changes since the first page's revision, as pages may differ in revision."""
         page = await self.store.list_page(ROOT, None)
         revision, rows = page.revision, list(page.rows)
         while page.has_next and page.rows:
--- a/alderbridge/controller/messenger.py
+++ b/alderbridge/controller/messenger.py
@@ -25,9 +25,8 @@
         self.handlers: Mapping[type[messages.Message], Handler] = {}
         self.channels = {label: Channel(self.me) for label in peers}
         self.inbox: deque[tuple[int, messages.Message]] = deque()
-        self.deferred: dict[
-            str, list[messages.Message]
-        ] = {}  # sent with the next message to that member, or in the next round
+        # By receiver; sent with the next message to that member, or in the next round.
+        self.deferred: dict[str, list[messages.Message]] = {}
         self.local_seq = self.local_processed_seq = 0
 
     def enter(self, fencing_token: int, lease_id: int, now: float) -> None:
--- a/alderbridge/controller/state.py
+++ b/alderbridge/controller/state.py
@@ -6,7 +6,7 @@
 
 
 class ControllerState:
-    """Written by the entry points of the core and by ``StoreFollower`` and ``ViewEntry``; read by all components."""
+    """Written by the methods that the process calls, and by ``ViewEntry``; read by all components."""
 
     def __init__(self, me: str, membership: Membership, now: float) -> None:
         """Start with no replica loaded and without membership."""
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -144,9 +144,10 @@
             self.enter(now, now + self.state.wall_offset_s)
 
     def refresh_settlement(self, now: float) -> None:
-        """Settle the view once every member has entered it, or the store leases of those that have not have expired.
+        """Settle the view once no member can act under an earlier one.
 
-        From then on no member acts under an earlier view.
+        That is when every member has entered it, or when the store lease's time to live has passed since it began: a
+        member acts only if it has synced with the store within that time.
         """
         fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.state.me]
--- a/tests/test_controller_parts.py
+++ b/tests/test_controller_parts.py
@@ -1,4 +1,4 @@
-"""The parts around a controller's core, one by one: routing, and how the loops take what the cloud answers."""
+"""Components around a controller's core: request routing, and the loops' handling of cloud errors."""
 
 import curio
 import pytest
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture
-def control():
+def controller():
     return Controller(platform("host-0", LABELS), Tuning(), Poll())
 
 
@@ -40,13 +40,13 @@
         ("GET", "/healthz?x=1", 503, None),
     ],
 )
-def test_each_path_has_its_method_and_all_others_are_not_found(control, method, target, status, allowed):
-    answer = control.router.handle(method, target, b"", lambda answer: None)
+def test_routes_accept_only_their_method_and_other_paths_are_not_found(controller, method, target, status, allowed):
+    answer = controller.router.handle(method, target, b"", lambda answer: None)
     assert answer[0] == status and dict(answer[2]).get("Allow") == allowed
 
 
-class Cloud:
-    """Each of its requests raises what the test says."""
+class FailingCloud:
+    """A cloud whose requests all raise the given error."""
 
     def __init__(self, error: Exception) -> None:
         self.error = error
@@ -58,43 +58,47 @@
         raise self.error
 
 
-class Stop(Exception):
-    """Ends a loop that would go on for ever."""
+class LoopStopped(Exception):
+    """Ends a loop that has no exit."""
 
 
-def run_until_second_turn(monkeypatch, loop):
-    turns = []
+def run_until_second_sleep(monkeypatch, loop):
+    iterations = []
 
     async def sleep(seconds):
-        turns.append(seconds)
-        if len(turns) == 2:
-            raise Stop
+        iterations.append(seconds)
+        if len(iterations) == 2:
+            raise LoopStopped
 
     monkeypatch.setattr(curio, "sleep", sleep)
-    loop().send(None)  # nothing in it waits
+    loop().send(None)  # completes without suspending
 
 
 @pytest.fixture
-def leading(control, monkeypatch):
-    """It is the leader, and knows of a machine type."""
+def leader_controller(controller, monkeypatch):
+    """A controller that is the leader and has a machine type."""
     patch_now(monkeypatch, lambda: 100.0)
-    monkeypatch.setattr(control.membership, "is_leader", lambda now: True)
-    control.core.machine_shard.capacity.types = {"large": None}
-    return control
+    monkeypatch.setattr(controller.membership, "is_leader", lambda now: True)
+    controller.core.machine_shard.capacity.types = {"large": None}
+    return controller
 
 
 @pytest.mark.parametrize(
-    "error, ends", [(NoCapacityError("x"), True), (CloudError("x"), False), (UnansweredError("x"), False)]
+    "error, ends_loop", [(NoCapacityError("x"), True), (CloudError("x"), False), (UnansweredError("x"), False)]
 )
-def test_only_a_rental_may_lack_capacity(leading, monkeypatch, error, ends):
-    """A list of machines refused so is no answer of the cloud's: the loop ends, and its supervisor logs the fault."""
-    loop = ScalingLoop(leading.core, Cloud(error), TokenBucket(9.0, 9.0, 100.0), leading.dispatch_effects)
-    with pytest.raises(NoCapacityError if ends else Stop):
-        run_until_second_turn(monkeypatch, loop.keep_machines)
+def test_no_capacity_error_outside_a_rental_ends_the_scaling_loop(leader_controller, monkeypatch, error, ends_loop):
+    """For a machine list this error is unexpected: the loop ends, and its supervisor logs the exception."""
+    loop = ScalingLoop(
+        leader_controller.core, FailingCloud(error), TokenBucket(9.0, 9.0, 100.0), leader_controller.dispatch_effects
+    )
+    with pytest.raises(NoCapacityError if ends_loop else LoopStopped):
+        run_until_second_sleep(monkeypatch, loop.keep_machines)
 
 
 @pytest.mark.parametrize("error", [NoCapacityError("x"), CloudError("x"), UnansweredError("x")])
-def test_machine_types_are_read_again_after_any_refusal(leading, monkeypatch, error):
-    loop = MachineTypesLoop(leading.core, leading.store, Cloud(error), TokenBucket(9.0, 9.0, 100.0))
-    with pytest.raises(Stop):
-        run_until_second_turn(monkeypatch, loop.keep_types)
+def test_machine_types_loop_continues_after_any_cloud_error(leader_controller, monkeypatch, error):
+    loop = MachineTypesLoop(
+        leader_controller.core, leader_controller.store, FailingCloud(error), TokenBucket(9.0, 9.0, 100.0)
+    )
+    with pytest.raises(LoopStopped):
+        run_until_second_sleep(monkeypatch, loop.keep_types)
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -1,7 +1,7 @@
-"""Transactions carried out late or answered slowly, met by other faults: what the store and its copies hold after.
+"""Store transactions that commit late or are answered late, combined with other faults.
 
-A transaction that had no answer is carried out up to 12 s later, after newer ones of the same controller; an answer
-may be older than what has arrived since. ``docs/design-meetings.md`` lists every transaction and what it asserts.
+An unanswered transaction may commit up to 12 s later, after newer ones of the same controller, and an answer may be
+older than what the watch has delivered. Neither may lose or restore records, or report outdated job states.
 """
 
 import contextlib
@@ -54,11 +54,11 @@
     estimate_s=10.0,
 )
 LEASE_S = 17.0
-SETTLED_S = 25.0  # until a view counts as settled where a member is not heard, and more
+SETTLED_S = 25.0  # more than the time until a view settles although a member sends nothing
 
 
 class Alone:
-    """One pure node and a store, no loops: each step is the test's. Other members are there by their keys only."""
+    """One controller core and a store without loops, stepped by the test; other members only have member keys."""
 
     def __init__(self, *others: str) -> None:
         self.t = 0.0
@@ -75,7 +75,7 @@
         self.view(self.me, *others)
 
     def other(self, label: str) -> "Alone":
-        """The node of another member, at the same store."""
+        """The controller core of another member, with the same store."""
         other = object.__new__(Alone)
         other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
         other.core = ControllerCore(platform(label, LABELS[:3]), Tuning(), self.t)
@@ -90,7 +90,7 @@
         self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
     def view(self, *labels: str) -> None:
-        """A newer view of these, and it has arrived here."""
+        """Commit a newer view of these members, and apply it here."""
         self.store.commit({}, {VIEW: View(labels[0], {label: self.lease_ids[label] for label in labels})})
         self.follow()
 
@@ -102,12 +102,12 @@
         core.replica.revision = self.store.revision
 
     def reload(self) -> None:
-        """As after any failure to follow: all is read anew."""
+        """Reload the replica, as after a failure of the watch."""
         self.core.membership.record_sync(self.t)
         self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
     def go(self, for_s: float) -> None:
-        """Time passes, and the store answers what is read."""
+        """Advance the time, with a working watch."""
         end = self.t + for_s
         while self.t < end:
             self.t = min(end, self.t + 0.5)
@@ -121,27 +121,27 @@
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
 
     def settle(self, batch) -> wire.TransactionResult:
-        """Carried out, and answered at once; a conflict is read as ``RecordWriter`` does."""
+        """Commit the batch with an immediate answer; conflicts are resolved as in ``RecordsLoop``."""
         core, answer = self.core, self.carry_out(batch)
         if not answer.failed:
             core.batch_results.on_written(batch, answer.revision, self.t)
             return answer
         core.batch_results.on_failed(batch, self.t)
         for key in answer.failed if VIEW not in answer.failed else ():
-            found = self.store.data.get(key)
+            row = self.store.data.get(key)
             core.batch_results.resolve_conflict(
-                batch, key, None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]), self.t
+                batch, key, None if row is None else wire.KeyValue(key, msgspec.Raw(row[0]), row[1]), self.t
             )
         return answer
 
-    def write(self, most: int = 30) -> None:
-        """All that is due, answered at once."""
-        while (batch := self.batch()) is not None and most:
+    def write(self, max_batches: int = 30) -> None:
+        """Commit all due records with immediate answers."""
+        while (batch := self.batch()) is not None and max_batches:
             self.settle(batch)
-            most -= 1
+            max_batches -= 1
 
     def lost(self):
-        """What is due, sent and without an answer: the test carries it out when it likes."""
+        """A batch of the due records that gets no answer; the test may commit it later."""
         batch = self.batch()
         assert batch is not None
         self.core.batch_results.on_failed(batch, self.t)
@@ -158,13 +158,13 @@
         )
 
     def up(self, name: str) -> None:
-        """A machine of this part that has reported and is in the store."""
+        """Add a machine of this shard that has sent a heartbeat and is recorded in the store."""
         self.heartbeat(name, 1)
         self.write()
         assert self.core.machine_shard.machines[name].recorded
 
     def job(self, spec=SPEC):
-        """One that this home serves."""
+        """Submit a job that this member owns."""
         submission = self.core.submissions.submit(spec, self.t, self.t)
         self.write()
         assert submission.outcome == "accepted"
@@ -181,41 +181,38 @@
         )
 
 
-def machine_of(part: str, *members: str) -> str:
+def machine_of(owner: str, *members: str) -> str:
     return next(
-        name for name in (f"n-{number:06d}" for number in range(99)) if rendezvous_owner(name, sorted(members)) == part
+        name for name in (f"n-{number:06d}" for number in range(99)) if rendezvous_owner(name, sorted(members)) == owner
     )
 
 
-# -- records of machines
-
-
 @pytest.mark.parametrize("how", (Alone.follow, Alone.reload))
-@pytest.mark.parametrize("end", ("lapsed", "returned"))
-def test_a_machines_record_that_is_carried_out_late_goes_again_at_once(end, how):
-    """Put twice, dropped, and then the first put: nobody reports for it, and each later view waits a lease for it."""
+@pytest.mark.parametrize("end", ("expired", "terminated"))
+def test_a_machine_record_that_commits_after_its_deletion_is_deleted_again(end, how):
+    """A remaining record of a machine that no longer reports would delay each later view by a lease."""
     alone = Alone()
     name = "n-000001"
     alone.heartbeat(name, 1)
     first = alone.lost()
     assert MACHINES + name in first.puts
     alone.write()
-    if end == "lapsed":
+    if end == "expired":
         alone.go(LEASE_S + 2.0)
         assert alone.core.machine_shard.machines[name].state is MachineState.EXPIRED
     else:
         alone.core.on_terminated([name], alone.t)
     alone.write()
     assert MACHINES + name not in alone.store.data
-    assert not alone.carry_out(first).failed, "it asserts the view, and that there is no record"
+    assert not alone.carry_out(first).failed, "its conditions hold: the same view, and no record"
     how(alone)
     alone.write()
     assert MACHINES + name not in alone.store.data
     assert name not in alone.core.replica.machines
 
 
-def test_a_machine_that_went_before_its_record_was_carried_out_leaves_none():
-    """The put had no answer; its machine is returned, the drop finds nothing to drop, and then the put comes."""
+def test_a_put_that_commits_after_its_machine_was_terminated_leaves_no_record():
+    """The unanswered put commits after a deletion that found no record."""
     alone = Alone()
     name = "n-000001"
     alone.heartbeat(name, 1)
@@ -228,8 +225,8 @@
     assert MACHINES + name not in alone.store.data
 
 
-def test_no_task_is_ordered_while_a_drop_of_the_machines_record_is_on_its_way():
-    """It lapsed, its drop had no answer, and it reports again; the late put's record is no leave to run either."""
+def test_no_task_is_placed_while_a_deletion_of_the_machine_record_is_unconfirmed():
+    """The machine expired and reports again; the record of a late put does not permit tasks either."""
     alone = Alone()
     name = "n-000001"
     alone.heartbeat(name, 1)
@@ -242,40 +239,40 @@
     assert machine.acknowledged and not machine.recorded
     alone.follow()
     assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
-    assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both late, one after the other
+    assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both commit late, one after the other
     alone.follow()
-    assert not machine.recorded, "the record may go by the drop that is repeated"
+    assert not machine.recorded, "the repeated deletion may still remove the record"
     alone.write()
     assert machine.recorded and MACHINES + name in alone.store.data
-    assert alone.carry_out(drop).failed and alone.carry_out(put).failed, "neither can be carried out any more"
+    assert alone.carry_out(drop).failed and alone.carry_out(put).failed, "neither can commit any more"
 
 
-def test_the_answer_to_a_drop_does_not_hide_a_record_that_was_written_since():
-    """Answered after the next view, in which the machine has reported again to its new part.
+def test_a_late_answer_to_a_deletion_does_not_hide_a_newer_record():
+    """The answer arrives after the next view, under which the machine's new owner has recorded it again.
 
-    Taken for unrecorded, its tasks were free under the view after that, and ran elsewhere while they were on it.
+    If it counted as unrecorded, a later view would start its tasks elsewhere while they still run on it.
     """
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.up(name)
     job = alone.job()
-    alone.go(SETTLED_S + LEASE_S)  # silent: it lapses
+    alone.go(SETTLED_S + LEASE_S)  # without heartbeats its lease expires
     drop = alone.batch()
     assert drop.drops == [MACHINES + name]
     answer = alone.carry_out(drop)
     alone.come("host-2")
     alone.view("host-1", "host-0", "host-2")
-    alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its part under this view
+    alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its owner under this view
     alone.follow()
     alone.runs(job, name, 0)
-    alone.core.batch_results.on_written(drop, answer.revision, alone.t)  # 2 s after it was sent, at the latest
+    alone.core.batch_results.on_written(drop, answer.revision, alone.t)  # within the request timeout of 2 s
     assert name in alone.core.replica.machines
     alone.view("host-1", "host-0")
-    assert 0 in job.runs, "its machine is recorded, so only a report, its lease or its return frees it"
+    assert 0 in job.runs, "its machine is recorded: only a heartbeat, lease expiry or termination releases the task"
 
 
-def test_a_record_read_before_the_view_is_not_taken_for_gone_after_it():
-    """As above, where the drop met a conflict and the read of the record is answered late."""
+def test_a_late_read_after_a_conflict_does_not_hide_a_newer_record():
+    """The deletion failed with a conflict, and the read of the record is answered after the next view."""
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.up(name)
@@ -288,13 +285,13 @@
     alone.view("host-1", "host-0")
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})
     alone.follow()
-    alone.core.batch_results.resolve_conflict(drop, MACHINES + name, None, alone.t)  # as it was when it was read
+    alone.core.batch_results.resolve_conflict(drop, MACHINES + name, None, alone.t)  # the state at the time of the read
     assert name in alone.core.replica.machines
 
 
 @pytest.mark.parametrize("how", ("answer", "read"))
-def test_the_answer_to_a_put_does_not_bring_a_record_back(how):
-    """The next view's part has dropped it: kept here alone, no part would ever strike it from the barrier."""
+def test_a_late_answer_to_a_put_does_not_restore_a_deleted_record(how):
+    """The owner under the next view has deleted the record; kept here only, it would stay in the barrier forever."""
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
@@ -313,8 +310,8 @@
     assert name not in alone.core.replica.machines
 
 
-def test_a_new_view_does_not_wait_for_a_machine_whose_return_is_confirmed():
-    """Its record came back by a late put just before the view."""
+def test_a_new_view_does_not_wait_for_a_terminated_machine():
+    """A late put has restored its record just before the view."""
     alone = Alone("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
@@ -325,16 +322,13 @@
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
     alone.core.messenger.pump()
-    assert not alone.core.job_shard.inherited.barrier, "nothing is on it"
+    assert not alone.core.job_shard.inherited.barrier, "no task runs on it"
     alone.write()
     assert MACHINES + name not in alone.store.data
 
 
-# -- records of jobs
-
-
-def test_a_result_is_not_acknowledged_before_the_store_holds_it():
-    """While its record was on its way, a report of another task on the machine had the result cleared there."""
+def test_a_result_is_not_acknowledged_before_it_is_stored():
+    """A repeated report while the record is being written must not clear the result on the worker."""
     alone = Alone()
     job = alone.job()
     for index in (0, 1):
@@ -344,16 +338,16 @@
     shard.task_reports.send = shard.record_writes.send = shard.record_writes.send_deferred = lambda label, body: (
         sent.append(body) or len(sent)
     )
-    seen = alone.ended("n-000001", 0)
-    alone.core.job_shard.task_reports.on_task_report("host-0", seen, alone.t)
+    report = alone.ended("n-000001", 0)
+    alone.core.job_shard.task_reports.on_task_report("host-0", report, alone.t)
     alone.t += 1.0
     alone.follow()
     batch = alone.batch()
     assert batch.jobs
-    # Told again with whatever is news on the machine.
-    alone.core.job_shard.task_reports.on_task_report("host-0", seen, alone.t)
+    # The next report of the machine repeats the result.
+    alone.core.job_shard.task_reports.on_task_report("host-0", report, alone.t)
     assert not [body for body in sent if isinstance(body, messages.AcknowledgeFinished)], (
-        "the worker would forget what nobody has yet"
+        "the worker would discard a result that is not stored"
     )
     alone.core.batch_results.on_failed(batch, alone.t)
     alone.write()
@@ -364,9 +358,9 @@
 
 
 def late_end(alone, how):
-    """A job whose end was sent, and had no answer."""
+    """A job, and the unanswered batch that writes its final state."""
     job = alone.job()
-    if how == "withdrawn":
+    if how == "cancelled":
         assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
@@ -375,20 +369,20 @@
     return job, alone.lost()
 
 
-@pytest.mark.parametrize("how, state", [("withdrawn", "aborted"), ("last task", "done")])
+@pytest.mark.parametrize("how, state", [("cancelled", "aborted"), ("last task", "done")])
 @pytest.mark.parametrize("late", (False, True))
-def test_an_end_without_an_answer_is_told_once_the_store_has_it_and_never_otherwise(how, state, late):
+def test_an_unanswered_final_state_is_reported_only_once_it_is_stored(how, state, late):
     alone = Alone()
     job, end = late_end(alone, how)
     core = alone.core
     assert core.local_jobs.local_job_state(SPEC.id, alone.t) is None, (
-        "others may have read it in the store: not pending"
+        "others may have read it from the store, so pending would be wrong"
     )
     assert core.local_jobs.cancel(SPEC.id, alone.t) == ""
-    if late:  # after a newer try, which has been answered
+    if late:  # after a newer attempt that was answered
         alone.write()
         assert alone.carry_out(end).failed
-    else:  # before it: the replica shows it, and the next try meets it
+    else:  # before: the watch delivers it, and the next attempt fails with a conflict
         assert not alone.carry_out(end).failed
         alone.follow()
     assert (
@@ -398,32 +392,31 @@
     alone.write()
     alone.go(2.0)
     alone.write()
-    assert SPEC.id not in core.job_shard.jobs, "all told and cleared"
+    assert SPEC.id not in core.job_shard.jobs, "the final state is reported and its results are acknowledged"
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
     assert stored.state.value == state and stored.spec is None
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
-def test_an_end_without_an_answer_is_the_same_end_under_the_next_view(carried_out):
-    """Carried out before the view, or never: the home that goes on neither forgets nor changes it."""
+def test_an_unanswered_final_state_does_not_change_under_the_next_view(carried_out):
+    """It committed before the view or never will; the job owner, which continues, keeps it in both cases."""
     alone = Alone("host-1")
-    _, end = late_end(alone, "withdrawn")
+    _, end = late_end(alone, "cancelled")
     if carried_out:
         alone.carry_out(end)
     alone.view("host-1", "host-0")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = alone.core.local_jobs.local_job_state(SPEC.id, alone.t)
-    assert told == (("aborted", 0, 0) if carried_out else None)
+    reported = alone.core.local_jobs.local_job_state(SPEC.id, alone.t)
+    assert reported == (("aborted", 0, 0) if carried_out else None)
     alone.write()
     assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
-def test_an_end_that_was_carried_out_is_not_written_active_again():
-    """Told as cancelled from the store by then: before the view has settled an inherited job may not end here, and what
-    was taken for its stored state was written over its end, with the end's stamp (found by a random run)."""
+def test_a_stored_final_state_is_not_overwritten_with_an_active_record():
+    """An inherited job may not end before the view settles; until then its owner must keep the stored state."""
     alone = Alone("host-1")
     job = alone.job()
-    alone.runs(job, "n-000001", 0)  # something is left to stop, so that its record keeps what it asked for
+    alone.runs(job, "n-000001", 0)  # a task is still to be stopped, so the record keeps the job's spec
     job.inherited = True
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.core.job_shard.settled = True
@@ -440,31 +433,31 @@
 
 
 @pytest.mark.parametrize("carried_out", (False, True))
-def test_a_job_shard_that_another_replaces_leaves_one_end_or_none(carried_out):
-    """Its last transaction had no answer: the new home finds the end, or writes the only one there will be."""
+def test_an_unanswered_final_state_leaves_at_most_one_under_a_new_job_owner(carried_out):
+    """The new job owner finds the stored final state, or writes the only one."""
     alone = Alone("host-1")
     _, end = late_end(alone, "last task")
-    there = alone.other("host-1")
+    successor = alone.other("host-1")
     if carried_out:
         alone.carry_out(end)
-    there.view("host-1")
+    successor.view("host-1")
     assert alone.carry_out(end).failed, "it asserts the view"
-    told = there.core.local_jobs.local_job_state(SPEC.id, there.t)
-    assert told[0] == ("done" if carried_out else "pending"), "nobody was told of an end that is not stored"
-    there.go(2.0)
-    state = there.core.local_jobs.cancel(SPEC.id, there.t)
-    there.write()
-    assert (state, there.core.local_jobs.local_job_state(SPEC.id, there.t)[0]) == (
+    reported = successor.core.local_jobs.local_job_state(SPEC.id, successor.t)
+    assert reported[0] == ("done" if carried_out else "pending"), "a final state that is not stored is not reported"
+    successor.go(2.0)
+    state = successor.core.local_jobs.cancel(SPEC.id, successor.t)
+    successor.write()
+    assert (state, successor.core.local_jobs.local_job_state(SPEC.id, successor.t)[0]) == (
         ("done", "done") if carried_out else ("", "aborted")
     )
-    there.go(1.0)
-    assert msgspec.json.decode(there.store.data[JOBS + SPEC.id][0], type=Record).state.value == (
+    successor.go(1.0)
+    assert msgspec.json.decode(successor.store.data[JOBS + SPEC.id][0], type=Record).state.value == (
         "done" if carried_out else "aborted"
     )
 
 
-def test_progress_that_is_carried_out_late_takes_nothing_back():
-    """Each write asserts the record's stamp: of two tries one is carried out, and what was done stays done."""
+def test_late_progress_does_not_overwrite_newer_progress():
+    """Each write is conditional on the record's revision, so only one of two attempts commits."""
     alone = Alone()
     job = alone.job()
     for index in (0, 1):
@@ -480,45 +473,49 @@
     assert stored.done == [(0, 2)] and not job.unacknowledged_results
 
 
-def test_a_submission_given_up_and_stored_late_is_served_though_the_store_is_read_anew():
-    """The store fails: the submission is given up, following breaks off, and what is read then has its record."""
+def test_a_refused_submission_that_commits_late_is_adopted_after_a_reload():
+    """The record appears among the reloaded rows and not among the watched changes."""
     alone = Alone()
     alone.core.submissions.submit(SPEC, alone.t, alone.t)
     late = alone.lost()
     alone.core.submissions.refuse_all()
     assert not alone.carry_out(late).failed
     alone.reload()
-    assert SPEC.id in alone.core.job_shard.jobs, "its user may have been told that it is known: nobody else serves it"
+    assert SPEC.id in alone.core.job_shard.jobs, (
+        "its user may have been answered that it is known, and no other member owns it"
+    )
     assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
 
 
-def test_a_submission_given_up_at_two_controllers_has_one_record_and_one_job_shard():
-    """Both are carried out late: the second meets the first one's record, whose home takes it in."""
+def test_a_submission_refused_by_two_controllers_has_one_record_and_one_owner():
+    """Both transactions arrive late: one fails with a conflict, and the owner of the other adopts the record."""
     alone = Alone("host-1")
-    there = alone.other("host-1")
+    peer = alone.other("host-1")
     late = []
-    for one in (alone, there):
-        one.core.submissions.submit(SPEC, one.t, one.t)
-        late.append(one.lost())
-        one.core.submissions.refuse_all()
-    assert not there.carry_out(late[1]).failed
-    again = alone.core.submissions.submit(SPEC, alone.t, alone.t)  # the user's next try, before anybody has heard
+    for member in (alone, peer):
+        member.core.submissions.submit(SPEC, member.t, member.t)
+        late.append(member.lost())
+        member.core.submissions.refuse_all()
+    assert not peer.carry_out(late[1]).failed
+    retried = alone.core.submissions.submit(
+        SPEC, alone.t, alone.t
+    )  # the user retries before the watch has delivered the record
     alone.write()
-    assert again.outcome == "known" and alone.carry_out(late[0]).failed
+    assert retried.outcome == "known" and alone.carry_out(late[0]).failed
     alone.follow()
-    there.follow()
-    assert SPEC.id in there.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
-    assert there.core.local_jobs.local_job_state(SPEC.id, there.t)[0] == "pending"
+    peer.follow()
+    assert SPEC.id in peer.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
+    assert peer.core.local_jobs.local_job_state(SPEC.id, peer.t)[0] == "pending"
 
 
-def test_a_submission_stored_late_though_what_it_needs_was_aborted_meanwhile_ends():
-    """The first try's record is active, the second one would be its end and meets the first."""
+def test_a_submission_that_commits_late_ends_if_its_dependency_was_aborted():
+    """The first attempt stored an active record; the second, a final state, fails with a conflict."""
     alone = Alone()
-    need = msgspec.structs.replace(SPEC, id="wk-000002")
-    alone.job(need)
-    submission = alone.core.submissions.submit(msgspec.structs.replace(SPEC, needs=[need.id]), alone.t, alone.t)
+    dependency = msgspec.structs.replace(SPEC, id="wk-000002")
+    alone.job(dependency)
+    submission = alone.core.submissions.submit(msgspec.structs.replace(SPEC, needs=[dependency.id]), alone.t, alone.t)
     first = alone.lost()
-    alone.store.commit({}, {JOBS + need.id: Record(JobState.ABORTED)})
+    alone.store.commit({}, {JOBS + dependency.id: Record(JobState.ABORTED)})
     alone.follow()
     assert not alone.carry_out(first).failed
     alone.write()
@@ -531,10 +528,7 @@
     )
 
 
-# -- lists beside records
-
-
-def test_lists_whose_drop_had_no_answer_are_dropped_again():
+def test_an_unanswered_deletion_of_dependency_lists_is_repeated():
     alone = Alone()
     keys = [f"{LISTS}wk-000009/x/{number}" for number in range(3)]
     alone.store.commit({}, dict.fromkeys(keys, ["wk-000008"]))
@@ -542,14 +536,14 @@
     alone.core.record_writer.lists_to_drop = list(keys)
     batch = alone.lost()
     assert batch.drops == keys
-    alone.core.batch_results.on_failed(batch, alone.t)  # the read that followed a conflict may fail as well
+    alone.core.batch_results.on_failed(batch, alone.t)  # called again if the read after a conflict fails
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert not alone.core.record_writer.lists_to_drop
 
 
-def test_a_list_that_is_carried_out_late_does_not_come_back_after_its_job():
-    """It asserted the view alone. A try that meets the job's record finds it known, and writes no lists."""
+def test_a_dependency_list_that_commits_late_is_not_restored_after_its_job():
+    """Lists are conditional on the absence of the job's record, so a late or repeated submission writes none."""
     alone = Alone()
     alone.core.job_shard.value_bytes = 700
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
@@ -564,19 +558,16 @@
     alone.write()
     assert not [key for key in alone.store.data if key.startswith(LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
-    alone.core.replica.ended.clear()  # another controller, which has yet to hear of the job
+    alone.core.replica.ended.clear()  # as on a controller that has not received the job's record
     alone.core.replica.lists.clear()
-    again = alone.core.submissions.submit(spec, alone.t, alone.t)
+    retried = alone.core.submissions.submit(spec, alone.t, alone.t)
     alone.settle(alone.batch())
-    assert again.outcome == "known" and not [key for key in alone.store.data if key.startswith(LISTS)]
-
-
-# -- claims
+    assert retried.outcome == "known" and not [key for key in alone.store.data if key.startswith(LISTS)]
 
 
 @pytest.mark.parametrize("failed", (False, True))
-def test_claims_on_their_way_are_not_forgotten_when_the_store_is_read_anew(failed):
-    """Under the same view they may yet be stored: planned without them, a job that they stop asked for others' room."""
+def test_unconfirmed_claims_survive_a_reload_of_the_replica(failed):
+    """They may still commit under the same view, so preemption must not be planned without them."""
     ledger = Ledger()
     ledger.plan(
         [{"n-000001": PreemptionClaim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}]
@@ -584,21 +575,21 @@
     first = ledger.due(1.0, 12, 4096)
     if failed:
         ledger.failed(first)
-    ledger.clear()  # and the rows that are read do not have them yet
-    assert ledger.busy, "nothing is planned before it is settled"
+    ledger.clear()  # and the reloaded rows do not have them yet
+    assert ledger.busy, "no planning before the claims are confirmed or rejected"
     if not failed:
         ledger.failed(first)
-    again = ledger.due(2.0, 12, 4096)
-    assert set(again.puts) == {BUDGETS}, "its stamp goes up: the first can't be carried out any more"
-    for key, value in first.puts.items():  # it was, before that
+    retried = ledger.due(2.0, 12, 4096)
+    assert set(retried.puts) == {BUDGETS}, "the new revision of this key prevents the first one from committing"
+    for key, value in first.puts.items():  # the first one committed before that
         ledger.apply(key, msgspec.json.encode(value), 9)
-    ledger.failed(again)
+    ledger.failed(retried)
     assert ledger.due(3.0, 12, 4096) is None and not ledger.busy
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
 
 
-def test_what_was_read_before_a_claim_was_stored_does_not_have_it_forgotten():
-    """Reading anew was slow, and its own transaction was answered in between: a job that was stopped asked for room."""
+def test_a_claim_survives_a_reload_of_rows_older_than_it():
+    """The claim's transaction was answered during a slow reload; its victim must not preempt others."""
     alone = Alone()
     store, ledger = alone.store, alone.core.replica.ledger
     rows, revision = store.rows(), store.revision
@@ -612,107 +603,101 @@
     assert ledger.spent_revision == store.data[BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
     alone.reload()
-    assert ledger.claim_of("n-000001") is None, "what went unseen does not stay"
-
+    assert ledger.claim_of("n-000001") is None, "a claim deleted while the watch was interrupted is removed"
 
-# -- declarations
 
-
-def test_the_answer_to_a_revision_does_not_bring_it_back_when_another_head_has_dropped_it():
-    """Counted on as stored, it was named by this file's head: nobody could read that, and all stopped acting."""
+def test_a_late_answer_does_not_restore_a_configuration_revision_that_was_deleted():
+    """A head that refers to a deleted text would be unreadable, and all members would stop acting."""
     raw = msgspec.json.encode({"words": ["a" * 900]})
     own = configuration.ConfigurationRevision("hours", 3, compiler.digest_of(raw), raw)
-    one = OperatorConfiguration({"hours": own}, 20.0, ["host-0"])
+    configured = OperatorConfiguration({"hours": own}, 20.0, ["host-0"])
     other = StoredRevision(2, "other", 0)
     membership = SimpleNamespace(
         present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: False
     )
     head = ConfigurationHead(1, "first", 0, 0.0)
-    one.apply(DECLARED + "hours", msgspec.json.encode(head), 5)
-    one.refresh(0.0)
-    proposal = one.due(membership, 0.0, 0.0, 1, 512)  # room for one text, the head is to follow
+    configured.apply(DECLARED + "hours", msgspec.json.encode(head), 5)
+    configured.refresh(0.0)
+    proposal = configured.due(membership, 0.0, 0.0, 1, 512)  # limit of one change: a text, and the head later
     ((key, piece),) = proposal.puts.items()
     assert key in records.piece_keys("hours", StoredRevision(3, own.digest, records.parts_of(raw, 512)))
-    one.apply(key, msgspec.json.encode(piece), 7)  # the replica shows it, and the other's head, before the answer
-    one.apply(key, None, 8)
-    one.apply(DECLARED + "hours", msgspec.json.encode(ConfigurationHead(2, "other", 0, 0.0, head.last)), 8)
-    one.refresh(0.0)
-    one.done(proposal, 7, 0.0)
-    assert key not in one.kinds["hours"].pieces
-    assert other.revision == one.kinds["hours"].head.revision
-
-
-# -- what users are told
-
-
-def asking(monkeypatch):
-    """A controller that knows a job's home to be host-1, at work, and what it knows of the job's end."""
-    control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
-    core = control.core
+    configured.apply(key, msgspec.json.encode(piece), 7)  # the watch delivers it, and the other head, before the answer
+    configured.apply(key, None, 8)
+    configured.apply(DECLARED + "hours", msgspec.json.encode(ConfigurationHead(2, "other", 0, 0.0, head.last)), 8)
+    configured.refresh(0.0)
+    configured.done(proposal, 7, 0.0)
+    assert key not in configured.kinds["hours"].pieces
+    assert other.revision == configured.kinds["hours"].head.revision
+
+
+def controller_with_remote_job(monkeypatch):
+    """A controller, and the active record of a job that host-1 owns."""
+    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
+    core = controller.core
     record = Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC)
     core.replica.observe_job(SPEC.id, record, 5)
     core.membership.observe_view(View("host-1", {"host-0": 1, "host-1": 2}), 4)
-    return control, record
+    return controller, record
 
 
 @pytest.mark.parametrize("ended", (JobState.DONE, JobState.ABORTED))
-def test_a_record_read_before_its_job_ended_is_not_told_after_the_end(monkeypatch, ended):
-    """The store answers slowly; meanwhile the end has arrived here, and the user was told so for the cancel."""
-    control, record = asking(monkeypatch)
+def test_a_slow_read_of_an_active_record_is_not_reported_after_the_final_state(monkeypatch, ended):
+    """While the read is pending the final state arrives, and a cancellation is answered with it."""
+    controller, record = controller_with_remote_job(monkeypatch)
 
-    async def slow(key):
+    async def slow_get(key):
         row = wire.KeyValue(key, msgspec.Raw(msgspec.json.encode(record)), 5)
-        control.core.replica.observe_job(SPEC.id, Record(ended), 6)
-        assert (await control.users_api.cancellations.cancel(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
+        controller.core.replica.observe_job(SPEC.id, Record(ended), 6)
+        assert (await controller.users_api.cancellations.cancel(SPEC.id))[1] == wire.accepted_body(SPEC.id, ended.value)
         return row
 
-    monkeypatch.setattr(control.store, "get", slow)
-    status, body, _ = curio.run(control.users_api.status.status_from_store, SPEC.id)
+    monkeypatch.setattr(controller.store, "get", slow_get)
+    status, body, _ = curio.run(controller.users_api.status.status_from_store, SPEC.id)
     assert (status, msgspec.json.decode(body)["status"]) == (200, ended.value)
 
 
-def test_a_job_that_was_stored_while_the_store_was_read_is_not_called_unknown(monkeypatch):
-    """Another try of its user's was accepted meanwhile: no 404, and no refusal that rests on one."""
-    control, record = asking(monkeypatch)
-    control.core.replica.active.clear()
+def test_a_job_stored_during_a_slow_read_is_not_reported_as_unknown(monkeypatch):
+    """Another attempt of its user was accepted meanwhile: neither 404 nor a refusal may follow."""
+    controller, record = controller_with_remote_job(monkeypatch)
+    controller.core.replica.active.clear()
 
-    async def slow(key):
-        control.core.replica.observe_job(SPEC.id, record, 6)
+    async def slow_get(key):
+        controller.core.replica.observe_job(SPEC.id, record, 6)
 
-    monkeypatch.setattr(control.store, "get", slow)
-    assert curio.run(control.users_api.status.status_from_store, SPEC.id)[0] == 503
-    control.core.replica.active.clear()
-    assert curio.run(control.users_api.submissions.refuse_unless_accepted, SPEC.id, "unknown team")[0] == 503
+    monkeypatch.setattr(controller.store, "get", slow_get)
+    assert curio.run(controller.users_api.status.status_from_store, SPEC.id)[0] == 503
+    controller.core.replica.active.clear()
+    assert curio.run(controller.users_api.submissions.refuse_unless_accepted, SPEC.id, "unknown team")[0] == 503
 
 
-@pytest.mark.parametrize("asked", ("poll", "known"))
-def test_a_job_shards_answer_from_before_the_end_is_not_told_after_it(monkeypatch, asked):
-    control, _ = asking(monkeypatch)
+@pytest.mark.parametrize("request_kind", ("poll", "resubmission"))
+def test_an_older_answer_of_the_job_owner_is_not_reported_after_the_final_state(monkeypatch, request_kind):
+    controller, _ = controller_with_remote_job(monkeypatch)
     answers = []
     body = wire.job_status_body(SPEC.id, "running", 0, 1)
 
     async def poll():
-        assert control.users_api.status.poll_status(SPEC.id, answers.append) is None
-        control.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
-        number = control.queries.query_count
-        await control.queries.on_poll_reply(number, messages.JobQueryReply(number, 200, body))
+        assert controller.users_api.status.poll_status(SPEC.id, answers.append) is None
+        controller.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
+        number = controller.queries.query_count
+        await controller.queries.on_poll_reply(number, messages.JobQueryReply(number, 200, body))
 
-    async def known():
+    async def resubmit():
         async def ask(label, what, job):
-            control.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
+            controller.core.replica.observe_job(SPEC.id, Record(JobState.ABORTED), 6)
             return Response(200, body, [])
 
-        control.queries.query = ask
-        answers.append(await control.users_api.submissions.answer_resubmission(SPEC.id))
+        controller.queries.query = ask
+        answers.append(await controller.users_api.submissions.answer_resubmission(SPEC.id))
 
-    curio.run(poll if asked == "poll" else known)
+    curio.run(poll if request_kind == "poll" else resubmit)
     assert msgspec.json.decode(answers[0][1])["status"] == "aborted"
 
 
 @pytest.mark.parametrize("found, status", [(True, 200), (False, 400), (None, 503)])
-def test_a_job_that_is_too_long_here_and_stored_elsewhere_is_known(monkeypatch, found, status):
-    """The store takes less than it did, its answers are slow, and the replica has yet to show the accepted job."""
-    control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
+def test_a_job_over_the_value_limit_is_refused_only_if_it_is_not_stored(monkeypatch, found, status):
+    """The value limit was reduced, and the watch has not delivered the accepted job's record."""
+    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
 
     async def get(key):
         if found is None:
@@ -723,10 +708,10 @@
             else None
         )
 
-    core = control.core
+    core = controller.core
     core.state.loaded, core.job_shard.value_bytes = True, 200
     core.machine_types.update(TYPES)
-    monkeypatch.setattr(control.store, "get", get)
+    monkeypatch.setattr(controller.store, "get", get)
     monkeypatch.setattr(core.membership, "may_act", lambda now: True)
     body = {
         "id": "wk-000001",
@@ -750,83 +735,77 @@
         "snapshot_s": 0.0,
         "due_s": None,
     }
-    assert curio.run(control.users_api.submissions.submit, msgspec.json.encode(body))[0] == status
+    assert curio.run(controller.users_api.submissions.submit, msgspec.json.encode(body))[0] == status
 
 
-# -- entering
-
-
-class Steps:
-    """A store whose answers to the steps of entering are lost; what they ask for is carried out now or late."""
+class LossyStore:
+    """A store that loses the answer to one step of acquiring a lease; the step itself executes at once or late."""
 
     def __init__(self, lose: str, late: bool) -> None:
         self.t = 0.0
         self.sim, self.lose, self.late = SimStore(self), lose, late
-        self.held_back = []
+        self.delayed_actions = []
 
     def step(self, name, action):
         if name != self.lose:
             return action()
-        self.lose = ""  # the first one only
+        self.lose = ""  # loses only the first answer
         if self.late:
-            self.held_back.append(action)
+            self.delayed_actions.append(action)
         else:
             action()
         raise UnansweredError(name)
 
     async def get(self, key):
-        found = self.sim.data.get(key)
-        return self.step("get", lambda: None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1]))
+        row = self.sim.data.get(key)
+        return self.step("get", lambda: None if row is None else wire.KeyValue(key, msgspec.Raw(row[0]), row[1]))
 
     async def grant_lease(self, ttl_s):
-        def take():
+        def grant():
             lease_id = next(self.sim.lease_ids)
             self.sim.holds[lease_id] = 1e9
             return lease_id
 
-        return self.step("hold", take)
+        return self.step("grant_lease", grant)
 
     async def commit(self, conditions, puts, drops=(), lease_id=None):
         return self.step("commit", lambda: self.sim.commit(conditions, puts, drops, lease_id))
 
     async def revoke_lease(self, lease_id):
-        self.step("end", lambda: self.sim.end(lease_id))
+        self.step("revoke_lease", lambda: self.sim.end(lease_id))
 
 
 @pytest.mark.parametrize("late", (False, True))
-@pytest.mark.parametrize("lose", ("get", "hold", "commit", "end"))
-def test_whichever_step_of_entering_has_no_answer_the_label_has_one_key_of_its_store_lease(lose, late):
-    steps = Steps(lose, late)
-    control = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll(), store=steps)
-    steps.sim.holds[1000] = 1e9
-    steps.sim.commit(
+@pytest.mark.parametrize("lose", ("get", "grant_lease", "commit", "revoke_lease"))
+def test_the_member_key_matches_the_store_lease_if_any_step_of_acquiring_it_is_unanswered(lose, late):
+    lossy_store = LossyStore(lose, late)
+    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll(), store=lossy_store)
+    lossy_store.sim.holds[1000] = 1e9
+    lossy_store.sim.commit(
         {}, {MEMBERS + "host-0": MemberRecord(1000, constants.PROTOCOL_VERSION)}, (), 1000
-    )  # an earlier life's
+    )  # of the earlier incarnation
 
     async def enter():
         for _ in range(3):
-            if not control.membership.store_lease.lease_id:
+            if not controller.membership.store_lease.lease_id:
                 try:
-                    await control.store_lease_loop.acquire_store_lease()
+                    await controller.store_lease_loop.acquire_store_lease()
                 except (UnansweredError, store.StoreRefusedError):
                     pass
 
     curio.run(enter)
-    for action in steps.held_back:
-        action()  # late, after newer ones
-    lease_id = control.membership.store_lease.lease_id
-    raw, _, attached = steps.sim.data[MEMBERS + "host-0"]
+    for action in lossy_store.delayed_actions:
+        action()  # executed late, after newer steps
+    lease_id = controller.membership.store_lease.lease_id
+    raw, _, attached = lossy_store.sim.data[MEMBERS + "host-0"]
     assert lease_id and msgspec.json.decode(raw, type=MemberRecord).lease_id == lease_id == attached
-    assert lease_id in steps.sim.holds
-
-
-# -- all of it, in a world
+    assert lease_id in lossy_store.sim.holds
 
 
-class LateNode(SimController):
-    """For a while a share of its transactions has no answer and is carried out 2 to 12 s later, after newer ones.
+class LateCommitController(SimController):
+    """While faulty, a share of its transactions is unanswered and commits 2 to 12 s later, after newer ones.
 
-    Other answers of the store are slow, and following breaks off now and then: all is read anew.
+    Other answers of the store are delayed, and the watch sometimes fails, which reloads the replica.
     """
 
     def is_faulty(self) -> bool:
@@ -836,11 +815,11 @@
         core, store, world = self.core, self.world.store, self.world
         if self.follow_busy or not core.state.loaded or not self.is_faulty() or world.rng.random() >= 0.05:
             return super().follow()
-        self.follow_busy, sent = True, world.t
+        self.follow_busy, requested_at = True, world.t
 
         def done(answer) -> None:
             self.follow_busy = False
-            core.membership.record_sync(sent)
+            core.membership.record_sync(requested_at)
             core.store_follower.load(*answer, world.t, world.t + self.ahead_s)
 
         def failed() -> None:
@@ -850,48 +829,48 @@
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
         world, life = self.world, self.life
-        if not self.is_faulty() or method != world.store.commit or world.rng.random() >= world.late_writes:
+        if not self.is_faulty() or method != world.store.commit or world.rng.random() >= world.late_commit_share:
             if not self.is_faulty() or world.rng.random() >= 0.2:
                 return super().call(then, fail, method, *args, too_large=too_large)
 
-            def slowly(action):
-                def later(*answer) -> None:
-                    world.after(world.rng.uniform(0.1, 1.8), self.at_work, life, action, *answer)
+            def delayed(action):
+                def answer_later(*answer) -> None:
+                    world.after(world.rng.uniform(0.1, 1.8), self.run_if_same_incarnation, life, action, *answer)
 
-                return later
+                return answer_later
 
-            return super().call(slowly(then), fail, method, *args, too_large=too_large)
+            return super().call(delayed(then), fail, method, *args, too_large=too_large)
 
         def carry_out() -> None:
             with contextlib.suppress(StoreRefusedError, TransactionTooLargeError):
                 method(*args)
 
         world.after(world.rng.uniform(2.0, 12.0), carry_out)
-        world.after(constants.STATE_TIMEOUT_S, self.at_work, life, fail)
+        world.after(constants.STATE_TIMEOUT_S, self.run_if_same_incarnation, life, fail)
 
-    def at_work(self, life: int, action, *answer) -> None:
+    def run_if_same_incarnation(self, life: int, action, *answer) -> None:
         if life == self.life:
             action(*answer)
             self.flush()
 
 
-class LateWorld(World):
-    process = LateNode
-    late_writes = 0.3
+class LateCommitWorld(World):
+    process = LateCommitController
+    late_commit_share = 0.3
 
 
 @pytest.mark.parametrize("seed", (9500, 9501, 9502))
-def test_rules_hold_while_transactions_are_carried_out_late(seed):
-    """With all the world's other faults."""
-    world = LateWorld(seed, pipelines=3)
+def test_invariants_hold_while_transactions_commit_late(seed):
+    """Combined with all other simulated faults."""
+    world = LateCommitWorld(seed, pipelines=3)
     world.run(200.0)
     world.remembered()
     assert world.starts > 0
 
 
 @pytest.mark.parametrize("status", (400, 401, 418))
-def test_only_the_stores_word_that_there_is_no_key_counts_as_none(status):
-    """Any other answer was taken for it: an accepted job would have been told 404."""
+def test_only_a_404_from_the_store_counts_as_a_missing_key(status):
+    """If another status counted as one, requests for an accepted job would be answered with 404."""
     client = store.Store("127.0.0.1:1")
 
     async def answer(*_args, **_more):
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -1,9 +1,6 @@
-"""A record of the store that can't be read here: one line names it, and nothing else stops.
+"""Unreadable store records: each is logged with its key, and does not affect other records and requests.
 
-A question for a job whose record could not be decoded was answered 500 with a traceback. A change that brought such a
-record ended the loop that follows the store ("loop=keep_replica state=interrupted cause=JSON is malformed ..."), five
-times a second and without the key; no controller that started then ever had a replica. A submission under that job's
-id met the record as a conflict, and the controller's every later transaction carried it, and failed with it.
+A single such record must not stop the watch, the load of the replica or the controller's other transactions.
 """
 
 import curio
@@ -27,17 +24,17 @@
 
 
 @pytest.fixture
-def control(monkeypatch):
-    one = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
-    one.core.state.loaded = True
-    one.core.machine_types.update(TYPES)
-    monkeypatch.setattr(one.core.membership, "may_act", lambda now: True)
+def controller(monkeypatch):
+    controller = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
+    controller.core.state.loaded = True
+    controller.core.machine_types.update(TYPES)
+    monkeypatch.setattr(controller.core.membership, "may_act", lambda now: True)
 
     async def get(key: str):
         return wire.KeyValue(key, msgspec.Raw(GARBAGE), 5) if key == JOBS + JOB else None
 
-    one.store.get = get
-    return one
+    controller.store.get = get
+    return controller
 
 
 def body(job: str) -> bytes:
@@ -45,68 +42,68 @@
 
 
 def unreadable_lines(caplog) -> list[str]:
-    return [one.getMessage() for one in caplog.records if "state=unreadable" in one.getMessage()]
+    return [record.getMessage() for record in caplog.records if "state=unreadable" in record.getMessage()]
 
 
-@pytest.mark.parametrize("known", (False, True))  # whether the replica has seen the record
-def test_its_user_is_told_that_it_cannot_be_known_and_others_are_served(control, caplog, known):
-    if known:
-        control.core.store_follower.apply_events(
+@pytest.mark.parametrize("in_replica", (False, True))  # whether the replica has received the record
+def test_requests_for_an_unreadable_job_get_503_and_other_jobs_are_served(controller, caplog, in_replica):
+    if in_replica:
+        controller.core.store_follower.apply_events(
             [wire.WatchEvent(put=JOBS + JOB, data=msgspec.Raw(GARBAGE), revision=5)], 1.0, 1.0
         )
     caplog.clear()
-    users = control.users_api
+    users = controller.users_api
     assert curio.run(users.status.status, JOB)[0] == 503
     [line] = unreadable_lines(caplog)
     assert JOBS + JOB in line and "cause=" in line and "\n" not in line
     assert curio.run(users.cancellations.cancel, JOB)[0] == 503
-    assert curio.run(users.submissions.submit, body(JOB)[:-3])[0] == 503, "never 400 for a job that may be accepted"
-    assert not control.store_backoff.is_active(), "the store answers: other jobs are accepted"
+    assert curio.run(users.submissions.submit, body(JOB)[:-3])[0] == 503, "not 400: the job may have been accepted"
+    assert not controller.store_backoff.is_active(), "the store is reachable, so other jobs are accepted"
     assert curio.run(users.status.status, "wk-000413")[0] == 404
-    if known:
+    if in_replica:
         assert curio.run(users.submissions.submit, body(JOB))[0] == 503
 
 
 @pytest.mark.parametrize("key", (JOBS + JOB, MACHINES + "n-1", LISTS + JOB + "/0", TYPES_KEY))
-def test_a_change_that_cannot_be_read_is_named_and_the_next_one_applied(control, caplog, key):
+def test_an_unreadable_change_is_logged_and_later_changes_are_applied(controller, caplog, key):
     other = Record(JobState.DONE)
     events = [
         wire.WatchEvent(put=key, data=msgspec.Raw(b'"?"'), revision=5),
         wire.WatchEvent(put=JOBS + "wk-000001", data=msgspec.Raw(msgspec.json.encode(other)), revision=6),
     ]
-    control.core.store_follower.apply_events(events, 1.0, 1.0)
-    replica = control.core.replica
+    controller.core.store_follower.apply_events(events, 1.0, 1.0)
+    replica = controller.core.replica
     assert replica.ended["wk-000001"] is JobState.DONE
     [line] = unreadable_lines(caplog)
     assert key in line and "cause=" in line
     if key.startswith(MACHINES):
-        assert replica.machines == {"n-1": 5}, "a view waits for it all the same"
+        assert replica.machines == {"n-1": 5}, "views wait for this machine although its record is unreadable"
     if key.startswith(JOBS):
-        assert control.core.directory.knows_job(JOB), "never 404"
+        assert controller.core.directory.knows_job(JOB), "not 404: the job may have been accepted"
 
 
 @pytest.mark.parametrize("key", (VIEW, MEMBERS + "host-1"))
-def test_what_decides_who_may_act_is_not_passed_over(control, key):
+def test_an_unreadable_view_or_member_key_is_not_skipped(controller, key):
     event = wire.WatchEvent(put=key, data=msgspec.Raw(b'"?"'), revision=5)
     with pytest.raises(errors.UnreadableRecordError, match=key):
-        control.core.store_follower.apply_events([event], 1.0, 1.0)
+        controller.core.store_follower.apply_events([event], 1.0, 1.0)
 
 
-def test_a_submission_that_meets_one_does_not_hold_up_the_others():
+def test_a_submission_that_conflicts_with_an_unreadable_record_does_not_block_others():
     world = Rooms(3)
     world.run(5.0)
     sim = world.nodes["host-1"]
-    # Written a moment ago elsewhere: the change has not arrived here.
+    # Written by another controller; the watch has not delivered it yet.
     world.store.data[JOBS + "wk-000001"] = (GARBAGE, world.store.revision, None)
     outcomes: dict[int, str] = {}
-    for _ in range(3):  # a transaction without an answer is refused; its user tries again
-        tries = {n: sim.core.submissions.submit(array(n), world.t, world.t) for n in (1, 2) if n not in outcomes}
+    for _ in range(3):  # the user retries a submission whose transaction was refused
+        submissions = {n: sim.core.submissions.submit(array(n), world.t, world.t) for n in (1, 2) if n not in outcomes}
         world.run(world.t + 3.0)
-        outcomes |= {n: one.outcome for n, one in tries.items() if one.outcome != "refused"}
+        outcomes |= {n: submission.outcome for n, submission in submissions.items() if submission.outcome != "refused"}
     assert outcomes == {1: "known", 2: "accepted"}
 
 
-def test_controllers_that_all_start_anew_serve_what_they_can_read():
+def test_controllers_serve_readable_records_after_all_of_them_restart():
     world = World(7, random_faults=False, jobs=6)
     world.run(60.0)
     world.store.revision += 1
