--- a/alderbridge/transport/__init__.py
+++ b/alderbridge/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP, the selector below it, and the mesh of channels between controllers."""
+"""HTTP client and server, the epoll selector under them, and the connections between controllers."""
--- a/alderbridge/transport/channel.py
+++ b/alderbridge/transport/channel.py
@@ -1,4 +1,4 @@
-"""Ordered delivery to one member under one fencing token: resent until acknowledged, dropped at a change of view."""
+"""Ordered delivery to one member: messages are resent until acknowledged, and dropped when the view changes."""
 
 from __future__ import annotations
 
@@ -9,53 +9,53 @@
 
 
 class Channel:
-    """Ordered messages to and from one member under one fencing token; times are in s of a steady clock."""
+    """Ordered messages to and from one member under one fencing token; times are in seconds of a monotonic clock."""
 
     def __init__(self, me: str) -> None:
-        """``me``: the label of this controller; the channel is under no view yet."""
+        """``me``: the label of this controller. The channel belongs to no view until ``reset``."""
         self.me = me
         self.peer_fencing_token = 0
         self.reset(0, 0.0)
 
     def reset(self, fencing_token: int, now: float, lease_id: int = 0) -> None:
-        """Begin anew under another view; ``lease_id``: under which this controller takes part in it, 0: it does not."""
+        """Start again under another view; ``lease_id``: this controller's store lease there, 0: it is no member."""
         self.fencing_token, self.lease_id = fencing_token, lease_id
         self.next_seq = 1
         self.received = 0
         self.unacked: deque[tuple[int, Message, float]] = deque()  # sequence, body, when it was first sent
         self.acked_at = float("-inf")  # when the newest acknowledged message was first sent
-        self.progress_at = now
+        self.resend_timer_started_at = now
         self.posted_at = now
-        self.alive_at = now  # the last acknowledgement, or when the oldest message without one was sent
+        self.stall_timer_started_at = now  # see ``is_stalled``
 
     def post(self, body: Message, now: float) -> Frame:
-        """A message that must arrive."""
+        """A new frame for a message that must arrive: it is kept for resending until acknowledged."""
         if not self.unacked:
-            self.progress_at = self.alive_at = now
+            self.resend_timer_started_at = self.stall_timer_started_at = now
         self.posted_at = now
         self.unacked.append((self.next_seq, body, now))
         self.next_seq += 1
         return self._frame(self.next_seq - 1, body)
 
     def post_unreliable(self, body: Message) -> Frame:
-        """A message that may be lost."""
+        """A new frame for a message that may be lost: it has no sequence and is not resent."""
         return self._frame(0, body)
 
     def _frame(self, seq: int, body: Message) -> Frame:
         return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)  # type: ignore[arg-type]  # a Message is one of Body
 
     def observe_view(self, frame: Frame) -> None:
-        """Note which view the peer knows; the frame is neither accepted nor acknowledged."""
+        """Record the highest fencing token the peer has used; the frame is neither accepted nor acknowledged."""
         self.peer_fencing_token = max(self.peer_fencing_token, frame.fencing_token)
 
     def receive(self, frame: Frame, now: float) -> Message | None:
-        """The body, if it is new and in order under this fencing token."""
+        """Process the acknowledgement; return the body if it is next in order under this fencing token, else None."""
         self.observe_view(frame)
         if frame.fencing_token != self.fencing_token:
             return None
         while self.unacked and self.unacked[0][0] <= frame.ack:
             self.acked_at = self.unacked.popleft()[2]
-            self.progress_at = self.alive_at = now
+            self.resend_timer_started_at = self.stall_timer_started_at = now
         if frame.seq == 0:
             return frame.body
         if frame.seq != self.received + 1:
@@ -64,23 +64,26 @@
         return frame.body
 
     def resend(self, now: float) -> list[Frame]:
-        """All frames without an acknowledgement, if there was no progress lately."""
-        if not self.unacked or now - self.progress_at < constants.MESH_RESEND_S:
+        """All unacknowledged frames, if there was no acknowledgement or resend for ``MESH_RESEND_S``."""
+        if not self.unacked or now - self.resend_timer_started_at < constants.MESH_RESEND_S:
             return []
-        self.progress_at = now
+        self.resend_timer_started_at = now
         return [self._frame(seq, body) for seq, body, _ in self.unacked]
 
     def backlog(self) -> int:
-        """How many messages have no acknowledgement yet."""
+        """Number of unacknowledged messages."""
         return len(self.unacked)
 
     def is_quiet(self, now: float) -> bool:
-        """Nothing sent lately whose acknowledgement would show that the connection is whole."""
+        """Whether no reliable message was posted for ``MESH_PROBE_S``: a keep-alive is due, to test the connection."""
         return now - self.posted_at >= constants.MESH_PROBE_S
 
     def is_stalled(self, now: float) -> bool:
-        """Whether nothing was acknowledged for long: the other end may have closed while the network was cut."""
-        if not self.unacked or now - self.alive_at < constants.MESH_STALL_S:
+        """Whether messages were pending without an acknowledgement for ``MESH_STALL_S``; if so, restart that timer.
+
+        The peer may have closed the connection while the network was partitioned, so that it has to be renewed.
+        """
+        if not self.unacked or now - self.stall_timer_started_at < constants.MESH_STALL_S:
             return False
-        self.alive_at = now  # the next connection gets as long
+        self.stall_timer_started_at = now  # the next connection gets the full time
         return True
--- a/alderbridge/transport/errors.py
+++ b/alderbridge/transport/errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with a request."""
+"""Errors of HTTP requests."""
 
 from __future__ import annotations
 
 
 class UnansweredError(Exception):
-    """No response: the request may have been carried out, or may yet be."""
+    """No response was received: the request may have been carried out, or may still be."""
--- a/alderbridge/transport/framing.py
+++ b/alderbridge/transport/framing.py
@@ -1,4 +1,4 @@
-"""Frames of messages between controllers as bytes: MessagePack, with the length before it."""
+"""Encoding of frames between controllers: MessagePack with a length prefix."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from alderbridge import constants
 from alderbridge.protocol.messages import Frame, Message
 
-_LENGTH = struct.Struct(">I")  # of a frame, in bytes; goes before it
+_LENGTH_PREFIX = struct.Struct(">I")  # bytes of the frame that follows
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Frame).decode
 
 
 class _Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A frame whose body is encoded already; it encodes to the same bytes as ``Frame``."""
+    """A frame whose body is already encoded. It encodes to the same bytes as ``Frame``."""
 
     version: str
     sender: str
@@ -28,37 +28,43 @@
 
 
 class Encoder:
-    """Encodes frames. A body that goes to several peers, one after the other, is encoded once."""
+    """Encodes frames. A body sent to several peers in succession is encoded only once."""
 
     def __init__(self) -> None:
-        """No body is encoded yet."""
-        self.body: Message | None = None
-        self.raw = msgspec.Raw(b"")
+        """Start without a cached body."""
+        self.last_body: Message | None = None
+        self.last_encoded = msgspec.Raw(b"")
 
     def __call__(self, frame: Frame) -> bytes:
-        """The bytes of a frame, with its length before it."""
-        if frame.body is not self.body:
-            self.body, self.raw = frame.body, msgspec.Raw(_encode(frame.body))
+        """The bytes of a frame, with its length prefix."""
+        if frame.body is not self.last_body:
+            self.last_body, self.last_encoded = frame.body, msgspec.Raw(_encode(frame.body))
         data = _encode(
             _Envelope(
-                frame.version, frame.sender, frame.fencing_token, frame.seq, frame.ack, self.raw, frame.sender_lease_id
+                frame.version,
+                frame.sender,
+                frame.fencing_token,
+                frame.seq,
+                frame.ack,
+                self.last_encoded,
+                frame.sender_lease_id,
             )
         )
-        return _LENGTH.pack(len(data)) + data
+        return _LENGTH_PREFIX.pack(len(data)) + data
 
 
 def split_frames(buffer: bytearray) -> Iterator[Frame]:
-    """The complete frames at the front of ``buffer``, which keeps the rest. Raises ``msgspec.DecodeError``."""
-    end, length = 0, len(buffer)  # of the frames so far, of all
+    """Remove the complete frames from the front of ``buffer`` and yield them. Raises ``msgspec.DecodeError``."""
+    consumed, available = 0, len(buffer)  # bytes
     try:
         with memoryview(buffer) as view:
-            while length - end >= _LENGTH.size:
-                (size,) = _LENGTH.unpack_from(view, end)
+            while available - consumed >= _LENGTH_PREFIX.size:
+                (size,) = _LENGTH_PREFIX.unpack_from(view, consumed)
                 if size > constants.MAX_FRAME:
                     raise msgspec.DecodeError(f"frame of {size} bytes")
-                if length - end - _LENGTH.size < size:
+                if available - consumed - _LENGTH_PREFIX.size < size:
                     return
-                end += _LENGTH.size + size
-                yield _decode(view[end - size : end])
+                consumed += _LENGTH_PREFIX.size + size
+                yield _decode(view[consumed - size : consumed])
     finally:
-        del buffer[:end]
+        del buffer[:consumed]
--- a/alderbridge/transport/http_client.py
+++ b/alderbridge/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client by h11: on curio for whoever awaits the response, and on the poll for whoever does not."""
+"""HTTP/1.1 clients on h11: ``Client`` for coroutines that await the response, ``Exchange`` with a callback."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 now = time.monotonic
 
-_READ_BYTES = 65536  # at most in one read
+_READ_BYTES = 65536  # limit of one read
 
 
 class Client:
-    """Keep-alive connections to one address, at most ``keep`` of them idle."""
+    """Keep-alive connections to one address; at most ``keep`` idle ones stay open."""
 
     def __init__(self, host: str, port: int, keep: int = 6) -> None:
-        """Connects when there is a request."""
+        """Open no connection until the first request."""
         self.host, self.port, self.keep = host, port, keep
         self.idle: list[curio.io.Socket] = []
 
     async def request(self, method: str, target: str, body: bytes = b"", timeout_s: float = 2.0) -> tuple[int, bytes]:
-        """Status and body. Raises ``UnansweredError`` where there is no response within ``timeout_s``."""
+        """Status and body. Raises ``UnansweredError`` if there is no valid response within ``timeout_s``."""
         try:
             return await curio.timeout_after(timeout_s, self._request, method, target, body)
         except (OSError, h11.ProtocolError, curio.TaskTimeout, EOFError) as error:
@@ -42,12 +42,12 @@
             try:
                 return await self._exchange(sock, method, target, body)
             except (OSError, h11.ProtocolError, EOFError):
-                if method != "GET":  # it may have been carried out: the caller decides on a retry
+                if method != "GET":  # it may have been carried out: the caller decides whether to retry
                     raise
         try:
             sock = await curio.timeout_after(constants.CONNECT_S, connect, self.host, self.port)
         except curio.TaskTimeout:
-            # As it is, the timeout around this one would take it for a fault of the program.
+            # The enclosing timeout_after would turn an inner TaskTimeout into an UncaughtTimeoutError.
             raise TimeoutError("connect") from None
         return await self._exchange(sock, method, target, body)
 
@@ -67,25 +67,30 @@
 
 
 class Exchange:
-    """One request on a connection of its own, without a task: ``done`` is called with the response, or None."""
+    """One request on its own connection, without a task: ``on_done`` is called with the response or None."""
 
     def __init__(
-        self, poll: Poll, host: str, port: int, reader: ResponseReader, done: Callable[[tuple[int, bytes] | None], None]
+        self,
+        poll: Poll,
+        host: str,
+        port: int,
+        reader: ResponseReader,
+        on_done: Callable[[tuple[int, bytes] | None], None],
     ) -> None:
-        """Begins to connect; raises ``OSError``."""
-        self.poll, self.reader, self.done = poll, reader, done
+        """Start to connect. Raises ``OSError``."""
+        self.poll, self.reader, self.on_done = poll, reader, on_done
         self.unsent = reader.request
-        self.began_at = now()
+        self.started_at = now()
         self.ended = self.connected = False
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         if self.sock.connect_ex((host, port)) in (0, errno.EINPROGRESS):
             poll.watch(self, self.sock.fileno(), OUT)
         else:
-            poll.call_again(self)
+            poll.schedule_ready(self)
 
     def ready(self, event: int) -> None:
-        """Send or receive what the socket allows; 0: it could not be connected."""
+        """Send or receive as much as the socket allows; ``event`` 0: the connect failed at once."""
         if self.ended:
             return
         try:
@@ -107,11 +112,11 @@
             self._end(None)
 
     def overdue(self, now: float, limit_s: float) -> bool:
-        """Whether the response, or the connection before it, has taken too long."""
-        return now - self.began_at > (limit_s if self.connected else min(limit_s, constants.CONNECT_S))
+        """Whether the response took longer than ``limit_s``, or the connect longer than ``CONNECT_S``."""
+        return now - self.started_at > (limit_s if self.connected else min(limit_s, constants.CONNECT_S))
 
     def close(self) -> None:
-        """Give the request up: there is no response."""
+        """Abandon the request; ``on_done`` is called with None."""
         self._end(None)
 
     def _end(self, response: tuple[int, bytes] | None) -> None:
@@ -119,4 +124,4 @@
             self.ended = True
             self.poll.unwatch(self.sock.fileno())
             self.sock.close()
-            self.done(response)
+            self.on_done(response)
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server by h11 on the poll: limits, timeouts, and a fast path for heads that h11 has parsed before."""
+"""HTTP/1.1 server on h11 and ``Poll``: limits, timeouts, and a fast path for heads that h11 has parsed before."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 import h11
 
 from alderbridge import constants
-from alderbridge.transport.known_head import KnownHead, known_head_of
-from alderbridge.transport.selector import IN, OUT, Listener, Poll, listening
+from alderbridge.transport.known_head import CachedHead, cacheable_head
+from alderbridge.transport.selector import IN, OUT, Listener, Poll, open_listening_socket
 
 log = logging.getLogger("http")
 now = time.monotonic
 
-Answer = tuple[int, bytes, list[tuple[str, str]]]  # status, body, headers beside the usual ones
+Answer = tuple[int, bytes, list[tuple[str, str]]]  # status, body, additional headers
 Handler = Callable[[str, str, bytes, Callable[[Answer], None]], Answer | Awaitable[Answer] | None]
 
 _END = h11.EndOfMessage()
-_READ_BYTES = 16 * 1024  # at most in one read
+_READ_BYTES = 16 * 1024  # limit of one read
 _MAX_HEAD_BYTES = 16 * 1024
-_BACKLOG = 512  # connections that the system keeps until they are accepted
+_BACKLOG = 512  # of listen(): connections that are not accepted yet
 
 
 def _response(status: int, length: int, extra: tuple[tuple[str, str], ...]) -> h11.Response:
@@ -36,7 +36,7 @@
 
 @functools.lru_cache(maxsize=256)
 def _response_head(status: int, extra: tuple[tuple[str, str], ...]) -> tuple[bytes, bytes]:
-    """What h11 writes before and after the length of the body, on a connection that stays open."""
+    """What h11 writes before and after the length of the body, on a keep-alive connection."""
     http = h11.Connection(h11.SERVER)
     http.receive_data(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     http.next_event()
@@ -45,19 +45,19 @@
 
 
 class ConnectionState(Enum):
-    """What a connection of a client waits for."""
+    """What a client connection waits for."""
 
-    READING = "reading"  # for a request, or the rest of one
+    READING = "reading"  # for a request or the rest of one
     HANDLING = "handling"  # for the handler of the request
     WRITING = "writing"  # for the client to take the rest of the response
     CLOSED = "closed"
 
 
 class Connection:
-    """One client's connection, and until when it may stay in its state.
+    """One client connection, and the deadline of its current state.
 
-    A request whose head is known is split off the bytes; all others go through h11, which alone decides what a
-    request is. Nothing here waits.
+    A request whose head is cached is split off the received bytes directly. h11 parses all others, and alone decides
+    what is a valid request. No method blocks.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
         "fd",
         "state",
         "deadline",
-        "known_head",
+        "cached_head",
         "data",
         "head_received",
         "uses_h11",
@@ -81,30 +81,30 @@
     )
 
     def __init__(self, server: Server, sock: socket.socket) -> None:
-        """A client has connected; ``sock`` does not block."""
+        """Start reading from a client; ``sock`` is non-blocking."""
         self.server, self.sock, self.fd = server, sock, sock.fileno()
         self.state = ConnectionState.READING
         self.set_deadline(constants.IDLE_S)
-        self.known_head: KnownHead | None = None  # the head of its last request
-        self.data = b""  # what has arrived of a request and was not given to h11
-        self.head_received = False  # the head of that request is there, but not all of its body
+        self.cached_head: CachedHead | None = None  # head of its last cacheable request
+        self.data = b""  # received bytes that h11 was not given
+        self.head_received = False  # the current request has its head, but not its whole body
         self.http: h11.Connection | None = None
-        self.uses_h11 = False  # for this request, and whatever arrives before its response
-        self.h11_input: bytes | None = b""  # what h11 was given, until it has parsed the head; None: not known
-        self.request: tuple[str, str] | None = None  # method and target, once h11 has parsed them
+        self.uses_h11 = False  # for this request and all that arrives before its response
+        self.h11_input: bytes | None = b""  # given to h11 until it parsed the head; None: not tracked
+        self.request: tuple[str, str] | None = None  # method and target, parsed by h11
         self.body_parts: list[bytes] = []
         self.body_size = 0
-        self.unsent = b""  # of the response
+        self.unsent = b""  # rest of the response
         self.closes_after_response = False
-        self.watched_events = IN  # events that epoll reports
+        self.watched_events = IN  # events that epoll reports; 0: not registered
         server.poll.watch(self, self.fd)
 
     def set_deadline(self, seconds: float) -> None:
-        """The connection is closed if it stays in its state for longer than that."""
+        """The connection is closed if its state does not change within this time."""
         self.deadline = now() + seconds
 
     def ready(self, event: int) -> None:
-        """Go on with the request or the response."""
+        """Continue with the request or the response."""
         if self.state is ConnectionState.READING:
             if event:
                 try:
@@ -122,10 +122,10 @@
         elif self.state is ConnectionState.WRITING:
             self.write()
         elif self.state is ConnectionState.HANDLING:
-            self.watch_for(0)  # a hang-up, or the next request, can wait until this one has its response
+            self.watch_for(0)  # a hang-up or the next request is handled after this response
 
     def watch_for(self, events: int) -> None:
-        """Have epoll report these events, and no others; 0: not even errors."""
+        """Have epoll report only these events; 0: none, not even errors."""
         if events != self.watched_events:
             poll = self.server.poll
             if not events:
@@ -136,10 +136,8 @@
                 poll.watch(self, self.fd, events)
             self.watched_events = events
 
-    # -- requests
-
     def receive(self, data: bytes) -> None:
-        """Bytes from the client; b"": it sends no more."""
+        """Process bytes from the client; b"": it has closed its side."""
         if self.uses_h11:
             if self.request is None and self.h11_input is not None:
                 self.h11_input += data
@@ -156,29 +154,29 @@
             self.close()
 
     def split_request(self) -> None:
-        """Handle the request at the front of ``data`` if its head is known; else give all to h11."""
+        """Handle the request at the front of ``data`` if its head is cached; else pass all to h11."""
         data = self.data
-        for known in (self.known_head, self.server.known_post_head, self.server.known_get_head):
-            begin, end = known.find(data) if known is not None else (0, 0)
+        for cached in (self.cached_head, self.server.cached_post_head, self.server.cached_get_head):
+            begin, end = cached.body_bounds(data) if cached is not None else (0, 0)
             if begin:
-                self.known_head = known
+                self.cached_head = cached
                 break
         if not begin:
             self.parse_with_h11()
         elif end <= len(data):
             self.data = data[end:]
-            method, target = known.meaning
-            if known.method:
-                target = data[len(known.method) : data.find(b" ", len(known.method))].decode()
+            method, target = cached.parsed
+            if cached.method:
+                target = data[len(cached.method) : data.find(b" ", len(cached.method))].decode()
             self.handle(method, target, data[begin:end])
         elif self.head_received:
-            self.parse_with_h11()  # in many pieces, which h11 puts together only once
+            self.parse_with_h11()  # h11 joins a body of many pieces once, not at each read
         else:
             self.head_received = True
             self.set_deadline(constants.REQUEST_S)
 
     def parse_with_h11(self) -> None:
-        """Give what has arrived of a request to h11, and from now on its rest."""
+        """Pass the received part of a request to h11, which also gets the rest."""
         if self.http is None:
             self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self.uses_h11, self.h11_input, self.data = True, self.data, b""
@@ -186,7 +184,7 @@
         self.read_h11_events()
 
     def read_h11_events(self) -> None:
-        """Go on with the request as far as h11 has it."""
+        """Process the events that h11 has; refuse a malformed request."""
         try:
             self.process_h11_events()
         except h11.RemoteProtocolError as error:
@@ -198,7 +196,7 @@
             self.close()
 
     def process_h11_events(self) -> None:
-        """Collect the request; raises what h11 and the socket raise."""
+        """Assemble the request from h11's events. Raises errors of h11 and of the socket."""
         http = self.http
         while (event := http.next_event()) is not h11.NEED_DATA:
             if self.request is None and not isinstance(event, h11.Request):
@@ -221,34 +219,34 @@
             self.send_continue()
 
     def begin_request(self, request: h11.Request) -> None:
-        """h11 has parsed a head."""
-        self.remember_head(request)
+        """Start a request whose head h11 has parsed."""
+        self.cache_head(request)
         self.request = request.method.decode(), request.target.decode("latin-1")
         self.body_parts, self.body_size = [], 0
         if not self.head_received:
             self.set_deadline(constants.REQUEST_S)
 
     def send_continue(self) -> None:
-        """The client waits for permission to send the body."""
+        """Send "100 Continue": the client waits for it before it sends the body."""
         data = self.http.send(h11.InformationalResponse(status_code=100, headers=[]))
         if self.sock.send(data) < len(data):
-            self.close()  # it takes less than a line
+            self.close()  # the send buffer has no space for one line
 
-    def remember_head(self, request: h11.Request) -> None:
-        """Remember a head that h11 has parsed, for this connection and for the others."""
-        known = known_head_of(self.h11_input, request) if self.h11_input else None
+    def cache_head(self, request: h11.Request) -> None:
+        """Cache a head that h11 has parsed, for this connection and for the others."""
+        cached = cacheable_head(self.h11_input, request) if self.h11_input else None
         self.h11_input = None
-        if known is not None:
-            self.known_head = known
-            if known.method:
-                self.server.known_get_head = known
+        if cached is not None:
+            self.cached_head = cached
+            if cached.method:
+                self.server.cached_get_head = cached
             else:
-                self.server.known_post_head = known
+                self.server.cached_post_head = cached
 
     def handle(self, method: str, target: str, body: bytes) -> None:
-        """Call the handler; what it returns says how the response comes."""
+        """Call the handler, which returns its answer, an awaitable of it, or None; see ``Server``."""
         self.state = ConnectionState.HANDLING
-        self.deadline = float("inf")  # the handler bounds whatever it waits for
+        self.deadline = float("inf")  # the handler has its own timeouts
         try:
             answer = self.server.handler(method, target, body, self.respond)
         except Exception:
@@ -256,33 +254,31 @@
         if isinstance(answer, tuple):
             self.respond(answer)
         elif answer is not None:
-            self.server.poll.spawn(self.finish, answer, method, target)
+            self.server.poll.spawn(self.respond_when_done, answer, method, target)
 
-    async def finish(self, pending: Awaitable[Answer], method: str, target: str) -> None:
-        """Respond with what the handler has yet to finish."""
+    async def respond_when_done(self, pending: Awaitable[Answer], method: str, target: str) -> None:
+        """Await the handler's answer and send the response."""
         try:
             answer = await pending
         except Exception:
             answer = self.internal_error(method, target)
         except BaseException:
-            self.close()  # the task is cancelled: there will be no response
+            self.close()  # the task is cancelled, so no response can be sent
             raise
         self.respond(answer)
 
     def internal_error(self, method: str, target: str) -> Answer:
-        """The answer to a request whose handler has raised an exception."""
+        """Log the exception of a handler; return the answer to its request."""
         log.exception("request state=failed method=%s target=%s", method, target)
         return 500, b'{"error":"internal"}', []
 
-    # -- responses
-
     def refuse(self, status: int, body: bytes) -> None:
-        """Respond to a bad request, and close the connection."""
+        """Respond to an invalid request, and close the connection."""
         self.state, self.closes_after_response = ConnectionState.HANDLING, True
         self.respond((status, body, [("Connection", "close")]))
 
     def respond(self, answer: Answer) -> None:
-        """Respond to the request that is being handled; without effect where the connection has ended."""
+        """Respond to the request that is being handled; does nothing if the connection is closed."""
         if self.state is not ConnectionState.HANDLING:
             return
         status, body, extra = answer
@@ -301,7 +297,7 @@
         self.write()
 
     def write(self) -> None:
-        """Send what the socket takes of the response."""
+        """Send as much of the response as the socket accepts."""
         try:
             sent = self.sock.send(self.unsent)
         except BlockingIOError:
@@ -316,7 +312,7 @@
             self.response_sent()
 
     def response_sent(self) -> None:
-        """Go on to the next request, or close the connection."""
+        """Wait for the next request, or close the connection."""
         self.unsent = b""
         if self.uses_h11:
             http = self.http
@@ -329,54 +325,54 @@
         self.set_deadline(constants.IDLE_S)
         self.watch_for(IN)
         if self.uses_h11 or self.data:
-            self.server.poll.call_again(self)
+            self.server.poll.schedule_ready(self)
 
     def close(self) -> None:
-        """End the connection, with or without a response."""
+        """Close the connection, whether or not the response was sent."""
         if self.state is not ConnectionState.CLOSED:
             self.state = ConnectionState.CLOSED
             self.watch_for(0)
             self.sock.close()
-            self.server.open.discard(self)
+            self.server.connections.discard(self)
 
 
 class Server:
-    """Serves requests one after the other on each connection, within limits of time, size and number.
+    """Serves the requests of each connection in order, with limits on time, size and number of connections.
 
-    A handler returns its answer, or an awaitable of it, which gets a task of its own, or None: then it calls its last
-    argument with the answer.
+    A handler returns its answer, or an awaitable of it, which is run in a new task, or None: it then calls its last
+    argument with the answer later.
     """
 
     def __init__(self, handler: Handler, max_connections: int, poll: Poll) -> None:
-        """``max_connections``: more are closed at once."""
+        """``max_connections``: connections beyond this limit are closed at once."""
         self.handler, self.max_connections, self.poll = handler, max_connections, poll
-        self.open: set[Connection] = set()
-        # Heads of the last requests that h11 has parsed: most others are like them.
-        self.known_post_head: KnownHead | None = None
-        self.known_get_head: KnownHead | None = None
+        self.connections: set[Connection] = set()
+        # Heads of the latest cacheable requests that h11 parsed; most requests have the same.
+        self.cached_post_head: CachedHead | None = None
+        self.cached_get_head: CachedHead | None = None
 
     async def serve(self, host: str, port: int) -> None:
         """Accept connections until this is cancelled."""
-        listener = Listener(self.poll, listening(host, port, _BACKLOG), self.accepted)
+        listener = Listener(self.poll, open_listening_socket(host, port, _BACKLOG), self.on_accept)
         try:
             await self.close_overdue(listener)
         finally:
             listener.close()
 
     async def close_overdue(self, listener: Listener) -> None:
-        """Close overdue connections. One check a second costs less than a timer around each step of each request."""
+        """Close overdue connections. A periodic check costs less than a timer around each step of each request."""
         while True:
             await curio.sleep(constants.OVERDUE_CHECK_S)
             listener.resume()
-            for connection in [one for one in self.open if now() > one.deadline]:
+            for connection in [each for each in self.connections if now() > each.deadline]:
                 connection.close()
 
-    def accepted(self, client: socket.socket) -> None:
-        """A new connection, which is closed at once if there are too many."""
-        if len(self.open) >= self.max_connections:
+    def on_accept(self, client: socket.socket) -> None:
+        """Serve a new connection, or close it if there are too many."""
+        if len(self.connections) >= self.max_connections:
             return client.close()
         try:
             client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.open.add(Connection(self, client))
+            self.connections.add(Connection(self, client))
         except OSError:
             client.close()
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -1,4 +1,4 @@
-"""Connections between controllers: framed messages over TCP, one connection each way."""
+"""Connections between controllers: frames over TCP, with one connection in each direction."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from alderbridge.protocol.messages import Frame
 from alderbridge.settings import address
 from alderbridge.transport.framing import Encoder, split_frames
-from alderbridge.transport.selector import Listener, Poll, listening
+from alderbridge.transport.selector import Listener, Poll, open_listening_socket
 from alderbridge.transport.sockets import connect
 
 log = logging.getLogger("mesh")
 now = time.monotonic
 
-_BACKLOG = 64  # connections that the system keeps until they are accepted
+_BACKLOG = 64  # of listen(): connections that are not accepted yet
 _MAX_LOGGED_ERRORS = 100
 
 
 class Mesh:
-    """One outgoing connection to each peer, and the connections of the peers to this controller."""
+    """One outgoing connection to each peer, and the incoming connections of the peers."""
 
     def __init__(self, listen: str, peers: dict[str, str], deliver: Callable[[list[Frame]], None], poll: Poll) -> None:
-        """``listen`` and ``peers`` (by label) are HOST:PORT; ``deliver`` gets the frames of all peers."""
+        """``listen`` and ``peers`` (by label) are HOST:PORT; ``deliver`` is called with received frames of any peer."""
         self.listen_address, self.poll = address(listen), poll
         self.peers = {label: address(addr) for label, addr in peers.items()}
         self.deliver = deliver
         self.queues: dict[str, deque[bytes]] = {label: deque() for label in peers}
-        self.wake = {label: curio.Event() for label in peers}
+        self.wake_events = {label: curio.Event() for label in peers}
         self.encode = Encoder()
-        self.open: dict[str, curio.io.Socket] = {}  # the sockets of connected peers
+        self.sockets: dict[str, curio.io.Socket] = {}  # of connected peers
         self.writing: set[str] = set()  # peers whose queue is being written by ``send_to``
         self.connected: set[str] = set()
         self.renewing: set[str] = set()
@@ -44,58 +44,60 @@
         self.incoming: set[IncomingConnection] = set()
 
     def put(self, label: str, frame: Frame) -> None:
-        """Queue a frame; dropped while the peer is out of reach."""
+        """Queue a frame; it is dropped if the peer is not connected or its queue is full."""
         queue = self.queues[label]
         if label not in self.connected or len(queue) > constants.MESH_BACKLOG:
             return
         queue.append(self.encode(frame))
 
     def renew(self, label: str) -> None:
-        """Close the connection to a peer, which ``send_to`` opens anew."""
+        """Have ``send_to`` replace the connection to a peer."""
         if label in self.connected:
             self.renewing.add(label)
 
     async def flush(self) -> None:
-        """Write what is queued, at once where the socket takes it: no task has to be woken for that."""
+        """Write the queued frames directly; wake the task of ``send_to`` only for what is left, or to renew."""
         for label, queue in self.queues.items():
-            if queue and label in self.open and label not in self.writing:
+            if queue and label in self.sockets and label not in self.writing:
                 data = b"".join(queue)
                 queue.clear()
                 try:
-                    sent = self.open[label]._socket_send(data)  # curio's bound method of the plain socket
+                    sent = self.sockets[label]._socket_send(data)  # send of the plain socket
                 except BlockingIOError:
                     sent = 0
                 except OSError:
                     self.renew(label)
-                    sent = len(data)  # lost with its connection; the channel sends again what must arrive
+                    sent = len(data)  # lost with the connection; the channel resends messages that must arrive
                 if sent < len(data):
                     queue.appendleft(data[sent:])
             if queue or label in self.renewing:
-                await self.wake[label].set()
+                await self.wake_events[label].set()
 
     async def serve(self) -> None:
         """Accept the connections of peers until this is cancelled."""
         listener = Listener(
-            self.poll, listening(*self.listen_address, _BACKLOG), lambda client: IncomingConnection(self, client)
+            self.poll,
+            open_listening_socket(*self.listen_address, _BACKLOG),
+            lambda client: IncomingConnection(self, client),
         )
         try:
-            while True:  # close silent connections; cheaper than a timer for each read
+            while True:  # a periodic check is cheaper than a timer for each read
                 await curio.sleep(constants.OVERDUE_CHECK_S)
                 listener.resume()
                 silence_s = constants.MESH_SILENCE_S * 2
-                for connection in [one for one in self.incoming if now() - one.received_at > silence_s]:
+                for connection in [each for each in self.incoming if now() - each.received_at > silence_s]:
                     connection.close()
         finally:
             listener.close()
 
     def log_malformed(self, error: Exception) -> None:
-        """Log what is wrong with a peer's bytes, most likely another version's: each error only once."""
+        """Log a decoding error, which a peer of another version may cause repeatedly: each text only once."""
         if str(error) not in self.logged_errors and len(self.logged_errors) < _MAX_LOGGED_ERRORS:
             self.logged_errors.add(str(error))
             log.error("mesh state=message_dropped cause=%s", error)
 
     async def send_to(self, label: str) -> None:
-        """Keep one connection to a peer and write what is queued."""
+        """Keep a connection to a peer open, and write what ``flush`` leaves in its queue."""
         while True:
             sock = None
             try:
@@ -103,23 +105,23 @@
                 self.queues[label].clear()
                 self.renewing.discard(label)
                 self.connected.add(label)
-                self.open[label] = sock
+                self.sockets[label] = sock
                 log.info("mesh peer=%s state=connected", label)
                 await self._write_queue(label, sock)
             except (OSError, curio.TaskTimeout) as error:
                 log.debug("mesh peer=%s state=lost cause=%r", label, error)
             finally:
                 self.connected.discard(label)
-                self.open.pop(label, None)
+                self.sockets.pop(label, None)
                 if sock is not None:
                     await sock.close()
             await curio.sleep(constants.MESH_RETRY_S)
 
     async def _write_queue(self, label: str, sock: curio.io.Socket) -> None:
-        """Write what ``flush`` leaves, until the connection is to be renewed."""
+        """Write the queue whenever woken, until the connection is to be renewed."""
         while True:
-            await self.wake[label].wait()
-            self.wake[label].clear()
+            await self.wake_events[label].wait()
+            self.wake_events[label].clear()
             if label in self.renewing:
                 log.info("mesh peer=%s state=renewed cause=no acknowledgement", label)
                 return
@@ -135,17 +137,17 @@
                 self.writing.discard(label)
 
 
-# All connections read into it: allocating a buffer for each read would cost more than the read.
+# Shared by all connections: allocating a buffer for each read would cost more than the read.
 _read_buffer = memoryview(bytearray(256 * 1024))
 
 
 class IncomingConnection:
-    """A peer's connection to this controller: delivers its frames."""
+    """A peer's connection to this controller, whose frames it delivers."""
 
     __slots__ = ("mesh", "sock", "fd", "buffer", "received_at")
 
     def __init__(self, mesh: Mesh, sock: socket.socket) -> None:
-        """A peer has connected; ``sock`` does not block."""
+        """Start reading from a peer; ``sock`` is non-blocking."""
         self.mesh, self.sock, self.fd = mesh, sock, sock.fileno()
         self.buffer = bytearray()
         self.received_at = now()
@@ -153,7 +155,7 @@
         mesh.poll.watch(self, self.fd)
 
     def ready(self, _event: int) -> None:
-        """Read what has arrived, and deliver the frames that are complete."""
+        """Read from the socket, and deliver the complete frames."""
         if self not in self.mesh.incoming:
             return
         try:
@@ -175,7 +177,7 @@
             self.close()
 
     def close(self) -> None:
-        """End the connection; the peer opens another one."""
+        """Close the connection; the peer opens another one."""
         if self in self.mesh.incoming:
             self.mesh.incoming.discard(self)
             self.mesh.poll.unwatch(self.fd)
--- a/alderbridge/transport/sockets.py
+++ b/alderbridge/transport/sockets.py
@@ -1,4 +1,4 @@
-"""What curio's sockets need beside their own methods."""
+"""Operations on curio's sockets beyond their own methods."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 async def read(sock: curio.io.Socket, max_bytes: int) -> bytes:
-    """Wait, then read: where nothing can have arrived yet, this saves a call that would only say so."""
+    """Wait until the socket is readable, then read: curio would first try a recv, which mostly finds no data yet."""
     await _read_wait(sock._fileno)
     return await sock.recv(max_bytes)
 
 
 async def connect(host: str, port: int) -> curio.io.Socket:
-    """A TCP connection. The platform gives numeric addresses, which need no name lookup in a thread."""
+    """Open a TCP connection. Addresses from the platform are numeric: a name lookup would block all tasks."""
     sock = curio_socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         await sock.connect((host, port))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The pure edges of the network: frames in pieces, connections that are overdue."""
+"""HTTP client and server, framing, mesh connections and the selector: malformed, split and overdue input."""
 
 import itertools
 import random
@@ -14,11 +14,11 @@
 from alderbridge.transport.selector import OUT, Poll
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-with socket.create_server(("127.0.0.1", 0)) as free:
-    PORT = free.getsockname()[1]
+with socket.create_server(("127.0.0.1", 0)) as free_port_socket:
+    PORT = free_port_socket.getsockname()[1]
 
 
-async def nothing():
+async def do_nothing():
     pass
 
 
@@ -29,28 +29,28 @@
     ]
 
 
-def wired(frame):
+def encoded_with_length(frame):
     data = msgspec.msgpack.encode(frame)
     return len(data).to_bytes(4, "big") + data
 
 
 @pytest.mark.parametrize("piece", (1, 3, 17, 1000))
-def test_frames_are_found_however_the_bytes_arrive(piece):
+def test_frames_are_split_correctly_for_any_chunk_size(piece):
     sent = frames(6)
-    data = b"".join(map(wired, sent))
-    buffer, got = bytearray(), []
-    for at in range(0, len(data), piece):
-        buffer += data[at : at + piece]
-        got += mesh.split_frames(buffer)
-    assert got == sent and not buffer
+    data = b"".join(map(encoded_with_length, sent))
+    buffer, received = bytearray(), []
+    for begin in range(0, len(data), piece):
+        buffer += data[begin : begin + piece]
+        received += mesh.split_frames(buffer)
+    assert received == sent and not buffer
 
 
-def test_a_frame_beyond_any_real_one_is_an_error():
+def test_a_frame_above_the_size_limit_is_rejected():
     with pytest.raises(msgspec.DecodeError):
         list(mesh.split_frames(bytearray((constants.MAX_FRAME + 1).to_bytes(4, "big"))))
 
 
-def test_an_overdue_connection_is_ended_and_others_go_on(monkeypatch):
+def test_an_overdue_connection_is_closed_and_others_stay_open(monkeypatch):
     monkeypatch.setattr(constants, "OVERDUE_CHECK_S", 0.0)
     clock = [100.0]
     monkeypatch.setattr(http_server, "now", lambda: clock[0])
@@ -58,59 +58,59 @@
     poll = Poll()
     server = http_server.Server(lambda *_request: (200, b"{}", []), 2, poll)
 
-    async def play():
-        serving = [await curio.spawn(poll.serve, nothing), await curio.spawn(server.serve, "127.0.0.1", PORT)]
+    async def run():
+        serving = [await curio.spawn(poll.serve, do_nothing), await curio.spawn(server.serve, "127.0.0.1", PORT)]
         await curio.sleep(0)
-        ends = [await curio.open_connection("127.0.0.1", PORT) for _ in range(3)]
-        assert await ends[2].recv(1000) == b""  # one more than there may be
-        await ends[0].sendall(b"GET / HT")  # and no more
-        await ends[1].sendall(GET)
-        assert b"200" in await ends[1].recv(1000)
+        clients = [await curio.open_connection("127.0.0.1", PORT) for _ in range(3)]
+        assert await clients[2].recv(1000) == b""  # one above max_connections
+        await clients[0].sendall(b"GET / HT")  # the rest of the request is never sent
+        await clients[1].sendall(GET)
+        assert b"200" in await clients[1].recv(1000)
         clock[0] += constants.IDLE_S - 1.0
-        await ends[1].sendall(GET)
-        assert b"200" in await ends[1].recv(1000)
+        await clients[1].sendall(GET)
+        assert b"200" in await clients[1].recv(1000)
         clock[0] += 2.0
-        assert await ends[0].recv(1000) == b""
-        await ends[1].sendall(GET)
-        assert b"200" in await ends[1].recv(1000)
-        for one in (*serving, *ends):
-            await (one.cancel() if isinstance(one, curio.Task) else one.close())
-        for one in list(server.open):
-            one.close()
+        assert await clients[0].recv(1000) == b""
+        await clients[1].sendall(GET)
+        assert b"200" in await clients[1].recv(1000)
+        for item in (*serving, *clients):
+            await (item.cancel() if isinstance(item, curio.Task) else item.close())
+        for connection in list(server.connections):
+            connection.close()
 
-    curio.run(curio.timeout_after, 20.0, play, selector=poll)
+    curio.run(curio.timeout_after, 20.0, run, selector=poll)
 
 
-class Sock:
-    """A client in memory; takes at most some bytes at once."""
+class FakeClientSocket:
+    """A client socket in memory; ``accepts()`` is how many bytes a send may take, 0: it would block."""
 
-    def __init__(self, pieces, most):
-        self.pieces, self.most, self.got, self.closed = pieces, most, b"", False
+    def __init__(self, pieces, accepts):
+        self.pieces, self.accepts, self.sent_bytes, self.closed = pieces, accepts, b"", False
 
     def fileno(self):
         return -1
 
-    def recv(self, _most):
+    def recv(self, _max_bytes):
         return self.pieces.pop(0)
 
     def send(self, data):
-        if self.most() == 0:
+        if self.accepts() == 0:
             raise BlockingIOError
-        size = min(len(data), self.most())
-        self.got += data[:size]
+        size = min(len(data), self.accepts())
+        self.sent_bytes += data[:size]
         return size
 
     def close(self):
         self.closed = True
 
 
-class Ready:
-    """Tells a connection that it can go on for as long as it wants to."""
+class FakePoll:
+    """Stands in for ``Poll``: records the watched events and the scheduled calls."""
 
     def __init__(self):
-        self.events, self.due, self.begun = 0, [], []
+        self.events, self.scheduled, self.spawned = 0, [], []
 
-    def watch(self, _one, _fd, events=1):
+    def watch(self, _watched, _fd, events=1):
         self.events = events
 
     def change(self, _fd, events):
@@ -119,43 +119,43 @@
     def unwatch(self, _fd):
         self.events = 0
 
-    def call_again(self, one):
-        self.due.append(one)
+    def schedule_ready(self, watched):
+        self.scheduled.append(watched)
 
     def spawn(self, *call):
-        self.begun.append(call)
+        self.spawned.append(call)
 
 
-def talk(pieces, most, late, known):
-    """What a server does with these bytes: the requests it handles, its answers, and if it goes on."""
-    poll, handled, replies = Ready(), [], []
+def run_server(pieces, accepts, deferred, use_cache):
+    """Requests that a server handles for these bytes, the bytes of its responses, and whether it closes."""
+    poll, handled, replies = FakePoll(), [], []
 
     def handler(method, target, body, reply):
         handled.append((method, target, body))
         answer = 200 if len(body) % 2 else 503, body[:300] * 3, [("Retry-After", "2")] if len(body) % 3 else []
-        if not late:
+        if not deferred:
             return answer
         replies.append((reply, answer))
         return None
 
     server = http_server.Server(handler, 1, poll)
-    sock = Sock([*pieces, b""], most)
+    sock = FakeClientSocket([*pieces, b""], accepts)
     connection = http_server.Connection(server, sock)
     for _ in range(100_000):
-        if not known:
-            server.known_post_head = server.known_get_head = connection.known_head = None
+        if not use_cache:
+            server.cached_post_head = server.cached_get_head = connection.cached_head = None
         if replies:
-            connection.ready(1)  # more comes meanwhile: it has to wait
+            connection.ready(1)  # input during handling: it is read after the response
             reply, answer = replies.pop()
             reply(answer)
-        elif poll.due:
-            poll.due.pop().ready(0)
+        elif poll.scheduled:
+            poll.scheduled.pop().ready(0)
         elif poll.events and not sock.closed and (sock.pieces or poll.events == OUT):
             connection.ready(poll.events)
         else:
             break
     assert not sock.pieces or sock.closed
-    return handled, sock.got, sock.closed
+    return handled, sock.sent_bytes, sock.closed
 
 
 def requests(rng):
@@ -164,7 +164,7 @@
         b"POST /v1/jobs HTTP/1.1\r\ncontent-length:%d\r\nHost: x\r\n\r\n",
         b"POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Length: 0%d \r\n\r\n",
     ]
-    odd = [
+    unusual_heads = [
         b"POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n",
         b"POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n",
         b"POST / HTTP/1.0\r\nHost: x\r\nContent-Length: %d\r\n\r\n",
@@ -187,17 +187,17 @@
         elif rng.random() < 0.02:
             yield heads[0] % (constants.MAX_BODY + rng.choice((0, 1))) + b"x" * (constants.MAX_BODY + 1)
         else:
-            yield (rng.choice(odd) if rng.random() < 0.06 else rng.choice(heads)) % size + body
+            yield (rng.choice(unusual_heads) if rng.random() < 0.06 else rng.choice(heads)) % size + body
 
 
 @pytest.mark.parametrize("seed", range(120))
-def test_a_request_whose_head_is_known_fares_as_through_h11(seed):
-    """However the bytes are split, whatever comes between, and with a client that is slow to take its answers."""
+def test_a_request_with_a_cached_head_is_handled_as_by_h11(seed):
+    """The fast path and h11 agree for any split of the bytes, any mix of requests, and a client that reads slowly."""
     rng = random.Random(seed)
     parts = list(requests(rng))
     if rng.random() < 0.3:
         parts[-1] = parts[-1][: rng.randint(0, len(parts[-1]))]
-    if rng.random() < 0.7:  # split near where they meet, or anywhere
+    if rng.random() < 0.7:  # split near the boundaries, or anywhere
         whole, near = b"".join(parts), rng.random() < 0.5
         ends = [end + rng.randint(-5, 5) for end in itertools.accumulate(map(len, parts))] if near else []
         ends = [0, *sorted(min(max(end, 0), len(whole)) for end in ends), len(whole)]
@@ -207,15 +207,18 @@
         while data:
             size = rng.randint(1, largest)
             pieces, data = [*pieces, data[:size]], data[size:]
-    late, most = rng.random() < 0.5, rng.choice((50, 2000, 10**6))
-    slow = [random.Random(seed), random.Random(seed)]
-    results = [talk(pieces, lambda known=known: slow[known].randint(0, most), late, known) for known in (0, 1)]
+    deferred, max_sent = rng.random() < 0.5, rng.choice((50, 2000, 10**6))
+    send_sizes = [random.Random(seed), random.Random(seed)]
+    results = [
+        run_server(pieces, lambda cached=cached: send_sizes[cached].randint(0, max_sent), deferred, cached)
+        for cached in (0, 1)
+    ]
     assert results[0] == results[1]
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_an_answer_whose_head_is_known_is_read_as_through_h11(seed, monkeypatch):
-    """However it is split, cut short or followed by more; and the connection stays or goes as it would."""
+def test_a_response_with_a_cached_head_is_read_as_by_h11(seed, monkeypatch):
+    """The fast path and h11 agree for responses that are split, truncated or followed by data, and on reuse."""
     rng = random.Random(seed)
     heads = [
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n",
@@ -237,44 +240,44 @@
             data = data[cut:]
         answers.append(pieces)
 
-    class There:
+    class FakeSocket:
         async def sendall(self, data):
             self.sent = data
 
         async def close(self):
             pass
 
-    async def read(there, _most):
-        return there.pieces.pop(0) if there.pieces else b""
+    async def read(sock, _max_bytes):
+        return sock.pieces.pop(0) if sock.pieces else b""
 
     async def connect(*_address):
-        return There()
+        return FakeSocket()
 
     monkeypatch.setattr(http_client, "read", read)
     monkeypatch.setattr(http_client, "connect", connect)
 
-    async def play(known):
+    async def run(use_cache):
         results = []
         for pieces in answers:
-            if not known:
-                http_response._known_heads.clear()
-            there, body = There(), b"q" * rng.choice((0, 3))
-            there.pieces, client = list(pieces), http_client.Client("h", 1)
-            client.idle.append(there)
+            if not use_cache:
+                http_response._cached_heads.clear()
+            sock, body = FakeSocket(), b"q" * rng.choice((0, 3))
+            sock.pieces, client = list(pieces), http_client.Client("h", 1)
+            client.idle.append(sock)
             try:
                 answer = await client.request("POST", "/holds/107/extend", body)
             except errors.UnansweredError:
                 answer = None
             head = b"POST /holds/107/extend HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
-            assert there.sent == head % len(body) + body
-            results.append((answer, client.idle == [there]))
+            assert sock.sent == head % len(body) + body
+            results.append((answer, client.idle == [sock]))
         return results
 
-    assert curio.run(play, False) == curio.run(play, True)
+    assert curio.run(run, False) == curio.run(run, True)
 
 
-def test_a_connect_that_hangs_is_no_answer(monkeypatch):
-    """It used to escape as another error, and the records of that transaction were forgotten."""
+def test_a_connect_timeout_is_reported_as_unanswered(monkeypatch):
+    """Guards against a connect timeout that escapes as another error: the caller would drop its records."""
     monkeypatch.setattr(constants, "CONNECT_S", 0.01)
 
     async def hang(*_address):
@@ -285,7 +288,7 @@
         curio.run(http_client.Client("127.0.0.1", 1).request, "GET", "/kv")
 
 
-def test_a_body_for_several_peers_is_encoded_once_into_the_same_bytes():
+def test_a_body_sent_to_several_peers_encodes_to_the_same_bytes_as_a_frame():
     encode = mesh.Encoder()
     body = messages.DrainMachines(["n-1", "n-2"])
     for frame in (
@@ -293,97 +296,97 @@
         messages.Frame("v", "host-1", 7, 9, 4, body),
         *frames(3),
     ):
-        assert encode(frame) == wired(frame)
+        assert encode(frame) == encoded_with_length(frame)
 
 
-def test_what_a_full_socket_does_not_take_is_written_later_in_order():
-    """Written past a task's wake-up, nothing may be lost or swapped when the socket is full."""
+def test_bytes_that_a_full_socket_does_not_accept_are_written_later_in_order():
+    """Guards against lost or reordered frames when ``flush`` fills the socket and the task writes the rest."""
     sent = [messages.Frame("v", "host-0", 7, seq, 0, messages.DrainMachines(["n" * 100_000])) for seq in range(1, 60)]
 
     poll = Poll()
 
-    async def play():
-        got = []
+    async def run():
+        received = []
 
         def deliver(frames):
-            got.extend(frame.seq for frame in frames)
+            received.extend(frame.seq for frame in frames)
 
         listener = curio.tcp_server_socket("127.0.0.1", 0)
         port = listener.getsockname()[1]
-        there = mesh.Mesh("127.0.0.1:1", {}, deliver, poll)
-        here = mesh.Mesh("127.0.0.1:1", {"peer": f"127.0.0.1:{port}"}, deliver, poll)
-        sender = await curio.spawn(here.send_to, "peer")
+        receiver = mesh.Mesh("127.0.0.1:1", {}, deliver, poll)
+        sender = mesh.Mesh("127.0.0.1:1", {"peer": f"127.0.0.1:{port}"}, deliver, poll)
+        send_task = await curio.spawn(sender.send_to, "peer")
         client, _ = await listener.accept()
-        while "peer" not in here.open:
+        while "peer" not in sender.sockets:
             await curio.sleep(0.01)
         for frame in sent:
-            here.put("peer", frame)
-            await here.flush()
-        reader = mesh.IncomingConnection(there, client._socket)
-        serving = await curio.spawn(poll.serve, nothing)
+            sender.put("peer", frame)
+            await sender.flush()
+        incoming = mesh.IncomingConnection(receiver, client._socket)
+        serving = await curio.spawn(poll.serve, do_nothing)
         for _ in range(500):
-            if len(got) == len(sent):
+            if len(received) == len(sent):
                 break
             await curio.sleep(0.01)
-        await sender.cancel()
+        await send_task.cancel()
         await serving.cancel()
-        reader.close()
+        incoming.close()
         await listener.close()
-        return got
+        return received
 
-    assert curio.run(play, selector=poll) == [frame.seq for frame in sent]
+    assert curio.run(run, selector=poll) == [frame.seq for frame in sent]
 
 
-def test_what_is_ready_together_is_handled_before_one_that_comes_after():
-    """A fault of one connection is its own; a timer of the kernel's and the alarm go off while nothing comes."""
-    poll, seen, after = Poll(0.02), [], []
+def test_connections_that_are_ready_together_are_handled_in_one_batch():
+    """An exception affects only its connection; kernel timers and ``wake_at`` fire without events."""
+    poll, events, batches = Poll(0.02), [], []
 
-    class One:
+    class WatchedSocket:
         def __init__(self, name):
             self.name = name
-            self.sock, self.there = socket.socketpair()
+            self.sock, self.peer = socket.socketpair()
             poll.watch(self, self.sock.fileno())
 
         def ready(self, _event):
-            seen.append((self.name, self.sock.recv(100)))
+            events.append((self.name, self.sock.recv(100)))
             if self.name == 2:
                 raise ValueError
 
         def close(self):
             poll.unwatch(self.sock.fileno())
-            seen.append((self.name, None))
+            events.append((self.name, None))
 
-    async def later():
-        seen.append("later")
+    async def spawned():
+        events.append("spawned")
 
-    async def note():
-        after.append((http_server.now(), list(seen)))
+    async def after_batch():
+        batches.append((http_server.now(), list(events)))
 
-    async def play():
-        serving = await curio.spawn(poll.serve, note)
+    async def run():
+        serving = await curio.spawn(poll.serve, after_batch)
         await curio.sleep(0)
-        ones = [One(number) for number in range(4)]
-        for one in ones:
-            one.there.send(b"x")
-        poll.spawn(later)
-        while not after or seen[-1] != "later":
+        connections = [WatchedSocket(number) for number in range(4)]
+        for connection in connections:
+            connection.peer.send(b"x")
+        poll.spawn(spawned)
+        while not batches or events[-1] != "spawned":
             await curio.sleep(0.01)
-        assert set(after[0][1]) == {(0, b"x"), (1, b"x"), (2, b"x"), (2, None), (3, b"x")}
+        assert set(batches[0][1]) == {(0, b"x"), (1, b"x"), (2, b"x"), (2, None), (3, b"x")}
         poll.wake_at = due = http_server.now() + 0.03
-        count = len(after)
-        while len(after) == count:
+        count = len(batches)
+        while len(batches) == count:
             await curio.sleep(0.01)
-        assert count == 1 and after[count][0] >= due
+        assert count == 1 and batches[count][0] >= due
         await serving.cancel()
-        for one in ones:
-            one.sock.close()
-            one.there.close()
+        for connection in connections:
+            connection.sock.close()
+            connection.peer.close()
 
-    curio.run(curio.timeout_after, 20.0, play, selector=poll)
+    curio.run(curio.timeout_after, 20.0, run, selector=poll)
 
 
-def test_what_h11_had_the_beginning_of_is_not_taken_for_a_head():
-    """A rest of a head, remembered as a whole one, would match whatever begins like it."""
+def test_the_rest_of_a_head_that_h11_began_is_not_cached():
+    """Guards against caching the rest of a head as a whole one, which would match any request that starts like it."""
     pieces = [GET + b"GET /a HTTP/1.1\r\nHost: x\r\n", b"\r\n", b"GET /b HTTP/1.1\r\nHost: y\r\n\r\n", GET]
-    results = [talk(pieces, lambda: 10**6, False, known) for known in (0, 1)]
+    results = [run_server(pieces, lambda: 10**6, False, use_cache) for use_cache in (0, 1)]
     assert results[0] == results[1] and len(results[0][0]) == 4
