--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""One real controller over loopback sockets, with stand-ins for the store and the cloud."""
+"""HTTP interface of one real controller process over loopback, with stub servers for the store and the cloud."""
 
 import contextlib
 import http.client
@@ -38,14 +38,14 @@
 }
 
 
-class Stand(BaseHTTPRequestHandler):
+class StubHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *args):
         pass
 
     def finish(self):
-        with contextlib.suppress(OSError):  # the controller under test is killed now and then
+        with contextlib.suppress(OSError):  # tests kill the controller, which resets its connections
             super().finish()
 
     def reply(self, status, value):
@@ -56,17 +56,17 @@
         with contextlib.suppress(OSError):
             self.wfile.write(body)
 
-    def body(self):
+    def read_body(self):
         return json.loads(self.rfile.read(int(self.headers.get("Content-Length", 0))) or b"{}")
 
 
-def store_stand():
+def store_stub():
     lock = threading.Lock()
     state = StateModel()
 
-    class Store(Stand):
+    class Store(StubHandler):
         def do_GET(self):
-            self.body()
+            self.read_body()
             url = urlparse(self.path)
             query = {key: values[0] for key, values in parse_qs(url.query).items()}
             if state.down:
@@ -90,7 +90,7 @@
                 time.sleep(0.01)
 
         def do_POST(self):
-            body = self.body()
+            body = self.read_body()
             if state.down:
                 return self.reply(503, {})
             with lock:
@@ -101,18 +101,18 @@
                 return self.reply(*state.commit(body, time.monotonic()))
 
         def do_DELETE(self):
-            self.body()
+            self.read_body()
             with lock:
                 return self.reply(*state.end_hold(int(self.path.rpartition("/")[2])))
 
     return Store, state
 
 
-class Cloud(Stand):
+class CloudStub(StubHandler):
     def do_GET(self):
-        self.body()
+        self.read_body()
         if self.path == "/flavors":
-            kind = {
+            machine_type = {
                 "name": "c4",
                 "vcpus": 4,
                 "accelerators": 0,
@@ -124,11 +124,11 @@
                 "ready_s": 10,
                 "sites": ["a"],
             }
-            return self.reply(200, {"flavours": [kind]})
+            return self.reply(200, {"flavours": [machine_type]})
         return self.reply(200, {"hosts": [], "has_next": False})
 
     def do_POST(self):
-        self.body()
+        self.read_body()
         return self.reply(200, {"hosts": []})
 
 
@@ -166,7 +166,7 @@
     }
 
 
-class Service:
+class ControllerProcess:
     def __init__(self, path, port):
         self.path, self.port, self.process = path, port, None
         self.start()
@@ -190,10 +190,10 @@
         conn = http.client.HTTPConnection("127.0.0.1", self.port, timeout=10)
         raw = body if isinstance(body, bytes | None) else json.dumps(body)
         conn.request(method, path, raw)
-        answer = conn.getresponse()
-        data = answer.read()
+        response = conn.getresponse()
+        data = response.read()
         conn.close()
-        return answer.status, json.loads(data or b"null"), dict(answer.getheaders())
+        return response.status, json.loads(data or b"null"), dict(response.getheaders())
 
     def submit_until(self, job, status):
         for _ in range(200):
@@ -201,24 +201,24 @@
             if answer[0] == status:
                 return answer
             time.sleep(0.05)
-        raise AssertionError(f"never answered {status}: {answer}")
+        raise AssertionError(f"expected status {status}, last answer: {answer}")
 
 
 @pytest.fixture(scope="module")
-def world(tmp_path_factory):
-    handler, state = store_stand()
-    store, cloud, port = serve(handler), serve(Cloud), free_port()
+def controller_and_store(tmp_path_factory):
+    handler, state = store_stub()
+    store, cloud, port = serve(handler), serve(CloudStub), free_port()
     path = tmp_path_factory.mktemp("conf") / "settings.json"
-    path.write_text(json.dumps(settings(port, *(f"127.0.0.1:{s.server_address[1]}" for s in (store, cloud)))))
-    service = Service(path, port)
+    path.write_text(json.dumps(settings(port, *(f"127.0.0.1:{server.server_address[1]}" for server in (store, cloud)))))
+    service = ControllerProcess(path, port)
     yield service, state
     service.stop()
     store.shutdown()
     cloud.shutdown()
 
 
-def test_a_job_is_taken_once_and_withdrawn_for_good(world):
-    service, state = world
+def test_a_submission_is_idempotent_and_a_withdrawal_is_final(controller_and_store):
+    service, state = controller_and_store
     service.submit_until(JOB, 201)
     assert "ab/j/wk-000001" in state.data
     assert service.call("POST", "/v1/jobs", JOB)[0] == 200
@@ -261,14 +261,14 @@
         ("GET", "/agent/beat", None, 405),
     ],
 )
-def test_what_cannot_be_taken_is_answered(world, method, path, body, status):
-    service, _ = world
-    service.submit_until({**JOB, "id": "wk-000009", "owner": "nobody"}, 422)  # the machine types are known
+def test_an_invalid_request_is_rejected_with_its_status(controller_and_store, method, path, body, status):
+    service, _ = controller_and_store
+    service.submit_until({**JOB, "id": "wk-000009", "owner": "nobody"}, 422)  # wait until the machine types are loaded
     assert service.call(method, path, body)[0] == status
 
 
-def test_a_worker_gets_the_fencing_token_first_and_orders_after(world):
-    service, state = world
+def test_a_worker_gets_orders_only_after_acknowledging_the_fencing_token(controller_and_store):
+    service, state = controller_and_store
     service.submit_until({**JOB, "id": "wk-000002"}, 201)
     heartbeat = {
         "host": "n-1",
@@ -284,9 +284,10 @@
     }
     status, answer, _ = service.call("POST", "/agent/beat", heartbeat)
     assert status == 200 and answer["orders"] == [] and answer["mandate"] > 0
-    assert service.call("POST", "/agent/beat", heartbeat)[0] == 503  # not newer than the last
-    ahead = {**heartbeat, "counter": 2, "mandate": answer["mandate"] + 1}
-    assert service.call("POST", "/agent/beat", ahead)[0] == 503  # a 200 would be dropped, and hold the worker here
+    assert service.call("POST", "/agent/beat", heartbeat)[0] == 503  # its sequence is not newer than the last
+    newer_token = {**heartbeat, "counter": 2, "mandate": answer["mandate"] + 1}
+    # A worker would drop a 200 with the older token, and keep sending its heartbeats to this controller.
+    assert service.call("POST", "/agent/beat", newer_token)[0] == 503
     for sequence in range(2, 60):
         orders = service.call("POST", "/agent/beat", {**heartbeat, "counter": sequence, "mandate": answer["mandate"]})[
             1
@@ -295,11 +296,11 @@
             break
         time.sleep(0.05)
     assert {(order["verb"], order["part"]) for order in orders} == {("run", "wk-000002/0"), ("run", "wk-000002/1")}
-    assert "ab/n/n-1" in state.data  # written before the first order
+    assert "ab/n/n-1" in state.data  # the record is written before the first order
 
 
-def test_without_the_store_a_submission_is_refused_at_once(world):
-    service, state = world
+def test_a_submission_is_refused_at_once_while_the_store_is_unavailable(controller_and_store):
+    service, state = controller_and_store
     state.down = True
     try:
         status, _, headers = service.call("POST", "/v1/jobs", {**JOB, "id": "wk-000003"})
@@ -311,17 +312,18 @@
     service.submit_until({**JOB, "id": "wk-000003"}, 201)
 
 
-def test_a_pipeline_is_taken_in_order_and_cancelled_as_a_whole(world):
-    service, state = world
-    first, second, third, late = ({**JOB, "id": f"wk-00001{n}"} for n in range(1, 5))
+def test_dependencies_are_validated_and_a_cancellation_reaches_dependent_jobs(controller_and_store):
+    service, state = controller_and_store
+    first, second, third, fourth = ({**JOB, "id": f"wk-00001{n}"} for n in range(1, 5))
     service.submit_until(first, 201)
-    unknown = {**second, "waits_on": ["wk-000011", "wk-888888"]}
-    assert service.call("POST", "/v1/jobs", unknown)[0] == 422
+    unknown_dependency = {**second, "waits_on": ["wk-000011", "wk-888888"]}
+    assert service.call("POST", "/v1/jobs", unknown_dependency)[0] == 422
     assert service.call("POST", "/v1/jobs", {**second, "waits_on": [second["id"]]})[0] == 422
     assert service.call("POST", "/v1/jobs", {**second, "waits_on": "wk-000011"})[0] == 400
     assert service.call("POST", "/v1/jobs", {**second, "waits_on": ["wk-000011", "wk-000011"]})[0] == 201
     assert service.call("POST", "/v1/jobs", {**third, "waits_on": ["wk-000012"]})[0] == 201
-    assert service.call("POST", "/v1/jobs", {**unknown, "id": third["id"]})[0] == 200  # known: its state, as ever
+    # The job is already recorded: its status is returned.
+    assert service.call("POST", "/v1/jobs", {**unknown_dependency, "id": third["id"]})[0] == 200
     assert state.data["ab/j/wk-000012"][0]["spec"]["waits_on"] == ["wk-000011"]
     assert service.call("GET", "/v1/jobs/wk-000013")[1]["status"] == "pending"
     assert service.call("POST", "/v1/jobs/wk-000011/withdraw")[1]["status"] == "aborted"
@@ -332,7 +334,7 @@
                 break
             time.sleep(0.05)
         assert answer[1]["status"] == "aborted" and state.data[f"ab/j/{job}"][0] == {"state": "aborted"}
-    assert service.call("POST", "/v1/jobs", {**late, "waits_on": ["wk-000013"]})[1]["status"] == "aborted"
+    assert service.call("POST", "/v1/jobs", {**fourth, "waits_on": ["wk-000013"]})[1]["status"] == "aborted"
     state.down = True
     try:
         status, _, headers = service.call("POST", "/v1/jobs", {**JOB, "id": "wk-000019", "waits_on": ["wk-888888"]})
@@ -341,8 +343,8 @@
         state.down = False
 
 
-def test_half_sent_and_idle_clients_do_not_stop_others(world):
-    service, _ = world
+def test_incomplete_requests_do_not_block_other_clients(controller_and_store):
+    service, _ = controller_and_store
     socks = [socket.create_connection(("127.0.0.1", service.port)) for _ in range(20)]
     try:
         for sock in socks:
@@ -354,45 +356,45 @@
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    "change, expected",
     [
         ({"listen": "nowhere"}, "listen: expected HOST:PORT"),
         ({"label": 5}, "$.label"),
     ],
 )
-def test_a_bad_settings_file_is_one_line_and_exit_2(tmp_path, change, told):
+def test_an_invalid_settings_file_is_reported_in_one_line_with_exit_status_2(tmp_path, change, expected):
     path = tmp_path / "s.json"
     path.write_text(json.dumps({**settings(1, "a:1", "b:2"), **change}))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "run.py", "--check", "--config", str(path)],
         cwd=ROOT,
         text=True,
         capture_output=True,
         check=False,
     )
-    assert done.returncode == 2 and told in done.stderr and done.stderr.count("\n") == 1
+    assert completed.returncode == 2 and expected in completed.stderr and completed.stderr.count("\n") == 1
 
 
-def test_limits_that_will_come_are_checked_and_shown(tmp_path):
+def test_announced_store_limits_are_checked_and_shown(tmp_path):
     path, value = tmp_path / "s.json", settings(1, "a:1", "b:2")
-    for coming, code, told in (
+    for announced, exit_status, expected in (
         ({"value_kb": 2.0}, 0, "value_kb 2, txn_ops 12"),
         ({"txn_ops": 0}, 2, "state.next.txn_ops"),
     ):
-        value["settings"]["state"]["next"] = coming
+        value["settings"]["state"]["next"] = announced
         path.write_text(json.dumps(value))
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "run.py", "--check", "--config", str(path)],
             cwd=ROOT,
             text=True,
             capture_output=True,
             check=False,
         )
-        assert done.returncode == code and told in done.stdout + done.stderr
+        assert completed.returncode == exit_status and expected in completed.stdout + completed.stderr
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, expected",
     [
         ("[policy]\nbid = 1\n", "[policy] bid: no such setting"),
         ("[policy]\nbid_share = much\n", "bid_share: expected a number from 0.0 to 10.0"),
@@ -400,15 +402,15 @@
         ("[policy]\nbid_share = 0.7\n", None),
     ],
 )
-def test_operators_settings_are_checked(tmp_path, text, told):
+def test_operator_settings_are_checked(tmp_path, text, expected):
     path, ini = tmp_path / "s.json", tmp_path / "a.ini"
     path.write_text(json.dumps(settings(1, "a:1", "b:2")))
     ini.write_text(text)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "run.py", "--check", "--config", str(path), "--settings", str(ini)],
         cwd=ROOT,
         text=True,
         capture_output=True,
         check=False,
     )
-    assert done.returncode == (2 if told else 0) and (told or "") in done.stderr
+    assert completed.returncode == (2 if expected else 0) and (expected or "") in completed.stderr
