--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -1,4 +1,4 @@
-"""Command line: check the files, set up the log, run the controller."""
+"""Command line: validates the settings, sets up logging and runs the controller."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 
 class Startup(NamedTuple):
-    """What the files and the environment say, checked."""
+    """Validated contents of the settings files and the environment."""
 
     platform: Platform
     tuning: Tuning
-    declared: dict[str, ConfigurationRevision]  # by kind, from the files that the operators' settings name
+    declared: dict[str, ConfigurationRevision]  # by kind, from the files in section [declared]
     log_level: int
 
 
 def parser() -> argparse.ArgumentParser:
-    """The options of the command."""
+    """The parser for the options of the command."""
     result = argparse.ArgumentParser(prog="alderbridge", description="One controller of the alderbridge scheduler.")
     result.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (JSON)")
     result.add_argument("--settings", metavar="FILE", help=f"operators' own settings (INI); default: {DEFAULT_INI}")
-    result.add_argument("--check", action="store_true", help="check these files, and those that they declare, and exit")
+    result.add_argument("--check", action="store_true", help="validate these files and those of [declared], and exit")
     result.add_argument("--version", action="version", version=f"alderbridge {__version__}")
     return result
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command; the exit status: 2 for a file or a variable of the environment that is wrong."""
+    """Run the command and return its exit status: 2 for an invalid file or environment variable."""
     args = parser().parse_args(argv)
     try:
         startup = _load(args)
@@ -53,12 +53,14 @@
 
 
 def _load(args: argparse.Namespace) -> Startup:
-    """Read and check everything; raises ``ConfigError``."""
+    """Read and validate the files and the environment; raises ``ConfigError``."""
     platform = load_platform(args.config)
     tuning = load_tuning(args.settings)
     declared = {}
     if tuning.declared:
-        from alderbridge import configuration  # only here, with the packages of what is declared
+        from alderbridge import (
+            configuration,
+        )  # imported late: needed only if [declared] has entries
 
         declared = {kind: configuration.load(path, kind) for kind, path in tuning.declared.items()}
     level = os.environ.get("LOG_LEVEL", "info")
@@ -68,13 +70,13 @@
 
 
 def _print_checked(config: str, startup: Startup) -> None:
-    """Say what was found in the files."""
+    """Print a summary of the validated files."""
     print(f"{config}: good")
     state = startup.platform.settings.state
     if state.next is not None:
         limits = state.effective
         print(
-            f"state service, kept from the start: rps {limits.rps:g}, write_rps {limits.write_rps:g}, "
+            f"state service limits, applied from the start: rps {limits.rps:g}, write_rps {limits.write_rps:g}, "
             f"value_kb {limits.value_kb:g}, txn_ops {limits.txn_ops}"
         )
     if startup.declared:
@@ -85,13 +87,13 @@
 
 
 def _serve(startup: Startup) -> int:
-    """Run the controller until its process is ended."""
-    import curio  # only here: --help and --check need neither the loop nor its start-up time
+    """Run the controller until the process is terminated."""
+    import curio  # imported late, as --help and --check do not need it
 
     from alderbridge.controller.process import Controller
     from alderbridge.transport.selector import Poll
 
-    gc.freeze()  # modules and classes stay for good
+    gc.freeze()  # excludes modules and classes, which are never freed, from collection
     gc.set_threshold(*constants.GC_THRESHOLDS)
     logging.basicConfig(stream=sys.stderr, level=startup.log_level, format=startup.tuning.log_format)
     poll = Poll(constants.POLL_INTERVAL_S)
--- a/alderbridge/settings.py
+++ b/alderbridge/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings (JSON) and the operators' own (INI), both checked."""
+"""Reads and validates the platform's settings (JSON) and the operators' settings (INI)."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     "priorities": "priorities",
     "hours": "calendars",
     "lending": "lending",
-}  # what operators declare -> its package
+}  # kind of operator configuration -> package that implements it
 
 
 class ConfigError(Exception):
-    """One line that names the file, the key and what was expected."""
+    """A settings file is invalid; the message is one line with the file, the key and what was expected."""
 
 
 class Peer(msgspec.Struct, frozen=True):
@@ -31,14 +31,14 @@
 
 
 class Endpoints(msgspec.Struct, frozen=True):
-    """Addresses of the services that controllers use."""
+    """``HOST:PORT`` of the services that controllers use."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """What a team is guaranteed, and its limits (``_max``; 0: none)."""
+    """A team's guaranteed quota, and its limits (``_max``; 0: unlimited)."""
 
     name: str
     cpus: float = 0.0
@@ -58,7 +58,7 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """Times that workers keep to, in s."""
+    """Heartbeat interval, lease duration, and time within which a cancelled job must have ended."""
 
     report_s: float
     lease_s: float
@@ -66,7 +66,7 @@
 
 
 class NextStateLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on; what is missing stays as it is."""
+    """Limits that the state service will change to at an unspecified time; None: unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -77,12 +77,12 @@
 Number = TypeVar("Number", int, float)
 
 
-def _tighter(now: Number, later: Number | None) -> Number:
-    return now if later is None else min(now, later)
+def _lower_limit(current: Number, upcoming: Number | None) -> Number:
+    return current if upcoming is None else min(current, upcoming)
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service; ``next``: those that it will have."""
+    """Current limits of the state service; ``next``: announced changes."""
 
     rps: float
     write_rps: float
@@ -92,25 +92,25 @@
 
     @property
     def effective(self) -> StateLimits:
-        """Return the tighter of both limits, each: nobody says when the change comes."""
-        later = self.next or NextStateLimits()
+        """The lower of the current and the announced value of each limit, as the time of the change is not known."""
+        upcoming = self.next or NextStateLimits()
         return StateLimits(
-            rps=_tighter(self.rps, later.rps),
-            write_rps=_tighter(self.write_rps, later.write_rps),
-            value_kb=_tighter(self.value_kb, later.value_kb),
-            txn_ops=_tighter(self.txn_ops, later.txn_ops),
+            rps=_lower_limit(self.rps, upcoming.rps),
+            write_rps=_lower_limit(self.write_rps, upcoming.write_rps),
+            value_kb=_lower_limit(self.value_kb, upcoming.value_kb),
+            txn_ops=_lower_limit(self.txn_ops, upcoming.txn_ops),
         )
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
-    """Limits of the cloud's interface."""
+    """Rate limit of the cloud's API, and how far its list of machines may lag behind."""
 
     rps: float
     list_lag_s: float
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What one controller process may use."""
+    """Resource limits of one controller process."""
 
     cpu: float
     memory_mb: float
@@ -118,7 +118,7 @@
 
 
 class Shared(msgspec.Struct, frozen=True):
-    """Settings that all controllers have in common."""
+    """Settings that are the same for all controllers."""
 
     zones: list[str]
     teams: list[Team]
@@ -131,7 +131,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """The file that the platform hands over."""
+    """The platform's settings file of one controller."""
 
     label: str
     location: str
@@ -143,7 +143,7 @@
 
 
 class Tuning(msgspec.Struct, frozen=True):
-    """What operators may set, in the INI sections [policy], [log] and [declared]."""
+    """Operators' settings: the INI sections [policy], [log] and [declared]."""
 
     target_ratio: float = constants.TARGET_RATIO
     workload_multiplier: float = constants.WORKLOAD_MULTIPLIER
@@ -151,11 +151,11 @@
     bid_share: float = constants.BID_SHARE
     max_machines: int = constants.MAX_MACHINES
     log_format: str = "%(levelname)s %(name)s %(message)s"
-    declared: dict[str, str] = {}  # kind -> path of its file
+    declared: dict[str, str] = {}  # kind of operator configuration -> path of its file
 
 
 class _Range(NamedTuple):
-    """Where a number is set, and what it may be; a whole number where ``lowest`` is one."""
+    """INI section and valid range of a number; it must be an integer where ``lowest`` is one."""
 
     section: str
     lowest: float
@@ -180,7 +180,7 @@
 
 
 def load_platform(path: str) -> Platform:
-    """Read and check the platform's file; ``ConfigError`` for its first fault."""
+    """Read and validate the platform's settings file; raises ``ConfigError`` for the first error."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -192,7 +192,7 @@
     _check_addresses(platform, path)
     labels = [platform.label, *(peer.label for peer in platform.peers)]
     if len(set(labels)) != len(labels):
-        raise ConfigError(f"{path}: peers: expected labels that differ, got {labels}")
+        raise ConfigError(f"{path}: peers: expected unique labels, got {labels}")
     _check_numbers(platform.settings, path)
     return platform
 
@@ -213,7 +213,7 @@
 
 
 def _check_numbers(shared: Shared, path: str) -> None:
-    """``ConfigError`` for a number that is not above 0 but must be."""
+    """Raise ``ConfigError`` for a number that must be positive and is not."""
     positive: dict[str, float] = {
         "workers.lease_s": shared.workers.lease_s,
         "workers.report_s": shared.workers.report_s,
@@ -226,15 +226,15 @@
         "limits.max_sockets": shared.limits.max_sockets,
     }
     if shared.state.next is not None:
-        coming = msgspec.structs.asdict(shared.state.next)
-        positive |= {f"state.next.{key}": number for key, number in coming.items() if number is not None}
+        upcoming = msgspec.structs.asdict(shared.state.next)
+        positive |= {f"state.next.{key}": number for key, number in upcoming.items() if number is not None}
     for key, number in positive.items():
         if number <= 0:
             raise ConfigError(f"{path}: settings.{key}: expected a number above 0, got {number}")
 
 
 def read_ini(path: str) -> configparser.ConfigParser:
-    """Read an INI file; ``ConfigError`` where it can't be read, or is none."""
+    """Read an INI file; raises ``ConfigError`` if it cannot be read or parsed."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with open(path, encoding="utf-8") as file:
@@ -247,37 +247,37 @@
 
 
 def load_tuning(path: str | None) -> Tuning:
-    """Read the operators' INI file; without one, the defaults hold."""
+    """Read the operators' settings; the defaults apply if ``path`` is None and there is no ``DEFAULT_INI``."""
     if path is None:
         if not Path(DEFAULT_INI).is_file():
             return Tuning()
         path = DEFAULT_INI
     parser = read_ini(path)
-    known = {(allowed.section, key) for key, allowed in _RANGES.items()} | {("log", "log_format")}
-    known |= {("declared", kind) for kind in KINDS}
+    known_keys = {(valid_range.section, key) for key, valid_range in _RANGES.items()} | {("log", "log_format")}
+    known_keys |= {("declared", kind) for kind in KINDS}
     values: dict[str, Any] = {}
-    files: dict[str, str] = {}
+    declared: dict[str, str] = {}
     for section in parser.sections():
         for key, text in parser.items(section):
-            if (section, key) not in known:
+            if (section, key) not in known_keys:
                 raise ConfigError(f"{path}: [{section}] {key}: no such setting")
             if section == "declared":
                 if not text:
                     raise ConfigError(f"{path}: [declared] {key}: expected the path of a file, got nothing")
-                files[key] = str(Path(path).parent / text)
+                declared[key] = str(Path(path).parent / text)
                 continue
-            values[key] = text if key == "log_format" else _number(path, section, key, text)
-    return Tuning(**values, declared=files)
+            values[key] = text if key == "log_format" else _parse_number(path, section, key, text)
+    return Tuning(**values, declared=declared)
 
 
-def _number(path: str, section: str, key: str, text: str) -> float:
-    _, low, high = _RANGES[key]
+def _parse_number(path: str, section: str, key: str, text: str) -> float:
+    _, lowest, highest = _RANGES[key]
     number: float | None
     try:
-        number = int(text) if isinstance(low, int) else float(text)
+        number = int(text) if isinstance(lowest, int) else float(text)
     except ValueError:
         number = None
-    if number is None or not low <= number <= high:
-        kind = "a whole number" if isinstance(low, int) else "a number"
-        raise ConfigError(f"{path}: [{section}] {key}: expected {kind} from {low} to {high}, got {text!r}")
+    if number is None or not lowest <= number <= highest:
+        kind = "a whole number" if isinstance(lowest, int) else "a number"
+        raise ConfigError(f"{path}: [{section}] {key}: expected {kind} from {lowest} to {highest}, got {text!r}")
     return number
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Starts one alderbridge controller; the library does the work."""
+"""Entry point of the alderbridge controller."""
 
 import sys
 from pathlib import Path
