--- a/alderbridge/protocol/__init__.py
+++ b/alderbridge/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Every structure that is encoded, and the names that go over the wire."""
+"""Encoded structures and their names on the wire."""
--- a/alderbridge/protocol/cloud.py
+++ b/alderbridge/protocol/cloud.py
@@ -1,6 +1,6 @@
-"""What the leader exchanges with the cloud: machine types, rentals and the list of machines.
+"""Messages between the leader and the cloud: machine types, rentals and the list of machines.
 
-A field whose name here differs from the protocol's has the protocol's word in ``name=``; it is used nowhere else.
+Fields whose names differ from those on the wire state the latter in ``name=``.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class MachineType(Struct, frozen=True):
-    """What the cloud rents; a machine is up some ``boot_s`` after its rental."""
+    """A machine type of the cloud; a machine takes about ``boot_s`` from its rental until it is up."""
 
     name: str
     cpus: float = field(name="vcpus")
@@ -26,13 +26,13 @@
 
 
 class MachineTypes(Struct, frozen=True):
-    """All types that the cloud rents; also the form kept in the store."""
+    """All machine types of the cloud; the store keeps them in the same form."""
 
     types: list[MachineType] = field(name="flavours")
 
 
 class ListedMachine(Struct, frozen=True):
-    """A rented machine as the cloud lists it; ``held_s``: rented for so long."""
+    """A rented machine in the cloud's list; ``held_s``: time since its rental."""
 
     id: str
     type: str = field(name="flavour")
@@ -50,11 +50,11 @@
 
 
 class RentalResponse(Struct, frozen=True):
-    """The ids of the machines that a rental brought."""
+    """The ids of the machines that a rental request was granted."""
 
     hosts: list[str]
 
 
 def rental_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> bytes:
-    """A request for machines; repeated under the same ``name`` it brings no others."""
+    """A rental request; a repetition with the same ``name`` is granted no further machines."""
     return encode({"hire": name, "flavour": machine_type, "site": zone, "standby": spot, "number": count})
--- a/alderbridge/protocol/encoding.py
+++ b/alderbridge/protocol/encoding.py
@@ -1,4 +1,4 @@
-"""What all bodies have in common: JSON, the ranges of values, and the error for a body that is no good."""
+"""Common parts of all JSON bodies: the encoder, value ranges, and the error for a malformed body."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 class MalformedBodyError(ValueError):
-    """A body that is answered 400."""
+    """A malformed request body; the response is 400."""
 
 
-# What msgspec raises for bytes that are no JSON of the form asked for, nested too deeply, or not UTF-8.
+# Raised by msgspec for bytes that are not JSON of the expected type, too deeply nested, or not UTF-8.
 DECODE_ERRORS = (msgspec.DecodeError, RecursionError, UnicodeDecodeError)
--- a/alderbridge/protocol/jobs.py
+++ b/alderbridge/protocol/jobs.py
@@ -1,6 +1,6 @@
-"""What users exchange with a controller: submissions, questions about a job, and the answers.
+"""Messages between users and a controller: submissions, job queries and their responses.
 
-A field whose name here differs from the protocol's has the protocol's word in ``name=``; it is used nowhere else.
+Fields whose names differ from those on the wire state the latter in ``name=``.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class JobSpec(Struct, frozen=True, omit_defaults=True):
-    """What a user submits; also the form kept in the job's record. Times are in s, memory and images in GB."""
+    """A submitted job; its record in the store has the same form."""
 
     id: str
     job_class: Name = field(name="workload")
@@ -46,22 +46,22 @@
 
     @property
     def service(self) -> bool:
-        """Tasks that run until the job is cancelled."""
+        """Whether the tasks run until the job is cancelled."""
         return self.kind == "standing"
 
     @property
     def gang(self) -> bool:
-        """Tasks that run only together; a task that waits for the others is ``waiting``."""
+        """Whether the tasks run only together (gang scheduling)."""
         return self.kind == "group"
 
     @property
     def rank(self) -> int:
-        """Priority as a number; higher goes first."""
+        """Priority as a number; a higher one is scheduled first."""
         return _RANKS[self.priority]
 
 
 class _RequiredFields(Struct):
-    """Fields that a submission must have, though a record leaves them out where they have their default."""
+    """Fields that are required in a submission, but omitted from a record if they have their default."""
 
     gpus: msgspec.Raw = field(name="accelerators")
     checkpoint_s: msgspec.Raw = field(name="snapshot_every_s")
@@ -75,30 +75,30 @@
     id: str
 
 
-_spec = msgspec.json.Decoder(JobSpec)
-_required_fields = msgspec.json.Decoder(_RequiredFields)
-_job_id = msgspec.json.Decoder(_JobId)
+_spec_decoder = msgspec.json.Decoder(JobSpec)
+_required_fields_decoder = msgspec.json.Decoder(_RequiredFields)
+_job_id_decoder = msgspec.json.Decoder(_JobId)
 _ID_IN_TEXT = re.compile(rb'"id"\s*:\s*"(wk-[0-9]{1,18})"')
 
 
 def parse_job(body: bytes) -> JobSpec:
-    """The job that a submission asks for. Raises ``MalformedBodyError``."""
+    """Decode and validate a submission; raises ``MalformedBodyError``."""
     try:
-        spec = _spec.decode(body)
-        _required_fields.decode(body)
+        spec = _spec_decoder.decode(body)
+        _required_fields_decoder.decode(body)
     except DECODE_ERRORS as error:
         raise MalformedBodyError(str(error)) from error
     if not JOB_ID.match(spec.id):
         raise MalformedBodyError("id: expected wk- and digits")
-    if not all(JOB_ID.match(need) for need in spec.needs or ()):
+    if not all(JOB_ID.match(dependency) for dependency in spec.needs or ()):
         raise MalformedBodyError("waits_on: expected ids of jobs")
     return spec
 
 
 def job_id_in(body: bytes) -> str:
-    """The job id in a body that is no valid submission; "" where there is none, or more than one."""
+    """The job id in the body of an invalid submission; "" if there is none, or more than one."""
     try:
-        job = _job_id.decode(body).id
+        job = _job_id_decoder.decode(body).id
         return job if JOB_ID.match(job) else ""
     except DECODE_ERRORS:
         found = set(_ID_IN_TEXT.findall(body))  # not JSON, or not an object
@@ -106,15 +106,15 @@
 
 
 def error_body(text: str) -> bytes:
-    """The body of a refusal."""
+    """The body of an error response."""
     return encode({"error": text})
 
 
 def accepted_body(job: str, status: str) -> bytes:
-    """The answer to a submission or a cancellation."""
+    """The body of the response to a submission or a cancellation."""
     return encode({"id": job, "status": status})
 
 
 def job_status_body(job: str, status: str, done: int, running: int) -> bytes:
-    """The answer to a question for a job's status; ``done`` and ``running`` count its tasks."""
+    """The body of the response to a status query; ``done`` and ``running`` are numbers of tasks."""
     return encode({"id": job, "status": status, "done": done, "running": running})
--- a/alderbridge/protocol/messages.py
+++ b/alderbridge/protocol/messages.py
@@ -1,7 +1,8 @@
 """The messages between controllers: tagged arrays in frames.
 
-Positions and tags go over the wire, names do not. A field may only be added at the end of a structure, with a default.
-Amounts of teams are (cpus, gpus); a number of protocol version says which members a message may be sent to.
+Tags and the order of fields define the wire format; field names are not sent. A field may only be added at the end of
+a structure, with a default. A message "since protocol version N" may only be sent to members of at least that version.
+Amounts by team are (cpus, gpus).
 """
 
 from __future__ import annotations
@@ -10,84 +11,84 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, frozen=True):
-    """Base of all messages; each states its tag, which goes over the wire."""
+    """Base of all messages; each states its tag on the wire."""
 
 
 class KeepAlive(Message, frozen=True, tag="Pulse"):
-    """No content: its frame carries an acknowledgement."""
+    """Empty message, sent for the acknowledgement in its frame."""
 
 
 class QueueRow(msgspec.Struct, array_like=True, frozen=True):
     """One waiting job of a job shard."""
 
     job: str
-    waiting: int  # tasks that wait
-    offer: int  # of these, tasks that may be granted now
+    waiting: int  # waiting tasks
+    offer: int  # waiting tasks that may be granted now
     due_in_s: float  # until Maximum Queue Time is breached
     run_s: float  # Expected Run Time
-    zone: str | None  # the only zone it may use now, if any
+    zone: str | None  # the only zone that its tasks may run in now; None: any
     waited_s: float
-    late: bool  # has missed every Maximum Queue Time
-    guaranteed: bool  # lies within its team's guarantee
-    rank: int = -1  # priority of the jobs that need it, where higher than its own
-    inherited: int = 0  # tasks behind the recovery barrier: they may be on a machine that has not reported yet
-    priority_boost: int = 0  # 1: it goes first among its priority, 2: before all that is not guaranteed
+    late: bool  # exceeds all of its Maximum Queue Times
+    guaranteed: bool  # is within its team's guaranteed quota
+    rank: int = -1  # highest priority of its dependents, where higher than its own
+    inherited: int = 0  # tasks behind the recovery barrier: they may be on a machine that has not sent a heartbeat yet
+    priority_boost: int = 0  # 1: first within its priority; 2: before all jobs that are not guaranteed
 
 
 class QueueSnapshot(Message, frozen=True, tag="Queue"):
-    """A job shard's waiting jobs and the usage of its teams; sent every round."""
+    """A job shard's waiting jobs and the usage of its teams; used while a member runs a protocol version below 6."""
 
     rows: list[QueueRow]
     used: dict[str, tuple[float, float]]
-    reserved: dict[str, tuple[float, float]]  # the larger of what is used and what is allocated
+    reserved: dict[str, tuple[float, float]]  # the larger of used and allocated quota
     demand: dict[str, tuple[float, float]]
     allocations_received: int  # quota allocations received under this fencing token
-    suspected: list[str] = []  # members of which the sender has no frame lately
-    failed: list[str] = []  # of these, those whose frames it accepts no more under this fencing token
-    changes: int = -1  # of the store, that it made in a second lately; -1: it may make all of its share
+    suspected: list[str] = []  # members from which the sender has received no frame lately
+    failed: list[str] = []  # suspected members whose frames it rejects under this fencing token
+    changes: int = -1  # its recent store changes per second; -1: unknown, it may use its whole share
 
 
 class QueueDelta(Message, frozen=True, tag="QueueChanges"):
-    """Rows of a job shard's queue that have changed since the delta before. Since protocol version 6."""
+    """Rows of a job shard's queue that have changed since the previous delta. Since protocol version 6."""
 
-    at: float  # when this was made, s of the sender's steady clock; the times of the rows are as they stood then
+    at: float  # time of creation by the sender's monotonic clock, in s; the times in the rows refer to it
     rows: list[QueueRow]
-    gone: list[str]  # jobs whose rows are to be removed
-    whole: bool  # all rows: they replace the ones before
+    gone: list[str]  # jobs whose rows are removed
+    whole: bool  # contains all rows, and replaces the previous ones
 
 
 class TeamUsage(msgspec.Struct, array_like=True, frozen=True):
-    """One team's sums at one job shard."""
+    """One team's usage and demand at one job shard."""
 
     used: tuple[float, float]
-    reserved: tuple[float, float]  # the larger of what is used and what is allocated
+    reserved: tuple[float, float]  # the larger of used and allocated quota
     demand: tuple[float, float]
 
 
 class TeamUsageDelta(Message, frozen=True, tag="TeamChanges"):
-    """A job shard's sums that have changed since the delta before. Since protocol version 6."""
+    """Usage of teams at a job shard that has changed since the previous delta. Since protocol version 6."""
 
-    teams: dict[str, TeamUsage]  # nothing but zeros: the team has no jobs any more
-    allocations_received: int  # quota allocations received under this fencing token, which these sums include
-    whole: bool  # all teams: they replace the ones before
+    teams: dict[str, TeamUsage]  # all zeros: the team has no jobs left
+    allocations_received: int  # quota allocations received under this fencing token and included here
+    whole: bool  # contains all teams, and replaces the previous ones
 
 
 class PeerStatus(Message, frozen=True, tag="Status"):
-    """What each member needs to know of another in each round. Since protocol version 6."""
+    """A member's suspected and failed peers, and its store write rate. Since protocol version 6."""
 
-    suspected: list[str]  # members of which the sender has no frame lately
-    failed: list[str]  # of these, those whose frames it accepts no more under this fencing token
-    changes: int  # of the store, that it made in a second lately
+    suspected: list[str]  # members from which the sender has received no frame lately
+    failed: list[str]  # suspected members whose frames it rejects under this fencing token
+    changes: int  # its recent store changes per second
 
 
 class QuotaDelta(Message, frozen=True, tag="AllotChanges"):
-    """Quota allocations of one job shard that have changed since the ones before. Since protocol version 6."""
+    """Quota allocations of one job shard that have changed since the previous message. Since protocol version 6."""
 
     teams: dict[str, tuple[float, float]]
 
 
 class MachineSummary(msgspec.Struct, array_like=True, frozen=True):
-    """One machine as its machine shard sees it."""
+    """State of one machine, from its machine shard."""
 
     machine: str
     type: str
@@ -96,18 +97,18 @@
     state: str
     idle_s: float
     free: tuple[float, float, float]  # cpus, memory, gpus
-    ends: list[tuple[float, float, float, float]]  # of its tasks: expected remaining s, cpus, memory, gpus
+    ends: list[tuple[float, float, float, float]]  # by task: expected remaining time in s, cpus, memory, gpus
     silent_s: float
 
 
 class MachineSummaries(Message, frozen=True, tag="Room"):
-    """The machines of a machine shard, for the leader."""
+    """Summaries of a machine shard's machines, for the leader."""
 
     rows: list[MachineSummary]
 
 
 class TaskRequest(Message, frozen=True, tag="Take"):
-    """A machine shard with room asks a job shard for tasks."""
+    """A machine shard with free capacity requests tasks from a job shard."""
 
     request_id: int
     job: str
@@ -117,7 +118,7 @@
 
 
 class TaskGrant(Message, frozen=True, tag="Grant"):
-    """The job shard's answer: tasks (index, attempt) for that machine; may be none."""
+    """The job shard's response: tasks (index, attempt) for that machine; may be empty."""
 
     request_id: int
     job: str
@@ -126,7 +127,7 @@
 
 
 class TaskStatusReport(msgspec.Struct, array_like=True, frozen=True):
-    """A task as the worker last reported it; ``cause``: why it ended, if it failed."""
+    """A task from the last heartbeat of its worker; ``cause``: why it ended, if it failed."""
 
     job: str
     index: int
@@ -136,20 +137,20 @@
 
 
 class MachineTaskReport(Message, frozen=True, tag="Seen"):
-    """All that is known of one job shard's tasks on one machine: also proof of which are not there.
+    """All of one job shard's tasks on one machine; the job shard's other tasks are proven not to be there.
 
-    ``processed_seq`` is the sequence of the job shard's last message that the machine shard had processed.
+    ``processed_seq`` is the sequence of the last message of the job shard that the machine shard had processed.
     """
 
     machine: str
     zone: str
     processed_seq: int
     tasks: list[TaskStatusReport]
-    pending: list[tuple[str, int, int]]  # job, index, attempt: granted, and not in a heartbeat yet
+    pending: list[tuple[str, int, int]]  # job, index, attempt: granted, but not in a heartbeat yet
 
 
 class AcknowledgeFinished(Message, frozen=True, tag="Clear"):
-    """A job shard has stored the result of that attempt: the worker may forget it."""
+    """The job shard has stored the result of an attempt, so that the worker may forget it."""
 
     machine: str
     job: str
@@ -158,7 +159,7 @@
 
 
 class StopTask(Message, frozen=True, tag="Halt"):
-    """A job shard wants that attempt stopped; it has ``wind_down_s`` to save a checkpoint."""
+    """Request of a job shard to stop an attempt, which has ``wind_down_s`` to save a checkpoint."""
 
     machine: str
     job: str
@@ -174,7 +175,7 @@
 
 
 class DrainMachines(Message, frozen=True, tag="Drain"):
-    """The leader is about to return these machines: nothing may be placed on them again."""
+    """The leader is about to return these machines: no tasks may be placed on them from now on."""
 
     machines: list[str]
 
@@ -186,33 +187,35 @@
 
 
 class ListMachineTasks(Message, frozen=True, tag="Show"):
-    """The leader may have to preempt: machine shards answer with their tasks, once. Since protocol version 4."""
+    """The leader plans preemptions and requests one ``MachineTaskList``. Since protocol version 4."""
 
 
 class MachineTasks(msgspec.Struct, array_like=True, frozen=True):
-    """Tasks on one machine that might be preempted, or are victims of its claim."""
+    """Tasks on one machine that could be preempted, or are victims of its preemption claim."""
 
     machine: str
     free: tuple[float, float, float]  # cpus, memory, gpus
-    tasks: list[tuple[str, int, int, float, bool]]  # job, index, attempt, s it ran, whether that is all it ran
-    images: list[str] = []  # of a machine with GPUs: cached, or being fetched
+    tasks: list[
+        tuple[str, int, int, float, bool]
+    ]  # job, index, attempt, run time in s, whether that is its total run time
+    images: list[str] = []  # cached or being fetched; only of machines with GPUs, if the leader requested the list
 
 
 class MachineTaskList(Message, frozen=True, tag="Tasks"):
-    """A machine shard's tasks, for the leader: on machines with a claim, or on all that are up if it asked so."""
+    """A machine shard's tasks on machines with a claim or, if the leader requested it, on all that are up."""
 
     rows: list[MachineTasks]
-    whole: bool
+    whole: bool  # also contains the machines without a claim, as the leader requested
 
 
 class GpuReservation(Message, frozen=True, tag="Keep"):
-    """GPUs by machine that lending keeps free for ``GPU_RESERVATION_TTL_S``. Since protocol version 4."""
+    """GPUs by machine that are reserved for lending for ``GPU_RESERVATION_TTL_S``. Since protocol version 4."""
 
     gpus: dict[str, float]
 
 
 class JobQuery(Message, frozen=True, tag="Ask"):
-    """A user's question, passed on to the job shard."""
+    """A user's request about a job, forwarded to its job shard."""
 
     query_id: int
     kind: str  # "status" or "withdraw"
@@ -220,7 +223,7 @@
 
 
 class JobQueryReply(Message, frozen=True, tag="Reply"):
-    """The answer: status and body as the user gets them."""
+    """The response for the user: HTTP status and body."""
 
     query_id: int
     status: int
@@ -252,14 +255,12 @@
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
-    """A message on its way, and the acknowledgement of the other direction."""
+    """A message with its sequence number, and the acknowledgement for the other direction."""
 
     version: str
     sender: str
     fencing_token: int
-    seq: int  # counts the messages that must arrive, under one fencing token; 0: not resent when lost
-    ack: int  # the last ``seq`` that the sender has received
+    seq: int  # sequence of reliable messages under one fencing token; 0: not sent again when lost
+    ack: int  # ``seq`` of the last reliable message that the sender has received
     body: Body
-    sender_lease_id: int = (
-        0  # under which the sender takes part in this view; 0: it does not, or is of an older version
-    )
+    sender_lease_id: int = 0  # store lease of the sender in this view; 0: not a member, or an older version
--- a/alderbridge/protocol/store.py
+++ b/alderbridge/protocol/store.py
@@ -1,6 +1,6 @@
-"""What controllers exchange with the state service, and the record of a machine that is kept there.
+"""Messages between controllers and the state service (the store), and the record of a machine in it.
 
-A field whose name here differs from the protocol's has the protocol's word in ``name=``; it is used nowhere else.
+Fields whose names differ from those on the wire state the latter in ``name=``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class KeyValue(Struct, frozen=True):
-    """A key, its value, and the revision at which it was written."""
+    """A key, its value, and the revision of its last write."""
 
     key: str = field(name="k")
     data: msgspec.Raw
@@ -20,7 +20,7 @@
 
 
 class KeyValuePage(Struct, frozen=True):
-    """One page of a listing, and the revision of the store that it shows."""
+    """One page of a listing, and the revision of the store that it was read at."""
 
     rows: list[KeyValue]
     revision: int = field(name="epoch")
@@ -28,7 +28,7 @@
 
 
 class WatchEvent(Struct, frozen=True):
-    """One change: a key that was put, or one that was dropped, at that revision."""
+    """One change: the key that was put or dropped, and the revision of the change."""
 
     put: str | None = None
     drop: str | None = None
@@ -37,28 +37,28 @@
 
 
 class WatchResponse(Struct, frozen=True):
-    """All changes up to that revision, in order."""
+    """All changes up to ``revision``, in order."""
 
     revision: int = field(name="epoch")
     events: list[WatchEvent] = field(name="log")
 
 
 class TransactionResult(Struct, frozen=True):
-    """The revision of a transaction, or the keys whose conditions failed: then nothing was applied."""
+    """The revision of a transaction, or the keys whose conditions failed, in which case nothing was applied."""
 
     revision: int = field(name="epoch", default=0)
     failed: list[str] = []
 
 
 class Condition(Struct, frozen=True):
-    """The key must have that revision; 0: there must be no such key."""
+    """Condition that a key has this revision; 0: that it does not exist."""
 
     key: str = field(name="k")
     revision: int = field(name="stamp")
 
 
 class Put(Struct, frozen=True, omit_defaults=True):
-    """Write a value; with ``lease_id`` it is dropped when that lease ends."""
+    """Write a value; with ``lease_id`` the store drops it when that lease ends."""
 
     key: str = field(name="put")
     data: Any
@@ -72,14 +72,14 @@
 
 
 class TransactionRequest(Struct, frozen=True):
-    """Writes that are applied all together if all conditions hold, or not at all."""
+    """Compare-and-swap: all writes are applied if all conditions hold, otherwise none."""
 
     conditions: list[Condition] = field(name="if")
     writes: list[Any]  # ``Put`` and ``Drop``
 
 
 class LeaseRequest(Struct, frozen=True):
-    """A lease that ends unless it is renewed in time."""
+    """Request for a lease that expires unless it is renewed."""
 
     ttl_ms: int
 
@@ -91,9 +91,9 @@
 
 
 class MachineRecord(Struct, frozen=True, omit_defaults=True):
-    """What the store keeps of a machine: that tasks may be on it, which ones, and where it can be asked."""
+    """Record of a machine that may have tasks, with the address of its worker."""
 
     address: str = ""
-    type: str = ""  # empty: written by a version that did not keep it
+    type: str = ""  # empty: written by a version without this field
     zone: str = ""
     spot: bool = False
--- a/alderbridge/protocol/wire.py
+++ b/alderbridge/protocol/wire.py
@@ -1,4 +1,4 @@
-"""All names of jobs.py, workers.py, cloud.py and store.py under the path they had; new code imports from there."""
+"""Re-exports jobs.py, workers.py, cloud.py and store.py for existing imports; new code imports from those modules."""
 
 from __future__ import annotations
 
--- a/alderbridge/protocol/workers.py
+++ b/alderbridge/protocol/workers.py
@@ -1,6 +1,6 @@
-"""What workers exchange with a controller: heartbeats, and the orders in the answers to them.
+"""Messages between workers and a controller: heartbeats, and the orders in their responses.
 
-A field whose name here differs from the protocol's has the protocol's word in ``name=``; it is used nowhere else.
+Fields whose names differ from those on the wire state the latter in ``name=``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ReportedTask(Struct, frozen=True):
-    """A task that is on the machine; ``cause``: why it ended, if it failed."""
+    """A task on the machine; ``cause``: why it ended, if it failed."""
 
     task_id: str = field(name="part")
     attempt: int = field(name="try")
@@ -23,7 +23,7 @@
 
 
 class Heartbeat(Struct, frozen=True):
-    """A worker's report of its machine's tasks; ``recall_s``: the cloud takes the machine back in so many s."""
+    """A heartbeat with the machine's tasks; ``recall_s``: time until the cloud takes back the machine."""
 
     machine: str = field(name="host")
     address: str
@@ -37,43 +37,43 @@
     tasks: list[ReportedTask] = field(name="parts", default_factory=list)
 
 
-_heartbeat = msgspec.json.Decoder(Heartbeat)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
-    """What a worker has sent. Raises ``MalformedBodyError``."""
+    """Decode a heartbeat; raises ``MalformedBodyError``."""
     try:
-        return _heartbeat.decode(body)
+        return _heartbeat_decoder.decode(body)
     except DECODE_ERRORS as error:
         raise MalformedBodyError(str(error)) from error
 
 
 def split_task_id(task_id: str) -> tuple[str, int]:
-    """Job and index of a task; ("", -1) where it is no task's id."""
+    """Job and index of a task id; ("", -1) if it is malformed."""
     job, _, index = task_id.rpartition("/")
     return (job, int(index)) if index.isdigit() else ("", -1)
 
 
 def heartbeat_response(fencing_token: int, orders: list[dict[str, Any]]) -> bytes:
-    """The answer to a heartbeat."""
+    """The body of the response to a heartbeat."""
     return encode({"mandate": fencing_token, "orders": orders})
 
 
 def acknowledge_request(fencing_token: int, incarnation: int) -> bytes:
-    """A request without orders: the worker acknowledges the fencing token."""
+    """A probe: a request without orders, which makes the worker acknowledge the fencing token."""
     return encode({"mandate": fencing_token, "tenure": incarnation, "orders": []})
 
 
 def run_order(job: str, index: int, attempt: int) -> dict[str, Any]:
-    """Start that attempt of a task."""
+    """Order to start an attempt of a task."""
     return {"verb": "run", "part": f"{job}/{index}", "try": attempt}
 
 
 def stop_order(job: str, index: int, attempt: int, wind_down_s: float) -> dict[str, Any]:
-    """Stop that attempt, with so many s to save a checkpoint."""
+    """Order to stop an attempt, which has ``wind_down_s`` to save a checkpoint."""
     return {"verb": "halt", "part": f"{job}/{index}", "try": attempt, "wind_down_s": wind_down_s}
 
 
 def acknowledge_order(job: str, index: int, attempt: int) -> dict[str, Any]:
-    """The result of that attempt is stored, the worker may forget it."""
+    """Order to forget an attempt, as its result is stored."""
     return {"verb": "clear", "part": f"{job}/{index}", "try": attempt}
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -1,7 +1,7 @@
-"""What the files of ``encoded_forms`` say, as values of today's classes.
+"""The values that the files of ``encoded_forms`` encode.
 
-Each value is built by keyword, so that two fields that change places are seen even where both are numbers. When a
-class or field is renamed, its name changes here, and no file does.
+Values are built by keyword, so that a test fails if two fields of the same type are swapped. A rename of a class or
+field changes this module, but none of the files.
 """
 
 from msgspec import Raw
@@ -110,7 +110,7 @@
     guaranteed=True,
 )
 
-# Messages between controllers, each in a frame.
+# Messages between controllers; ``FRAMES`` holds one frame for each.
 MESSAGES = {
     "message-pulse": messages.KeepAlive(),
     "message-queue": messages.QueueSnapshot(
@@ -183,7 +183,7 @@
     for name, body in MESSAGES.items()
 }
 
-# Frames of older versions, which end before the newest fields.
+# Frames of older versions, without the fields that were added later.
 OLDER_FRAMES = {
     name: messages.Frame(version="0.1.0", sender="host-1", fencing_token=21, seq=33, ack=32, body=body)
     for name, body in {
@@ -202,7 +202,7 @@
     }.items()
 }
 
-# Values in the store, written by this version.
+# Stored values, as this version writes them.
 RECORDS = {
     "record-job": Record(
         state=JobState.ACTIVE,
@@ -300,7 +300,7 @@
     ),
 }
 
-# Values in the store, written by older versions or with nothing but what has to be there.
+# Stored values of older versions, or with their required fields only.
 OLDER_RECORDS = {
     "older-record-job": Record(state=JobState.ABORTED),
     "older-record-job-with-spec": Record(
@@ -327,7 +327,7 @@
     "older-declared-priorities": priorities.PriorityConfiguration(classes=[]),
 }
 
-# Bodies that others send to a controller, filled in.
+# Bodies that a controller receives, with all fields.
 RECEIVED = {
     "received-job": JOB,
     "received-heartbeat": wire.Heartbeat(
@@ -360,7 +360,7 @@
     "received-cloud-types": wire.MachineTypes(types=[MACHINE_TYPE]),
 }
 
-# The same with nothing but what has to be there.
+# Bodies that a controller receives, with their required fields only.
 RECEIVED_REQUIRED = {
     "required-job": JOB_REQUIRED,
     "required-heartbeat": wire.Heartbeat(
@@ -390,7 +390,7 @@
     ),
 }
 
-# Bodies that a controller sends, by the functions that make them.
+# Bodies that a controller sends, from the functions that build them.
 SENT = {
     "sent-heartbeat-answer": wire.heartbeat_response(
         21,
@@ -407,7 +407,7 @@
     "sent-rental": wire.rental_request("hire-1", "g4", "north-1", True, 6),
 }
 
-# Keys in the store, and texts that stand for states.
+# Keys of the store, and texts of states.
 TEXTS = {
     "store-keys": {
         "all": ROOT,
@@ -450,7 +450,7 @@
     },
 }
 
-# Settings of the platform, and of operators.
+# The platform's settings, and the operators'.
 PLATFORM = {
     "settings-platform": settings.Platform(
         label="host-1",
