--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -58,9 +58,7 @@
     tuning = load_tuning(args.settings)
     declared = {}
     if tuning.declared:
-        from alderbridge import (
-            configuration,
-        )  # imported late: needed only if [declared] has entries
+        from alderbridge import configuration  # imported late, as few runs need it
 
         declared = {kind: configuration.load(path, kind) for kind, path in tuning.declared.items()}
     level = os.environ.get("LOG_LEVEL", "info")
--- a/alderbridge/constants.py
+++ b/alderbridge/constants.py
@@ -27,7 +27,7 @@
 CONTACT_WAIVER_AHEAD_S = 2.0  # a member that reaches the store may waive the contact rule this long before it must stop
 CONTACT_WAIVER_PATIENCE_S = 0.5  # delay of the waiver: a process that was suspended receives frames again by this time
 STORE_REACHABLE_S = 3.0  # the store is reachable if it answered a request sent within this; above ``WATCH_WAIT_S``
-DISPUTED_FAILURE_S = 2.5  # a member that some peers, but no quorum, hold for failed this long causes a new view
+DISPUTED_FAILURE_S = 2.5  # a new view starts if some peers, but no quorum, consider a member failed for this long
 CONTACT_RESUME_S = 60.0  # a waived contact rule applies again when all members have been alive this long
 JOIN_QUIET_S = 0.3  # the view changes this long after the last new member, so that a common restart makes one view
 JOIN_MAX_S = 1.2  # upper bound of that delay
@@ -72,7 +72,7 @@
 LATE_BOOST_SHARE = 8  # that boost lasts until 1/8 of the job's tasks are granted
 ORDER_TRIES = 2  # a machine on which a task does not appear after this many start orders is quarantined
 ACKNOWLEDGE_WAIT_S = 10.0  # acknowledgements of ended tasks wait this long for other orders to be sent with
-ACKNOWLEDGE_MAX = 50  # this many are sent at once, because ended tasks make heartbeats long
+ACKNOWLEDGE_MAX = 50  # this many are sent without delay, because ended tasks make heartbeats long
 
 PACKING_WAIT_S = 4.0  # idle machines leave a new task to busy ones this long: more than one heartbeat interval
 CONFIGURATION_RETRY_S = 1.0  # after a failed proposal; the replica shows its outcome by this time
@@ -101,8 +101,8 @@
 UNANSWERED_JOBS = 2000  # limit for the jobs tracked for that; above it, all are forgotten
 RETRY_AFTER_S = 2  # value of the Retry-After header
 SUBMIT_WAIT_S = 3.5  # must be below the 5 s after which users give up a submission
-# A submission that is not stored by then is dropped. Its user was answered 503 after ``SUBMIT_WAIT_S``, and repeats it
-# after ``RETRY_AFTER_S``, most likely to another controller.
+# A submission that is not stored within this is dropped. Its user was answered 503 after ``SUBMIT_WAIT_S``, and repeats
+# it after ``RETRY_AFTER_S``, most likely to another controller.
 SUBMISSION_TTL_S = 5.0
 STORE_BACKOFF_S = 1.0  # submissions are refused at once for this long after a failed request to the store
 RATE_SHARE = 0.9  # share of a rate limit of the platform that all controllers together use
@@ -161,16 +161,16 @@
 LEAST_SHARE = 0.1  # minimum queue time, as a share of an objective's time to finish
 HARD_CHECK_S = 15.0  # interval of the check for jobs that are about to breach their queue time; the paper has 60
 HARD_MARGIN_S = 15.0  # a job that is due within a boot time plus this is about to breach
-PAID_BLOCK_S = 60.0  # platform limit: the minimum time that is paid for a machine
+PAID_BLOCK_S = 60.0  # platform limit: minimum paid time; idle machines are returned at the end of such a block
 MAX_MACHINES = 10_000  # default of the limit that operators may set
 RENT_BATCH = 50  # platform limit for one rental request
-REFUSED_PAUSE_S = 10.0  # a machine type and zone without capacity is not requested for this long
+REFUSED_PAUSE_S = 10.0  # a refused combination of type, zone and spot is not requested again for this long
 BOOT_PATIENCE = 3.0  # multiple of ``boot_s`` after which a machine that has not come up is returned
 LIST_MISSES = 2  # a listing may be older than the one before it, so that missing from one proves nothing
 SILENT_S = 7.0  # more than two heartbeat intervals; a silent machine is returned if it is recalled or not listed
 PROOF_SILENT_S = 4.0  # longer than a heartbeat interval and two probes: the machine has most likely failed
-PROOF_SHARE = 0.01  # of the recorded machines: limit for returning silent ones so that inherited tasks need not wait
-PROOF_LEAST = 2  # minimum of that limit, in machines
+PROOF_SHARE = 0.01  # of the recorded machines: with more silent ones, none is returned to release inherited tasks early
+PROOF_LEAST = 2  # lower bound of that limit, in machines
 UNREPORTED_SHARE = 0.02  # of the recorded machines: so many without a heartbeat do not delay scale in, as some boot
 LOST_MACHINE_S = 60.0  # an expired machine that is silent this long is returned
 SERVICE_RUN_S = 3600.0  # Expected Run Time of a service or gang, whose tasks need their slots at the same time
--- a/alderbridge/protocol/messages.py
+++ b/alderbridge/protocol/messages.py
@@ -22,7 +22,7 @@
     """One waiting job of a job shard."""
 
     job: str
-    waiting: int  # waiting tasks
+    waiting: int  # tasks
     offer: int  # waiting tasks that may be granted now
     due_in_s: float  # until Maximum Queue Time is breached
     run_s: float  # Expected Run Time
@@ -195,9 +195,8 @@
 
     machine: str
     free: tuple[float, float, float]  # cpus, memory, gpus
-    tasks: list[
-        tuple[str, int, int, float, bool]
-    ]  # job, index, attempt, run time in s, whether that is its total run time
+    # Job, index, attempt, run time in s, and whether that is the total run time of the attempt.
+    tasks: list[tuple[str, int, int, float, bool]]
     images: list[str] = []  # cached or being fetched; only of machines with GPUs, if the leader requested the list
 
 
