--- a/alderbridge/membership/__init__.py
+++ b/alderbridge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads and who takes part: views, the lease of a member in the store, and the failure detector."""
+"""Cluster membership: views, leader election, store leases and the failure detector."""
--- a/alderbridge/membership/election.py
+++ b/alderbridge/membership/election.py
@@ -1,6 +1,7 @@
-"""Which view this process should propose next: who takes part, who leads, and whether contact is asked for.
+"""Decides which view this process should propose next: its members, its leader and its contact timeout.
 
-Each member decides alone, from its replica of the store; the compare-and-swap of the view's record lets one win.
+Each member decides on its own, from its replica of the store. The view is written by compare-and-swap, so at most one
+proposal succeeds.
 """
 
 from __future__ import annotations
@@ -15,29 +16,29 @@
 
 
 class ViewChange(NamedTuple):
-    """A view to write, and the revisions of members' keys to assert with it; 0: there must be no such key."""
+    """A view to write, and the revisions of members' keys that its transaction asserts (0: the key must not exist)."""
 
     view: View
     revisions: dict[str, int]
 
 
 class Election:
-    """The decision on the next view, with what it has to remember from one call to the next."""
+    """Decides on the next view; keeps the timers that span several calls."""
 
     def __init__(self, membership: Membership) -> None:
-        """``membership``: whose next view is decided on."""
+        """``membership``: the membership whose view is to be replaced."""
         self.membership = membership
-        self.leaderless_since: float | None = None  # s; since when a lead that others have precedence for is free
-        self.joining: dict[str, int] = {}  # the members to be, as the last call found them
-        self.joining_since = float("-inf")  # s; since when they differ from the view's
-        self.joining_changed_at = float("-inf")  # s; since when they are these
+        self.leaderless_since: float | None = None  # s; start of the wait for members with precedence to propose
+        self.prospective_members: dict[str, int] = {}  # as of the last call; empty while they are the view's
+        self.prospective_since = float("-inf")  # s; when they first differed from the view's
+        self.prospective_changed_at = float("-inf")  # s; when they last changed
 
     def next_view(self, now: float, max_removed: int) -> ViewChange | None:
-        """The change this process should try now; None: none.
+        """The change this process should try now; None: no change.
 
-        A member whose key is gone has lost its store lease: the store says so, and the transaction asserts it again.
-        Also removed is a member that a quorum has declared failed (at most ``max_removed`` at once): its key, whose
-        revision is asserted, goes with the same transaction. Nobody is removed otherwise.
+        A member is removed in two cases only. Its key is missing, so its store lease has ended; the transaction asserts
+        that the key is still missing. Or a quorum has declared it failed (at most ``max_removed`` members at once);
+        the transaction asserts the revision of its key and deletes it.
         """
         if not self._may_propose(now):
             return None
@@ -49,13 +50,13 @@
         return None if view is None else ViewChange(view, self._revisions(alive, failed))
 
     def _may_propose(self, now: float) -> bool:
-        """Whether this process has a valid store lease, and its own key is known to be attached to it."""
+        """Whether this process has a valid store lease, and its replica shows its own key attached to that lease."""
         store_lease = self.membership.store_lease
         own = self.membership.registered.get(self.membership.me)
         return own is not None and own[0] == store_lease.lease_id and now < store_lease.valid_until
 
     def _failed_members(self, max_removed: int) -> list[str]:
-        """Members that a quorum has declared failed and whose key is still that of the view."""
+        """Members that a quorum has declared failed and whose key still has the lease id of the view."""
         registered, members = self.membership.registered, self.membership.view.members
         failed = sorted(
             label
@@ -65,7 +66,7 @@
         return failed[:max_removed]
 
     def _alive_members(self, failed: list[str]) -> dict[str, int]:
-        """Who is to take part: label -> lease id."""
+        """The members of the next view: label -> lease id."""
         excluded = self.membership.failure_detector.excluded
         return {
             label: lease_id
@@ -80,40 +81,39 @@
             for label in {*alive, *self.membership.view.members}
         }
 
-    # -- a change of members or of the leader ----------------------------------
-
     def _member_view(self, alive: dict[str, int], has_failed: bool, now: float) -> View | None:
-        """A view of other members, or with another leader."""
+        """A view with other members or another leader; None: no change, or not yet."""
         view = self.membership.view
         if alive == view.members and view.leader in alive:
             self.leaderless_since = None
-            self.joining = {}
+            self.prospective_members = {}
             return None
-        if not self._joiners_complete(alive, now):
+        if not self._joining_is_complete(alive, now):
             return None
         leader = self._next_leader(alive, has_failed, now)
         return None if leader is None else View(leader, alive, self.membership.contact_timeout_for(alive))
 
-    def _joiners_complete(self, alive: dict[str, int], now: float) -> bool:
-        """Whether no other newcomer is to be expected: those that fail together return within a second or two.
+    def _joining_is_complete(self, alive: dict[str, int], now: float) -> bool:
+        """Whether to stop waiting for further joining members.
 
-        A view for each would void the acknowledgements of the one before (seen: three in half a second).
-        A member that has left is not waited for.
+        Controllers that fail together return within a second or two. One view for all of them avoids a series of views,
+        each of which invalidates the acknowledgements of the one before. A view that removes a member does not wait.
         """
         if any(label not in alive for label in self.membership.view.members):
             return True
-        if alive != self.joining:
-            self.joining_since = self.joining_since if self.joining else now
-            self.joining, self.joining_changed_at = alive, now
+        if alive != self.prospective_members:
+            self.prospective_since = self.prospective_since if self.prospective_members else now
+            self.prospective_members, self.prospective_changed_at = alive, now
         return (
-            now - self.joining_changed_at >= constants.JOIN_QUIET_S or now - self.joining_since >= constants.JOIN_MAX_S
+            now - self.prospective_changed_at >= constants.JOIN_QUIET_S
+            or now - self.prospective_since >= constants.JOIN_MAX_S
         )
 
     def _next_leader(self, alive: dict[str, int], has_failed: bool, now: float) -> str | None:
-        """Who leads the view that this process should propose; None: it should propose none yet.
+        """The leader of the view that this process should propose; None: it should not propose one yet.
 
-        The leader proposes changes of members. Without one, and for a failed member, any member may, in the order of
-        the labels, each with a head start on the next one.
+        The leader proposes membership changes. When there is no leader, or a member has failed, any member may propose;
+        they take precedence in the order of their labels, ``LEADER_PRECEDENCE_S`` apart.
         """
         me, view = self.membership.me, self.membership.view
         leaderless = view.members.get(view.leader) != alive.get(view.leader, -1)
@@ -129,20 +129,21 @@
             return None
         return me if leaderless else view.leader
 
-    # -- a change of the contact that is asked for ------------------------------
-
     def _contact_view(self, alive: dict[str, int], now: float) -> View | None:
-        """A view because of contact alone; one of the same members waives it, asks for it again, or begins it anew."""
+        """A view that waives the contact requirement, restores it, or restarts failure detection; None: none is due."""
         membership = self.membership
         if membership.view.members.get(membership.me) != membership.store_lease.lease_id:
             return None
         ending_since = membership.failure_detector.contact_ending_since
         if ending_since is not None and now - membership.synced_at < constants.STORE_REACHABLE_S:
-            return self._view_without_contact(alive, ending_since, now)
-        return self._view_with_contact_again(alive, now)
+            return self._view_waiving_contact(alive, ending_since, now)
+        return self._view_restoring_contact(alive, now)
+
+    def _view_waiving_contact(self, alive: dict[str, int], ending_since: float, now: float) -> View | None:
+        """A view that waives contact: no quorum answers this member, which still reaches the store.
 
-    def _view_without_contact(self, alive: dict[str, int], ending_since: float, now: float) -> View | None:
-        """No quorum answers this member, though it reaches the store: if all members stopped, nobody would serve."""
+        Otherwise, if all members lost contact with each other, all of them would stop.
+        """
         membership, view = self.membership, self.membership.view
         position = sorted(alive).index(membership.me)
         if now - ending_since < constants.CONTACT_WAIVER_PATIENCE_S + position * constants.LEADER_PRECEDENCE_S:
@@ -151,8 +152,11 @@
         contact_timeout_s = NO_CONTACT_TIMEOUT_S if alive == view.members else membership.contact_timeout_for(alive)
         return View(leader, alive, contact_timeout_s)
 
-    def _view_with_contact_again(self, alive: dict[str, int], now: float) -> View | None:
-        """The leader renews a disputed view, and asks for contact again when all members have been alive for long."""
+    def _view_restoring_contact(self, alive: dict[str, int], now: float) -> View | None:
+        """A view that restores contact once all members have been alive for long, or that resolves a disputed failure.
+
+        Only the leader proposes it. A failure is disputed if some members, but no quorum, have declared it.
+        """
         membership, view, failure_detector = self.membership, self.membership.view, self.membership.failure_detector
         if view.leader != membership.me or alive != view.members:
             return None
--- a/alderbridge/membership/membership.py
+++ b/alderbridge/membership/membership.py
@@ -1,4 +1,4 @@
-"""The newest view that this process knows, its own part in it, and who owns which jobs and machines."""
+"""The newest view, the status of this process in it, and the owners of jobs and machines."""
 
 from __future__ import annotations
 
@@ -15,43 +15,41 @@
 
 
 class MemberStatus(Enum):
-    """What this process may do."""
+    """Whether this process is in the view and may act."""
 
     OUTSIDE = "outside"  # not in the view
-    MEMBER = "member"  # in the view, and all that lets it act is provably valid
-    EXPIRED = "expired"  # in the view, and it may not act
+    MEMBER = "member"  # in the view; its lease, replica and contact are provably valid
+    EXPIRED = "expired"  # in the view, but one of them may have expired: it may not act
 
 
 class Membership:
-    """The newest view this process knows, and its own part in it; times are in s of its steady clock."""
+    """The newest view this process has read, and its own status in it; times are in s of its steady clock."""
 
     def __init__(self, me: str, ttl_s: float, older_ttl_s: float | None = None) -> None:
-        """``older_ttl_s``: the ttl that versions before ``VERSION_WITH_CARRY_OVER`` count with; None: the same."""
+        """``older_ttl_s``: the lease ttl that versions before ``VERSION_WITH_CARRY_OVER`` assume; None: ``ttl_s``."""
         self.me = me
         self.store_lease = StoreLease(ttl_s)
-        # An older member takes the view for settled after its own, shorter ttl: while one takes part, or may,
-        # nobody acts for longer than that.
+        # An older version considers a view settled after its own, shorter ttl. While such a member takes part, or is
+        # about to, every member stops acting after that ttl.
         self.older_version_margin_s = max(0.0, ttl_s - (ttl_s if older_ttl_s is None else older_ttl_s))
-        self.is_uniform = False  # all members run ``VERSION_WITH_CARRY_OVER`` or newer
+        self.all_support_carry_over = False  # by all members, present and joining
         self.view = NO_VIEW
         self.fencing_token = 0
         self.registered: dict[str, tuple[int, int]] = {}  # label -> lease id, revision of the member's own key
         self.protocol_versions: dict[str, int] = {}  # label -> protocol version of the program it runs
         self.failure_detector = FailureDetector(me)
         self.election = Election(self)
-        self.synced_at = self.previous_synced_at = float("-inf")  # when the last answers of the store were asked for
+        self.synced_at = self.previous_synced_at = float("-inf")  # when the last two syncs were requested
         self.fresh_until = float("-inf")
-        # Under this view; computing the hashes anew would take a good part of the time of a heartbeat.
+        # Caches for this view: hashing takes a large part of the time of handling a heartbeat.
         self.job_owners: dict[str, str] = {}
         self.machine_owners: dict[str, str] = {}
 
-    # -- what arrives from the store -------------------------------------------
-
     def record_sync(self, sent_at: float) -> None:
-        """All changes of the store up to an answer asked for at ``sent_at`` are known.
+        """The replica has all changes of the store up to the answer to a request sent at ``sent_at``.
 
-        A member acts only on a view that is fresh: once the ttl has passed since a view began, each member acts under
-        it or not at all.
+        A member acts only on a fresh replica. So once the ttl has passed since a view was written, each member acts
+        under that view or not at all.
         """
         self.previous_synced_at, self.synced_at = self.synced_at, sent_at
         self.fresh_until = (
@@ -59,15 +57,15 @@
         )
 
     def mark_unreadable(self) -> None:
-        """The store holds something that counts and that this program can't read: its replica is not fresh."""
+        """A record that decides who may act can't be decoded by this version, so the replica is not fresh."""
         self.fresh_until = float("-inf")
 
     def observe_view(self, view: View, revision: int) -> bool:
-        """True if this is a newer view."""
+        """Take over a view if it is newer than the current one; true if so."""
         if revision <= self.fencing_token:
             return False
         self.view, self.fencing_token = view, revision
-        # Written after the answer before the one that brought it, and after the store granted the lease it names.
+        # The view was written after the previous sync, and after the store granted the lease id that it contains.
         is_member = view.members.get(self.me) == self.store_lease.lease_id
         lease_requested_at = self.store_lease.requested_at if is_member else float("-inf")
         self.failure_detector.enter(
@@ -77,36 +75,37 @@
             self.store_lease.ttl_s + constants.PROOF_MARGIN_S if view.quorum_may_not_overlap else 0.0
         )
         self.job_owners, self.machine_owners = {}, {}
-        self.is_uniform = self.all_support(constants.VERSION_WITH_CARRY_OVER)
+        self.all_support_carry_over = self.all_support(constants.VERSION_WITH_CARRY_OVER)
         return True
 
     def observe_member(self, label: str, member: MemberRecord | None, revision: int) -> None:
-        """A member's own key, as of that revision of it; None: the key is gone."""
-        known = self.registered.get(label)
-        if known is not None and revision <= known[1]:
+        """Record a member's own key as of that revision; ``member`` None: the key was deleted."""
+        current = self.registered.get(label)
+        if current is not None and revision <= current[1]:
             return
         if member is None:
             self.registered.pop(label, None)
         else:
             self.registered[label] = (member.lease_id, revision)
             self.protocol_versions[label] = member.protocol_version
-        self.is_uniform = self.all_support(constants.VERSION_WITH_CARRY_OVER)
+        self.all_support_carry_over = self.all_support(constants.VERSION_WITH_CARRY_OVER)
 
     def is_removed(self) -> bool:
-        """Whether a quorum has removed this process: its key is gone though its store lease is not. It enters anew."""
+        """Whether a quorum has removed this process: its key was deleted though its store lease is valid.
+
+        It must join again with a new lease.
+        """
         return (
             self.store_lease.lease_id > 0
             and self.me not in self.registered
             and self.synced_at >= self.store_lease.key_attached_at
         )
 
-    # -- what this process may do ------------------------------------------------
-
     def status(self, now: float) -> MemberStatus:
         """Whether this process is in the view, and may act under it."""
         if not self.store_lease.lease_id or self.view.members.get(self.me) != self.store_lease.lease_id:
             return MemberStatus.OUTSIDE
-        margin_s = 0.0 if self.is_uniform else self.older_version_margin_s
+        margin_s = 0.0 if self.all_support_carry_over else self.older_version_margin_s
         until = min(self.store_lease.valid_until, self.fresh_until) - margin_s
         until = min(until, self.failure_detector.contact_until)
         return MemberStatus.MEMBER if now < until else MemberStatus.EXPIRED
@@ -119,10 +118,8 @@
         """Whether this process leads the view, and may act."""
         return self.view.leader == self.me and self.may_act(now)
 
-    # -- who owns what -------------------------------------------------------------
-
     def job_owner(self, label: str) -> str:
-        """Who owns the jobs that were accepted by this label: that member, or one in its place while it is away."""
+        """The owner of the jobs that this label accepted: that member, or a substitute while it is not in the view."""
         owner = self.job_owners.get(label)
         if owner is None:
             members = self.view.members
@@ -132,21 +129,21 @@
         return owner
 
     def machine_owner(self, machine: str) -> str:
-        """Who owns this machine; "" where no view is known."""
+        """The member that owns this machine; "" before the first view."""
         owner = self.machine_owners.get(machine)
         if owner is None:
-            if len(self.machine_owners) >= constants.MAX_MACHINES:  # also of machines terminated long ago
+            if len(self.machine_owners) >= constants.MAX_MACHINES:  # it also has entries of terminated machines
                 self.machine_owners.clear()
             members = self.view.members
             owner = self.machine_owners[machine] = rendezvous_owner(machine, sorted(members)) if members else ""
         return owner
 
     def report_to(self, machine: str) -> str:
-        """The member that the machine's worker is told to report to.
+        """The member to which the machine's worker is redirected.
 
-        That is its owner, unless the owner is suspected. A worker waits 4 s for a member that is cut off; sent back
-        there a second time, its lease would expire first. So it goes from one alive member to the next, at once or
-        after half a second, until one knows the view without the owner.
+        That is its owner, unless the owner is suspected. A worker waits 4 s for a member that is cut off; if it were
+        redirected there twice, its lease would expire. So it is passed from one alive member to the next until one of
+        them has the view without the owner.
         """
         owner = self.machine_owner(machine)
         if owner == self.me or self.failure_detector.is_alive(owner):
@@ -156,12 +153,10 @@
         )
         return next((label for label in alive if label > self.me), alive[0] if alive else owner)
 
-    # -- views to come ---------------------------------------------------------------
-
     def all_support(self, protocol_version: int) -> bool:
-        """Whether whoever takes part, or is about to, runs this protocol version or a newer one.
+        """Whether all members, and those about to join, run this protocol version or a newer one.
 
-        From the members' own keys in the store, so nothing depends on messages between them.
+        This is read from the members' own keys in the store and does not depend on messages between them.
         """
         lease_ids = {label: lease_id for label, (lease_id, _) in self.registered.items()}
         return all(lease_ids.get(label) == lease_id for label, lease_id in self.view.members.items()) and all(
@@ -169,17 +164,18 @@
         )
 
     def contact_timeout_for(self, members: dict[str, int]) -> float:
-        """The contact timeout of a view of these: none, unless they are enough and all support failure detection."""
+        """The contact timeout for a view of these members; none if they are too few or one lacks failure detection."""
         has_failure_detection = len(members) >= constants.CONTACT_MIN_MEMBERS and all(
             self.protocol_versions[label] >= constants.VERSION_WITH_FAILURE_DETECTOR for label in members
         )
         return constants.CONTACT_TIMEOUT_S if has_failure_detection else NO_CONTACT_TIMEOUT_S
 
     def mark_quorum_overlap(self, view: View, settled: bool) -> View:
-        """The view that is to follow this one; ``settled``: each member acts under this one or not at all.
+        """The next view, marked if its quorums may not overlap with those that an unaware member relies on.
 
-        Between two views that ask for contact of the same labels, any two quorums have a process in common that
-        knows the newer one, so its contact timeout binds who does not know it, too. Otherwise freshness alone does.
+        ``settled``: each member acts under the current view or not at all. Between two views that require contact of
+        the same labels, any two quorums share a process that has the newer view, so its contact timeout also binds
+        members that do not have it. Otherwise only the freshness of their replica stops those.
         """
         overlaps = self.view.contact_timeout_s > 0 and view.members.keys() == self.view.members.keys()
         overlaps = overlaps and (settled or not self.view.quorum_may_not_overlap)
@@ -188,5 +184,5 @@
         return msgspec.structs.replace(view, quorum_may_not_overlap=True)
 
     def next_view(self, now: float, max_removed: int = constants.CONTACT_MIN_MEMBERS) -> ViewChange | None:
-        """The change of the view that this process should try now, see ``Election``; None: none."""
+        """The change of the view that this process should try now, see ``Election``; None: no change."""
         return self.election.next_view(now, max_removed)
--- a/alderbridge/membership/records.py
+++ b/alderbridge/membership/records.py
@@ -1,24 +1,24 @@
-"""What the store keeps of the membership: the view, and a record of each member.
+"""Membership records in the store: the view, and one record for each member.
 
-These are encoded: ``name=`` gives the stored word of a field whose name here is another.
+``name=`` gives the encoded name of a field where it differs.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# s; of a view without failure detection. ``omit_defaults`` goes by identity: only this very object is left out.
+# s; for a view without failure detection. ``omit_defaults`` compares by identity: only this object is omitted.
 NO_CONTACT_TIMEOUT_S = 0.0
 
 
 class View(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Who leads and who takes part; the revision of this record is the fencing token."""
+    """The leader and the members; the revision of this record is the fencing token."""
 
     leader: str
     members: dict[str, int]  # label -> lease id of its store lease
     # s; a member out of contact for this long does not act, and may be removed
     contact_timeout_s: float = msgspec.field(name="contact_s", default=NO_CONTACT_TIMEOUT_S)
-    # A member that does not know this view may act under an older one, which the failure detector does not bind.
+    # A member without this view may act under an older one, to which the contact timeout does not apply.
     quorum_may_not_overlap: bool = msgspec.field(name="loose", default=False)
 
 
@@ -26,7 +26,7 @@
     """A member's own key, attached to its store lease."""
 
     lease_id: int = msgspec.field(name="permit")
-    # Of the program that the member runs; the first version of it did not write it.
+    # Of the member's program; version 1 does not write this field.
     protocol_version: int = msgspec.field(name="generation", default=1)
 
 
--- a/alderbridge/state/__init__.py
+++ b/alderbridge/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: its client, the replica that a controller keeps of it, and how much it may write."""
+"""The state service: its client, a controller's replica of it, and the limits on writes."""
--- a/alderbridge/state/errors.py
+++ b/alderbridge/state/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a call to the store."""
+"""Errors of calls to the store."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 class StoreError(Exception):
     """A call to the store did not succeed.
 
-    * ``StoreRefusedError``: not carried out.
+    * ``StoreRefusedError``: the request was not executed.
 
-      * ``RateLimitedError``: too many requests for a moment.
+      * ``RateLimitedError``: the store's rate limit was exceeded.
 
-    * ``LeaseExpiredError``: the lease of this process is gone.
-    * ``TransactionTooLargeError``: more than the store takes.
-    * ``WatchCompactedError``: the changes asked for are no longer kept.
-    * ``UnreadableRecordError``: it was answered, with a record that this version can't read.
+    * ``LeaseExpiredError``: the lease of this process has expired.
+    * ``TransactionTooLargeError``: the transaction exceeds a size limit of the store.
+    * ``WatchCompactedError``: the store no longer has the requested changes.
+    * ``UnreadableRecordError``: the response has a record that this version can't decode.
 
-    A call without an answer raises the ``UnansweredError`` of the transport: it may have been carried out.
+    A call without a response raises the transport's ``UnansweredError``: the store may have executed it.
     """
 
 
 class StoreRefusedError(StoreError):
-    """The store did not carry the request out."""
+    """The store did not execute the request."""
 
 
 class RateLimitedError(StoreRefusedError):
-    """429: too many requests for a moment. Not an outage: the same request succeeds a little later."""
+    """429: the rate limit was exceeded. This is not an outage: the request can be retried a little later."""
 
 
 class LeaseExpiredError(StoreError):
-    """The lease has expired; what was attached to it is gone."""
+    """The lease has expired, and the keys attached to it were deleted."""
 
 
 class TransactionTooLargeError(StoreError):
-    """400: a value, or the transaction, is larger than the store takes now. A retry without a change is no use."""
+    """400: a value or the transaction exceeds the store's current size limit. An unchanged retry fails as well."""
 
 
 class WatchCompactedError(StoreError):
@@ -40,4 +40,4 @@
 
 
 class UnreadableRecordError(StoreError):
-    """A record that decides who may act can't be decoded: nothing may be built on what else the store says."""
+    """A record that decides who may act can't be decoded, so no decision may rely on the replica."""
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -1,7 +1,7 @@
-"""This controller's copy of the store, kept by watching it in order of revision.
+"""This controller's replica of the store, updated by a watch in order of revision.
 
-When the change of the view arrives here, every record written under the older view has arrived before it, and none
-can follow: each write asserts the view.
+Each write asserts the view. So when a new view arrives here, all records written under the older one have arrived, and
+none can follow.
 """
 
 from __future__ import annotations
@@ -42,18 +42,18 @@
 log = logging.getLogger("replica")
 
 _T = TypeVar("_T")
-_Handler = Callable[[str, msgspec.Raw | None, int], None]  # key, value (None: dropped), revision
+_Handler = Callable[[str, msgspec.Raw | None, int], None]  # key, value (None: deleted), revision
 
-_record = msgspec.json.Decoder(Record)
-_view = msgspec.json.Decoder(View)
-_member_record = msgspec.json.Decoder(MemberRecord)
-_machine_types = msgspec.json.Decoder(MachineTypes)
-_machine = msgspec.json.Decoder(MachineRecord)
-_list = msgspec.json.Decoder(list[str])
+_record_decoder = msgspec.json.Decoder(Record)
+_view_decoder = msgspec.json.Decoder(View)
+_member_record_decoder = msgspec.json.Decoder(MemberRecord)
+_machine_types_decoder = msgspec.json.Decoder(MachineTypes)
+_machine_record_decoder = msgspec.json.Decoder(MachineRecord)
+_list_decoder = msgspec.json.Decoder(list[str])
 
 
 def decode_or_none(decoder: msgspec.json.Decoder[_T], key: str, data: msgspec.Raw) -> _T | None:
-    """The record under ``key``; None, with a line in the log, where it can't be read here."""
+    """The record under ``key``; None, with a log line, if this version can't decode it."""
     try:
         return decoder.decode(data)
     except msgspec.DecodeError as error:
@@ -62,7 +62,7 @@
 
 
 def decode_strictly(decoder: msgspec.json.Decoder[_T], key: str, data: msgspec.Raw) -> _T:
-    """The record under ``key``, for those that decide who may act; raises ``UnreadableRecordError``."""
+    """The record under ``key``, of a kind that decides who may act. Raises ``UnreadableRecordError``."""
     try:
         return decoder.decode(data)
     except msgspec.DecodeError as error:
@@ -70,27 +70,27 @@
 
 
 class Replica:
-    """What the store holds, as far as this controller has seen, and what follows from it.
+    """The store's contents up to ``revision``, and the state derived from them.
 
-    Times are times of day in s, as the records have them.
+    Times are times of day in s, as in the records.
     """
 
     def __init__(self, membership: Membership, graph: Graph, declared: OperatorConfiguration | None = None) -> None:
-        """Empty; what changes of the store mean for these three is passed on to them."""
+        """An empty replica, which passes changes of views, dependencies and configuration on to these three."""
         self.membership = membership
         self.graph = graph
         self.declared = declared or OperatorConfiguration(None, membership.store_lease.ttl_s, [membership.me])
-        self.ledger = Ledger()  # preemption claims, their budget and the preemptions
-        self.active: dict[str, tuple[Record, int]] = {}  # jobs that still have a spec, and their revisions
-        self.left: dict[str, int] = {}  # of these, tasks that their records do not count as done
-        self.by_age: list[tuple[float, str]] = []  # submission, job; some may have ended
-        self.unreadable_jobs: set[str] = set()  # the store has them, and their records can't be decoded here
-        self.ended: dict[str, JobState] = {}  # kept for as long as the process runs; one small entry a job
-        self.done_at: dict[str, float] = {}  # where the record says it
-        self.lists: dict[str, list[str]] = {}  # key -> dependencies of a job, beside its record
-        self.machines: dict[str, int] = {}  # recorded machines and the revisions of their records
-        self.records: dict[str, MachineRecord] = {}  # of these, what their records say
-        self.types: dict[str, MachineType] = {}  # as the cloud last listed them: it may be out of reach
+        self.ledger = Ledger()  # preemption claims, budgets and preemptions
+        self.active: dict[str, tuple[Record, int]] = {}  # job -> record and revision, of jobs that still have a spec
+        self.left: dict[str, int] = {}  # of these, the number of tasks not recorded as done
+        self.by_age: list[tuple[float, str]] = []  # submission time and job, ascending; includes ended jobs
+        self.unreadable_jobs: set[str] = set()  # jobs whose records this version can't decode
+        self.ended: dict[str, JobState] = {}  # all ended jobs; kept until the process ends
+        self.done_at: dict[str, float] = {}  # of jobs whose record has that time
+        self.lists: dict[str, list[str]] = {}  # key -> dependencies of a job that its record does not hold
+        self.machines: dict[str, int] = {}  # machine -> revision of its record
+        self.records: dict[str, MachineRecord] = {}  # machine -> its record
+        self.types: dict[str, MachineType] = {}  # as last listed by the cloud, which may be unreachable now
         self.types_revision = 0
         self.revision = 0
         self._handlers: dict[str, _Handler] = {
@@ -105,38 +105,38 @@
             DECLARED: self._apply_configuration,
         }
 
-    # -- changes of the store ----------------------------------------------------
-
     def apply(self, change: WatchEvent) -> bool:
-        """Apply one change; True if this was a newer view. Keys under no known prefix are of a later version."""
+        """Apply one change; true if it was a newer view. Ignores keys with the unknown prefix of a later version."""
         if change.put is not None:
             key, data = change.put, change.data
         else:
             key, data = change.drop or "", None
         if key == VIEW:
-            return data is not None and self.membership.observe_view(decode_strictly(_view, key, data), change.revision)
+            return data is not None and self.membership.observe_view(
+                decode_strictly(_view_decoder, key, data), change.revision
+            )
         handler = self._handlers.get(prefix_of(key))
         if handler is not None:
             handler(key, data, change.revision)
         return False
 
     def _apply_types(self, _key: str, data: msgspec.Raw | None, revision: int) -> None:
-        types = None if data is None else decode_or_none(_machine_types, TYPES, data)
+        types = None if data is None else decode_or_none(_machine_types_decoder, TYPES, data)
         if types is not None:
             self.types = {kind.name: kind for kind in types.types}
             self.types_revision = revision
 
     def _apply_member(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
-        member = None if data is None else decode_strictly(_member_record, key, data)
+        member = None if data is None else decode_strictly(_member_record_decoder, key, data)
         self.membership.observe_member(key[len(MEMBERS) :], member, revision)
 
     def _apply_job(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
         if data is None:
             return
         job = key[len(JOBS) :]
-        known = self.active.get(job)
-        if known is None or revision > known[1]:  # else it is this controller's own write
-            record = decode_or_none(_record, key, data)
+        current = self.active.get(job)
+        if current is None or revision > current[1]:  # else this controller's own write was already applied
+            record = decode_or_none(_record_decoder, key, data)
             if record is None:
                 self.unreadable_jobs.add(job)
             else:
@@ -144,7 +144,7 @@
                 self.observe_job(job, record, revision)
 
     def _apply_list(self, key: str, data: msgspec.Raw | None, _revision: int) -> None:
-        names = None if data is None else decode_or_none(_list, key, data)
+        names = None if data is None else decode_or_none(_list_decoder, key, data)
         if names is None:
             self.lists.pop(key, None)
         else:
@@ -153,8 +153,8 @@
     def _apply_machine(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
         name = key[len(MACHINES) :]
         if data is not None:
-            # Whatever it says, views wait for the machine.
-            self.records[name] = decode_or_none(_machine, key, data) or MachineRecord()
+            # Also if it can't be decoded: views must wait for the machine.
+            self.records[name] = decode_or_none(_machine_record_decoder, key, data) or MachineRecord()
             self.machines[name] = max(revision, self.machines.get(name, 0))
         elif self.machines.get(name, 0) < revision:
             self.machines.pop(name, None)
@@ -166,12 +166,10 @@
     def _apply_configuration(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
         self.declared.apply(key, None if data is None else bytes(data), revision)
 
-    # -- jobs --------------------------------------------------------------------
-
     def observe_job(self, job: str, record: Record, revision: int) -> None:
-        """A job's record, as of that revision of it; an older one than is known changes nothing."""
-        known = self.active.get(job)
-        if known is not None and revision <= known[1]:
+        """Apply a job's record as of that revision; ignored unless it is newer than the current one."""
+        current = self.active.get(job)
+        if current is not None and revision <= current[1]:
             return
         if job not in self.ended:
             if record.state is not JobState.ACTIVE:
@@ -182,10 +180,10 @@
             self.active.pop(job, None)
             self.left.pop(job, None)
         elif job not in self.ended or record.state is not JobState.ACTIVE:
-            if known is None:
+            if current is None:
                 bisect.insort(self.by_age, (record.at, job))
             self.active[job] = (record, revision)
-            self.left[job] = record.spec.tasks - sum(high - low for low, high in record.done)
+            self.left[job] = record.spec.tasks - sum(stop - start for start, stop in record.done)
 
     def _observe_end(self, job: str, record: Record) -> None:
         self.ended[job] = record.state
@@ -197,37 +195,36 @@
         self.graph.done(job, record.done_at)
 
     def oldest_first(self) -> list[tuple[float, str]]:
-        """Active jobs by their submission, some that have ended among them."""
+        """Active jobs in order of submission; ended ones may be among them."""
         if len(self.by_age) > len(self.active) * 5 // 4 + constants.QUEUE_ROWS // 10:
             self.by_age = [entry for entry in self.by_age if entry[1] in self.active]
         return self.by_age
 
     def needs(self, job: str, record: Record) -> list[str]:
-        """All dependencies of a job, from its record and the lists beside it."""
+        """All dependencies of a job, from its record and its dependency lists."""
         result = list(record.spec.needs or ()) if record.spec is not None else []
         for key in list_keys(job, record.dependency_digest):
-            # A list is written before the job's record, and dropped after its end: where one is missing, the end
-            # has yet to be read. No job has the key's name, so the dependency on it is not fulfilled until then.
+            # A list is written before the job's record and deleted after the job's end. So if a list is missing, the
+            # job has ended, and that has not been read yet. Until then the key stands in for its dependencies: no job
+            # has that name, so it is a dependency that is not met.
             result += self.lists.get(key, [key])
         return result
 
     def over(self, job: str) -> tuple[str, float] | None:
-        """The state in which a job ended and the time it was done at (0: not known); None: it has not ended."""
+        """The final state of a job and the time at which it was done (0: not recorded); None: it has not ended."""
         state = self.ended.get(job)
         return (state.value, self.done_at.get(job, 0.0)) if state is not None else None
 
-    # -- what its records say ----------------------------------------------------
-
     def record(self, machine: str) -> MachineRecord:
-        """What the store keeps of a machine; of one that it does not have, an empty record."""
+        """The record of a machine; an empty one if the store has none."""
         return self.records.get(machine, MachineRecord())
 
     def spec(self, job: str) -> JobSpec | None:
-        """What the user submitted, of a job that still has a spec."""
-        known = self.active.get(job)
-        return known[0].spec if known is not None else None
+        """The submitted spec of a job; None if it no longer has one."""
+        current = self.active.get(job)
+        return current[0].spec if current is not None else None
 
     def accepted_by(self, job: str) -> str:
-        """The label of the controller that accepted a job; "" of one without a spec."""
-        known = self.active.get(job)
-        return known[0].accepted_by if known else ""
+        """The label of the controller that accepted a job; "" for a job without a spec."""
+        current = self.active.get(job)
+        return current[0].accepted_by if current else ""
--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -34,21 +34,22 @@
 )
 from alderbridge.transport.http_client import Client
 
-_page = msgspec.json.Decoder(KeyValuePage)
-_key_value = msgspec.json.Decoder(KeyValue)
-_watch_response = msgspec.json.Decoder(WatchResponse)
-_transaction_result = msgspec.json.Decoder(TransactionResult)
-_lease_granted = msgspec.json.Decoder(LeaseGranted)
+_page_decoder = msgspec.json.Decoder(KeyValuePage)
+_key_value_decoder = msgspec.json.Decoder(KeyValue)
+_watch_response_decoder = msgspec.json.Decoder(WatchResponse)
+_transaction_result_decoder = msgspec.json.Decoder(TransactionResult)
+_lease_granted_decoder = msgspec.json.Decoder(LeaseGranted)
 
-_UNAVAILABLE = (500, 502, 503, 504)  # statuses of a store that did not carry the request out
-_PAGE_KEYS = 500  # keys of one page of a listing
-_ERROR_TEXT_CHARACTERS = 200  # of the store's own words in an error
+_NOT_EXECUTED_STATUSES = (500, 502, 503, 504)
+_MAX_PAGE_KEYS = 500
+_MAX_ERROR_TEXT_CHARACTERS = 200
 
 
 class Store:
-    """Calls of the state service.
+    """Client of the state service.
 
-    Beside what each method names, all raise ``StoreRefusedError``, and ``UnansweredError`` where no answer came.
+    All methods raise ``StoreRefusedError``, and ``UnansweredError`` if no response arrived, besides the errors that
+    they name.
     """
 
     def __init__(self, endpoint: str) -> None:
@@ -64,53 +65,53 @@
         timeout_s: float = constants.STATE_TIMEOUT_S,
         client: Client | None = None,
     ) -> tuple[int, bytes]:
-        raw = b"" if body is None else encode(body)
-        status, answer = await (client or self.client).request(method, target, raw, timeout_s)
+        request_body = b"" if body is None else encode(body)
+        status, response = await (client or self.client).request(method, target, request_body, timeout_s)
         if status == 429:
             raise RateLimitedError(f"{method} {target}: {status}")
-        if status in _UNAVAILABLE:
+        if status in _NOT_EXECUTED_STATUSES:
             raise StoreRefusedError(f"{method} {target}: {status}")
-        return status, answer
+        return status, response
 
     async def get(self, key: str) -> KeyValue | None:
-        """What is under a key; None: nothing."""
-        status, answer = await self._call("GET", f"/kv/{key}")
-        if status not in (200, 404):  # says nothing of the key: taken for 404, an accepted job was lost
+        """The value of a key; None: it does not exist."""
+        status, response = await self._call("GET", f"/kv/{key}")
+        if status not in (200, 404):  # must not be taken for an absent key: an accepted job would be lost
             raise StoreRefusedError(f"get {key}: {status}")
-        return _key_value.decode(answer) if status == 200 else None
+        return _key_value_decoder.decode(response) if status == 200 else None
 
     async def list_page(self, prefix: str, after: str | None) -> KeyValuePage:
-        """Keys under a prefix, in order, from the first one behind ``after`` on; as many as fit in one page."""
-        start = f"&from={after}" if after else ""
-        status, answer = await self._call("GET", f"/kv?starts={prefix}{start}&limit={_PAGE_KEYS}")
+        """One page of the keys under a prefix, in order, beginning with the first one after ``after``."""
+        start_parameter = f"&from={after}" if after else ""
+        status, response = await self._call("GET", f"/kv?starts={prefix}{start_parameter}&limit={_MAX_PAGE_KEYS}")
         if status != 200:
             raise StoreRefusedError(f"page {prefix}: {status}")
-        return _page.decode(answer)
+        return _page_decoder.decode(response)
 
     async def commit(
         self, conditions: dict[str, int], puts: dict[str, Any], drops: Sequence[str] = (), lease_id: int | None = None
     ) -> TransactionResult:
-        """A compare-and-swap transaction; empty ``failed``: it was applied at ``revision``.
+        """Execute a compare-and-swap transaction; if ``failed`` is empty, it was applied at ``revision``.
 
-        Raises ``LeaseExpiredError`` where ``lease_id`` has ended, ``TransactionTooLargeError`` for any other 400.
+        Raises ``LeaseExpiredError`` if ``lease_id`` has expired, ``TransactionTooLargeError`` for any other 400.
         """
         request = TransactionRequest(
             [Condition(key, revision) for key, revision in conditions.items()],
             [*(Put(key, value, lease_id) for key, value in puts.items()), *map(Drop, drops)],
         )
-        status, answer = await self._call("POST", "/commit", request)
+        status, response = await self._call("POST", "/commit", request)
         if status == 400:
-            text = answer.decode("utf-8", "replace")[:_ERROR_TEXT_CHARACTERS]
-            # Only this text is about the lease: a limit that was lowered must not cost the controller its membership.
+            text = response.decode("utf-8", "replace")[:_MAX_ERROR_TEXT_CHARACTERS]
+            # Only this text means an expired lease. Any other 400, such as for a size limit, must not end membership.
             raise LeaseExpiredError(text) if "no such lease" in text else TransactionTooLargeError(text)
-        return _transaction_result.decode(answer)
+        return _transaction_result_decoder.decode(response)
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """The id of a new lease."""
-        status, answer = await self._call("POST", "/holds", LeaseRequest(int(ttl_s * 1000)))
+        """Request a new lease; returns its id."""
+        status, response = await self._call("POST", "/holds", LeaseRequest(int(ttl_s * 1000)))
         if status != 200:
             raise StoreRefusedError(f"hold: {status}")
-        return _lease_granted.decode(answer).lease_id
+        return _lease_granted_decoder.decode(response).lease_id
 
     async def renew_lease(self, lease_id: int) -> None:
         """Extend a lease by its ttl. Raises ``LeaseExpiredError``."""
@@ -121,7 +122,7 @@
             raise StoreRefusedError(f"extend: {status}")
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease; what is attached to it goes with it."""
+        """End a lease; the store deletes the keys attached to it."""
         await self._call("DELETE", f"/holds/{lease_id}")
 
     async def watch_now(self, revision: int) -> WatchResponse:
@@ -129,9 +130,9 @@
         return await self.watch(revision, 0.0)
 
     async def watch(self, revision: int, wait_s: float) -> WatchResponse:
-        """The changes since that revision; if there are none, wait for some. Raises ``WatchCompactedError``."""
+        """The changes since that revision; waits up to ``wait_s`` if there are none. Raises ``WatchCompactedError``."""
         wait_ms = int(wait_s * 1000)
-        status, answer = await self._call(
+        status, response = await self._call(
             "GET",
             f"/follow?starts={ROOT}&from={revision}&wait_ms={wait_ms}",
             timeout_s=constants.WATCH_WAIT_S + constants.STATE_TIMEOUT_S,
@@ -141,4 +142,4 @@
             raise WatchCompactedError(str(revision))
         if status != 200:
             raise StoreRefusedError(f"follow: {status}")
-        return _watch_response.decode(answer)
+        return _watch_response_decoder.decode(response)
--- a/alderbridge/state/write_classes.py
+++ b/alderbridge/state/write_classes.py
@@ -1,11 +1,10 @@
-"""Classes of the store's changes, each with an assured rate.
+"""Classes of changes to the store, each with an assured rate.
 
-A hierarchical token bucket: the member's write budget is the parent, and each class has a bucket of its own that fills
-with the class's part of the budget's rate. What a class does not use others borrow, so the budget is never idle while
-anything waits; and no class, however much of it there is, takes what is assured to another.
+This is a hierarchical token bucket. The member's write budget is the parent; each class has its own bucket, which fills
+at a fixed share of the budget's rate. Classes may borrow what others do not use, but never the assured rate of another.
 
-Without assured rates, submissions beyond the write budget kept it overdrawn, and the records of machines, without
-which no task may start, were never written (docs/incidents/machine-records-starved.md).
+Without assured rates, a flood of submissions keeps the budget overdrawn and starves machine records, without which no
+task may start (docs/incidents/machine-records-starved.md).
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 
 
 class WriteClass(Enum):
-    """What a change of the store is for."""
+    """The purpose of a change to the store."""
 
     MACHINE_RECORD = "machine record"  # no task starts on a machine without one
-    MACHINE_DROP = "machine drop"  # a record left behind holds up the inherited tasks of later views
-    JOB_END = "job end"  # ends, confirmed cancellations and start limits
+    MACHINE_DROP = "machine drop"  # a record that is not deleted delays the inherited tasks of later views
+    JOB_END = "job end"  # ends, confirmed cancellations, start limits
     SUBMISSION = "submission"
-    PROGRESS = "progress"  # done tasks of running jobs, and records of ended jobs that shrink
+    PROGRESS = "progress"  # done tasks of running jobs; reduction of ended jobs' records
 
 
 ASSURED_SHARES = {
@@ -32,33 +31,33 @@
     WriteClass.SUBMISSION: 0.25,
     WriteClass.PROGRESS: 0.05,
 }
-"""Parts of the write budget. Starting and ending accepted work have two thirds: accepting more of it helps nobody."""
+"""Shares of the write budget. Starting and ending accepted work takes precedence over accepting more of it."""
 
-ASSURED_BURST = 1.0  # changes; more are not saved up: what others have borrowed meanwhile is gone
+ASSURED_BURST = 1.0  # changes; no more accumulate, as other classes have borrowed the unused rate
 
 
 class AssuredRates:
-    """How many changes of each class may be made now whatever else waits."""
+    """The token buckets that assure each class its rate."""
 
     def __init__(self, rate: float, now: float) -> None:
-        """``rate``: changes a second of the member's write budget."""
+        """``rate``: the member's write budget, in changes/s."""
         self._buckets = {
             write_class: TokenBucket(share * rate, ASSURED_BURST, now) for write_class, share in ASSURED_SHARES.items()
         }
 
     def change(self, rate: float, now: float) -> None:
-        """The budget has another rate from now on."""
+        """Set the rate of the write budget, in changes/s."""
         for write_class, share in ASSURED_SHARES.items():
             self._buckets[write_class].change(share * rate, ASSURED_BURST, now)
 
     def available(self, write_class: WriteClass, is_waiting: bool, now: float) -> int:
-        """How many changes of the class are assured at this moment; a class that does not wait saves none up."""
+        """The number of changes assured to the class now; a class with no changes waiting accumulates none."""
         bucket = self._buckets[write_class]
         if not is_waiting:
             bucket.spend(now, max(0.0, bucket.available(now)))
         return int(bucket.available(now))
 
     def spend(self, write_class: WriteClass, now: float, changes: int) -> None:
-        """Changes of the class have been made; what goes beyond its assured rate was borrowed, and is not owed."""
+        """Account for changes of the class; those beyond its assured rate were borrowed and are not paid back."""
         bucket = self._buckets[write_class]
         bucket.spend(now, min(float(changes), bucket.available(now)))
