--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -1,15 +1,14 @@
-"""What lets a member act, taken out singly: store lease, freshness, contact; and late views and jumps in time.
+"""Guards the three conditions of ``Membership.may_act``: valid store lease, fresh replica, contact with a quorum.
 
-``Membership.may_act`` rests on three terms. Each has a combination of faults here in which it alone
-stops a member that others have replaced: the other two are still met then. With that one taken out a rule breaks, with
-all in place none does.
+For each there is a combination of faults in which it alone stops a member that has been replaced. Also covered are
+views that are written late, and pauses between a decision and the request that carries it.
 """
 
 import functools
 
 import pytest
 from simulation import Broken
-from test_failure_detector import Tied, Ties
+from test_failure_detector import ControllerFaultWorld, PausableController
 
 from alderbridge import constants
 from alderbridge.controller.record_writer import RecordWriter
@@ -21,69 +20,73 @@
 from alderbridge.protocol.keys import JOBS, VIEW
 
 
-class Dark(Tied):
-    """Its watch of the store may hang while its hold is renewed, and its renewals be lost while it watches."""
+class Dark(PausableController):
+    """Its watch may hang while its store lease is renewed, or its renewals may be lost while it watches."""
 
-    watch_hangs_until = renewals_lost_until = still_s = 0.0
-    step = ""
-    still_before = None  # key whose next transaction it stands still before, for 15 s
+    watch_hangs_until = renewals_lost_until = pause_s = 0.0
+    active_loop = ""
+    pause_before_key = None  # it pauses for 15 s before its next transaction that asserts this key
 
-    def call(self, then, fail, method, *args, too_large=None):
+    def call(self, on_response, on_failure, method, *args, too_large=None):
         world = self.world
-        if method == world.store.commit and self.still_before in args[1]:
-            self.frozen_until, self.still_before = world.t + 15.0, None
-            self.thawed(functools.partial(super().call, too_large=too_large), then, fail, method, *args)
+        if method == world.store.commit and self.pause_before_key in args[1]:
+            self.paused_until, self.pause_before_key = world.t + 15.0, None
+            self.run_when_resumed(
+                functools.partial(super().call, too_large=too_large), on_response, on_failure, method, *args
+            )
             return
-        if self.step == "follow" and world.t < self.watch_hangs_until:
-            world.after(self.watch_hangs_until - world.t, super().call, then, fail, method, *args)
-        elif self.step == "hold" and world.t < self.renewals_lost_until:
-            world.after(2.0, fail)
+        if self.active_loop == "watch" and world.t < self.watch_hangs_until:
+            world.after(self.watch_hangs_until - world.t, super().call, on_response, on_failure, method, *args)
+        elif self.active_loop == "renew" and world.t < self.renewals_lost_until:
+            world.after(2.0, on_failure)
         else:
-            super().call(then, fail, method, *args, too_large=too_large)
+            super().call(on_response, on_failure, method, *args, too_large=too_large)
 
     def follow(self):
-        self.step = "follow"
+        self.active_loop = "watch"
         super().follow()
-        self.step = ""
+        self.active_loop = ""
 
     def hold(self):
-        self.step = "hold"
+        self.active_loop = "renew"
         super().hold()
-        self.step = ""
-        if self.still_s:  # between the sending of both and their answers
+        self.active_loop = ""
+        if self.pause_s:  # after sending both requests and before their responses
             self.follow()
-            self.frozen_until, self.still_s = self.world.t + self.still_s, 0.0
+            self.paused_until, self.pause_s = self.world.t + self.pause_s, 0.0
 
 
-class Terms(Ties):
+class Terms(ControllerFaultWorld):
     process = Dark
 
     def __init__(self, seed, nodes):
         super().__init__(seed, nodes=nodes, jobs=0)
         for number in range(12):
-            spec = self.make_unbound_pair(number)  # drawn before its time, as the seeds below are chosen for
+            spec = self.make_unbound_pair(
+                number
+            )  # drawn here, not when submitted: the seeds below depend on the order of draws
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
 
     def acts(self, label):
         return self.nodes[label].core.may_act()
 
     def follower(self):
-        """The highest label that does not lead."""
+        """The highest label other than the leader's."""
         return max(set(self.labels) - {self.view.leader})
 
-    def until(self, true, at_most):
-        """Runs until that is so."""
-        at, end = self.t, self.t + at_most
-        while not true() and at < end:
-            at += 0.05
-            self.run(at)
-        assert true()
+    def until(self, condition, timeout_s):
+        """Run until the condition holds; fail if it does not within the timeout."""
+        run_to, deadline = self.t, self.t + timeout_s
+        while not condition() and run_to < deadline:
+            run_to += 0.05
+            self.run(run_to)
+        assert condition()
 
 
-def hold_ends(seed):
-    """Its renewals are lost, its watch tells it all until just before the store ends its hold, and then nothing.
+def store_lease_expires(seed):
+    """Its renewals are lost; its watch works until just before its store lease expires, and then hangs.
 
-    Its peers hear it all the while, and it was fresh a second ago.
+    It keeps contact with its peers, and its replica is still fresh.
     """
     world = Terms(seed, 5)
     world.run(50.0)
@@ -96,15 +99,15 @@
     world.until(lambda: label not in world.view.members, 10.0)
     membership = sim.core.membership
     assert world.t < min(membership.fresh_until, membership.failure_detector.contact_until), (
-        "the other two terms would let it act"
+        "the other two conditions are met"
     )
     return world, 12.0
 
 
-def watch_hangs(seed):
-    """Of three one was away; when it is back, one of the two others does not hear of the view with it.
+def replica_becomes_stale(seed):
+    """One of three members returns after an absence, and one of the other two does not receive the view with it.
 
-    Its hold is renewed, and the view of two that it knows asks for no contact: it goes on as home of the third's jobs.
+    That one's store lease is renewed, and its view of two does not require contact. It owns the third's jobs there.
     """
     world = Terms(seed, 3)
     world.run(40.0)
@@ -121,13 +124,13 @@
     world.until(lambda: sim.core.membership.fresh_until < world.t, 25.0)
     membership = sim.core.membership
     assert world.t < min(membership.store_lease.valid_until, membership.failure_detector.contact_until), (
-        "the other two terms let it act"
+        "the other two conditions are met"
     )
     return world, 40.0
 
 
-def contact_ends(seed):
-    """It is cut off from its peers, and its watch hangs from just before they remove it; its hold is renewed."""
+def contact_is_lost(seed):
+    """It loses its peers, and its watch hangs from just before they remove it; its store lease is renewed."""
     world = Terms(seed, 5)
     world.run(50.0)
     label = world.follower()
@@ -137,28 +140,30 @@
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
     membership = sim.core.membership
-    assert world.t + 5.0 < min(membership.fresh_until, membership.store_lease.valid_until), "the other two let it act"
+    assert world.t + 5.0 < min(membership.fresh_until, membership.store_lease.valid_until), (
+        "the other two conditions are met"
+    )
     return world, 10.0
 
 
-def without_hold(monkeypatch):
-    renewed = StoreLease.record_renewal
+def without_store_lease(monkeypatch):
+    original = StoreLease.record_renewal
 
-    def stays(self, *args):
-        renewed(self, *args)
+    def record_renewal(self, *args):
+        original(self, *args)
         self.valid_until = float("inf")
 
-    monkeypatch.setattr(StoreLease, "record_renewal", stays)
+    monkeypatch.setattr(StoreLease, "record_renewal", record_renewal)
 
 
 def without_freshness(monkeypatch):
-    followed = Membership.record_sync
+    original = Membership.record_sync
 
-    def stays(self, sent_at):
-        followed(self, sent_at)
+    def record_sync(self, sent_at):
+        original(self, sent_at)
         self.fresh_until = float("inf")
 
-    monkeypatch.setattr(Membership, "record_sync", stays)
+    monkeypatch.setattr(Membership, "record_sync", record_sync)
 
 
 def without_contact(monkeypatch):
@@ -167,80 +172,81 @@
     )
 
 
-TERMS = {hold_ends: without_hold, watch_hangs: without_freshness, contact_ends: without_contact}
+DISABLED_CONDITIONS = {
+    store_lease_expires: without_store_lease,
+    replica_becomes_stale: without_freshness,
+    contact_is_lost: without_contact,
+}
 
 
-@pytest.mark.parametrize("combination", TERMS)
-def test_store_lease_freshness_and_contact_each_stop_a_member_that_the_others_would_let_act(combination):
+@pytest.mark.parametrize("combination", DISABLED_CONDITIONS)
+def test_each_condition_alone_stops_a_replaced_member(combination):
     world, for_s = combination(31000)
     world.run(world.t + for_s)
 
 
-@pytest.mark.parametrize("combination", TERMS)
-def test_a_term_taken_out_singly_is_missed_in_its_combination_of_faults(monkeypatch, combination):
-    TERMS[combination](monkeypatch)
+@pytest.mark.parametrize("combination", DISABLED_CONDITIONS)
+def test_disabling_any_condition_lets_a_replaced_member_act(monkeypatch, combination):
+    DISABLED_CONDITIONS[combination](monkeypatch)
     with pytest.raises(Broken, match="left_out"):
         world, for_s = combination(31000)
         world.run(world.t + for_s)
 
 
-# -- views carried out late ---------------------------------------------------------
-
-
-class LateViews(Tied):
-    """From 30 s on its changes of view have no answer, and are carried out seconds later if what they assert holds."""
+class LateViewController(PausableController):
+    """From 30 s on its changes of view get no response; the store executes them seconds later, if they still apply."""
 
-    def call(self, then, fail, method, *args, too_large=None):
+    def call(self, on_response, on_failure, method, *args, too_large=None):
         world = self.world
         if method != world.store.commit or VIEW not in args[1] or world.t < 30.0:
-            super().call(then, fail, method, *args, too_large=too_large)
+            super().call(on_response, on_failure, method, *args, too_large=too_large)
             return
 
-        def late():
+        def commit_late():
             before = world.view
             if world.t >= world.store.down_until and not world.store.commit(*args).failed:
-                world.late.append((before, args[1][VIEW]))
+                world.late_views.append((before, args[1][VIEW]))
 
-        world.after(world.rng.uniform(*world.late_by), late)
+        world.after(world.rng.uniform(*world.delay_range_s), commit_late)
         super().call(lambda _: None, lambda: None, lambda: None)
-        world.after(2.0, fail)
+        world.after(2.0, on_failure)
 
 
-class Late(Ties):
-    process = LateViews
+class LateViewWorld(ControllerFaultWorld):
+    process = LateViewController
 
-    late_by = (2.0, 12.0)  # s
+    delay_range_s = (2.0, 12.0)
 
-    def __init__(self, seed, apart=2, **more):
-        self.late = []  # views before and after one that was carried out late
-        super().__init__(seed, **more)
-        for number in range(apart):  # all lose each other: contact is waived
-            self.after(self.rng.uniform(40.0, 70.0) + 60.0 * number, self.apart)
+    def __init__(self, seed, isolations=2, **options):
+        self.late_views = []  # (view before, view that was written late)
+        super().__init__(seed, **options)
+        for number in range(isolations):  # each makes the members waive contact
+            self.after(self.rng.uniform(40.0, 70.0) + 60.0 * number, self.isolate_all)
 
-    def apart(self):
+    def isolate_all(self):
         for label in self.labels:
             self.cut([label], self.rng.uniform(4.0, 20.0), self.rng.random() < 0.5)
 
-    def waived(self):
-        return sum(before.contact_timeout_s > after.contact_timeout_s == 0.0 for before, after in self.late)
+    def waiver_count(self):
+        return sum(before.contact_timeout_s > after.contact_timeout_s == 0.0 for before, after in self.late_views)
 
 
-def late(seed):
-    world = Late(seed, nodes=3 + 2 * (seed % 2), mishaps=4)
+def run_late_views(seed):
+    world = LateViewWorld(seed, nodes=3 + 2 * (seed % 2), controller_faults=4)
     world.run(150.0)
     return world
 
 
 @pytest.mark.parametrize("seed", (32013, 32018, 32019))
-def test_a_removal_or_a_view_that_waives_contact_harms_nobody_however_late_it_is_carried_out(seed):
-    world = late(seed)
-    assert world.waived() and world.early and len(world.late) > 2
+def test_views_that_are_written_late_do_not_let_removed_members_act(seed):
+    world = run_late_views(seed)
+    assert world.waiver_count() and world.early_removals and len(world.late_views) > 2
 
 
-def removed_late(seed):
-    """One is given up, heard again a second later, and removed seconds after that; it can't learn of that."""
-    world = Late(seed, apart=0, nodes=5, jobs=0)
-    world.late_by = (3.0, 7.0)
+def run_late_removal(seed):
+    """A member is declared failed, reachable again after a second, then removed; it can't read the new view."""
+    world = LateViewWorld(seed, isolations=0, nodes=5, jobs=0)
+    world.delay_range_s = (3.0, 7.0)
     world.run(50.0)
     label = max(set(world.labels) - {world.view.leader})
     world.nodes[label].cut_store_until = world.t + 40.0
@@ -252,37 +258,37 @@
     )
     world.run(50.0 + constants.CONTACT_TIMEOUT_S + 8.0)
     membership = world.nodes[label].core.membership
-    assert label not in world.view.members and world.late
+    assert label not in world.view.members and world.late_views
     assert world.t < min(membership.fresh_until, membership.store_lease.valid_until)
 
 
-def test_who_was_given_up_acts_no_more_though_it_is_heard_again_before_it_is_removed(monkeypatch):
+def test_failed_member_does_not_act_if_reachable_again_before_its_removal(monkeypatch):
     for seed in (32100, 32101):
-        removed_late(seed)
-    heard_again(monkeypatch)
+        run_late_removal(seed)
+    revive_failed_peers(monkeypatch)
     with pytest.raises(Broken, match="left_out"):
         for seed in (32100, 32101):
-            removed_late(seed)
+            run_late_removal(seed)
 
 
-def heard_again(monkeypatch):
-    """Giving a member up is not final under its mandate."""
-    real = FailureDetector.record_frame
+def revive_failed_peers(monkeypatch):
+    """Failed peers become alive again under the same fencing token."""
+    original = FailureDetector.record_frame
 
-    def hear(self, label, acknowledged, now):
+    def record_frame(self, label, acknowledged_at, now):
         self.peers[label].state = PeerState.ALIVE
-        real(self, label, acknowledged, now)
+        original(self, label, acknowledged_at, now)
 
     monkeypatch.setattr(FailureDetector, "accepts", lambda self, label: True)
-    monkeypatch.setattr(FailureDetector, "record_frame", hear)
+    monkeypatch.setattr(FailureDetector, "record_frame", record_frame)
 
 
-def older_view_not_asserted(monkeypatch):
-    """A late view takes the place of a newer one."""
-    real = ViewEntry.next_view
+def do_not_assert_older_view(monkeypatch):
+    """A view that is written late may replace a newer one."""
+    original = ViewEntry.next_view
 
     def next_view(self, now):
-        change = real(self, now)
+        change = original(self, now)
         if change is not None:
             del change[1][VIEW]
         return change
@@ -290,71 +296,70 @@
     monkeypatch.setattr(ViewEntry, "next_view", next_view)
 
 
-def test_a_late_view_that_takes_the_place_of_a_newer_one_is_seen(monkeypatch):
-    older_view_not_asserted(monkeypatch)
+def test_late_view_that_replaces_a_newer_one_is_detected(monkeypatch):
+    do_not_assert_older_view(monkeypatch)
     with pytest.raises(Broken, match="left_out"):
         for seed in range(32000, 32010):
-            late(seed)
-
-
-# -- time that jumps ------------------------------------------------------------------
+            run_late_views(seed)
 
 
-class Jumping(Tied):
-    """It may stand still for seconds at any line: a call, frames or an answer decided before are sent after it."""
+class RandomPauseController(PausableController):
+    """It may pause for seconds between deciding on a request, frames or a response, and sending them."""
 
-    def jump(self, share):
+    def maybe_pause(self, probability):
         world = self.world
-        if world.t > 25.0 and world.t >= self.frozen_until and world.rng.random() < share:
-            self.frozen_until = world.t + world.rng.choice([world.rng.uniform(0.5, 4.0), world.rng.uniform(4.0, 25.0)])
-            world.jumps += 1
+        if world.t > 25.0 and world.t >= self.paused_until and world.rng.random() < probability:
+            self.paused_until = world.t + world.rng.choice([world.rng.uniform(0.5, 4.0), world.rng.uniform(4.0, 25.0)])
+            world.pause_count += 1
 
-    def call(self, then, fail, method, *args, too_large=None):
-        self.jump(0.04 if method == self.world.store.commit else 0.002)
-        self.thawed(functools.partial(super().call, too_large=too_large), then, fail, method, *args)
+    def call(self, on_response, on_failure, method, *args, too_large=None):
+        self.maybe_pause(0.04 if method == self.world.store.commit else 0.002)
+        self.run_when_resumed(
+            functools.partial(super().call, too_large=too_large), on_response, on_failure, method, *args
+        )
 
     def flush(self):
         if self.core is not None and any(
             isinstance(frame.body, messages.TaskGrant) for _, frame in self.core.effects.outgoing_frames
         ):
-            self.jump(0.1)
+            self.maybe_pause(0.1)
         super().flush()
 
     def heartbeat(self, raw, reply):
-        def late(status, body):
+        def reply_late(status, body):
             if status == 200:
-                self.jump(0.01)
-            self.world.after(max(0.0, self.frozen_until - self.world.t), reply, status, body)
+                self.maybe_pause(0.01)
+            self.world.after(max(0.0, self.paused_until - self.world.t), reply, status, body)
 
-        super().heartbeat(raw, late)
+        super().heartbeat(raw, reply_late)
 
 
-class Jumps(Ties):
-    process = Jumping
+class RandomPauseWorld(ControllerFaultWorld):
+    process = RandomPauseController
 
-    def __init__(self, seed, **more):
-        self.jumps = 0
-        super().__init__(seed, **more)
+    def __init__(self, seed, **options):
+        self.pause_count = 0
+        super().__init__(seed, **options)
         for number in range(6):
             self.after(35.0 + 12.0 * number, self.cancel_any)
 
 
-def jumps(seed):
-    world = Jumps(seed, nodes=3 + 2 * (seed % 2), mishaps=3)
+def run_with_pauses(seed):
+    world = RandomPauseWorld(seed, nodes=3 + 2 * (seed % 2), controller_faults=3)
     world.run(130.0)
     return world
 
 
 @pytest.mark.parametrize("seed", (33001, 33012, 33013))
-def test_a_jump_in_time_between_a_decision_and_its_sending_breaks_no_rule(seed):
-    """Between the look at ``may_act`` and a transaction, a grant or a 200: of each what it rests on goes with it."""
-    assert jumps(seed).jumps > 5
+def test_pause_between_a_decision_and_its_sending_breaks_no_invariant(seed):
+    """Guards against sending a transaction, a grant or a 200 under a view or lease that ended after ``may_act``."""
+    assert run_with_pauses(seed).pause_count > 5
 
 
-def still_between_question_and_answer(seed):
-    """Of three one is away, and no contact is asked for; one of the two stands still until it was replaced.
+def pause_between_request_and_response(seed):
+    """One of three members is down, so contact is not required; one of the other two pauses until it is replaced.
 
-    When it goes on, the answers of a good renewal and of the watch are there, sent 25 s ago.
+    When it resumes, it gets successful responses to a renewal and a watch request that it sent 25 s before.
     """
     world = Terms(seed, 3)
     world.run(40.0)
@@ -364,33 +369,35 @@
     world.run(world.t + 2.0)
     label = min(set(world.view.members) - {world.view.leader})
     sim = world.nodes[label]
-    sim.still_s = 25.0
-    world.until(lambda: sim.still_s == 0.0, 5.0)
+    sim.pause_s = 25.0
+    world.until(lambda: sim.pause_s == 0.0, 5.0)
     world.until(lambda: label not in world.view.members, 24.0)
-    world.run(sim.frozen_until + 1.0)
+    world.run(sim.paused_until + 1.0)
 
 
-def test_store_lease_and_replica_are_as_old_as_the_question_that_was_sent(monkeypatch):
-    """Counted from the answer, a process acts after its jump, though others have taken its place."""
-    still_between_question_and_answer(33102)
-    loop, renewed, followed = Dark.loop, StoreLease.record_renewal, Membership.record_sync
-    clock = []
+def test_store_lease_and_replica_count_from_the_request(monkeypatch):
+    """Guards against counting validity from the response: after a pause, a replaced member would act."""
+    pause_between_request_and_response(33102)
+    loop, record_renewal, record_sync = Dark.loop, StoreLease.record_renewal, Membership.record_sync
+    worlds = []
 
-    def loop_with_clock(self, life, step, pause):
-        clock[:] = [self.world]
-        loop(self, life, step, pause)
+    def loop_noting_world(self, incarnation, step, interval_s):
+        worlds[:] = [self.world]
+        loop(self, incarnation, step, interval_s)
 
-    monkeypatch.setattr(Dark, "loop", loop_with_clock)
+    monkeypatch.setattr(Dark, "loop", loop_noting_world)
     monkeypatch.setattr(
-        StoreLease, "record_renewal", lambda self, lease_id, sent_at, *more: renewed(self, lease_id, clock[0].t, *more)
+        StoreLease,
+        "record_renewal",
+        lambda self, lease_id, sent_at, *args: record_renewal(self, lease_id, worlds[0].t, *args),
     )
-    monkeypatch.setattr(Membership, "record_sync", lambda self, sent_at: followed(self, clock[0].t))
+    monkeypatch.setattr(Membership, "record_sync", lambda self, sent_at: record_sync(self, worlds[0].t))
     with pytest.raises(Broken, match="left_out"):
-        still_between_question_and_answer(33102)
+        pause_between_request_and_response(33102)
 
 
-def still_before_an_end_is_sent(seed):
-    """A home is about to write that a job is cancelled, stands still and is replaced; then all are asked."""
+def pause_before_end_is_written(seed):
+    """A job owner pauses before it writes a cancellation, and is replaced; then all are asked for the job's status."""
     world = Terms(seed, 5)
     world.run(50.0)
     job, label = next(
@@ -400,26 +407,26 @@
         if world.nodes[label].core.directory.job_owner(job) == label != world.view.leader
     )
     sim = world.nodes[label]
-    sim.still_before = JOBS + job
+    sim.pause_before_key = JOBS + job
     world.cancelled_at[job] = float("inf")
     sim.withdraw(job, lambda state: None)
-    world.until(lambda: sim.still_before is None, 3.0)
+    world.until(lambda: sim.pause_before_key is None, 3.0)
     world.until(lambda: label not in world.view.members, 14.0)
-    goes_on = sim.frozen_until
+    resumes_at = sim.paused_until
     for step in range(100):
-        world.run(goes_on - 0.1 + 0.01 * step)
-        for one in world.nodes.values():
-            state = world.question(one, job)
+        world.run(resumes_at - 0.1 + 0.01 * step)
+        for node in world.nodes.values():
+            state = world.question(node, job)
             if state is not None:
                 world.answer(job, state)
 
 
-def test_an_end_that_is_sent_after_its_job_shard_was_replaced_is_not_written(monkeypatch):
-    still_before_an_end_is_sent(33200)
-    real = RecordWriter.next_batch
+def test_end_sent_by_a_replaced_job_owner_is_not_written(monkeypatch):
+    pause_before_end_is_written(33200)
+    original = RecordWriter.next_batch
 
     def next_batch(self, now):
-        batch = real(self, now)
+        batch = original(self, now)
         if batch is not None:
             batch.conditions.pop(VIEW)
         return batch
@@ -427,4 +434,4 @@
     monkeypatch.setattr(RecordWriter, "next_batch", next_batch)
     with pytest.raises(Broken, match="went_back"):
         for seed in range(33200, 33204):
-            still_before_an_end_is_sent(seed)
+            pause_before_end_is_written(seed)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -1,4 +1,4 @@
-"""Processes that end and are back at once, again and again: nothing of an earlier life is taken for the new one's."""
+"""Guards against mixing up incarnations of controllers that restart at once, repeatedly."""
 
 import curio
 import msgspec
@@ -21,16 +21,16 @@
 from alderbridge.settings import Tuning
 from alderbridge.transport.selector import Poll
 
-# The lowest label that is up proposes at once, the others a head start later each: so a view that lacks somebody is
-# followed by another within this, however often members flap, while the store answers: two rounds and the follower.
+# The longest time until a view that lacks a member is followed by another one, while the store answers: joining, the
+# precedence of the four other labels, two rounds and the watch.
 ELECTION_S = (
     constants.JOIN_MAX_S + 4 * constants.LEADER_PRECEDENCE_S + 2 * constants.ROUND_S + 2 * constants.WATCH_PAUSE_S + 0.3
 )
-LOST_CALL_S = 2.5  # s; of the world's calls some are lost, and one that is costs its timeout
+LOST_CALL_S = 2.5  # s; the timeout of a store call, of which the simulation loses some
 
 
-def flapping(seed, times=6, until=200.0, **more):
-    world = World(seed, nodes=5, random_faults=False, **more)
+def run_flapping(seed, times=6, until=200.0, **options):
+    world = World(seed, nodes=5, random_faults=False, **options)
     for number in range(times):
         world.after(15.0 + 12.0 * number, world.flap)
     world.run(until)
@@ -38,7 +38,7 @@
     return world
 
 
-def lacking(world):
+def unfinished_jobs(world):
     return [
         job
         for job in world.accepted
@@ -47,89 +47,86 @@
 
 
 @pytest.mark.parametrize("seed", range(8500, 8504))
-def test_nothing_is_stopped_lost_or_forgotten_while_processes_flap(seed):
-    world = flapping(seed, until=330.0)
-    assert world.starts > 0 and not lacking(world) and not world.late_largest()
-    assert not world.halted_needed, "an earlier life's tasks belong to the new one"
+def test_no_task_or_job_is_lost_while_controllers_restart(seed):
+    world = run_flapping(seed, until=330.0)
+    assert world.starts > 0 and not unfinished_jobs(world) and not world.late_largest()
+    assert not world.halted_needed, "the tasks of an earlier incarnation belong to the next one"
 
 
 @pytest.mark.parametrize("seed", (8600, 8601, 8602))
-def test_elections_converge_however_often_members_flap(seed):
-    """All but one end every 0.3 to 3 s for a minute; the one that stays has the highest label, which waits longest."""
+def test_elections_converge_while_members_restart(seed):
+    """All but one restart every 0.3 to 3 s for a minute; the stable one has the highest label, the last to propose."""
     world = World(seed, nodes=5, jobs=2, random_faults=False)
     for label in world.labels[:-1]:
-        at = 10.0
-        while at < 70.0:
-            world.after(at, world.end, world.nodes[label], world.rng.uniform(0.1, 0.25))
-            at += world.rng.uniform(0.3, 3.0)
+        ends_at = 10.0
+        while ends_at < 70.0:
+            world.after(ends_at, world.end, world.nodes[label], world.rng.uniform(0.1, 0.25))
+            ends_at += world.rng.uniform(0.3, 3.0)
     world.run(10.0)
     world.store.longest_change = 0.0
     world.run(100.0)
     assert 1.0 < world.store.longest_change < ELECTION_S + LOST_CALL_S
-    assert world.store.differs_since is None, "one view, with all who are there"
+    assert world.store.differs_since is None, "the view has all running members"
 
 
-# -- an earlier life -------------------------------------------------------------
-
-
-def a_run(world):
-    """A task that runs on a machine of another controller's part than its home."""
+def run_to_remote_task(world):
+    """Run until a task runs on a machine that its job owner does not own; returns both owners and the task."""
     while True:
         world.run(world.t + 0.5)
         for label, sim in world.nodes.items():
             for name, job in sim.core.job_shard.jobs.items():
                 for index, run in job.runs.items():
-                    part = sim.core.membership.machine_owner(run.machine)
-                    if part != label and run.state.value == "running":
-                        return label, part, name, index, run
+                    machine_owner = sim.core.membership.machine_owner(run.machine)
+                    if machine_owner != label and run.state.value == "running":
+                        return label, machine_owner, name, index, run
 
 
-def test_a_process_that_is_back_takes_nothing_that_was_meant_for_its_earlier_life():
-    """What the part tells the home that died is told again to the new one under the next view."""
+def test_restarted_process_ignores_messages_for_its_earlier_incarnation():
+    """Guards against a restarted job owner that handles messages for its earlier incarnation, which are sent again."""
     world = World(8700, random_faults=False, jobs=30)
-    home, part, name, index, run = a_run(world)
-    owner = world.nodes[part].core
-    owner.messenger.channels[home].reset(owner.membership.fencing_token, world.t)  # as if the view had just begun
-    world.nodes[home].crash()
-    world.restart(world.nodes[home])
-    while not (core := world.nodes[home].core).state.loaded:
+    job_owner, machine_owner, name, index, run = run_to_remote_task(world)
+    sender = world.nodes[machine_owner].core
+    sender.messenger.channels[job_owner].reset(sender.membership.fencing_token, world.t)  # as after a new view
+    world.nodes[job_owner].crash()
+    world.restart(world.nodes[job_owner])
+    while not (core := world.nodes[job_owner].core).state.loaded:
         world.run(world.t + 0.01)
-    assert not core.state.is_member and core.membership.fencing_token == owner.membership.fencing_token
-    seen = messages.MachineTaskReport(
+    assert not core.state.is_member and core.membership.fencing_token == sender.membership.fencing_token
+    task_report = messages.MachineTaskReport(
         run.machine, run.zone, 0, [messages.TaskStatusReport(name, index, run.attempt, "running", None)], []
     )
-    core.on_frame(owner.messenger.channels[home].post(seen, world.t), world.t)
+    core.on_frame(sender.messenger.channels[job_owner].post(task_report, world.t), world.t)
     assert not [body for _, body in core.effects.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
-        "no halt of what it ran"
+        "no halt of the tasks that its earlier incarnation ran"
     )
-    assert core.messenger.channels[part].received == 0, "nor an acknowledgement"
-    core.on_frame(owner.messenger.channels[home].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
-    assert [ask.query_id for _, ask in core.effects.queries] == [7], (
-        "questions are taken; 503 has the asker read the store"
+    assert core.messenger.channels[machine_owner].received == 0, "no acknowledgement"
+    core.on_frame(sender.messenger.channels[job_owner].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
+    assert [query.query_id for _, query in core.effects.queries] == [7], (
+        "queries are accepted; the sender reads the store after a 503"
     )
 
 
-def test_the_view_may_arrive_before_the_process_knows_its_store_lease():
-    """It was an outsider's view then; acting on it, a home without its jobs would serve none of them."""
+def test_view_may_arrive_before_the_store_lease():
+    """Guards against a process that enters the view as a non-member and never loads the jobs that it owns."""
     world = World(8701, random_faults=False, jobs=30)
-    home, *_ = a_run(world)
-    world.nodes[home].crash()
-    world.restart(world.nodes[home])
-    core = world.nodes[home].core
-    real, late = core.view_entry.lease_acquired, []
-    core.view_entry.lease_acquired = lambda *told: late.append(told)  # the store's answer takes a while
+    job_owner, *_ = run_to_remote_task(world)
+    world.nodes[job_owner].crash()
+    world.restart(world.nodes[job_owner])
+    core = world.nodes[job_owner].core
+    original, delayed_calls = core.view_entry.lease_acquired, []
+    core.view_entry.lease_acquired = lambda *args: delayed_calls.append(args)  # the store responds late
     fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
-    while core.membership.fencing_token <= fencing_token or not late:
+    while core.membership.fencing_token <= fencing_token or not delayed_calls:
         world.run(world.t + 0.05)
     assert not core.state.is_member and not core.may_act()
-    core.view_entry.lease_acquired = real
-    core.view_entry.lease_acquired(*late[0])
+    core.view_entry.lease_acquired = original
+    core.view_entry.lease_acquired(*delayed_calls[0])
     assert core.may_act() and core.state.is_member and core.job_shard.jobs
     world.served(core)
 
 
-def given_up(world, label):
-    """A submission whose transaction had no answer, and then the store said 503; and its spec."""
+def refuse_unconfirmed_submission(world, label):
+    """Refuse a submission whose transaction got no response; returns its spec and its write batch."""
     spec = msgspec.structs.replace(
         world.make_job(1), kind="sweep", tasks=2, cpus=1.0, types=None, zone=None, one_zone=False, spread=False
     )
@@ -143,14 +140,14 @@
     return spec, batch
 
 
-@pytest.mark.parametrize("again", (False, True))
-def test_a_submission_that_was_given_up_and_carried_out_late_is_served(again):
-    """Its user is told that it is known, so it must run, though no submission waits for it any more."""
+@pytest.mark.parametrize("is_retried", (False, True))
+def test_refused_submission_whose_transaction_is_applied_late_is_served(is_retried):
+    """Guards against a stored job that nobody runs because its submission is no longer pending."""
     world = World(8702, random_faults=False, jobs=0)
     world.run(5.0)
-    spec, batch = given_up(world, "host-1")
+    spec, batch = refuse_unconfirmed_submission(world, "host-1")
     core = world.nodes["host-1"].core
-    if again:  # the user's next try comes first, and meets the record
+    if is_retried:  # the retry is pending when the first transaction is applied
         core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
@@ -160,8 +157,8 @@
     assert world.said.get(spec.id) == "done"
 
 
-def test_a_job_whose_record_has_all_its_tasks_ends_though_nothing_is_left_to_report():
-    """Its home wrote the last result, could not write the end of an inherited job yet, and went."""
+def test_job_whose_record_has_all_tasks_done_ends():
+    """Guards against a job that stays active if its owner failed between writing the last result and the end."""
     world = World(8703, random_faults=False, jobs=0)
     spec = msgspec.structs.replace(world.make_job(1), kind="sweep", tasks=3)
     world.specs[spec.id] = spec
@@ -173,13 +170,13 @@
     assert world.said.get(spec.id) == "done"
 
 
-def test_an_answer_to_an_earlier_life_is_not_told_to_another_question():
+def test_reply_to_an_earlier_incarnation_does_not_answer_another_query():
     first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()) for _ in range(2))
     assert second.queries.query_count > first.queries.query_count + 100, (
-        "no number is asked twice in the lives of a label"
+        "query ids are not reused by later incarnations of a label"
     )
 
-    async def asked(body):
+    async def query_with_reply(body):
         async def deliver():
             while not second.queries.pending_queries:
                 await curio.sleep(0)
@@ -189,26 +186,24 @@
             await second.dispatch_effects()
 
         task = await curio.spawn(deliver)
-        answer = await second.queries.query("host-1", "status", "wk-000001")
+        response = await second.queries.query("host-1", "status", "wk-000001")
         await task.join()
-        return answer
+        return response
 
-    assert curio.run(asked, wire.job_status_body("wk-000001", "done", 1, 0))[0] == 200
-    assert curio.run(asked, wire.job_status_body("wk-000002", "done", 1, 0)) is None
+    assert curio.run(query_with_reply, wire.job_status_body("wk-000001", "done", 1, 0))[0] == 200
+    assert curio.run(query_with_reply, wire.job_status_body("wk-000002", "done", 1, 0)) is None
 
 
-def test_a_job_about_which_nothing_is_answered_is_named_now_and_then(monkeypatch, caplog):
-    control, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()), [100.0]
+def test_job_without_status_answers_is_logged_periodically(monkeypatch, caplog):
+    controller, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()), [100.0]
     patch_now(monkeypatch, lambda: clock[0])
     caplog.set_level("INFO")
     for status in [503] * 20 + [200] + [503] * 5:
-        control.users_api.status.finalize_status("wk-000001", Response(status, b"", []))
+        controller.users_api.status.finalize_status("wk-000001", Response(status, b"", []))
         clock[0] += 5.0
     assert [record.args[1] for record in caplog.records] == [25.0, 50.0, 75.0]
 
 
-# -- largest jobs --------------------------------------------------------------------
-
 SMALL = wire.JobSpec(
     id="wk-000001",
     job_class="small",
@@ -230,11 +225,11 @@
 LARGE = msgspec.structs.replace(SMALL, id="wk-999999", job_class="big", tasks=8, cpus=16.0)
 
 
-def row(spec, waited, due, **more):
-    return messages.QueueRow(spec.id, spec.tasks, spec.tasks, due, 20.0, None, waited, False, False, **more)
+def row(spec, waited_s, due_s, **fields):
+    return messages.QueueRow(spec.id, spec.tasks, spec.tasks, due_s, 20.0, None, waited_s, False, False, **fields)
 
 
-def test_room_is_reserved_for_a_task_that_fits_no_rest_of_a_machine():
+def test_machines_are_reserved_for_a_task_that_fits_no_free_capacity():
     offers = Offers()
     offers.replace(
         "host-0",
@@ -244,74 +239,74 @@
         ],
     )
 
-    def asked(cpus, keep):
+    def requested_tasks(cpus, is_reserved):
         machine = Candidate("n-1", "large", "a", True, (cpus, 64.0, 0.0), {})
         return [
-            (want.job, want.count) for want in fill(machine, offers, lambda spec: 0.0, lambda offer: 0, keep, 100.0)
+            (request.job, request.count)
+            for request in fill(machine, offers, lambda spec: 0.0, lambda offer: 0, is_reserved, 100.0)
         ]
 
-    assert asked(4.0, lambda offer: True) == [] and asked(4.0, lambda offer: False) == [(SMALL.id, 2)]
-    assert asked(16.0, lambda offer: True) == [(LARGE.id, 1)]
+    assert requested_tasks(4.0, lambda offer: True) == [] and requested_tasks(4.0, lambda offer: False) == [
+        (SMALL.id, 2)
+    ]
+    assert requested_tasks(16.0, lambda offer: True) == [(LARGE.id, 1)]
 
 
-def test_a_large_job_has_its_turn_once_it_has_waited_for_a_share_of_its_time():
-    """The first task of what has not begun goes first; what is late and passed over, an eighth of it at a time."""
-    home = JobShard([], lambda label, body: 1, 4096)
-    home.enter(1, {}, {})
+def test_large_job_is_boosted_after_waiting():
+    """Guards the priority boost: one task of a job that has not started, an eighth of the tasks of a late job."""
+    job_shard = JobShard([], lambda label, body: 1, 4096)
+    job_shard.enter(1, {}, {})
     job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 400, [], SMALL), 1, 0.0, 0.0, never_started=True)
-    home.add(job)
+    job_shard.add(job)
 
-    def told(now):
-        found = home.queue.rows(
+    def offer_and_boost(now):
+        row = job_shard.queue.rows(
             now, lambda job, now, guaranteed: (60.0, now > 40.0), lambda spec: 20.0, lambda spec: -1, (), {}
         )[0]
-        return found.offer, found.priority_boost
+        return row.offer, row.priority_boost
 
-    assert told(10.0) == (400, 0) and told(constants.STARVED_JOB_S) == (1, 2)
-    home.grants.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
+    assert offer_and_boost(10.0) == (400, 0) and offer_and_boost(constants.STARVED_JOB_S) == (1, 2)
+    job_shard.grants.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.has_started = True
-    assert told(122.0) == (399, 0) and told(121.0 + constants.LATE_BOOST_S) == (50, 1)
-    home.grants.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
-    assert told(183.0) == (30, 1), "the turn lasts until its share is granted"
-    home.grants.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
-    assert told(185.0) == (349, 0)
-    first, other = Offers(), msgspec.structs.replace(LARGE, priority="high")
-    first.replace(
+    assert offer_and_boost(122.0) == (399, 0) and offer_and_boost(121.0 + constants.LATE_BOOST_S) == (50, 1)
+    job_shard.grants.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
+    assert offer_and_boost(183.0) == (30, 1), "the boost lasts until its share is granted"
+    job_shard.grants.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
+    assert offer_and_boost(185.0) == (349, 0)
+    offers, other = Offers(), msgspec.structs.replace(LARGE, priority="high")
+    offers.replace(
         "host-0",
         [
             Offer("host-0", row(other, 5.0, 1.0), other, 100.0, 4.0),
             Offer("host-0", row(SMALL, 121.0, 60.0, priority_boost=2), SMALL, 100.0, 4.0),
         ],
     )
-    assert [entry[-1].row.job for entry in first.in_order()] == [SMALL.id, LARGE.id]
+    assert [entry[-1].row.job for entry in offers.in_order()] == [SMALL.id, LARGE.id]
 
 
-def begins_beside_small_ones(seed):
-    """A stream of small jobs that more than fills two machines; then a job whose task needs a whole one."""
+def large_job_starts(seed):
+    """Whether a job whose task needs a whole machine starts, while small jobs more than fill two machines."""
     world = World(seed, jobs=0, random_faults=False, machines=2)
     numbers = iter(range(10**6))
 
-    def stream():
+    def submit_small_jobs():
         world.submit(msgspec.structs.replace(SMALL, id=f"wk-{next(numbers):06d}", tasks=4))
-        world.after(world.rng.expovariate(0.2), stream)
+        world.after(world.rng.expovariate(0.2), submit_small_jobs)
 
-    world.after(1.0, stream)
+    world.after(1.0, submit_small_jobs)
     world.after(45.0, world.submit, LARGE)
     world.run(46.0 + 240.0)
     return not world.late_largest()
 
 
-def test_the_largest_jobs_begin_though_small_ones_fill_the_fleet(monkeypatch):
-    assert begins_beside_small_ones(8805)
-    for wait in ("RESERVE_AFTER_S", "STARVED_JOB_S", "LATE_BOOST_S"):
-        monkeypatch.setattr(constants, wait, 1e9)
-    assert not begins_beside_small_ones(8805)
-
-
-# -- each check is seen to fail ---------------------------------------------------------
+def test_large_job_starts_while_small_jobs_fill_the_fleet(monkeypatch):
+    assert large_job_starts(8805)
+    for delay in ("RESERVE_AFTER_S", "STARVED_JOB_S", "LATE_BOOST_S"):
+        monkeypatch.setattr(constants, delay, 1e9)
+    assert not large_job_starts(8805)
 
 
-def former_frames_accepted(monkeypatch):
+def accept_frames_of_earlier_incarnations(monkeypatch):
     def on_frame(self, frame, now):
         self.state.now = now
         body = self.messenger.channels[frame.sender].receive(frame, now)
@@ -322,8 +317,8 @@
     monkeypatch.setattr(ControllerCore, "on_frame", on_frame)
 
 
-def takes_itself_for_the_one_before(monkeypatch):
-    """A member by its label, whatever its permit; so no view follows its return."""
+def ignore_lease_id_of_member(monkeypatch):
+    """A process counts as a member by its label alone, so its restart causes no new view."""
 
     def status(self, now):
         if self.me not in self.view.members or not self.store_lease.lease_id:
@@ -332,39 +327,41 @@
             MemberStatus.MEMBER if now < min(self.store_lease.valid_until, self.fresh_until) else MemberStatus.EXPIRED
         )
 
-    real = Membership.next_view
+    original = Membership.next_view
     monkeypatch.setattr(Membership, "status", status)
     monkeypatch.setattr(
         Membership,
         "next_view",
-        lambda self, now, most: None if self.registered.keys() == self.view.members.keys() else real(self, now, most),
+        lambda self, now, max_removed: (
+            None if self.registered.keys() == self.view.members.keys() else original(self, now, max_removed)
+        ),
     )
 
 
-def a_doom_that_nobody_tells(monkeypatch):
-    real = Job.abort
+def skip_cascade_aborts(monkeypatch):
+    original = Job.abort
     monkeypatch.setattr(
-        Job, "abort", lambda self, now, cause="withdrawn": real(self, now, cause) if cause == "withdrawn" else None
+        Job, "abort", lambda self, now, cause="withdrawn": original(self, now, cause) if cause == "withdrawn" else None
     )
     monkeypatch.setattr(DependencyTracker, "cascade_abort_is_settled", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
-    "fault, rule, more",
+    "fault, invariant, options",
     [
-        (former_frames_accepted, "halted", {}),
-        (takes_itself_for_the_one_before, "lacking", {}),
-        (a_doom_that_nobody_tells, "unanswered", {"pipelines": 5}),
+        (accept_frames_of_earlier_incarnations, "halted", {}),
+        (ignore_lease_id_of_member, "unfinished_jobs", {}),
+        (skip_cascade_aborts, "unanswered", {"pipelines": 5}),
     ],
 )
-def test_each_check_is_seen_to_fail_when_the_code_is_broken(monkeypatch, fault, rule, more):
+def test_violation_of_each_invariant_is_detected(monkeypatch, fault, invariant, options):
     fault(monkeypatch)
     for seed in range(8900, 8940):
         try:
-            world = flapping(seed, until=230.0, **more)
-            broken = "halted" if world.halted_needed else "lacking" if lacking(world) else ""
+            world = run_flapping(seed, until=230.0, **options)
+            violation = "halted" if world.halted_needed else "unfinished_jobs" if unfinished_jobs(world) else ""
         except Broken as error:
-            broken = str(error)
-        if broken.startswith(rule):
+            violation = str(error)
+        if violation.startswith(invariant):
             return
-    pytest.fail(f"no run showed {rule}")
+    pytest.fail(f"no run violated {invariant}")
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -1,7 +1,7 @@
-"""The store refuses one controller alone, others confirm cancellations, then nobody has the store for long.
+"""Guards the cancellation bound: no task of a job runs later than ``CANCEL_S`` after its cancellation is confirmed.
 
-The argument is in docs/design.md, "Cancelled": within ``CANCEL_S`` of the confirmation nothing of the job is on a
-machine, whoever is cut off, stands still or loses messages. Each of its terms is taken out here, and seen to be missed.
+It must hold while the leader loses the store, then all do, and controllers pause or lose messages; see docs/design.md,
+"Cancelled". The test also disables each condition that the bound rests on.
 """
 
 import msgspec
@@ -19,71 +19,71 @@
 from alderbridge.protocol.wire import Heartbeat, MachineRecord, ReportedTask
 
 REFUSED_AT, REFUSED_S = 60.0, 14.0
-OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # longer than ``CANCEL_S``
-JOBS, STEP_S = 24, 3.2  # half are cancelled just before the outage, the others one after the other
+OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # the outage is longer than ``CANCEL_S``
+JOBS, STEP_S = 24, 3.2  # half are cancelled around the start of the outage, the others every ``STEP_S``
 
 
-class GapNode(SimController):
-    """May have a watch that only hangs, or stand still."""
+class StoreGapController(SimController):
+    """A controller whose watch may hang, and which may be paused."""
 
-    hangs_until = still_until = 0.0
+    watch_hangs_until = paused_until = 0.0
     watching = False
 
-    def call(self, then, fail, method, *args, too_large=None) -> None:
-        world, life = self.world, self.life
+    def call(self, on_response, on_failure, method, *args, too_large=None) -> None:
+        world, incarnation = self.world, self.life
 
-        def awake(what):
-            def deliver(*answer):
-                if life == self.life and world.t < self.still_until:
-                    world.after(self.still_until - world.t, deliver, *answer)
-                elif life == self.life:
-                    what(*answer)
+        def when_resumed(callback):
+            def deliver(*response):
+                if incarnation == self.life and world.t < self.paused_until:
+                    world.after(self.paused_until - world.t, deliver, *response)
+                elif incarnation == self.life:
+                    callback(*response)
 
             return deliver
 
-        then, fail = awake(then), awake(fail)
-        if self.watching and world.t < self.hangs_until:  # it is answered when all is well, with everything
-            world.after(self.hangs_until - world.t, super().call, then, fail, method, *args)
+        on_response, on_failure = when_resumed(on_response), when_resumed(on_failure)
+        if self.watching and world.t < self.watch_hangs_until:  # then the response has all changes
+            world.after(self.watch_hangs_until - world.t, super().call, on_response, on_failure, method, *args)
         else:
-            super().call(then, fail, method, *args, too_large=too_large)
+            super().call(on_response, on_failure, method, *args, too_large=too_large)
 
     def follow(self) -> None:
         self.watching = True
         super().follow()
         self.watching = False
 
-    def loop(self, life, step, pause) -> None:
-        if life == self.life and self.world.t < self.still_until:
-            self.world.after(self.still_until - self.world.t, self.loop, life, step, pause)
+    def loop(self, incarnation, step, interval_s) -> None:
+        if incarnation == self.life and self.world.t < self.paused_until:
+            self.world.after(self.paused_until - self.world.t, self.loop, incarnation, step, interval_s)
         else:
-            super().loop(life, step, pause)
+            super().loop(incarnation, step, interval_s)
 
     def frame(self, data: bytes) -> None:
-        if self.world.t < self.still_until:
-            self.world.after(self.still_until - self.world.t, self.frame, data)
+        if self.world.t < self.paused_until:
+            self.world.after(self.paused_until - self.world.t, self.frame, data)
             return
         frame = msgspec.msgpack.decode(data, type=messages.Frame)
-        if self.world.halts_lost and isinstance(frame.body, messages.StopTask):
+        if self.world.stop_messages_lost and isinstance(frame.body, messages.StopTask):
             data = msgspec.msgpack.encode(msgspec.structs.replace(frame, body=messages.KeepAlive()))
         super().frame(data)
 
     def heartbeat(self, raw: bytes, reply) -> None:
-        if self.world.t < self.still_until:
-            self.world.after(self.still_until - self.world.t, self.heartbeat, raw, reply)
+        if self.world.t < self.paused_until:
+            self.world.after(self.paused_until - self.world.t, self.heartbeat, raw, reply)
             return
 
-        def later(status: int, body: bytes) -> None:  # it may fall still between the decision and the sending
-            self.world.after(max(0.0, self.still_until - self.world.t), reply, status, body)
+        def reply_when_resumed(status: int, body: bytes) -> None:  # it may pause between decision and response
+            self.world.after(max(0.0, self.paused_until - self.world.t), reply, status, body)
 
-        super().heartbeat(raw, later)
+        super().heartbeat(raw, reply_when_resumed)
 
 
-class GapWorld(World):
-    process = GapNode
+class StoreGapWorld(World):
+    process = StoreGapController
 
-    def __init__(self, seed: int, **more) -> None:
-        self.halts_lost = False
-        super().__init__(seed, jobs=0, random_faults=False, nodes=5, **more)
+    def __init__(self, seed: int, **options) -> None:
+        self.stop_messages_lost = False
+        super().__init__(seed, jobs=0, random_faults=False, nodes=5, **options)
         for number in range(JOBS):
             spec = msgspec.structs.replace(
                 self.make_job(number),
@@ -98,59 +98,63 @@
                 spread=False,
             )
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
-            at = 2.0 - 6.0 * self.rng.random() if number % 2 else STEP_S * number
-            self.after(REFUSED_AT + at, self.withdraw, spec.id)
+            cancelled_after_s = 2.0 - 6.0 * self.rng.random() if number % 2 else STEP_S * number
+            self.after(REFUSED_AT + cancelled_after_s, self.withdraw, spec.id)
 
-    def old_leader(self) -> GapNode:
+    def current_leader(self) -> StoreGapController:
         return self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
 
 
-def gap(seed, *, halts_lost=True, alone="refused", still=0.0, outage=OUTAGE_S):
-    """``alone``: what the leader meets before all lose the store; ``still``: for so long it stands still as well."""
-    world = GapWorld(seed)
+def run_store_gap(seed, *, stop_messages_lost=True, leader_fault="refused", pause_s=0.0, outage_s=OUTAGE_S):
+    """``leader_fault``: how the leader loses the store before all do; ``pause_s``: how long it is paused as well."""
+    world = StoreGapWorld(seed)
     world.run(REFUSED_AT)
-    assert len(world.on) > JOBS, "most tasks run by then"
-    sim, world.halts_lost = world.old_leader(), halts_lost
-    if alone == "refused":
+    assert len(world.on) > JOBS, "most tasks are running"
+    sim, world.stop_messages_lost = world.current_leader(), stop_messages_lost
+    if leader_fault == "refused":
         sim.refused_until, sim.follow_hangs = world.t + REFUSED_S, True
     else:
-        sim.hangs_until = world.t + 2 * CANCEL_S
-    if still:
-        at = world.rng.uniform(0.0, 15.0)
-        world.after(at, lambda: setattr(sim, "still_until", world.t + still))
-    if outage:
-        world.after(OUTAGE_AT - REFUSED_AT, world.store.outage, outage)
+        sim.watch_hangs_until = world.t + 2 * CANCEL_S
+    if pause_s:
+        pause_after_s = world.rng.uniform(0.0, 15.0)
+        world.after(pause_after_s, lambda: setattr(sim, "paused_until", world.t + pause_s))
+    if outage_s:
+        world.after(OUTAGE_AT - REFUSED_AT, world.store.outage, outage_s)
     world.run(REFUSED_AT + STEP_S * JOBS + CANCEL_S + 10.0)
-    told = sorted(world.cancelled_at[job] for job in world.said)
-    assert len(told) == JOBS and told[0] < OUTAGE_AT < told[-1]
+    confirmed_at = sorted(world.cancelled_at[job] for job in world.said)
+    assert len(confirmed_at) == JOBS and confirmed_at[0] < OUTAGE_AT < confirmed_at[-1]
     return world
 
 
-@pytest.mark.parametrize("seed, halts_lost, still", [(1, False, 0.0), (2, True, 0.0), (3, True, 9.0), (4, True, 30.0)])
-def test_what_was_confirmed_is_gone_in_time_though_nobody_has_the_store(seed, halts_lost, still):
-    gap(seed, halts_lost=halts_lost, still=still)
+@pytest.mark.parametrize(
+    "seed, stop_messages_lost, pause_s", [(1, False, 0.0), (2, True, 0.0), (3, True, 9.0), (4, True, 30.0)]
+)
+def test_cancelled_tasks_stop_in_time_during_a_store_outage(seed, stop_messages_lost, pause_s):
+    run_store_gap(seed, stop_messages_lost=stop_messages_lost, pause_s=pause_s)
 
 
 @pytest.mark.parametrize("seed", (5, 6))
-def test_a_watch_that_only_hangs_ends_what_its_member_may_do(seed):
-    """Its hold is renewed all the while: freshness alone stops it."""
-    gap(seed, alone="hanging", outage=0.0)
+def test_member_with_a_hanging_watch_stops_acting(seed):
+    """Guards the freshness of the replica, which alone stops a member whose store lease is renewed."""
+    run_store_gap(seed, leader_fault="hanging", outage_s=0.0)
 
 
-def knows_of_no_cancellation(monkeypatch):
+def ignore_cancellations(monkeypatch):
     monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
 
 
-def acts_for_longer_than_cancellations_allow(monkeypatch):
-    """As if ttl and lease together were not kept below ``cancel_s``."""
-    init = Membership.__init__
+def act_longer_than_cancel_s(monkeypatch):
+    """Store lease and worker lease together exceed ``cancel_s``."""
+    original = Membership.__init__
     monkeypatch.setattr(
-        Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: init(self, me, CANCEL_S, None)
+        Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: original(self, me, CANCEL_S, None)
     )
-    monkeypatch.setattr("alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S)  # the world's holds last as long
+    monkeypatch.setattr(
+        "alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S
+    )  # so that the store keeps leases as long
 
 
-def answers_whatever_it_may(monkeypatch):
+def act_without_valid_lease(monkeypatch):
     def may_act(self, now):
         return self.view.members.get(self.me) == self.store_lease.lease_id != 0
 
@@ -158,37 +162,37 @@
 
 
 @pytest.mark.parametrize(
-    "fault, more",
+    "fault, options",
     [
-        (knows_of_no_cancellation, {"outage": 0.0}),
-        (without_freshness, {"alone": "hanging", "outage": 0.0}),
-        (acts_for_longer_than_cancellations_allow, {}),
-        (answers_whatever_it_may, {}),
+        (ignore_cancellations, {"outage_s": 0.0}),
+        (without_freshness, {"leader_fault": "hanging", "outage_s": 0.0}),
+        (act_longer_than_cancel_s, {}),
+        (act_without_valid_lease, {}),
     ],
 )
-def test_each_term_of_the_argument_is_needed(monkeypatch, fault, more):
+def test_disabling_any_condition_violates_the_cancellation_bound(monkeypatch, fault, options):
     fault(monkeypatch)
     with pytest.raises(Broken, match="ran_cancelled"):
-        gap(2, **more)
+        run_store_gap(2, **options)
 
 
-def part_of_a_cancelled_job(cancelled=True):
-    part, sent = part_with_machine()
-    heartbeat(part, 1)
-    part.jobs.cancelled = lambda job: cancelled
-    return part, part.machines["n-1"], sent
+def shard_with_cancelled_job(cancelled=True):
+    shard, sent = part_with_machine()
+    heartbeat(shard, 1)
+    shard.jobs.cancelled = lambda job: cancelled
+    return shard, shard.machines["n-1"], sent
 
 
-def verbs(part, machine):
-    return [(order["verb"], order["part"], order["try"]) for order in part.order_builder.orders(machine)]
+def encoded_orders(shard, machine):
+    return [(order["verb"], order["part"], order["try"]) for order in shard.order_builder.orders(machine)]
 
 
 @pytest.mark.parametrize("cancelled", (True, False))
-def test_who_answers_a_heartbeat_stops_what_it_knows_to_be_cancelled(cancelled):
-    """Without a word of the job's home, which may be cut off from here alone."""
-    part, machine, _ = part_of_a_cancelled_job(cancelled)
+def test_heartbeat_response_halts_tasks_of_cancelled_jobs(cancelled):
+    """Guards against waiting for an order of the job owner, which may be unreachable."""
+    shard, machine, _ = shard_with_cancelled_job(cancelled)
     heartbeat(
-        part,
+        shard,
         2,
         [
             ReportedTask("wk-1/0", 70, "running"),
@@ -197,39 +201,41 @@
         ],
     )
     halts = [("halt", "wk-1/0", 70), ("halt", "wk-1/1", 71)]
-    assert verbs(part, machine) == (halts if cancelled else [])
-    assert all(order["wind_down_s"] == 0.0 for order in part.order_builder.orders(machine))
-    heartbeat(part, 3, [ReportedTask("wk-1/0", 70, "ended", "halted")])
-    assert verbs(part, machine) == []
+    assert encoded_orders(shard, machine) == (halts if cancelled else [])
+    assert all(order["wind_down_s"] == 0.0 for order in shard.order_builder.orders(machine))
+    heartbeat(shard, 3, [ReportedTask("wk-1/0", 70, "ended", "halted")])
+    assert encoded_orders(shard, machine) == []
 
 
-def test_a_heartbeat_of_an_older_fencing_token_is_answered_with_the_end_of_what_is_cancelled():
-    """The answer renews the lease: of views in quick succession each one would keep the task for a report more."""
-    part, machine, sent = part_of_a_cancelled_job()
+def test_heartbeat_with_an_older_fencing_token_halts_cancelled_tasks():
+    """Guards against tasks that outlive ``CANCEL_S`` while views change quickly: each response renews the lease."""
+    shard, machine, sent = shard_with_cancelled_job()
     for fencing_token in range(6, 30):
-        part.enter(
+        shard.enter(
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 2.0 * fencing_token
         )
-        part.leases.settle(2.0 * fencing_token)
-        told = len(sent)
-        shown = [ReportedTask("wk-1/0", 70, "running")]
-        machine = part.heartbeats.on_heartbeat(
-            Heartbeat("n-1", "x", "c4", 1, fencing_token, fencing_token - 1, "a", tasks=shown),
+        shard.leases.settle(2.0 * fencing_token)
+        sent_count = len(sent)
+        reported = [ReportedTask("wk-1/0", 70, "running")]
+        machine = shard.heartbeats.on_heartbeat(
+            Heartbeat("n-1", "x", "c4", 1, fencing_token, fencing_token - 1, "a", tasks=reported),
             2.0 * fencing_token + 1.0,
         )
-        assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
-        assert len(sent) == told and not machine.acknowledged, "and nothing is concluded from it"
-    part.jobs.cancelled = lambda job: False
-    assert verbs(part, machine) == [], "other orders wait for the acknowledgement, a halt of the home's among them"
-
-
-def test_a_grant_is_not_ordered_any_more_once_its_job_is_known_to_be_cancelled():
-    """It may have waited here for the machine's next report while its home was cut off."""
-    part, machine, sent = part_of_a_cancelled_job(False)
-    part.on_task_grant("host-1", TaskGrant(part.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
-    part.jobs.cancelled = lambda job: True
-    assert verbs(part, machine) in ([("halt", "wk-1/0", 70)], [])
-    assert verbs(part, machine) == [("halt", "wk-1/0", 70)]
-    told = len(sent)
-    heartbeat(part, 2)
-    assert not machine.orders.pending and len(sent) > told, "its home hears that it came to nothing"
+        assert encoded_orders(shard, machine) == [("halt", "wk-1/0", 70)]
+        assert len(sent) == sent_count and not machine.acknowledged, "the heartbeat changes nothing else"
+    shard.jobs.cancelled = lambda job: False
+    assert encoded_orders(shard, machine) == [], (
+        "other orders, also a halt from the job owner, wait for the acknowledgement"
+    )
+
+
+def test_granted_task_of_a_cancelled_job_is_not_started():
+    """Guards against starting a task that was granted before the cancellation and waited for the next heartbeat."""
+    shard, machine, sent = shard_with_cancelled_job(False)
+    shard.on_task_grant("host-1", TaskGrant(shard.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
+    shard.jobs.cancelled = lambda job: True
+    assert encoded_orders(shard, machine) in ([("halt", "wk-1/0", 70)], [])
+    assert encoded_orders(shard, machine) == [("halt", "wk-1/0", 70)]
+    sent_count = len(sent)
+    heartbeat(shard, 2)
+    assert not machine.orders.pending and len(sent) > sent_count, "the job owner is notified"
