--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -62,9 +62,8 @@
     def __init__(self, seed, nodes):
         super().__init__(seed, nodes=nodes, jobs=0)
         for number in range(12):
-            spec = self.make_unbound_pair(
-                number
-            )  # drawn here, not when submitted: the seeds below depend on the order of draws
+            # Drawn here and not on submission: the seeds below depend on the order of draws.
+            spec = self.make_unbound_pair(number)
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
 
     def acts(self, label):
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -1,7 +1,7 @@
 """Guards the cancellation bound: no task of a job runs later than ``CANCEL_S`` after its cancellation is confirmed.
 
 It must hold while the leader loses the store, then all do, and controllers pause or lose messages; see docs/design.md,
-"Cancelled". The test also disables each condition that the bound rests on.
+"Cancelled". The tests also disable each condition that the bound rests on.
 """
 
 import msgspec
@@ -20,7 +20,7 @@
 
 REFUSED_AT, REFUSED_S = 60.0, 14.0
 OUTAGE_AT, OUTAGE_S = 62.0, 58.0  # the outage is longer than ``CANCEL_S``
-JOBS, STEP_S = 24, 3.2  # half are cancelled around the start of the outage, the others every ``STEP_S``
+JOBS, STEP_S = 24, 3.2  # half are cancelled within 6 s before the outage, the others every ``STEP_S``
 
 
 class StoreGapController(SimController):
@@ -149,9 +149,8 @@
     monkeypatch.setattr(
         Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: original(self, me, CANCEL_S, None)
     )
-    monkeypatch.setattr(
-        "alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S
-    )  # so that the store keeps leases as long
+    # The simulated store keeps leases for as long.
+    monkeypatch.setattr("alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S)
 
 
 def act_without_valid_lease(monkeypatch):
