--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The architecture page speaks of what is there: its files, classes and methods are looked up in the sources."""
+"""The files, classes, methods and store keys that the architecture page names exist in the sources."""
 
 import ast
 import re
@@ -18,15 +18,15 @@
 
 
 def members_by_class() -> dict[str, set[str]]:
-    """Each class of the service, with its methods, fields and attributes; of equal names all."""
-    found: dict[str, set[str]] = {}
+    """The methods of each class of the service; classes of the same name are merged."""
+    members_of: dict[str, set[str]] = {}
     for path in (ROOT / "alderbridge").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
             if isinstance(node, ast.ClassDef):
-                members = found.setdefault(node.name, set())
+                members = members_of.setdefault(node.name, set())
                 members.update(inner.name for inner in ast.walk(node) if isinstance(inner, ast.FunctionDef))
                 members.update(inner.name for inner in ast.walk(node) if isinstance(inner, ast.AsyncFunctionDef))
-    return found
+    return members_of
 
 
 CLASSES = members_by_class()
@@ -39,16 +39,16 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_each_class_and_method_that_the_page_names_exists(name):
-    kind, _, member = name.partition(".")
-    assert kind in CLASSES, kind
-    assert not member or member in CLASSES[kind], name
+    class_name, _, member = name.partition(".")
+    assert class_name in CLASSES, class_name
+    assert not member or member in CLASSES[class_name], name
 
 
 @pytest.mark.parametrize("key", KEYS)
-def test_each_key_of_the_store_that_the_page_names_is_one(key):
+def test_each_store_key_that_the_page_names_exists(key):
     known = {value for name, value in vars(keys).items() if name.isupper() and isinstance(value, str)}
     assert any(key == prefix or (prefix.endswith("/") and key.startswith(prefix)) for prefix in known - {ROOT_KEY})
 
 
-def test_the_page_names_something():
+def test_page_names_files_and_classes():
     assert len(PATHS) > 10 and len(NAMES) > 20
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -1,4 +1,4 @@
-"""Two or three faults that overlap: seeded random runs, and that each guard they lean on is seen to fail."""
+"""Concurrent faults in seeded random runs; each guard and each invariant of these runs is shown to detect failures."""
 
 import math
 
@@ -24,7 +24,7 @@
 
 
 def run_concurrent_faults(seed, nodes, times=2, jobs=18, **more):
-    """Until everything is over, and users who were told nothing since would say so."""
+    """Plays until all faults are over and all invariants with a time limit have been checked."""
     world = World(seed, nodes=nodes, random_faults=False, concurrent_faults=times, jobs=jobs, **more)
     world.run(230.0)
     world.judged()
@@ -32,27 +32,27 @@
 
 
 @pytest.mark.parametrize("nodes, seed", [*((5, 12000 + n) for n in (0, 2, 4, 6)), *((3, 12000 + n) for n in range(6))])
-def test_rules_hold_when_faults_coincide(nodes, seed):
+def test_invariants_hold_under_concurrent_faults(nodes, seed):
     world = run_concurrent_faults(seed, nodes)
     assert world.starts > 0 and not world.late_largest()
 
 
-def test_the_runs_bring_the_concurrent_faults_about():
-    """Users are told of cancellations while tasks run, and these end far apart across changes of leader."""
+def test_runs_contain_cancellations_and_view_changes():
+    """Guards against runs without confirmed cancellations and without view changes."""
     worlds = [run_concurrent_faults(seed, 5) for seed in (12000, 12002)]
-    assert sum(sum(at < math.inf for at in world.cancelled_at.values()) for world in worlds) > 6
+    assert sum(sum(cancelled_at < math.inf for cancelled_at in world.cancelled_at.values()) for world in worlds) > 6
     assert all(world.store.data[VIEW][1] > 1 for world in worlds)
 
 
-def calm(seed=1, jobs=0, until=5.0, **more):
-    """A world whose users ask by the program's way and judge, without faults of its own."""
+def calm_world(seed=1, jobs=0, until=5.0, **more):
+    """A world without random faults; users query through handlers, and waits and unanswered jobs are checked."""
     world = World(seed, random_faults=False, jobs=jobs, **more)
     world.has_concurrent_faults = True
     world.run(until)
     return world
 
 
-def sent(world, number=1, **more):
+def submit_job(world, number=1, **more):
     spec = msgspec.structs.replace(
         world.make_job(number),
         kind="sweep",
@@ -71,8 +71,8 @@
 
 
 @pytest.mark.parametrize("kind", ["mute", "quick_boots", "limits", "zone_away", "reports_kept", "ten_leaders"])
-def test_a_fault_does_what_it_says(kind):
-    world = calm(5, jobs=14, until=50.0, nodes=5)
+def test_each_fault_has_its_intended_effect(kind):
+    world = calm_world(5, jobs=14, until=50.0, nodes=5)
     sim, before, fencing_token = world.nodes["host-1"], dict(world.kinds), world.store.data[VIEW][1]
     worker = next(worker for worker in world.machines.values() if worker is not None and worker.alive)
     incarnation = worker.incarnation
@@ -82,13 +82,13 @@
         world.run(60.0)
         assert worker.fencing_token > fencing_token and worker.incarnation == incarnation, "a command reaches it"
         world.run(75.0)
-        assert worker.incarnation > incarnation, "its lease runs out"
+        assert worker.incarnation > incarnation, "its lease expires"
         return
     world.bring(kind, sim, 40.0)
     if kind == "quick_boots":
         for number in range(4):
-            sent(world, 50 + number, estimate_s=30.0)
-            sent(world, 60 + number, estimate_s=30.0)
+            submit_job(world, 50 + number, estimate_s=30.0)
+            submit_job(world, 60 + number, estimate_s=30.0)
         world.run(53.0)
         assert sim.world.quick_until > world.t
         world.rent(world.kinds[min(before)][0], 1)
@@ -100,18 +100,20 @@
             world.run(world.t + 1.0)
             used.append(
                 sum(
-                    world.specs[wire.split_task_id(part)[0]].cpus
-                    for part in world.on
-                    if world.specs[wire.split_task_id(part)[0]].team == "bound"
+                    world.specs[wire.split_task_id(task_id)[0]].cpus
+                    for task_id in world.on
+                    if world.specs[wire.split_task_id(task_id)[0]].team == "bound"
                 )
             )
         assert max(used) == 16.0
     elif kind == "zone_away":
         zone, inside, until = world.zone_away
         world.run(world.t + 30.0)
-        held = {worker.core for worker in world.machines.values() if worker is not None and worker.kind.zone != zone}
+        reporting_to = {
+            worker.core for worker in world.machines.values() if worker is not None and worker.kind.zone != zone
+        }
         assert zone in ZONES and inside == sim.label and until == 90.0 and not sim.core.may_act()
-        assert sim.label not in held
+        assert sim.label not in reporting_to
     elif kind == "reports_kept":
         world.kept_share = 1.0
         world.run(52.0)
@@ -124,11 +126,11 @@
         assert len(world.leaders) >= 7
 
 
-def test_users_read_closely_and_send_what_can_not_run():
-    world = calm(2)
+def test_users_query_in_bursts_and_submit_invalid_jobs():
+    world = calm_world(2)
     world.looks_until = 60.0
     for number in range(6):
-        job = sent(world, number, estimate_s=3.0)
+        job = submit_job(world, number, estimate_s=3.0)
         if number % 2:
             world.after(4.0, world.withdraw_accepted, job)
     for number in range(60):
@@ -138,19 +140,16 @@
     assert sorted(world.said.values()).count("aborted") >= 2
 
 
-# -- each guard is seen to fail ----------------------------------------------------------
-
-
-def acts_past_its_hold(monkeypatch):
-    """A member takes its hold, its replica and its contact for good much longer than they are."""
-    renewed, followed = StoreLease.record_renewal, Membership.record_sync
+def act_past_store_lease(monkeypatch):
+    """Extends a member's store lease, replica freshness and contact far beyond their validity."""
+    renewed, recorded_sync = StoreLease.record_renewal, Membership.record_sync
 
     def longer(self, *args):
         renewed(self, *args)
         self.valid_until += 60.0
 
     def fresh(self, sent_at):
-        followed(self, sent_at)
+        recorded_sync(self, sent_at)
         self.fresh_until += 60.0
 
     monkeypatch.setattr(StoreLease, "record_renewal", longer)
@@ -160,7 +159,7 @@
     )
 
 
-def copies_taken_for_new(monkeypatch):
+def accept_duplicate_heartbeats(monkeypatch):
     real = HeartbeatHandler.on_heartbeat
 
     def on_heartbeat(self, heartbeat, now):
@@ -171,8 +170,8 @@
     monkeypatch.setattr(HeartbeatHandler, "on_heartbeat", on_heartbeat)
 
 
-def told_before_stored(monkeypatch):
-    """``withdraw`` is answered at once, though the write may be refused, or lost."""
+def confirm_cancellation_before_write(monkeypatch):
+    """Confirms a cancellation at once, though its write may be refused or lost."""
     real = LocalJobs.cancel
     monkeypatch.setattr(
         LocalJobs,
@@ -183,8 +182,8 @@
     )
 
 
-def stamps_not_asserted(monkeypatch):
-    """A write carried out late, after newer ones of the same controller, takes their place."""
+def drop_revision_conditions(monkeypatch):
+    """Lets a late write replace newer writes of the same controller."""
     real = RecordWriter.next_batch
 
     def next_batch(self, now):
@@ -196,8 +195,8 @@
     monkeypatch.setattr(RecordWriter, "next_batch", next_batch)
 
 
-def denies_what_is_on_its_way(monkeypatch):
-    """A home answers from memory while the write of an end has no answer."""
+def report_pending_while_end_is_unconfirmed(monkeypatch):
+    """Lets the job owner report a job as pending while the write of its end is unconfirmed."""
     real = LocalJobs.local_job_state
 
     def local_job_state(self, job, now):
@@ -212,54 +211,47 @@
     monkeypatch.setattr(LocalJobs, "local_job_state", local_job_state)
 
 
-def test_monotonic_reads_see_an_older_state_told_while_an_end_has_no_answer(monkeypatch):
-    """Carried out at once, only the answer lost: the others tell the end, and its home must not deny it."""
+def test_older_state_reported_while_an_end_is_unconfirmed_is_detected(monkeypatch):
+    """After a write whose response was lost, other members report the end and the owner must not contradict them."""
 
     def play():
         for seed in range(4):
-            world = calm(seed, until=10.0)
+            world = calm_world(seed, until=10.0)
             world.looks_until = 60.0
             for number in range(8):
-                sent(world, number, estimate_s=6.0)
+                submit_job(world, number, estimate_s=6.0)
             world.run(30.0)
             world.store.lost_share, world.store.lost_until = 0.7, 50.0
             for number in range(8):
-                sent(world, 10 + number, estimate_s=6.0)
+                submit_job(world, 10 + number, estimate_s=6.0)
             world.run(70.0)
             assert world.said and world.looks > 20
 
     play()
-    denies_what_is_on_its_way(monkeypatch)
+    report_pending_while_end_is_unconfirmed(monkeypatch)
     with pytest.raises(Broken, match="went_back"):
         play()
 
 
-# -- what is judged besides the rules is seen to fail ------------------------------------
-
-
-def test_who_waits_beside_room_is_seen(monkeypatch):
-    world = calm(until=30.0)
-    sent(world, 1, estimate_s=1000.0)
+def test_wait_beside_free_capacity_is_detected(monkeypatch):
+    world = calm_world(until=30.0)
+    submit_job(world, 1, estimate_s=1000.0)
     world.run(60.0)
     real = placement.fill
     monkeypatch.setattr(placement, "fill", lambda *args: [want for want in real(*args) if want.job != late])
-    late = sent(world, 2)
+    late = submit_job(world, 2)
     with pytest.raises(Broken, match=f"waited: {late}"):
         world.run(60.0 + ROOM_S + 20.0)
     assert world.t > 60.0 + ROOM_S
 
 
-def test_a_team_does_not_stand_still_for_a_job_that_no_machine_can_be_had_for():
-    """Found by the random concurrent faults (a team waited 90 s beside room, with nothing of it on a machine).
-
-    The cause: the whole of a team's limit went, as its allowance, to the home of the job that came first. No machine
-    that fits it was there, and the cloud had none; so nobody used the allowance, and nobody else was given any.
-    """
-    world = calm(2)
+def test_team_is_not_blocked_by_a_job_without_a_suitable_machine():
+    """Guards against a team's whole quota going to the shard of a job that fits no available machine."""
+    world = calm_world(2)
     rent = world.rent
     world.rent = lambda kind, count: [] if kind.type == "large" else rent(kind, count)
     for number in range(10):
-        sent(world, number, estimate_s=1000.0)
+        submit_job(world, number, estimate_s=1000.0)
     world.run(40.0)
     spec = msgspec.structs.replace(
         world.make_job(20),
@@ -287,26 +279,26 @@
     assert world.longest_wait < 45.0 and all(one.id in world.began for one in other)
 
 
-@pytest.mark.parametrize("why", ["no room", "at its limit", "not for it", "cut off", "cancelled"])
-def test_who_waits_beside_no_room_that_fits_is_not(monkeypatch, why):
-    world = calm(until=30.0)
-    sent(world, 1, estimate_s=1000.0)
+@pytest.mark.parametrize("why", ["no capacity", "at its limit", "other zone", "inbound blocked", "cancelled"])
+def test_wait_without_usable_free_capacity_is_not_reported(monkeypatch, why):
+    world = calm_world(until=30.0)
+    submit_job(world, 1, estimate_s=1000.0)
     world.run(60.0)
     assert world.on
     real = placement.fill
     monkeypatch.setattr(placement, "fill", lambda *args: [want for want in real(*args) if want.job != late])
-    spec = msgspec.structs.replace(world.specs[sent(world, 2)])
+    spec = msgspec.structs.replace(world.specs[submit_job(world, 2)])
     late = spec.id
     world.run(62.0)
     zones = {worker.kind.zone for worker in world.machines.values() if worker is not None}
     monkeypatch.setattr(Leader, "decide", lambda self, now: type(real_decide(self, now))())
-    if why == "no room":
+    if why == "no capacity":
         world.specs[late] = msgspec.structs.replace(spec, memory_gb=100.0)
     elif why == "at its limit":
         world.specs[late] = msgspec.structs.replace(spec, team="bound", cpus=17.0)
-    elif why == "not for it":
+    elif why == "other zone":
         world.specs[late] = msgspec.structs.replace(spec, zone=next(iter({*ZONES, "c"} - zones)))
-    elif why == "cut off":
+    elif why == "inbound blocked":
         for worker in world.machines.values():
             if worker is not None:
                 worker.deaf_until = 1000.0
@@ -319,37 +311,37 @@
 real_decide = Leader.decide
 
 
-def test_the_largest_that_do_not_begin_in_time_are_seen(monkeypatch):
-    monkeypatch.setattr(Leader, "decide", lambda self, now: type(real_decide(self, now))())  # nothing is rented
-    world = calm()
-    job = sent(world)
+def test_largest_jobs_that_start_late_are_detected(monkeypatch):
+    monkeypatch.setattr(Leader, "decide", lambda self, now: type(real_decide(self, now))())  # never scales out
+    world = calm_world()
+    job = submit_job(world)
     with pytest.raises(Broken, match=f"late: .*{job}"):
         world.judged()
 
 
-def test_a_job_of_which_nothing_is_told_is_seen(monkeypatch):
-    """Nobody is sure of a job that waits for another, not even who may be."""
-    world = calm(2)  # its user does not call it off
-    first = sent(world, 1, estimate_s=1000.0)
+def test_unanswered_job_is_detected(monkeypatch):
+    """No member answers for a blocked job, not even its owner."""
+    world = calm_world(2)  # with this seed its user does not cancel it
+    first = submit_job(world, 1, estimate_s=1000.0)
     world.run(10.0)
-    after = sent(world, 2, needs=[first])
+    dependent = submit_job(world, 2, needs=[first])
     world.run(20.0)
-    assert after in world.accepted
+    assert dependent in world.accepted
     world.run(60.0)
     real = LocalJobs.local_job_state
     monkeypatch.setattr(
-        LocalJobs, "local_job_state", lambda self, job, now: None if job == after else real(self, job, now)
+        LocalJobs, "local_job_state", lambda self, job, now: None if job == dependent else real(self, job, now)
     )
     monkeypatch.setattr(LocalJobs, "is_certainly_pending", lambda self, job, now: False)
-    with pytest.raises(Broken, match=f"unanswered: {after}"):
+    with pytest.raises(Broken, match=f"unanswered: {dependent}"):
         world.run(60.0 + KNOWN_S + 20.0)
     assert world.t > 60.0 + KNOWN_S - 6.0
 
 
-def cancelled_on_a_hanging_machine():
-    """It hangs while it fetches, its job is cancelled meanwhile, and within its lease it goes on."""
-    world = calm(until=20.0)
-    job = sent(world, estimate_s=1000.0)
+def cancel_on_hanging_machine():
+    """Cancels a job while its machine hangs in the fetch and resumes within its lease."""
+    world = calm_world(until=20.0)
+    job = submit_job(world, estimate_s=1000.0)
     while not (found := [worker for worker in world.machines.values() if worker is not None and worker.tasks]):
         world.run(world.t + 0.05)
     found[0].hangs_until = world.t + 9.0
@@ -357,24 +349,24 @@
     return world, job
 
 
-def test_a_start_after_a_confirmed_cancellation_is_counted(monkeypatch):
-    world, job = cancelled_on_a_hanging_machine()
+def test_start_after_confirmed_cancellation_is_recorded(monkeypatch):
+    world, job = cancel_on_hanging_machine()
     world.run(world.t + 60.0)
-    assert world.said[job] == "aborted" and not world.on, "the machine went on, and was halted then"
-    assert [part for part, by in world.starts_after if 0.0 < by < 42.0] == [f"{job}/0"]
-    never_stopped(monkeypatch)
+    assert world.said[job] == "aborted" and not world.on, "the machine resumed and its task was then stopped"
+    assert [task_id for task_id, after_s in world.starts_after if 0.0 < after_s < 42.0] == [f"{job}/0"]
+    never_stop_tasks(monkeypatch)
     monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
     monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
-    world, job = cancelled_on_a_hanging_machine()
+    world, job = cancel_on_hanging_machine()
     with pytest.raises(Broken, match="ran_cancelled"):
         world.run(world.t + 60.0)
 
 
-def takes_what_can_not_run(monkeypatch):
+def accept_unrunnable_jobs(monkeypatch):
     monkeypatch.setattr(admission, "rejection_reason", lambda spec, teams, machine_types: "")
 
 
-def takes_what_lacks_a_field(monkeypatch):
+def accept_jobs_with_missing_fields(monkeypatch):
     def parse_job(body):
         fields = {
             "workload": "x",
@@ -396,33 +388,33 @@
     monkeypatch.setattr(wire, "parse_job", parse_job)
 
 
-@pytest.mark.parametrize("fault", [takes_what_can_not_run, takes_what_lacks_a_field])
-def test_a_job_that_can_not_run_or_lacks_a_field_is_seen_when_it_is_accepted(monkeypatch, fault):
+@pytest.mark.parametrize("fault", [accept_unrunnable_jobs, accept_jobs_with_missing_fields])
+def test_acceptance_of_an_invalid_job_is_detected(monkeypatch, fault):
     fault(monkeypatch)
-    world = calm()
+    world = calm_world()
     for number in range(100):
         world.after(0.3 * number, world.odd_request)
     with pytest.raises(Broken, match="took_flawed"):
         world.run(40.0)
 
 
-def never_stopped(monkeypatch):
+def never_stop_tasks(monkeypatch):
     monkeypatch.setattr(RecordWrites, "stop_all", lambda self, job: None)
-    # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
+    # The machine shard also stops cancelled tasks without an order from the job owner, so disable that too.
     monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
 
 
 @pytest.mark.parametrize(
     "fault, rules",
     [
-        (acts_past_its_hold, ("ran_twice", "ran_cancelled", "went_back")),
-        (copies_taken_for_new, ("ran_twice", "quota")),
-        (told_before_stored, ("went_back",)),
-        (stamps_not_asserted, ("ran_twice", "ran_cancelled", "not_done")),
-        (never_stopped, ("ran_cancelled",)),
+        (act_past_store_lease, ("ran_twice", "ran_cancelled", "went_back")),
+        (accept_duplicate_heartbeats, ("ran_twice", "quota")),
+        (confirm_cancellation_before_write, ("went_back",)),
+        (drop_revision_conditions, ("ran_twice", "ran_cancelled", "not_done")),
+        (never_stop_tasks, ("ran_cancelled",)),
     ],
 )
-def test_each_guard_is_seen_to_fail_when_it_is_broken(monkeypatch, fault, rules):
+def test_each_guard_is_detected_when_broken(monkeypatch, fault, rules):
     fault(monkeypatch)
     for seed in range(20000, 20040):
         try:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""tools/known_red.py: a listed test has to exist and to fail, and no other is passed over with it."""
+"""tools/known_red.py: each listed test must exist and fail, and no other test is deselected with it."""
 
 import os
 import subprocess
@@ -14,7 +14,7 @@
 def test_red():
     assert False, "the fault"
 
-def test_red_beside():  # begins as the other does
+def test_red_beside():  # its name starts with that of the listed test
     open("beside", "w").close()
 
 @pytest.mark.parametrize("n", (1, 2))
@@ -23,75 +23,75 @@
 """
 RED = "test_a.py::test_red | pytest test_a.py, seed 5 | a real fault | #12\n"
 EACH = "test_a.py::test_each[2] | pytest test_a.py | another | #13\n"
-EXPECTED = "expected: test id | command and seed | what was seen | #issue"
-BOTH = f"# why these may land\n\n{RED}{EACH}"
+FORMAT_ERROR = "expected: test id | command and seed | what was seen | #issue"
+RED_AND_EACH = f"# why these may land\n\n{RED}{EACH}"
 
 
-def reconcile(folder, known, suite=SUITE, workers=0):
+def run_tool(folder, listed, suite=SUITE, workers=0):
     (folder / "test_a.py").write_text(suite)
     (folder / "pytest.ini").write_text(f"[pytest]\naddopts = -n {workers} -p no:cacheprovider\n")
-    if known is not None:
-        (folder / "KNOWN-RED.txt").write_text(known)
-    # Nothing of the run that this is part of: its workers' settings are in the environment.
-    clean = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST")}
+    if listed is not None:
+        (folder / "KNOWN-RED.txt").write_text(listed)
+    # The environment holds pytest settings of the run that this test belongs to.
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST")}
     return subprocess.run(
-        [sys.executable, str(TOOL), str(folder)], text=True, capture_output=True, check=False, env=clean
+        [sys.executable, str(TOOL), str(folder)], text=True, capture_output=True, check=False, env=environment
     )
 
 
-def test_listed_tests_that_fail_are_told_and_just_these_passed_over(tmp_path):
-    done = reconcile(tmp_path, BOTH, workers=1)  # as the suite runs, in processes of its own
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "known red: test_a.py::test_red: a real fault (#12)" in done.stdout and "another (#13)" in done.stdout
-    assert "2 passed" in done.stdout and (tmp_path / "beside").exists()
+def test_failing_listed_tests_are_printed_and_only_these_deselected(tmp_path):
+    result = run_tool(tmp_path, RED_AND_EACH, workers=1)  # in a worker process, as the suite runs
+    assert result.returncode == 0, result.stdout + result.stderr
+    assert "known red: test_a.py::test_red: a real fault (#12)" in result.stdout and "another (#13)" in result.stdout
+    assert "2 passed" in result.stdout and (tmp_path / "beside").exists()
 
 
 def test_any_number_of_tests_may_be_listed(tmp_path):
     suite = "import pytest\n\n@pytest.mark.parametrize('n', range(5))\ndef test_n(n):\n    assert n > 3\n"
-    known = "".join(f"test_a.py::test_n[{n}] | pytest, seed {n} | fault {n} | #7\n" for n in range(4))
-    done = reconcile(tmp_path, known, suite)
-    assert done.returncode == 0, done.stdout + done.stderr
+    listed = "".join(f"test_a.py::test_n[{n}] | pytest, seed {n} | fault {n} | #7\n" for n in range(4))
+    result = run_tool(tmp_path, listed, suite)
+    assert result.returncode == 0, result.stdout + result.stderr
     for n in range(4):
-        assert f"known red: test_a.py::test_n[{n}]: fault {n} (#7); pytest, seed {n}" in done.stdout
+        assert f"known red: test_a.py::test_n[{n}]: fault {n} (#7); pytest, seed {n}" in result.stdout
 
 
 def test_a_listed_test_that_does_not_run_fails(tmp_path):
     suite = "import os\n\ndef test_red():\n    os._exit(3)\n\ndef test_green():\n    pass\n"
-    done = reconcile(tmp_path, RED, suite)
-    assert done.returncode == 1 and "did not run" in done.stderr, done.stdout + done.stderr
+    result = run_tool(tmp_path, RED, suite)
+    assert result.returncode == 1 and "did not run" in result.stderr, result.stdout + result.stderr
 
 
-def test_a_list_that_is_not_text_fails_with_one_line(tmp_path):
+def test_list_that_is_not_utf8_fails_with_one_line(tmp_path):
     (tmp_path / "KNOWN-RED.txt").write_bytes(b"\xff\n")
-    done = reconcile(tmp_path, None)
-    assert done.returncode == 1 and done.stderr.splitlines() == ["KNOWN-RED.txt: not UTF-8 at byte 0"]
+    result = run_tool(tmp_path, None)
+    assert result.returncode == 1 and result.stderr.splitlines() == ["KNOWN-RED.txt: not UTF-8 at byte 0"]
 
 
-@pytest.mark.parametrize("known", (None, "", "# none\n\n"))
-def test_with_none_listed_all_tests_run(tmp_path, known):
-    assert reconcile(tmp_path, known).returncode == 1
-    assert reconcile(tmp_path, known, "def test_green():\n    pass\n").returncode == 0
+@pytest.mark.parametrize("listed", (None, "", "# none\n\n"))
+def test_all_tests_run_when_none_is_listed(tmp_path, listed):
+    assert run_tool(tmp_path, listed).returncode == 1
+    assert run_tool(tmp_path, listed, "def test_green():\n    pass\n").returncode == 0
 
 
 @pytest.mark.parametrize(
-    "known, why",
+    "listed, error",
     [
-        (RED, "the suite fails"),  # one that is not listed
-        (BOTH.replace("red ", "gone "), "does not name one test"),
-        (BOTH.replace("test_a", "test_b"), "does not name one test"),
-        (BOTH.replace("[2]", ""), "does not name one test"),  # it names two
-        (BOTH + "test_a.py::test_red_beside | pytest | nothing | #14\n", "passes"),
-        (BOTH + RED, "listed twice"),
-        (BOTH + "test_a.py::test_red_beside\n", EXPECTED),
-        (BOTH + "test_a.py::test_red_beside | pytest | | #14\n", EXPECTED),
-        (BOTH + "test_a.py::test_red_beside | | nothing | #14\n", EXPECTED),
-        (BOTH + "test_a.py::test_red_beside | pytest | nothing | \n", EXPECTED),
-        (BOTH + "test_a.py::test_red_beside | nothing | #14\n", EXPECTED),  # as entries were before
-        (BOTH + "test_a.py::test_red_beside | pytest | nothing | #14 | more\n", EXPECTED),
-        (BOTH + "test_a.py::test_red_beside | pytest | nothing | later\n", EXPECTED),
-        (BOTH + "test_a.py | pytest | all of it | #14\n", EXPECTED),
+        (RED, "the suite fails"),  # test_each[2] also fails and is not listed
+        (RED_AND_EACH.replace("red ", "gone "), "does not name one test"),
+        (RED_AND_EACH.replace("test_a", "test_b"), "does not name one test"),
+        (RED_AND_EACH.replace("[2]", ""), "does not name one test"),  # names two tests
+        (RED_AND_EACH + "test_a.py::test_red_beside | pytest | nothing | #14\n", "passes"),
+        (RED_AND_EACH + RED, "listed twice"),
+        (RED_AND_EACH + "test_a.py::test_red_beside\n", FORMAT_ERROR),
+        (RED_AND_EACH + "test_a.py::test_red_beside | pytest | | #14\n", FORMAT_ERROR),
+        (RED_AND_EACH + "test_a.py::test_red_beside | | nothing | #14\n", FORMAT_ERROR),
+        (RED_AND_EACH + "test_a.py::test_red_beside | pytest | nothing | \n", FORMAT_ERROR),
+        (RED_AND_EACH + "test_a.py::test_red_beside | nothing | #14\n", FORMAT_ERROR),  # without a command
+        (RED_AND_EACH + "test_a.py::test_red_beside | pytest | nothing | #14 | more\n", FORMAT_ERROR),
+        (RED_AND_EACH + "test_a.py::test_red_beside | pytest | nothing | later\n", FORMAT_ERROR),
+        (RED_AND_EACH + "test_a.py | pytest | all of it | #14\n", FORMAT_ERROR),
     ],
 )
-def test_a_list_that_is_none_fails(tmp_path, known, why):
-    done = reconcile(tmp_path, known)
-    assert done.returncode == 1 and why in done.stderr, done.stdout + done.stderr
+def test_invalid_list_fails(tmp_path, listed, error):
+    result = run_tool(tmp_path, listed)
+    assert result.returncode == 1 and error in result.stderr, result.stdout + result.stderr
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""What passes between the version in production and this one: bytes, both ways."""
+"""Encoded records and messages are readable in both directions between version 0.1.0 and this version."""
 
 import msgspec
 import production
@@ -43,7 +43,7 @@
             old.mark,
             old.done,
         )
-        assert msgspec.json.encode(new) == raw  # and written again as they were
+        assert msgspec.json.encode(new) == raw  # unchanged when written again
         assert (new.spec is None) == (old.spec is None)
     assert msgspec.json.decode(production.VIEW, type=View).members == {"host-0": 3, "host-1": 7}
     assert msgspec.json.decode(production.PRESENCE, type=MemberRecord) == MemberRecord(7, 1)
@@ -52,6 +52,7 @@
         frame = msgspec.msgpack.decode(raw, type=messages.Frame)
         tags.add(frame.body.__struct_config__.tag)
         assert frame.version == "0.1.0" and frame.sender == "host-1"
+    # not sent while an older version is a member
     new = {
         "Show",
         "Tasks",
@@ -60,7 +61,7 @@
         "TeamChanges",
         "Status",
         "AllotChanges",
-    }  # which no controller sends while an older one takes part
+    }
     assert tags == {kind.__struct_config__.tag for kind in messages.Body.__args__} - new
 
 
@@ -89,8 +90,8 @@
     assert len(seen.body.rows) == 2 and seen.body.rows[1].guaranteed is False and seen.body.allots == 1
 
 
-def test_no_new_key_is_taken_for_one_that_the_old_version_reads():
-    """It takes what begins with its own prefixes for a job, a machine or a member, and passes over the rest."""
+def test_no_new_key_has_a_prefix_that_the_old_version_reads():
+    """The old version decodes each key with one of its prefixes as a job, machine or member and ignores others."""
     for key in (
         f"{LISTS}wk-000002/abc/0",
         f"{DECLARED}hours",
@@ -102,20 +103,20 @@
         assert not any(key.startswith(prefix) for prefix in ("ab/j/", "ab/n/", "ab/m/", "ab/view", "ab/types"))
 
 
-@pytest.mark.parametrize("protocols, kept", [({}, True), ({"host-1": 1}, False), ({"host-2": 1}, False)])
-def test_dependencies_are_taken_only_where_no_old_version_could_inherit_them(protocols, kept):
-    """It would lose what a job waits for; host-2 is about to take part."""
+@pytest.mark.parametrize("protocols, accepted", [({}, True), ({"host-1": 1}, False), ({"host-2": 1}, False)])
+def test_dependencies_are_accepted_only_if_no_old_version_can_inherit_them(protocols, accepted):
+    """An old version would drop a job's dependencies; host-2 is registered but not yet in the view."""
     membership = Membership("host-0", 12.0)
     membership.observe_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     for lease_id, label in enumerate(("host-0", "host-1", "host-2"), 1):
         membership.observe_member(
             label, MemberRecord(lease_id, protocols.get(label, constants.VERSION_WITH_DEPENDENCIES)), lease_id
         )
-    assert membership.all_support(constants.VERSION_WITH_DEPENDENCIES) is kept
+    assert membership.all_support(constants.VERSION_WITH_DEPENDENCIES) is accepted
 
 
-def test_a_lost_moment_of_readiness_costs_only_time():
-    """An old version ends a needed job: the record does not say when, so the times count from the submission."""
+def test_job_with_unknown_dependency_end_time_is_ready_since_its_submission():
+    """The old version's record of a finished dependency has no end time, so the job is ready since its submission."""
     graph = Graph(lambda spec: 1.0)
     replica = Replica(Membership("host-0", 12.0), graph)
     record = Record(JobState.ACTIVE, "host-0", 50.0, 2, [], SPEC)
@@ -125,7 +126,7 @@
     assert not graph.waiting(SPEC.id) and graph.ready_at(SPEC.id) == 50.0
 
 
-def test_the_tighter_limits_hold_from_the_start():
+def test_effective_state_limits_are_the_tighter_ones():
     state = StateLimits(100.0, 20.0, 4.0, 12, NextStateLimits(value_kb=2.0, txn_ops=40))
     assert state.effective == StateLimits(100.0, 20.0, 2.0, 12)
     assert StateLimits(100.0, 20.0, 4.0, 12).effective == StateLimits(100.0, 20.0, 4.0, 12)
@@ -138,7 +139,7 @@
         (b'{"error":"no such lease"}', LeaseExpiredError),
     ],
 )
-def test_a_value_that_is_too_large_is_not_a_lost_store_lease(text, error):
+def test_too_large_value_is_not_an_expired_store_lease(text, error):
     store = Store("127.0.0.1:1")
 
     async def call(*args):
@@ -149,8 +150,8 @@
         store.commit({}, {"ab/x": 1}).send(None)
 
 
-def test_nobody_acts_longer_than_an_older_member_believes():
-    """It takes a view for settled after 12 s: who acted for 20 s would renew leases that it holds for lapsed."""
+def test_members_act_no_longer_than_the_ttl_of_an_older_member():
+    """An older member treats a view as settled after 12 s; acting longer would renew leases that it deems expired."""
     membership = Membership("host-0", 20.0, 12.0)
     membership.store_lease.record_renewal(1, 0.0)
     membership.record_sync(0.0)
@@ -158,7 +159,7 @@
         membership.observe_member(label, MemberRecord(lease_id, protocol_version), lease_id)
     membership.observe_view(View("host-0", {"host-0": 1, "host-1": 2}), 5)
     assert membership.may_act(11.0) and not membership.may_act(12.0)
-    membership.observe_member("host-1", MemberRecord(3, constants.PROTOCOL_VERSION), 6)  # it is back as the newer one
-    assert not membership.may_act(12.0), "the view still names the older one"
+    membership.observe_member("host-1", MemberRecord(3, constants.PROTOCOL_VERSION), 6)  # upgraded
+    assert not membership.may_act(12.0), "the view still names the older process"
     membership.observe_view(View("host-0", {"host-0": 1, "host-1": 3}), 7)
     assert membership.may_act(19.0) and not membership.may_act(20.0)
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -1,7 +1,7 @@
-"""Concurrent faults during an upgrade: two versions side by side, and faults that overlap.
+"""Concurrent faults during an upgrade, while members run two versions.
 
-The old one is this one with all that passes its boundary seen as that version sees it; here it reads views so, too, and
-takes holds for 12 s and views for settled after them.
+The old version is simulated by this one, with its records and messages reduced to the old formats. Here it also reads
+views in the old format and uses the old store lease ttl of 12 s.
 """
 
 import msgspec
@@ -16,7 +16,7 @@
 from alderbridge.protocol.keys import MEMBERS, VIEW
 
 
-class Versioned(SimController):
+class VersionedController(SimController):
     def start(self):
         super().start()
         if self.old:
@@ -26,7 +26,7 @@
             )
 
     def seen(self, rows):
-        """A view as this version reads it."""
+        """Reduces views to the fields that the old version reads."""
         rows = super().seen(rows)
         if not self.old:
             return rows
@@ -40,98 +40,100 @@
         ]
 
 
-class Upgrade(World):
-    """Notes the views whose members ran two versions, by their keys when it was written."""
+class UpgradeWorld(World):
+    """Counts the views whose members run two versions, by the member keys when the view is written."""
 
-    process = Versioned
+    process = VersionedController
 
     def __init__(self, seed, nodes):
-        self.mixed = self.contacts = 0
+        self.mixed_views = self.contact_views = 0
         super().__init__(seed, nodes=nodes, random_faults=False, concurrent_faults=2, jobs=18, upgrade=True)
         commit = self.store.commit
 
-        def noting(conditions, puts, drops=(), lease_id=None):
+        def counting_commit(conditions, puts, drops=(), lease_id=None):
             done = commit(conditions, puts, drops, lease_id)
             if VIEW in puts and not done.failed:
-                self.changed(puts[VIEW])
+                self.count_view(puts[VIEW])
             return done
 
-        self.store.commit = noting
+        self.store.commit = counting_commit
 
-    def changed(self, view: View) -> None:
-        kinds = {
+    def count_view(self, view: View) -> None:
+        versions = {
             msgspec.json.decode(self.store.data[MEMBERS + label][0], type=MemberRecord).protocol_version
             for label in view.members
             if MEMBERS + label in self.store.data
         }
-        self.mixed += len(kinds) > 1
-        self.contacts += view.contact_timeout_s > 0
-        if len(kinds) > 1 and view.contact_timeout_s:
-            raise Broken("asked_of_all: a view asks for contact of a version that does not know it")
+        self.mixed_views += len(versions) > 1
+        self.contact_views += view.contact_timeout_s > 0
+        if len(versions) > 1 and view.contact_timeout_s:
+            raise Broken("unsupported_contact: a view has a contact timeout though a member does not support it")
 
 
-def upgrade(seed, nodes):
-    world = Upgrade(seed, nodes)
+def play_upgrade(seed, nodes):
+    world = UpgradeWorld(seed, nodes)
     world.run(max(240.0, world.calm_at + KNOWN_S + 5.0))
     world.remembered()
     return world
 
 
 @pytest.mark.parametrize("nodes, seed", [(3, 41001), (3, 41004), (5, 41110)])
-def test_rules_hold_when_faults_coincide_during_an_upgrade(nodes, seed):
-    world = upgrade(seed, nodes)
-    assert world.mixed and world.contacts and world.starts > 0 and not world.late_largest()
+def test_invariants_hold_under_concurrent_faults_during_an_upgrade(nodes, seed):
+    world = play_upgrade(seed, nodes)
+    assert world.mixed_views and world.contact_views and world.starts > 0 and not world.late_largest()
     assert not any(sim.old for sim in world.nodes.values())
 
 
-class VersionedDark(Versioned, Dark):
+class VersionedHangingController(VersionedController, Dark):
     pass
 
 
-class Mixed(Terms):
-    process = VersionedDark
+class MixedVersionsWorld(Terms):
+    process = VersionedHangingController
 
 
-def old_ones_do_not_wait_for(seed):
-    """Two run the old version, and take a view for settled 12 s after it; the new one does not hear of that view.
+def play_new_member_missing_a_view(seed):
+    """Two old members treat a view as settled after 12 s while the new member's watch misses that view.
 
-    Its hold is renewed, workers reach it, and no view of old ones asks for contact: freshness alone stops it.
+    The new member's store lease is renewed, workers reach it, and views with old members have no contact timeout, so
+    only replica freshness stops it from acting.
     """
-    world = Mixed(seed, 3)
+    world = MixedVersionsWorld(seed, 3)
     for sim in world.nodes.values():
         sim.old = True
         sim.crash()
         sim.start()
     world.run(20.0)
-    gone, label = sorted(set(world.labels) - {world.view.leader})
-    new, away = world.nodes[label], world.nodes[gone]
+    restarted_label, label = sorted(set(world.labels) - {world.view.leader})
+    new, restarted = world.nodes[label], world.nodes[restarted_label]
     new.old = False
     new.crash()
     new.start()
     world.run(60.0)
-    away.crash()
-    world.until(lambda: gone not in world.view.members, 25.0)
+    restarted.crash()
+    world.until(lambda: restarted_label not in world.view.members, 25.0)
     world.run(world.t + 25.0)
     world.cut([label], 90.0)
     new.watch_hangs_until = world.t + 90.0
     for worker in world.machines.values():
         if worker is not None:
-            worker.command = lambda *args: None  # what its new part asks is lost: only the lease's end is a proof
-    world.restart(away)
-    world.until(lambda: gone in world.view.members, 10.0)
+            # All commands to workers are lost, so only lease expiry proves that tasks have ended.
+            worker.command = lambda *args: None
+    world.restart(restarted)
+    world.until(lambda: restarted_label in world.view.members, 10.0)
     fencing_token = world.store.data[VIEW][1]
     world.run(world.t + 5.0)
     workers = [worker for worker in world.machines.values() if worker is not None and worker.core == label]
     world.run(world.t + 13.0)
-    for worker in workers:  # whatever has answered them last, their leases run out from there
+    for worker in workers:  # no more renewals: their leases expire
         worker.cut_until = world.t + 60.0
     world.run(world.t + 25.0)
-    assert world.store.data[VIEW][1] == fencing_token and len(world.view.members) == 3, "nobody has removed it"
+    assert world.store.data[VIEW][1] == fencing_token and len(world.view.members) == 3, "the view has not changed"
     return world
 
 
-def test_nobody_acts_for_longer_than_an_old_member_believes(monkeypatch):
-    old_ones_do_not_wait_for(42026)
+def test_members_act_no_longer_than_the_ttl_of_an_old_member(monkeypatch):
+    play_new_member_missing_a_view(42026)
     real = Membership.observe_member
 
     def observe_member(self, label, member, revision):
@@ -141,11 +143,11 @@
     monkeypatch.setattr(Membership, "observe_member", observe_member)
     with pytest.raises(Broken, match="ran_twice"):
         for seed in range(42024, 42036):
-            old_ones_do_not_wait_for(seed)
+            play_new_member_missing_a_view(seed)
 
 
-def test_no_view_asks_for_contact_of_a_version_that_does_not_know_it(monkeypatch):
-    """That is seen, too: its frames bear no incarnation, so it would never be heard."""
+def test_view_with_contact_timeout_unsupported_by_a_member_is_detected(monkeypatch):
+    """An old member's frames carry no incarnation, so it would never count as in contact."""
     monkeypatch.setattr(Membership, "contact_timeout_for", lambda self, members: 8.0 if len(members) > 2 else 0.0)
-    with pytest.raises(Broken, match="asked_of_all"):
-        upgrade(41000, 3)
+    with pytest.raises(Broken, match="unsupported_contact"):
+        play_upgrade(41000, 3)
