--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -140,20 +140,20 @@
     assert sorted(world.said.values()).count("aborted") >= 2
 
 
-def act_past_store_lease(monkeypatch):
+def extend_permission_to_act(monkeypatch):
     """Extends a member's store lease, replica freshness and contact far beyond their validity."""
-    renewed, recorded_sync = StoreLease.record_renewal, Membership.record_sync
+    real_renewal, real_sync = StoreLease.record_renewal, Membership.record_sync
 
-    def longer(self, *args):
-        renewed(self, *args)
+    def record_renewal(self, *args):
+        real_renewal(self, *args)
         self.valid_until += 60.0
 
-    def fresh(self, sent_at):
-        recorded_sync(self, sent_at)
+    def record_sync(self, sent_at):
+        real_sync(self, sent_at)
         self.fresh_until += 60.0
 
-    monkeypatch.setattr(StoreLease, "record_renewal", longer)
-    monkeypatch.setattr(Membership, "record_sync", fresh)
+    monkeypatch.setattr(StoreLease, "record_renewal", record_renewal)
+    monkeypatch.setattr(Membership, "record_sync", record_sync)
     monkeypatch.setattr(
         FailureDetector, "_compute_contact_until", lambda self: setattr(self, "contact_until", math.inf)
     )
@@ -407,7 +407,7 @@
 @pytest.mark.parametrize(
     "fault, rules",
     [
-        (act_past_store_lease, ("ran_twice", "ran_cancelled", "went_back")),
+        (extend_permission_to_act, ("ran_twice", "ran_cancelled", "went_back")),
         (accept_duplicate_heartbeats, ("ran_twice", "quota")),
         (confirm_cancellation_before_write, ("went_back",)),
         (drop_revision_conditions, ("ran_twice", "ran_cancelled", "not_done")),
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -336,14 +336,14 @@
 def test_end_of_inherited_job_waits_for_one_settled_view_only():
     """Guards against a cancellation that each further view change delays again."""
     alone = Alone("host-1", "host-2")
-    gone, remaining = next(
+    removed, remaining = next(
         pair
         for pair in (("host-1", "host-2"), ("host-2", "host-1"))
         if rendezvous_owner(pair[0], ["host-0", pair[1]]) == "host-0"
     )
     other = msgspec.structs.replace(SPEC, id="wk-000009")
     for spec in (SPEC, other):
-        alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, gone, 0.0, 3, [], spec)})
+        alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, removed, 0.0, 3, [], spec)})
     alone.view("host-0", remaining)
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     attempt_writes(alone, 2)
@@ -401,32 +401,32 @@
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_configuration_head_is_in_force_beside_the_previous_for_its_readers(event_seen):
     raw = msgspec.json.encode({"words": ["a"]})
-    own = configuration.ConfigurationRevision("hours", 3, compiler.digest_of(raw), raw)
-    one, other = (OperatorConfiguration(file, 20.0, ["host-0"]) for file in ({"hours": own}, None))
+    hours_revision = configuration.ConfigurationRevision("hours", 3, compiler.digest_of(raw), raw)
+    proposer, reader = (OperatorConfiguration(file, 20.0, ["host-0"]) for file in ({"hours": hours_revision}, None))
     membership = SimpleNamespace(
         registered={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
     )
-    proposal = one.due(membership, 0.0, 0.0, 12, 4096)
+    proposal = proposer.due(membership, 0.0, 0.0, 12, 4096)
     assert DECLARED + "hours" in proposal.puts
 
-    def show(declarations, now):
+    def apply_proposal(declarations, now):
         for key, value in proposal.puts.items():
             declarations.apply(key, msgspec.json.encode(value), 7)
         declarations.refresh(now)
 
-    show(other, 0.1)
-    assert other.revisions_in_force("hours", 0.1) == [0, 3]
+    apply_proposal(reader, 0.1)
+    assert reader.revisions_in_force("hours", 0.1) == [0, 3]
     if event_seen:
-        show(one, 0.1)
-    one.failed(proposal, constants.STATE_TIMEOUT_S)
-    assert one.revisions_in_force("hours", 2.0) == ([0, 3] if event_seen else [0])
-    again = one.due(membership, 2.0 + constants.CONFIGURATION_RETRY_S, 9.0, 12, 4096)
+        apply_proposal(proposer, 0.1)
+    proposer.failed(proposal, constants.STATE_TIMEOUT_S)
+    assert proposer.revisions_in_force("hours", 2.0) == ([0, 3] if event_seen else [0])
+    again = proposer.due(membership, 2.0 + constants.CONFIGURATION_RETRY_S, 9.0, 12, 4096)
     assert (again is None) is event_seen, "its own head is not proposed again"
     if again is not None:
         assert again.conditions == proposal.conditions, "the store holds revision 7, so this conflicts"
-        one.failed(again, 3.0)
-        show(one, 4.0)
-    assert one.revisions_in_force("hours", 20.9) == [0, 3] and one.revisions_in_force("hours", 26.0) == [3]
+        proposer.failed(again, 3.0)
+        apply_proposal(proposer, 4.0)
+    assert proposer.revisions_in_force("hours", 20.9) == [0, 3] and proposer.revisions_in_force("hours", 26.0) == [3]
 
 
 @pytest.mark.parametrize("event_seen", (True, False))
@@ -650,10 +650,10 @@
 def isolate_leader(world, sim):
     """The leader keeps acting under the old view for its users and workers while others enter the next view."""
 
-    def dark():
+    def cut_links():
         sim.cut_store_until = sim.cut_mesh_until = world.t + 25.0
 
-    world.after(2.0, dark)
+    world.after(2.0, cut_links)
 
 
 def restart_leaders_repeatedly(world, sim):
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -109,7 +109,7 @@
     assert successor.used == 0 and successor.drops_description, "the machine reported without the task"
 
 
-def test_unsettled_order_is_adopted_unless_a_run_or_result_is_recorded():
+def test_unsettled_order_is_adopted_for_known_jobs_without_recorded_run_or_result():
     for recorded in (RecordedState.JOB_ENDED, RecordedState.WAITING, RecordedState.POSSIBLY_HERE):
         assert TRANSITIONS[recorded][ObservedState.ORDERED] is Action.ADOPT
 
@@ -249,7 +249,7 @@
     Team("blue", cpus=8.0, cpus_max=8.0),
 ]
 FAULT_PERIODS, FAULT_PERIOD_S = 4, 26.0
-MAX_AVOIDABLE_WAIT_S = 90.0  # longest wait of a job for which quota and free capacity suffice, after the faults
+MAX_AVOIDABLE_WAIT_S = 90.0  # longest allowed wait after the faults while quota and free capacity suffice
 
 
 class LimitsWorld(World):
@@ -272,7 +272,7 @@
                 self.make_bound(number),
             )
         for number in range(FAULT_PERIODS):
-            self.after(30.0 + FAULT_PERIOD_S * number + rng.uniform(0.0, 10.0), self.fault_period)
+            self.after(30.0 + FAULT_PERIOD_S * number + rng.uniform(0.0, 10.0), self.inject_faults)
 
     def make_bound(self, number: int):
         rng, service = self.rng, self.rng.random() < 0.15
@@ -300,7 +300,7 @@
             spread=False,
         )
 
-    def fault_period(self) -> None:
+    def inject_faults(self) -> None:
         """Machines fail, jobs on them are cancelled, and the leader or another controller crashes."""
         rng = self.rng
         busy = sorted({name for name in self.on.values() if self.machines.get(name) is not None})
