--- a/scale/cloud_model.py
+++ b/scale/cloud_model.py
@@ -1,4 +1,4 @@
-"""The cloud's semantics, without a network: machines that are rented, boot, are listed late, and are returned. Pure."""
+"""In-memory model of the cloud API: renting, booting, delayed listing and returning of machines. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from .state_model import Answer
 
-MOST_RENTED = 50  # machines of one request
-PAGE_HOSTS = 500
-BOOT_SHARE = (0.6, 1.5)  # of a type's nominal boot time
+MAX_MACHINES_PER_REQUEST = 50
+MAX_PAGE_HOSTS = 500
+BOOT_TIME_FACTORS = (0.6, 1.5)  # range, relative to the type's nominal boot time
 
 
 @dataclass
 class Host:
-    """One machine."""
+    """One rented machine."""
 
     name: str
     zone: str
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True)
-class Kind:
-    """The one type of machine that there is."""
+class MachineType:
+    """The only machine type that the cloud offers."""
 
     name: str = "m32"
     cpus: float = 32.0
@@ -38,37 +38,37 @@
 
 
 class CloudModel:
-    """Machines up to a capacity for each zone."""
+    """Rents machines up to a capacity per zone."""
 
-    def __init__(self, zones: list[str], capacity: int, boot_s: float, lag_s: float, seed: int) -> None:
-        """``capacity``: of all zones together; ``lag_s``: how late the list is."""
-        self.zones, self.boot_s, self.lag_s = zones, boot_s, lag_s
+    def __init__(self, zones: list[str], capacity: int, boot_s: float, list_lag_s: float, seed: int) -> None:
+        """``capacity``: machines over all zones; ``list_lag_s``: delay before a change shows in the listing."""
+        self.zones, self.boot_s, self.list_lag_s = zones, boot_s, list_lag_s
         self.capacity = {
             zone: capacity // len(zones) + (number < capacity % len(zones)) for number, zone in enumerate(zones)
         }
-        self.kind = Kind()
+        self.machine_type = MachineType()
         self.hosts: dict[str, Host] = {}
-        self.hires: dict[str, list[str]] = {}
+        self.rentals: dict[str, list[str]] = {}
         self.rng = Random(seed)
         self.count = 0
         self.calls = 0
 
     def types(self) -> Answer:
-        """What may be rented."""
-        kind = self.kind
+        """The machine types on offer."""
+        machine_type = self.machine_type
         return Answer(
             200,
             {
                 "flavours": [
                     {
-                        "name": kind.name,
-                        "vcpus": kind.cpus,
+                        "name": machine_type.name,
+                        "vcpus": machine_type.cpus,
                         "accelerators": 0,
-                        "mem_gb": kind.memory_gb,
-                        "local_gb": kind.cache_gb,
-                        "pull_gb_per_s": kind.fetch_gb_per_s,
-                        "rate": kind.price,
-                        "spot_price": kind.spot_price,
+                        "mem_gb": machine_type.memory_gb,
+                        "local_gb": machine_type.cache_gb,
+                        "pull_gb_per_s": machine_type.fetch_gb_per_s,
+                        "rate": machine_type.price,
+                        "spot_price": machine_type.spot_price,
                         "ready_s": self.boot_s,
                         "sites": self.zones,
                     }
@@ -76,50 +76,54 @@
             },
         )
 
-    def rent(self, hire: str, zone: str, spot: bool, number: int, now: float) -> Answer:
-        """Machines up to what the zone has; a repeated request rents nothing."""
-        if hire in self.hires:
-            return Answer(200, {"hosts": self.hires[hire]})
-        there = sum(host.zone == zone for host in self.hosts.values())
-        got = min(number, MOST_RENTED, self.capacity.get(zone, 0) - there)
-        if got <= 0:
+    def rent(self, rental_id: str, zone: str, spot: bool, number: int, now: float) -> Answer:
+        """Rents at most what the zone has free; a request repeated with the same ID returns the same machines."""
+        if rental_id in self.rentals:
+            return Answer(200, {"hosts": self.rentals[rental_id]})
+        in_use = sum(host.zone == zone for host in self.hosts.values())
+        granted = min(number, MAX_MACHINES_PER_REQUEST, self.capacity.get(zone, 0) - in_use)
+        if granted <= 0:
             return Answer(503, {"error": "no capacity"})
-        self.hires[hire] = [self.add(zone, spot, now, self.boot_s * self.rng.uniform(*BOOT_SHARE)) for _ in range(got)]
-        return Answer(200, {"hosts": self.hires[hire]})
+        self.rentals[rental_id] = [
+            self.add(zone, spot, now, self.boot_s * self.rng.uniform(*BOOT_TIME_FACTORS)) for _ in range(granted)
+        ]
+        return Answer(200, {"hosts": self.rentals[rental_id]})
 
     def add(self, zone: str, spot: bool, now: float, boot_s: float) -> str:
-        """A machine that is up after ``boot_s``."""
+        """Adds a machine that is up after ``boot_s``; returns its name."""
         self.count += 1
         name = f"n-{self.count:06d}"
         self.hosts[name] = Host(name, zone, spot, now, now + boot_s)
         return name
 
-    def give_back(self, names: list[str]) -> Answer:
-        """The machines and all on them are gone."""
+    def return_machines(self, names: list[str]) -> Answer:
+        """Terminates the machines and everything on them."""
         for name in names:
             self.hosts.pop(name, None)
         return Answer(200, {})
 
     def listed(self, after: str, limit: int, now: float) -> Answer:
-        """Machines in order, as they were ``lag_s`` ago; those gone since are missing already."""
-        known = [
-            host for name, host in sorted(self.hosts.items()) if name > after and host.rented_at <= now - self.lag_s
+        """One page of machines by name, as of ``list_lag_s`` ago, without those that were returned since."""
+        visible = [
+            host
+            for name, host in sorted(self.hosts.items())
+            if name > after and host.rented_at <= now - self.list_lag_s
         ]
-        page = known[: min(limit, PAGE_HOSTS)]
+        page = visible[: min(limit, MAX_PAGE_HOSTS)]
         rows = [
             {
                 "id": host.name,
                 "address": host.address,
-                "flavour": self.kind.name,
+                "flavour": self.machine_type.name,
                 "site": host.zone,
                 "standby": host.spot,
-                "status": "running" if host.up_at <= now - self.lag_s else "booting",
-                "held_s": now - self.lag_s - host.rented_at,
+                "status": "running" if host.up_at <= now - self.list_lag_s else "booting",
+                "held_s": now - self.list_lag_s - host.rented_at,
             }
             for host in page
         ]
-        return Answer(200, {"hosts": rows, "has_next": len(known) > len(page)})
+        return Answer(200, {"hosts": rows, "has_next": len(visible) > len(page)})
 
     def up(self, now: float) -> list[Host]:
-        """Machines whose workers report."""
+        """Machines that have booted."""
         return [host for host in self.hosts.values() if host.up_at <= now]
--- a/scale/experiment.py
+++ b/scale/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment as its INI file describes it, checked, and what it will take of this machine."""
+"""Reads an experiment from its INI file, validates it and estimates the resources that it needs on this machine."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from dataclasses import dataclass, field, fields
 from pathlib import Path
 
-MOST_PROCESSES = 200
-MEMORY_SHARE = 0.5  # of the machine's; more is refused
-CONTROLLER_MB, HOLLOW_MB, WORKER_MB, PLATFORM_MB = 60.0, 60.0, 0.1, 200.0  # measured: docs/CAPACITY.md
-MOST_CONTROLLERS, MOST_WORKERS, MOST_TEAMS = 16, 4000, 1000
-FAULTS = ("kill controller", "cut zone", "state refuses")
+MAX_PROCESSES = 200
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+CONTROLLER_MB, HOLLOW_MB, WORKER_MB, PLATFORM_MB = 60.0, 60.0, 0.1, 200.0  # see docs/CAPACITY.md
+MAX_CONTROLLERS, MAX_WORKERS, MAX_TEAMS = 16, 4000, 1000
+FAULT_KINDS = ("kill controller", "cut zone", "state refuses")
 
 
 class ExperimentError(Exception):
-    """The file is no experiment; the text says why."""
+    """The experiment is invalid or does not fit this machine; the message gives the reason."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """Something that goes wrong at a time."""
+    """A fault to inject: when, for how long and into what."""
 
     kind: str
     at_s: float
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True)
 class Experiment:
-    """All that a run needs to know."""
+    """The settings of an experiment."""
 
     controllers: int = 3
     workers: int = 12
     workers_per_process: int = 400
     teams: int = 4
-    team_cpus: float = 0.0  # each team's limit; 0: none
+    team_cpus: float = 0.0  # CPU limit of each team; 0: no limit
     zones: int = 1
     seconds: float = 30.0
     jobs_a_minute: float = 60.0
@@ -55,36 +55,36 @@
 
     @property
     def hollow_processes(self) -> int:
-        """Processes that the workers share."""
+        """Number of processes that run the hollow workers."""
         return -(-self.workers // self.workers_per_process)
 
     @property
     def processes(self) -> int:
-        """All of them: controllers, hollow ones, the platform's, this one."""
+        """Number of all processes: controllers, hollow workers', the platform's and this one."""
         return self.controllers + self.hollow_processes + 2
 
     @property
     def memory_mb(self) -> float:
-        """About what all of them take."""
+        """Estimated memory of all processes."""
         hollow = self.hollow_processes * HOLLOW_MB + self.workers * WORKER_MB
         return self.controllers * CONTROLLER_MB + hollow + PLATFORM_MB
 
     @property
     def sockets(self) -> int:
-        """About how many connections and listening sockets there are."""
+        """Estimated number of connections and listening sockets."""
         mesh = self.controllers * (self.controllers - 1)
         return 2 * (self.workers * 2 + mesh + 8 * self.controllers)
 
     def zone_names(self) -> list[str]:
-        """The zones, by name."""
+        """Names of the zones."""
         return [f"zone-{number}" for number in range(self.zones)]
 
-    def check(self, machine_mb: float, most_sockets: int) -> None:
-        """Refuses what this machine should not be asked for."""
-        for name, least, most in (
-            ("controllers", 1, MOST_CONTROLLERS),
-            ("workers", 1, MOST_WORKERS),
-            ("teams", 1, MOST_TEAMS),
+    def check(self, machine_memory_mb: float, max_sockets: int) -> None:
+        """Raises ExperimentError for values out of range and for more resources than this machine may give."""
+        for name, minimum, maximum in (
+            ("controllers", 1, MAX_CONTROLLERS),
+            ("workers", 1, MAX_WORKERS),
+            ("teams", 1, MAX_TEAMS),
             ("zones", 1, 20),
             ("tasks", 1, 100_000),
             ("workers_per_process", 1, 1000),
@@ -104,31 +104,31 @@
             ("seed", 0, 2**31),
         ):
             value = getattr(self, name)
-            if not least <= value <= most:
-                raise ExperimentError(f"{name} = {value:g}: expected {least:g} to {most:g}")
+            if not minimum <= value <= maximum:
+                raise ExperimentError(f"{name} = {value:g}: expected {minimum:g} to {maximum:g}")
         for fault in self.faults:
             self._check_fault(fault)
-        if self.processes > MOST_PROCESSES:
-            raise ExperimentError(f"{self.processes} processes: at most {MOST_PROCESSES} may be used")
-        if self.memory_mb > machine_mb * MEMORY_SHARE:
-            raise ExperimentError(f"{self.memory_mb:.0f} MB: at most half of {machine_mb:.0f} MB may be used")
-        if self.sockets > most_sockets:
-            raise ExperimentError(f"some {self.sockets} sockets: this process may have {most_sockets}")
+        if self.processes > MAX_PROCESSES:
+            raise ExperimentError(f"{self.processes} processes: at most {MAX_PROCESSES} are allowed")
+        if self.memory_mb > machine_memory_mb * MAX_MEMORY_SHARE:
+            raise ExperimentError(f"{self.memory_mb:.0f} MB: at most half of {machine_memory_mb:.0f} MB are allowed")
+        if self.sockets > max_sockets:
+            raise ExperimentError(f"about {self.sockets} sockets: the limit of open files is {max_sockets}")
 
     def _check_fault(self, fault: Fault) -> None:
         if not 0 <= fault.at_s < self.seconds:
-            raise ExperimentError(f"fault at {fault.at_s:g} s: the run has {self.seconds:g} s")
-        names = {
+            raise ExperimentError(f"fault at {fault.at_s:g} s: the run lasts {self.seconds:g} s")
+        targets = {
             "kill controller": [f"host-{number}" for number in range(self.controllers)],
             "cut zone": self.zone_names(),
             "state refuses": [""],
         }[fault.kind]
-        if fault.target not in names:
-            raise ExperimentError(f"fault {fault.kind}: target {fault.target!r} is not among {', '.join(names)}")
+        if fault.target not in targets:
+            raise ExperimentError(f"fault {fault.kind}: target {fault.target!r} is not among {', '.join(targets)}")
 
 
 def read(path: Path) -> Experiment:
-    """The experiment in that file."""
+    """Parses the experiment file; raises ExperimentError."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with path.open(encoding="utf-8") as file:
@@ -139,29 +139,29 @@
     faults = []
     for section in parser.sections():
         if section == "experiment":
-            values = {name: value_of(path, name, text) for name, text in parser[section].items()}
+            values = {name: parse_value(path, name, text) for name, text in parser[section].items()}
         elif section.startswith("fault"):
-            faults.append(_fault(path, section, dict(parser[section])))
+            faults.append(_parse_fault(path, section, dict(parser[section])))
         else:
             raise ExperimentError(f"{path}: [{section}]: expected [experiment] or [fault NAME]")
     return Experiment(**values, faults=faults)
 
 
-def value_of(path: Path | str, name: str, text: str) -> int | float:
-    """A setting's value; ``path``: where it stands."""
-    known = {one.name: one.type for one in fields(Experiment) if one.name != "faults"}
-    if name not in known:
-        raise ExperimentError(f"{path}: {name}: no such setting; there are {', '.join(known)}")
+def parse_value(path: Path | str, name: str, text: str) -> int | float:
+    """Parses the value of a setting; ``path``: its file or option, for error messages."""
+    types = {setting.name: setting.type for setting in fields(Experiment) if setting.name != "faults"}
+    if name not in types:
+        raise ExperimentError(f"{path}: {name}: no such setting; expected one of {', '.join(types)}")
     try:
-        return int(text) if known[name] == "int" else float(text)
+        return int(text) if types[name] == "int" else float(text)
     except ValueError:
         raise ExperimentError(f"{path}: {name} = {text}: expected a number") from None
 
 
-def _fault(path: Path, section: str, values: dict[str, str]) -> Fault:
+def _parse_fault(path: Path, section: str, values: dict[str, str]) -> Fault:
     kind = values.pop("kind", "")
-    if kind not in FAULTS:
-        raise ExperimentError(f"{path}: [{section}] kind = {kind}: expected one of {', '.join(FAULTS)}")
+    if kind not in FAULT_KINDS:
+        raise ExperimentError(f"{path}: [{section}] kind = {kind}: expected one of {', '.join(FAULT_KINDS)}")
     try:
         fault = Fault(kind, float(values.pop("at_s")), float(values.pop("for_s")), values.pop("target", ""))
     except (KeyError, ValueError) as error:
--- a/scale/jobs.py
+++ b/scale/jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of an experiment. Any process works out a job from its number, as users would upload it. Pure."""
+"""The jobs of an experiment. A job is derived from its number and the seed alone, so every process computes it."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 IMAGE_GB = 1.0
 MEMORY_GB = 4.0
 CPUS = (1.0, 2.0, 4.0)
-SPREAD = (0.5, 1.5)  # of the median
+SPREAD_FACTORS = (0.5, 1.5)  # range of task counts and run times, relative to the median
 
 
 @dataclass(frozen=True)
 class JobPlan:
-    """How jobs are drawn."""
+    """Parameters of the random jobs."""
 
     seed: int
     teams: int
-    tasks: int  # a job's, in the middle
+    tasks: int  # median per job
     task_s: float
     urgent_share: float
 
-    def of(self, number: int) -> dict:
-        """A job's submission."""
+    def submission(self, number: int) -> dict:
+        """The submission body of a job."""
         rng = Random(self.seed * 1_000_003 + number)
         urgent = rng.random() < self.urgent_share
         return {
@@ -32,7 +32,7 @@
             "owner": f"team-{rng.randrange(self.teams):03d}",
             "shape": "sweep",
             "urgency": "high" if urgent else "standard",
-            "parts": max(1, round(self.tasks * rng.uniform(*SPREAD))),
+            "parts": max(1, round(self.tasks * rng.uniform(*SPREAD_FACTORS))),
             "vcpus": rng.choice(CPUS),
             "accelerators": 0.0,
             "mem_gb": MEMORY_GB,
@@ -46,10 +46,10 @@
             "snapshot_s": 0.0,
         }
 
-    def run_s(self, part: str) -> float:
-        """How long a task runs."""
-        return self.task_s * Random(f"{self.seed}/{part}").uniform(*SPREAD)
+    def run_s(self, task_id: str) -> float:
+        """Run time of a task."""
+        return self.task_s * Random(f"{self.seed}/{task_id}").uniform(*SPREAD_FACTORS)
 
-    def job_of(self, part: str) -> dict:
-        """The submission of the job that a task belongs to."""
-        return self.of(int(part.partition("/")[0].removeprefix("wk-")))
+    def job_of(self, task_id: str) -> dict:
+        """The submission body of the job that the task belongs to."""
+        return self.submission(int(task_id.partition("/")[0].removeprefix("wk-")))
--- a/scale/judge.py
+++ b/scale/judge.py
@@ -1,4 +1,4 @@
-"""Whether a rule was broken, by the workers' own account of what was on them. Pure."""
+"""Checks the scheduling invariants against the task events recorded by the workers. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,49 +8,51 @@
 from .jobs import JobPlan
 from .worker_model import Event
 
-SLACK_S = 0.05  # processes of one machine read the same clock; what they tell is written a moment later
+CLOCK_SLACK_S = 0.05  # all processes read the same clock, but record an event slightly after it happens
 
 
-class Judge:
-    """Goes through all events in the order of time."""
+class InvariantChecker:
+    """Replays all task events in order of time: no task runs twice, within quota, none long after its cancellation."""
 
-    def __init__(self, plan: JobPlan, most_cpus: float, cancel_s: float) -> None:
-        """``most_cpus``: each team's limit; 0: none."""
-        self.plan, self.most_cpus, self.cancel_s = plan, most_cpus, cancel_s
-        self.broken: list[str] = []
+    def __init__(self, plan: JobPlan, max_cpus: float, cancel_s: float) -> None:
+        """``max_cpus``: CPU limit of each team; 0: no limit."""
+        self.plan, self.max_cpus, self.cancel_s = plan, max_cpus, cancel_s
+        self.violations: list[str] = []
 
-    def judge(self, events: Iterable[Event], cancelled: dict[str, float]) -> list[str]:
-        """``cancelled``: job -> when its user was told so. What was broken, a line each."""
-        there: dict[str, tuple[str, float]] = {}
+    def find_violations(self, events: Iterable[Event], cancelled: dict[str, float]) -> list[str]:
+        """Returns one line per violation. ``cancelled``: job -> when the cancellation was confirmed to its user."""
+        running: dict[str, tuple[str, float]] = {}
         used: dict[str, float] = defaultdict(float)
         for event in sorted(events):
-            job = self.plan.job_of(event.part)
-            if event.what == "on":
-                self._on(event, job, there, used, cancelled)
-            elif there.get(event.part, ("", 0.0))[0] == event.machine:
-                del there[event.part]
+            job = self.plan.job_of(event.task_id)
+            if event.kind == "on":
+                self._on_start(event, job, running, used, cancelled)
+            elif running.get(event.task_id, ("", 0.0))[0] == event.machine:
+                del running[event.task_id]
                 used[job["owner"]] -= job["vcpus"]
-                self._gone(event, cancelled)
-        return self.broken
+                self._check_cancelled(event, cancelled)
+        return self.violations
 
-    def _on(
+    def _on_start(
         self,
         event: Event,
         job: dict,
-        there: dict[str, tuple[str, float]],
+        running: dict[str, tuple[str, float]],
         used: dict[str, float],
         cancelled: dict[str, float],
     ) -> None:
-        if event.part in there:
-            self.broken.append(f"ran_twice: {event.part} on {there[event.part][0]} and {event.machine}")
+        if event.task_id in running:
+            self.violations.append(f"ran_twice: {event.task_id} on {running[event.task_id][0]} and {event.machine}")
             return
-        there[event.part] = (event.machine, event.at)
+        running[event.task_id] = (event.machine, event.occurred_at)
         used[job["owner"]] += job["vcpus"]
-        if self.most_cpus and used[job["owner"]] > self.most_cpus + 1e-6:
-            self.broken.append(f"quota: {job['owner']} uses {used[job['owner']]:g} of {self.most_cpus:g} CPUs")
-        self._gone(event, cancelled)
-
-    def _gone(self, event: Event, cancelled: dict[str, float]) -> None:
-        told_at = cancelled.get(event.part.partition("/")[0])
-        if told_at is not None and event.at > told_at + self.cancel_s + SLACK_S:
-            self.broken.append(f"ran_cancelled: {event.part} {event.at - told_at:.1f} s after its user was told")
+        if self.max_cpus and used[job["owner"]] > self.max_cpus + 1e-6:
+            self.violations.append(f"quota: {job['owner']} uses {used[job['owner']]:g} of {self.max_cpus:g} CPUs")
+        self._check_cancelled(event, cancelled)
+
+    def _check_cancelled(self, event: Event, cancelled: dict[str, float]) -> None:
+        confirmed_at = cancelled.get(event.task_id.partition("/")[0])
+        if confirmed_at is not None and event.occurred_at > confirmed_at + self.cancel_s + CLOCK_SLACK_S:
+            self.violations.append(
+                f"ran_cancelled: {event.task_id} {event.occurred_at - confirmed_at:.1f} s after its cancellation"
+            )
--- a/scale/platform_server.py
+++ b/scale/platform_server.py
@@ -1,9 +1,9 @@
-"""One process that serves the state service and the cloud to controllers, and tells hollow processes what to do.
+"""Serves the simulated state service and cloud to the controllers, and controls the hollow processes.
 
     python3 -m scale.platform_server SETUP.json
 
-Each controller has a port of the state service of its own, so that one alone can be cut off. Prints its ports as one
-line of JSON once it serves.
+Each controller has its own port of the state service, so that it can be cut off separately. Prints the ports as one
+line of JSON when it is ready.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from .cloud_model import CloudModel
 from .state_model import Answer, StateModel
 
-FOLLOW_LOOK_S = 0.02  # how often open watches are looked at
-CUT_S = 5.0  # a request over a cut link hangs for longer than its client waits
-MOST_BODY = 256 * 1024
+WATCH_POLL_S = 0.02
+CUT_LINK_HANG_S = 5.0  # longer than any client's timeout
+MAX_BODY = 256 * 1024
 
 
 def respond(answer: Answer) -> web.Response:
-    """The answer as it goes over the wire."""
+    """Encodes the answer as an HTTP response."""
     return web.Response(status=answer.status, body=json.dumps(answer.body).encode(), content_type="application/json")
 
 
 class Platform:
-    """The models, and what is wrong with them now."""
+    """The models of state service and cloud, and the faults injected into them."""
 
     def __init__(self, setup: dict) -> None:
         """``setup``: as ``scale.run`` writes it."""
@@ -43,24 +43,22 @@
         self.cut_zones: set[str] = set()
         self.hollow: dict[int, dict] = {}
 
-    # -- the state service
-
     async def on_state(self, label: str, request: web.Request) -> web.Response:
-        """A request of that controller."""
+        """Handles a request of that controller to the state service."""
         body = await request.json() if request.can_read_body else {}
         if label in self.cut_controllers:
-            await asyncio.sleep(CUT_S)
+            await asyncio.sleep(CUT_LINK_HANG_S)
             return respond(Answer(503, {"error": "cut"}))
         now = time.monotonic()
         refused = self.state.admit(now)
         if refused is not None and not (request.path == "/follow" and refused.status == 503):
             return respond(refused)
         if request.path == "/follow":
-            return respond(await self.follow(label, request))
+            return respond(await self.watch(label, request))
         return respond(self.state_answer(request, body, now))
 
     def state_answer(self, request: web.Request, body: dict, now: float) -> Answer:
-        """What needs no waiting."""
+        """Answers every request but a watch."""
         method, path = request.method, request.path
         if method == "POST" and path == "/commit":
             return self.state.commit(body, now)
@@ -76,8 +74,8 @@
             return self.state.get(path[4:])
         return Answer(404, {"error": "no such path"})
 
-    async def follow(self, label: str, request: web.Request) -> Answer:
-        """A watch: waits for a change, also through an outage."""
+    async def watch(self, label: str, request: web.Request) -> Answer:
+        """Answers a watch: waits for a change; an outage delays the answer and does not end the watch."""
         query, revision = request.query, int(request.query["from"])
         end = time.monotonic() + int(query.get("wait_ms", "0")) / 1000
         while True:
@@ -87,28 +85,24 @@
                     return changes
                 if time.monotonic() >= end:
                     return Answer(200, {"epoch": self.state.revision, "log": []})
-            await asyncio.sleep(FOLLOW_LOOK_S)
-
-    # -- the cloud
+            await asyncio.sleep(WATCH_POLL_S)
 
     async def on_cloud(self, request: web.Request) -> web.Response:
-        """A request of any controller."""
+        """Handles a request of any controller to the cloud."""
         body = await request.json() if request.can_read_body else {}
         self.cloud.calls += 1
         now, path = time.monotonic(), request.path
         if path == "/flavors":
             return respond(self.cloud.types())
         if path == "/rentals/return":
-            return respond(self.cloud.give_back(body["hosts"]))
+            return respond(self.cloud.return_machines(body["hosts"]))
         if path == "/rentals" and request.method == "POST":
             return respond(self.cloud.rent(body["hire"], body["site"], body["standby"], body["number"], now))
         query = request.query
         return respond(self.cloud.listed(query.get("from", ""), int(query.get("limit", "500")), now))
 
-    # -- hollow processes, and whoever runs the experiment
-
     async def on_control(self, request: web.Request) -> web.Response:
-        """What is up and what is cut; or a change of either; or what was counted."""
+        """Handles a control request: status report of a hollow process, change of the faults, or the counters."""
         body = await request.json() if request.can_read_body else {}
         if request.path == "/hollow":
             return respond(self.on_hollow(body))
@@ -118,28 +112,28 @@
         return respond(Answer(200, counts | {"hosts": len(self.cloud.hosts), "hollow": list(self.hollow.values())}))
 
     def on_hollow(self, body: dict) -> Answer:
-        """A hollow process tells of its workers, and hears which are its own."""
+        """Records the status report of a hollow process; answers with its machines and the zones that are cut off."""
         number, count = body["process"], body["of"]
         self.hollow[number] = body["counts"]
         for name, address in body["addresses"].items():
             if name in self.cloud.hosts:
                 self.cloud.hosts[name].address = address
-        mine = [host for host in self.cloud.up(time.monotonic()) if int(host.name[2:]) % count == number]
-        hosts = [[host.name, host.zone, host.spot] for host in mine]
+        own = [host for host in self.cloud.up(time.monotonic()) if int(host.name[2:]) % count == number]
+        hosts = [[host.name, host.zone, host.spot] for host in own]
         return Answer(200, {"hosts": hosts, "cut_zones": sorted(self.cut_zones)})
 
     def on_fault(self, body: dict) -> Answer:
-        """Something goes wrong, or is mended."""
+        """Replaces the set of injected faults."""
         self.cut_controllers, self.cut_zones = set(body["cut_controllers"]), set(body["cut_zones"])
         if body["state_down"]:
             self.state.down = True
         elif self.state.down:
-            self.state.outage_over(time.monotonic())
+            self.state.end_outage(time.monotonic())
         return Answer(200, {})
 
 
 async def listen(handler: web.RequestHandler) -> int:
-    """Serve on a free port of this machine."""
+    """Serves on a free local port; returns the port."""
     runner = web.ServerRunner(web.Server(handler))
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -148,7 +142,7 @@
 
 
 async def serve(setup: dict) -> None:
-    """All ports, until this process is ended."""
+    """Serves all ports until the process is killed."""
     platform = Platform(setup)
     ports = {"state": {}}
     for label in setup["labels"]:
--- a/scale/run.py
+++ b/scale/run.py
@@ -1,4 +1,4 @@
-"""Plays an experiment: starts all processes, brings its faults about, ends them, and judges what happened."""
+"""Runs an experiment: starts all processes, injects the faults, stops the processes and computes the results."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 from .experiment import Experiment, Fault
 from .jobs import JobPlan
-from .results import QuotaUsage, Results
+from .results import ProcessUsage, Results
 from .users import Users
 
 ROOT = Path(__file__).resolve().parent.parent
-SAMPLE_S = 1.0
-PROGRESS_S = 5.0
-READY_S = 30.0  # controllers that do not serve by then never will
-RESTART_S = 0.2  # a killed controller that is to be back is started this long before
-STOP_S = 20.0  # processes that have not ended by then are killed
+SAMPLE_INTERVAL_S = 1.0
+PROGRESS_INTERVAL_S = 5.0
+READY_TIMEOUT_S = 30.0
+STARTUP_S = 0.2  # a killed controller is restarted this long before the fault ends
+STOP_TIMEOUT_S = 20.0  # then hollow processes are killed
 LIST_LAG_S = 4.0
 CLOUD_RATE = 20.0
-VALUE_KB, TRANSACTION_CHANGES = 4.0, 24
+MAX_VALUE_KB, MAX_TRANSACTION_WRITES = 4.0, 24
 CONTROLLER_SOCKETS_BASE = 400
-PORTS = range(12_000, 32_000)  # Linux gives outgoing connections those from 32,768 on
+PORTS = range(12_000, 32_000)  # below the ephemeral ports of Linux, which start at 32,768
 
 
 class RunError(Exception):
-    """The experiment could not be played; the text says why."""
+    """The experiment could not be run; the message gives the reason."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of this machine that nobody listens on, below those that outgoing connections are given."""
+    """Unused local ports below the range of ephemeral ports."""
     found: list[int] = []
     ports = iter(random.sample(PORTS, len(PORTS)))
     while len(found) < count:
@@ -53,14 +53,21 @@
 
 
 class Run:
-    """One run of one experiment in a folder of its own."""
+    """One run of an experiment, with its own folder."""
 
-    def __init__(self, experiment: Experiment, folder: Path, log_level: str, beside: Path | None = None) -> None:
-        """``folder``: settings, logs and the processes' results go there.
+    def __init__(
+        self, experiment: Experiment, folder: Path, log_level: str, other_checkout: Path | None = None
+    ) -> None:
+        """``folder``: for settings, logs and the processes' results.
 
-        ``beside``: another checkout, whose program every second controller runs.
+        ``other_checkout``: another checkout; every second controller runs its version.
         """
-        self.experiment, self.folder, self.log_level, self.beside = experiment, folder, log_level, beside
+        self.experiment, self.folder, self.log_level, self.other_checkout = (
+            experiment,
+            folder,
+            log_level,
+            other_checkout,
+        )
         self.labels = [f"host-{number}" for number in range(experiment.controllers)]
         self.plan = JobPlan(
             experiment.seed, experiment.teams, experiment.tasks, experiment.task_s, experiment.urgent_share
@@ -68,19 +75,17 @@
         ports = free_ports(2 * experiment.controllers)
         self.addresses = {label: f"127.0.0.1:{ports.pop()}" for label in self.labels}
         self.mesh = {label: f"127.0.0.1:{ports.pop()}" for label in self.labels}
-        self.usages: list[QuotaUsage] = []
+        self.usages: list[ProcessUsage] = []
         self.controllers: dict[str, subprocess.Popen] = {}
         self.hollow: list[subprocess.Popen] = []
         self.ports: dict = {}
-        self.began_at = 0.0
-        self.wrong: dict[str, set[str]] = {"cut_controllers": set(), "cut_zones": set(), "state_down": set()}
+        self.started_at = 0.0
+        self.active_faults: dict[str, set[str]] = {"cut_controllers": set(), "cut_zones": set(), "state_down": set()}
         self.ended_by_themselves: list[str] = []
         self.users: Users | None = None
 
-    # -- processes
-
-    def start_process(self, role: str, name: str, command: list[str], **more) -> subprocess.Popen:
-        """A process whose log goes into the folder."""
+    def start_process(self, role: str, name: str, command: list[str], **popen_options) -> subprocess.Popen:
+        """Starts a process that logs to a file in the folder."""
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
                 [sys.executable, *command],
@@ -88,37 +93,37 @@
                 stderr=log,
                 start_new_session=True,
                 env=os.environ | {"LOG_LEVEL": self.log_level},
-                **more,
+                **popen_options,
             )
-        self.usages.append(QuotaUsage(role, name, process))
+        self.usages.append(ProcessUsage(role, name, process))
         return process
 
     def setup(self) -> dict:
-        """What the platform's and the hollow processes are told."""
-        one = self.experiment
+        """The setup file for the platform and the hollow processes."""
+        experiment = self.experiment
         return {
             "labels": self.labels,
-            "zones": one.zone_names(),
-            "workers": one.workers,
-            "workers_at_start": one.workers * 9 // 10,
-            "boot_s": one.boot_s,
+            "zones": experiment.zone_names(),
+            "workers": experiment.workers,
+            "workers_at_start": experiment.workers * 9 // 10,
+            "boot_s": experiment.boot_s,
             "list_lag_s": LIST_LAG_S,
-            "store_requests": one.store_requests,
-            "store_changes": one.store_changes,
-            "seed": one.seed,
-            "report_s": one.report_s,
-            "lease_s": one.lease_s,
+            "store_requests": experiment.store_requests,
+            "store_changes": experiment.store_changes,
+            "seed": experiment.seed,
+            "report_s": experiment.report_s,
+            "lease_s": experiment.lease_s,
             "addresses": self.addresses,
-            "hollow": one.hollow_processes,
+            "hollow": experiment.hollow_processes,
             "plan": vars(self.plan),
         }
 
     def settings(self, label: str) -> dict:
-        """A controller's settings, as the platform hands them over."""
-        one, zones = self.experiment, self.experiment.zone_names()
+        """The contents of a controller's settings file."""
+        experiment, zones = self.experiment, self.experiment.zone_names()
         teams = [
-            {"name": f"team-{number:03d}", "cpus": one.team_cpus / 2, "cpus_max": one.team_cpus}
-            for number in range(one.teams)
+            {"name": f"team-{number:03d}", "cpus": experiment.team_cpus / 2, "cpus_max": experiment.team_cpus}
+            for number in range(experiment.teams)
         ]
         return {
             "label": label,
@@ -126,9 +131,9 @@
             "listen": self.addresses[label],
             "mesh_addr": self.mesh[label],
             "peers": [
-                {"label": other, "location": self.zone_of(other), "addr": self.mesh[other]}
-                for other in self.labels
-                if other != label
+                {"label": peer, "location": self.zone_of(peer), "addr": self.mesh[peer]}
+                for peer in self.labels
+                if peer != label
             ],
             "endpoints": {
                 "cloud": f"127.0.0.1:{self.ports['cloud']}",
@@ -141,36 +146,40 @@
                     {"kind": "wait", "class": "urgent", "within_s": 12.0},
                     {"kind": "finished", "class": "routine", "within_s": 250.0},
                 ],
-                "workers": {"report_s": one.report_s, "lease_s": one.lease_s, "cancel_s": one.cancel_s},
+                "workers": {
+                    "report_s": experiment.report_s,
+                    "lease_s": experiment.lease_s,
+                    "cancel_s": experiment.cancel_s,
+                },
                 "state": {
-                    "rps": one.store_requests,
-                    "write_rps": one.store_changes,
-                    "value_kb": VALUE_KB,
-                    "txn_ops": TRANSACTION_CHANGES,
+                    "rps": experiment.store_requests,
+                    "write_rps": experiment.store_changes,
+                    "value_kb": MAX_VALUE_KB,
+                    "txn_ops": MAX_TRANSACTION_WRITES,
                 },
                 "cloud": {"rps": CLOUD_RATE, "list_lag_s": LIST_LAG_S},
                 "limits": {
                     "cpu": 1.0,
                     "memory_mb": 1000.0,
-                    "max_sockets": CONTROLLER_SOCKETS_BASE + 3 * one.workers,
+                    "max_sockets": CONTROLLER_SOCKETS_BASE + 3 * experiment.workers,
                 },
             },
         }
 
     def zone_of(self, label: str) -> str:
-        """Controllers are spread over the zones."""
+        """The zone of a controller; controllers are spread over all zones."""
         return self.experiment.zone_names()[self.labels.index(label) % self.experiment.zones]
 
     def start_controller(self, label: str) -> None:
-        """As operators start one."""
+        """Starts a controller with the same command as in production."""
         path = self.folder / f"{label}.json"
         path.write_text(json.dumps(self.settings(label)))
-        other = self.beside is not None and self.labels.index(label) % 2
-        command = [str((self.beside if other else ROOT) / "run.py"), "--config", str(path)]
+        runs_other_checkout = self.other_checkout is not None and self.labels.index(label) % 2
+        command = [str((self.other_checkout if runs_other_checkout else ROOT) / "run.py"), "--config", str(path)]
         self.controllers[label] = self.start_process("controller", label, command, stdout=subprocess.DEVNULL)
 
     async def start(self) -> None:
-        """The platform first, then controllers, then workers."""
+        """Starts the platform, then the controllers, then the workers."""
         setup = self.folder / "setup.json"
         setup.write_text(json.dumps(self.setup()))
         platform = self.start_process(
@@ -178,7 +187,7 @@
         )
         line = await asyncio.to_thread(platform.stdout.readline)
         if not line:
-            raise RunError(f"the platform's stand-in did not start: see {self.folder / 'platform.log'}")
+            raise RunError(f"the simulated platform did not start: see {self.folder / 'platform.log'}")
         self.ports = json.loads(line)
         for label in self.labels:
             self.start_controller(label)
@@ -189,18 +198,18 @@
             self.hollow.append(self.start_process("hollow", f"hollow-{number}", command))
 
     async def wait_until_ready(self) -> None:
-        """Until all controllers take requests."""
-        end = time.monotonic() + READY_S
+        """Waits until all controllers accept requests."""
+        end = time.monotonic() + READY_TIMEOUT_S
         async with aiohttp.ClientSession() as session:
             for label, address in self.addresses.items():
                 while not await self.healthy(session, address):
                     if self.controllers[label].poll() is not None or time.monotonic() > end:
-                        raise RunError(f"{label} does not serve: see {self.folder / label}.log")
+                        raise RunError(f"{label} is not ready: see {self.folder / label}.log")
                     await asyncio.sleep(0.1)
 
     @staticmethod
     async def healthy(session: aiohttp.ClientSession, address: str) -> bool:
-        """Whether it says that it takes requests."""
+        """Whether the controller reports that it accepts requests."""
         try:
             async with session.get(f"http://{address}/healthz") as response:
                 return response.status == 200
@@ -208,10 +217,10 @@
             return False
 
     def stop(self) -> None:
-        """End all processes; hollow ones write their results first."""
+        """Stops all processes; hollow processes get time to write their results."""
         for process in self.hollow:
             process.send_signal(signal.SIGTERM)
-        end = time.monotonic() + STOP_S
+        end = time.monotonic() + STOP_TIMEOUT_S
         for process in self.hollow:
             try:
                 process.wait(max(0.1, end - time.monotonic()))
@@ -222,22 +231,22 @@
                 usage.process.kill()
             usage.process.wait()
 
-    # -- the run
-
     async def play(self) -> dict:
-        """The whole of it; the results."""
-        one = self.experiment
+        """Runs the whole experiment; returns the results."""
+        experiment = self.experiment
         try:
             await self.start()
-            self.began_at = time.monotonic()
-            self.users = Users(self.plan, list(self.addresses.values()), one.jobs_a_minute, one.cancelled_share)
+            self.started_at = time.monotonic()
+            self.users = Users(
+                self.plan, list(self.addresses.values()), experiment.jobs_a_minute, experiment.cancelled_share
+            )
             tasks = [
-                asyncio.create_task(self.users.run(one.jobs_at_start)),
+                asyncio.create_task(self.users.run(experiment.jobs_at_start)),
                 asyncio.create_task(self.sample()),
-                *(asyncio.create_task(self.bring_about(fault)) for fault in one.faults),
+                *(asyncio.create_task(self.inject(fault)) for fault in experiment.faults),
             ]
             try:
-                await asyncio.wait(tasks, timeout=one.seconds, return_when=asyncio.FIRST_EXCEPTION)
+                await asyncio.wait(tasks, timeout=experiment.seconds, return_when=asyncio.FIRST_EXCEPTION)
                 for task in tasks:
                     if task.done() and task.exception() is not None:
                         raise task.exception()
@@ -251,87 +260,85 @@
         return self.results(counts)
 
     async def control(self, path: str, body: dict | None = None) -> dict:
-        """Ask the platform's stand-in, or tell it something."""
+        """Sends a control request to the simulated platform."""
         url = f"http://127.0.0.1:{self.ports['control']}{path}"
         try:
             async with aiohttp.ClientSession() as session, session.post(url, json=body or {}) as response:
                 return await response.json()
         except (aiohttp.ClientError, OSError) as error:
-            raise RunError(f"the platform's stand-in does not answer: {error}") from None
+            raise RunError(f"the simulated platform does not respond: {error}") from None
 
     async def sample(self) -> None:
-        """Processor time and memory each second, a line of progress now and then."""
-        last, last_at, next_at = 0, time.monotonic(), time.monotonic() + PROGRESS_S
+        """Samples all processes each second and prints a line of progress each few seconds."""
+        last_starts, last_progress_at, next_progress_at = 0, time.monotonic(), time.monotonic() + PROGRESS_INTERVAL_S
         while True:
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             for usage in self.usages:
                 usage.sample()
             for usage in self.usages:
                 if usage.process.poll() is not None and usage.name not in self.ended_by_themselves:
                     self.on_ended(usage)
             now = time.monotonic()
-            if now >= next_at:
+            if now >= next_progress_at:
                 for usage in self.usages:
-                    usage.count_connections()
+                    usage.count_open_files()
                 counts = await self.control("/counts")
-                starts = sum(one["starts"] for one in counts["hollow"])
-                self.progress(now, counts, (starts - last) / (now - last_at))
-                last, last_at, next_at = starts, now, now + PROGRESS_S
+                starts = sum(process["starts"] for process in counts["hollow"])
+                self.progress(now, counts, (starts - last_starts) / (now - last_progress_at))
+                last_starts, last_progress_at, next_progress_at = starts, now, now + PROGRESS_INTERVAL_S
 
-    def on_ended(self, usage: QuotaUsage) -> None:
-        """A process has ended that was not told to."""
+    def on_ended(self, usage: ProcessUsage) -> None:
+        """Handles a process that ended unexpectedly: only a controller may."""
         if usage.role != "controller":
             raise RunError(f"{usage.name} ended by itself: see {self.folder / usage.name}.log")
         if self.controllers[usage.name] is usage.process:
             self.ended_by_themselves.append(usage.name)
 
     def progress(self, now: float, counts: dict, rate: float) -> None:
-        """One line."""
-        workers = sum(one["workers"] for one in counts["hollow"])
+        """Prints a line of progress."""
+        workers = sum(process["workers"] for process in counts["hollow"])
         done = sum(state == "done" for state in self.users.ended.values())
         print(
-            f"{now - self.began_at:5.0f} s: {workers} workers, {len(self.users.accepted)} jobs accepted, {done} done,"
+            f"{now - self.started_at:5.0f} s: {workers} workers, {len(self.users.accepted)} jobs accepted, {done} done,"
             f" {rate:.0f} starts/s",
             flush=True,
         )
 
-    # -- faults
-
-    async def bring_about(self, fault: Fault) -> None:
-        """One fault, at its time, and its end."""
+    async def inject(self, fault: Fault) -> None:
+        """Injects the fault at its time and removes it at its end."""
         await asyncio.sleep(fault.at_s)
         print(f"{fault.at_s:5.0f} s: {fault.kind} {fault.target} for {fault.for_s:g} s", flush=True)
         if fault.kind == "kill controller":
-            process, self.controllers[fault.target] = self.controllers[fault.target], None
-            process.kill()
-            await asyncio.sleep(max(0.0, fault.for_s - RESTART_S))
+            killed, self.controllers[fault.target] = self.controllers[fault.target], None
+            killed.kill()
+            await asyncio.sleep(max(0.0, fault.for_s - STARTUP_S))
             self.start_controller(fault.target)
             return
         cut = [label for label in self.labels if self.zone_of(label) == fault.target]
         changes = {"cut zone": {"cut_zones": {fault.target}, "cut_controllers": set(cut)}}
         change = changes.get(fault.kind, {"state_down": {"down"}})
-        for name, more in change.items():
-            self.wrong[name] |= more
-        await self.tell_faults()
+        for name, affected in change.items():
+            self.active_faults[name] |= affected
+        await self.publish_faults()
         await asyncio.sleep(fault.for_s)
-        for name, more in change.items():
-            self.wrong[name] -= more
-        await self.tell_faults()
+        for name, affected in change.items():
+            self.active_faults[name] -= affected
+        await self.publish_faults()
 
-    async def tell_faults(self) -> None:
-        """What is wrong now."""
+    async def publish_faults(self) -> None:
+        """Sends the active faults to the simulated platform."""
         await self.control(
             "/fault",
             {
-                "cut_zones": sorted(self.wrong["cut_zones"]),
-                "cut_controllers": sorted(self.wrong["cut_controllers"]),
-                "state_down": bool(self.wrong["state_down"]),
+                "cut_zones": sorted(self.active_faults["cut_zones"]),
+                "cut_controllers": sorted(self.active_faults["cut_controllers"]),
+                "state_down": bool(self.active_faults["state_down"]),
             },
         )
 
     def results(self, counts: dict) -> dict:
-        """Everything that was measured, and whether a rule was broken."""
+        """All measurements and invariant violations."""
         paths = [self.folder / f"hollow-{number}.json" for number in range(self.experiment.hollow_processes)]
         hollow = [json.loads(path.read_text()) for path in paths]
-        found = Results(self.experiment, self.plan, self.began_at, self.users, hollow, self.usages)
-        return found.all(counts) | {"ended_by_themselves": self.ended_by_themselves}
+        results = Results(self.experiment, self.plan, self.started_at, self.users, hollow, self.usages)
+        return results.summary(counts) | {"ended_by_themselves": self.ended_by_themselves}
--- a/scale/users.py
+++ b/scale/users.py
@@ -1,4 +1,4 @@
-"""Users who submit jobs, ask about them and call some off, over real connections."""
+"""Simulated users: submit jobs, poll their status and cancel some, over real connections."""
 
 from __future__ import annotations
 
@@ -11,56 +11,58 @@
 
 from .jobs import JobPlan
 
-SUBMIT_S, ASK_S = 5.0, 2.0  # how long users wait for an answer
-RETRY_S = 1.0
-POLL_S = 5.0
+SUBMIT_TIMEOUT_S, STATUS_TIMEOUT_S = 5.0, 2.0
+RETRY_DELAY_S = 1.0
+POLL_INTERVAL_S = 5.0
 HISTOGRAM = (1, 120_000_000, 3)  # microseconds
 
 
 class Users:
-    """All of them."""
+    """All users of an experiment, one per job."""
 
     def __init__(self, plan: JobPlan, addresses: list[str], jobs_a_minute: float, cancelled_share: float) -> None:
-        """``addresses``: of the controllers, any of which takes any request."""
+        """``addresses``: of the controllers; any controller accepts any request."""
         self.plan, self.addresses = plan, addresses
         self.jobs_a_minute, self.cancelled_share = jobs_a_minute, cancelled_share
         self.rng = random.Random(plan.seed)
-        self.number = 0
-        self.submitted: dict[str, float] = {}  # job -> first attempt
+        self.job_count = 0
+        self.submitted: dict[str, float] = {}  # job -> time of the first attempt
         self.accepted: dict[str, float] = {}
-        self.cancelled: dict[str, float] = {}  # job -> when its user was told so
+        self.cancelled: dict[str, float] = {}  # job -> when the cancellation was confirmed
         self.ended: dict[str, str] = {}
-        self.went_back: list[str] = []
-        self.answers = HdrHistogram(*HISTOGRAM)  # of submissions, from the first attempt to the acceptance
-        self.refused: dict[str, int] = {}
+        self.lost_jobs: list[str] = []
+        self.acceptance_times = HdrHistogram(*HISTOGRAM)  # from the first attempt to the acceptance
+        self.refusals: dict[str, int] = {}
         self.tasks: set[asyncio.Task] = set()
         self.session: aiohttp.ClientSession | None = None
 
     async def run(self, at_start: int) -> None:
-        """Some jobs at once, the others as they come; until cancelled."""
+        """Submits ``at_start`` jobs at once, then further jobs at random intervals until cancelled."""
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         try:
             for _ in range(at_start):
-                self.begin()
+                self.start_user()
             while True:
                 if not self.jobs_a_minute:
                     await asyncio.Event().wait()
                 await asyncio.sleep(self.rng.expovariate(self.jobs_a_minute / 60))
-                self.begin()
+                self.start_user()
         finally:
             for task in self.tasks:
                 task.cancel()
             await self.session.close()
 
-    def begin(self) -> None:
-        """One more user with a job."""
-        self.number += 1
-        task = asyncio.create_task(self.user(self.plan.of(self.number)))
+    def start_user(self) -> None:
+        """Starts a user with a new job."""
+        self.job_count += 1
+        task = asyncio.create_task(self.run_user(self.plan.submission(self.job_count)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def ask(self, method: str, path: str, timeout_s: float, body: dict | None = None) -> tuple[int, dict]:
-        """A request at any controller; (0, {}) where there was no answer."""
+    async def send_request(
+        self, method: str, path: str, timeout_s: float, body: dict | None = None
+    ) -> tuple[int, dict]:
+        """Sends a request to a random controller; returns status and body, or (0, {}) without a response."""
         url = f"http://{self.rng.choice(self.addresses)}{path}"
         try:
             timeout = aiohttp.ClientTimeout(total=timeout_s)
@@ -69,40 +71,40 @@
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             return 0, {}
 
-    async def user(self, job: dict) -> None:
-        """Submit until it is taken, then watch it, or call it off."""
+    async def run_user(self, job: dict) -> None:
+        """Submits a job until it is accepted, cancels it in some cases, and polls it until it ends."""
         name = job["id"]
-        began = self.submitted[name] = time.monotonic()
+        first_attempt_at = self.submitted[name] = time.monotonic()
         while True:
-            status, _ = await self.ask("POST", "/v1/jobs", SUBMIT_S, job)
+            status, _ = await self.send_request("POST", "/v1/jobs", SUBMIT_TIMEOUT_S, job)
             if status in (200, 201):
                 break
-            self.refused[str(status)] = self.refused.get(str(status), 0) + 1
-            await asyncio.sleep(RETRY_S)
+            self.refusals[str(status)] = self.refusals.get(str(status), 0) + 1
+            await asyncio.sleep(RETRY_DELAY_S)
         self.accepted[name] = time.monotonic()
-        self.answers.record_value(int((self.accepted[name] - began) * 1e6))
+        self.acceptance_times.record_value(int((self.accepted[name] - first_attempt_at) * 1e6))
         if self.rng.random() < self.cancelled_share:
             await asyncio.sleep(self.rng.uniform(0.0, 2 * self.plan.task_s))
             await self.withdraw(name)
         while name not in self.ended:
-            await asyncio.sleep(POLL_S)
-            await self.look(name)
+            await asyncio.sleep(POLL_INTERVAL_S)
+            await self.poll(name)
 
     async def withdraw(self, name: str) -> None:
-        """Call the job off, again and again until it is confirmed."""
+        """Cancels the job; repeats the request until it is confirmed."""
         while True:
-            status, answer = await self.ask("POST", f"/v1/jobs/{name}/withdraw", SUBMIT_S)
+            status, response = await self.send_request("POST", f"/v1/jobs/{name}/withdraw", SUBMIT_TIMEOUT_S)
             if status == 200:
-                self.ended[name] = answer["status"]
-                if answer["status"] == "aborted":
+                self.ended[name] = response["status"]
+                if response["status"] == "aborted":
                     self.cancelled[name] = time.monotonic()
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def look(self, name: str) -> None:
-        """Ask once."""
-        status, answer = await self.ask("GET", f"/v1/jobs/{name}", ASK_S)
+    async def poll(self, name: str) -> None:
+        """Requests the job's status once."""
+        status, response = await self.send_request("GET", f"/v1/jobs/{name}", STATUS_TIMEOUT_S)
         if status == 404:
-            self.went_back.append(f"forgotten: {name}")
-        elif status == 200 and answer["status"] in ("done", "aborted"):
-            self.ended[name] = answer["status"]
+            self.lost_jobs.append(f"forgotten: {name}")
+        elif status == 200 and response["status"] in ("done", "aborted"):
+            self.ended[name] = response["status"]
--- a/scale/worker_model.py
+++ b/scale/worker_model.py
@@ -1,6 +1,6 @@
-"""A worker as the protocol describes it, without a network; its tasks are timers. Pure.
+"""In-memory model of a worker according to the protocol; its tasks are timers. Does no I/O.
 
-States of a task: FETCHING its image, RUNNING, ENDED until a ``clear`` removes it.
+A task is FETCHING its image, then RUNNING, then ENDED until a ``clear`` order removes it.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from .jobs import JobPlan
 
-ANSWER_S = 4.0  # a response that takes longer is dropped
-NEXT_NODE_S = 1.0
-CHANGE_S = 0.5  # reports are never sent more often
+RESPONSE_TIMEOUT_S = 4.0  # a later response is discarded
+NEXT_CONTROLLER_DELAY_S = 1.0
+MIN_HEARTBEAT_INTERVAL_S = 0.5
 
 
 class TaskState(Enum):
-    """As reports name it."""
+    """Task states; the values are those of heartbeats."""
 
     FETCHING = "fetching"
     RUNNING = "running"
@@ -27,13 +27,13 @@
 
 
 class Event(NamedTuple):
-    """What a judge has to know: a task is on a machine from here on, or no more."""
+    """A task started or stopped running on a machine. Events sort by time."""
 
-    at: float
-    number: int  # of its machine's events: some come at one moment
+    occurred_at: float
+    number: int  # per machine; orders events of the same time
     machine: str
-    part: str
-    what: str  # "on", "done", "off"
+    task_id: str
+    kind: str  # "on": started; "done": completed; "off": stopped otherwise
 
 
 @dataclass
@@ -42,73 +42,78 @@
 
     attempt: int
     state: TaskState
-    until: float
+    until: float  # when fetching or running ends
     cause: str | None = None
 
 
 class WorkerModel:
-    """One machine's worker."""
+    """The worker of one machine."""
 
     def __init__(
         self,
         name: str,
         zone: str,
         spot: bool,
-        kind: str,
+        machine_type: str,
         fetch_gb_per_s: float,
         lease_s: float,
         plan: JobPlan,
         now: float,
-        tell: Callable[[Event], None],
+        on_event: Callable[[Event], None],
     ) -> None:
-        """``tell`` hears of each task that comes and goes."""
-        self.name, self.zone, self.spot, self.kind = name, zone, spot, kind
-        self.fetch_gb_per_s, self.lease_s, self.plan, self.tell = fetch_gb_per_s, lease_s, plan, tell
+        """``on_event`` is called when a task starts or stops running."""
+        self.name, self.zone, self.spot, self.machine_type = name, zone, spot, machine_type
+        self.fetch_gb_per_s, self.lease_s, self.plan, self.on_event = fetch_gb_per_s, lease_s, plan, on_event
         self.address = ""
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
-        self.told = 0  # events
+        self.event_count = 0
         self.tasks: dict[str, Task] = {}
         self.images: set[str] = set()
-        self.answered_at = now  # when the last answered report was sent
-        self.changed = False  # a task's state, the session or the token, since the last report
+        self.lease_renewed_at = now  # when the last acknowledged heartbeat was sent
+        self.changed = False  # a task's state, the incarnation or the fencing token, since the last heartbeat
 
     def tick(self, now: float) -> None:
-        """Lease and timers, each at its own time: who calls this may be late, a worker would not."""
-        while now > (lapses_at := self.answered_at + self.lease_s):
-            self._advance(lapses_at)
-            self.kill_all(lapses_at)
-            self.incarnation, self.sequence, self.answered_at, self.changed = self.incarnation + 1, 0, lapses_at, True
+        """Applies lease expiries and timers up to ``now``, each at the time it was due, however late the call is."""
+        while now > (expires_at := self.lease_renewed_at + self.lease_s):
+            self._advance(expires_at)
+            self.kill_all(expires_at)
+            self.incarnation, self.sequence, self.lease_renewed_at, self.changed = (
+                self.incarnation + 1,
+                0,
+                expires_at,
+                True,
+            )
         self._advance(now)
 
     def _advance(self, now: float) -> None:
-        for part, task in self.tasks.items():
+        for task_id, task in self.tasks.items():
             if task.state is TaskState.FETCHING and now >= task.until:
-                self.images.add(self.plan.job_of(part)["bundle"])
-                self._start(part, task, task.until)
+                self.images.add(self.plan.job_of(task_id)["bundle"])
+                self._start(task_id, task, task.until)
             if task.state is TaskState.RUNNING and now >= task.until:
-                self._end(part, task, "done", task.until)
+                self._end(task_id, task, "done", task.until)
 
     def kill_all(self, now: float) -> None:
-        """All tasks end and are forgotten."""
-        for part, task in self.tasks.items():
+        """Stops and forgets all tasks."""
+        for task_id, task in self.tasks.items():
             if task.state is TaskState.RUNNING:
-                self._tell(now, part, "off")
+                self._emit(now, task_id, "off")
         self.tasks.clear()
 
-    def report(self, now: float) -> bytes:
-        """The next report; newer than all before."""
+    def heartbeat(self, now: float) -> bytes:
+        """Body of the next heartbeat, with a new sequence number."""
         self.tick(now)
         self.sequence, self.changed = self.sequence + 1, False
         parts = [
-            {"part": part, "try": task.attempt, "status": task.state.value}
+            {"part": task_id, "try": task.attempt, "status": task.state.value}
             | ({"cause": task.cause} if task.cause else {})
-            for part, task in self.tasks.items()
+            for task_id, task in self.tasks.items()
         ]
         return json.dumps(
             {
                 "host": self.name,
                 "address": self.address,
-                "flavour": self.kind,
+                "flavour": self.machine_type,
                 "site": self.zone,
                 "standby": self.spot,
                 "tenure": self.incarnation,
@@ -119,23 +124,23 @@
             }
         ).encode()
 
-    def on_answer(self, answer: dict, incarnation: int, sent_at: float, now: float) -> bool:
-        """A 200; False: it is dropped, and renews nothing."""
+    def on_response(self, response: dict, incarnation: int, sent_at: float, now: float) -> bool:
+        """Applies a response with status 200; False: discarded without renewing the lease."""
         self.tick(now)
         if (
-            now - sent_at > ANSWER_S
+            now - sent_at > RESPONSE_TIMEOUT_S
             or incarnation != self.incarnation
-            or answer.get("mandate", -1) < self.fencing_token
+            or response.get("mandate", -1) < self.fencing_token
         ):
             return False
-        self.changed = self.changed or answer["mandate"] > self.fencing_token
-        self.fencing_token, self.answered_at = answer["mandate"], sent_at
-        for order in answer["orders"]:
-            self.carry_out(order, now)
+        self.changed = self.changed or response["mandate"] > self.fencing_token
+        self.fencing_token, self.lease_renewed_at = response["mandate"], sent_at
+        for order in response["orders"]:
+            self.apply_order(order, now)
         return True
 
     def on_commands(self, body: dict, now: float) -> int:
-        """What was sent straight here; the status of the answer."""
+        """Applies commands sent directly to the worker; returns the status of the response."""
         self.tick(now)
         if "mandate" not in body or "tenure" not in body:
             return 400
@@ -144,39 +149,39 @@
         self.changed = self.changed or body["mandate"] > self.fencing_token
         self.fencing_token = body["mandate"]
         for order in body.get("orders", []):
-            self.carry_out(order, now)
+            self.apply_order(order, now)
         return 200
 
-    def carry_out(self, order: dict, now: float) -> None:
-        """One order."""
-        part, held = order["part"], self.tasks.get(order["part"])
+    def apply_order(self, order: dict, now: float) -> None:
+        """Applies one order."""
+        task_id, task = order["part"], self.tasks.get(order["part"])
         if order["verb"] == "run":
-            if held is None:
-                self._run(part, order["try"], now)
-        elif held is not None and held.attempt == order["try"]:
-            if order["verb"] == "halt" and held.state is not TaskState.ENDED:
-                self._end(part, held, "halted", now)
-            elif order["verb"] == "clear" and held.state is TaskState.ENDED:
-                del self.tasks[part]
-
-    def _run(self, part: str, attempt: int, now: float) -> None:
-        job = self.plan.job_of(part)
+            if task is None:
+                self._run(task_id, order["try"], now)
+        elif task is not None and task.attempt == order["try"]:
+            if order["verb"] == "halt" and task.state is not TaskState.ENDED:
+                self._end(task_id, task, "halted", now)
+            elif order["verb"] == "clear" and task.state is TaskState.ENDED:
+                del self.tasks[task_id]
+
+    def _run(self, task_id: str, attempt: int, now: float) -> None:
+        job = self.plan.job_of(task_id)
         fetch_s = 0.0 if job["bundle"] in self.images else job["image_gb"] / self.fetch_gb_per_s
-        self.tasks[part] = Task(attempt, TaskState.FETCHING, now + fetch_s)
+        self.tasks[task_id] = Task(attempt, TaskState.FETCHING, now + fetch_s)
         self.changed = True
         if not fetch_s:
-            self._start(part, self.tasks[part], now)
+            self._start(task_id, self.tasks[task_id], now)
 
-    def _tell(self, now: float, part: str, what: str) -> None:
-        self.told += 1
-        self.tell(Event(now, self.told, self.name, part, what))
+    def _emit(self, now: float, task_id: str, event_kind: str) -> None:
+        self.event_count += 1
+        self.on_event(Event(now, self.event_count, self.name, task_id, event_kind))
 
-    def _start(self, part: str, task: Task, now: float) -> None:
-        task.state, task.until = TaskState.RUNNING, now + self.plan.run_s(part)
+    def _start(self, task_id: str, task: Task, now: float) -> None:
+        task.state, task.until = TaskState.RUNNING, now + self.plan.run_s(task_id)
         self.changed = True
-        self._tell(now, part, "on")
+        self._emit(now, task_id, "on")
 
-    def _end(self, part: str, task: Task, cause: str, now: float) -> None:
+    def _end(self, task_id: str, task: Task, cause: str, now: float) -> None:
         if task.state is TaskState.RUNNING:
-            self._tell(now, part, "done" if cause == "done" else "off")
+            self._emit(now, task_id, "done" if cause == "done" else "off")
         task.state, task.cause, self.changed = TaskState.ENDED, cause, True
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: its models follow the protocol, its judge sees what is broken, and a small run works."""
+"""Scale tests: the models follow the protocol, the checker finds violations, and a small run works."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 from scale.cloud_model import CloudModel
 from scale.experiment import Experiment, ExperimentError, Fault, read
 from scale.jobs import JobPlan
-from scale.judge import Judge
+from scale.judge import InvariantChecker
 from scale.state_model import StateModel
 from scale.worker_model import Event, TaskState, WorkerModel
 
@@ -23,14 +23,11 @@
 SMALL = "[experiment]\ncontrollers = 3\nworkers = 6\nseconds = 9\njobs_a_minute = 60\ntask_s = 2\n"
 
 
-# -- the state service and the cloud
-
-
 def put(key, data=1, lease_id=None):
     return {"put": key, "data": data, **({"permit": lease_id} if lease_id else {})}
 
 
-def test_transactions_are_whole_and_ordered():
+def test_transactions_are_atomic_and_ordered():
     state = StateModel()
     assert state.commit({"if": [{"k": "a", "stamp": 0}], "writes": [put("a"), put("b")]}, 0.0).status == 200
     assert state.commit({"if": [{"k": "a", "stamp": 0}], "writes": [put("c")]}, 0.0).body["failed"] == ["a"]
@@ -40,21 +37,21 @@
     assert [row["k"] for row in state.rows("", "", 10).body["rows"]] == ["a"]
 
 
-def test_a_store_lease_ends_with_its_keys_and_not_sooner_through_an_outage():
+def test_a_lease_expires_with_its_keys_and_an_outage_extends_it():
     state = StateModel()
     lease_id = state.new_hold(5000, 0.0).body["permit"]
     state.commit({"writes": [put("m", lease_id=lease_id)]}, 0.0)
     state.extend(lease_id, 4.0)
     state.down = True
     assert state.admit(20.0).status == 503 and "m" in state.data
-    state.outage_over(20.0)
+    state.end_outage(20.0)
     assert state.admit(24.9) is None and "m" in state.data
     state.admit(25.2)
     assert "m" not in state.data and state.extend(lease_id, 25.3).status == 404
     assert state.commit({"writes": [put("m", lease_id=lease_id)]}, 25.3).status == 400
 
 
-def test_rates_are_kept_with_a_burst_of_one_second():
+def test_rate_limits_allow_a_burst_of_one_second():
     state = StateModel(requests_rate=10.0, changes_rate=4.0)
     assert [state.admit(1.0) for _ in range(10)] == [None] * 10 and state.admit(1.0).status == 429
     assert state.admit(1.2) is None
@@ -62,97 +59,91 @@
     assert state.commit({"writes": [put("a")]}, 1.0).status == 429
 
 
-def test_the_cloud_rents_once_for_a_name_and_no_more_than_it_has():
+def test_the_cloud_rents_once_per_rental_id_and_within_its_capacity():
     cloud = CloudModel(["a", "b"], 5, 10.0, 4.0, 1)
     first = cloud.rent("r-1", "a", True, 10, 0.0).body["hosts"]
     assert len(first) == 3 and cloud.rent("r-1", "a", True, 10, 0.0).body["hosts"] == first
     assert cloud.rent("r-2", "a", False, 1, 0.0).status == 503 and cloud.rent("r-3", "b", False, 9, 0.0).status == 200
     assert not cloud.up(5.9) and len(cloud.up(15.1)) == 5
     assert not cloud.listed("", 500, 3.0).body["hosts"] and len(cloud.listed("", 500, 4.1).body["hosts"]) == 5
-    cloud.give_back(first)
+    cloud.return_machines(first)
     assert len(cloud.up(15.1)) == 2
 
 
-# -- workers
-
-
-class Machine:
+class RecordedWorker:
     def __init__(self):
         self.events: list[Event] = []
         self.model = WorkerModel("n-1", "a", True, "m", 1.0, 17.0, PLAN, 0.0, self.events.append)
 
-    def answer(self, now, *orders, fencing_token=5, sent_at=None, incarnation=1):
+    def respond(self, now, *orders, fencing_token=5, sent_at=None, incarnation=1):
         orders = [{"verb": verb, "part": part, "try": attempt, "wind_down_s": 0.0} for verb, part, attempt in orders]
-        answer = {"mandate": fencing_token, "orders": orders}
-        return self.model.on_answer(answer, incarnation, now if sent_at is None else sent_at, now)
+        response = {"mandate": fencing_token, "orders": orders}
+        return self.model.on_response(response, incarnation, now if sent_at is None else sent_at, now)
 
 
 def test_a_task_fetches_its_image_once_runs_and_ends():
-    machine = Machine()
-    assert machine.answer(1.0, ("run", "wk-000001/0", 7))
-    task = machine.model.tasks["wk-000001/0"]
+    worker = RecordedWorker()
+    assert worker.respond(1.0, ("run", "wk-000001/0", 7))
+    task = worker.model.tasks["wk-000001/0"]
     assert task.state is TaskState.FETCHING
-    machine.model.tick(2.1)
-    assert task.state is TaskState.RUNNING and [event.what for event in machine.events] == ["on"]
-    machine.model.tick(2.1 + 15.1)
-    part = json.loads(machine.model.report(17.3))["parts"][0]
-    assert part == {"part": "wk-000001/0", "try": 7, "status": "ended", "cause": "done"}
-    assert machine.answer(17.4, ("clear", "wk-000001/0", 7), ("run", "wk-000001/1", 8))
-    assert machine.model.tasks["wk-000001/1"].state is TaskState.RUNNING, "its image is there"
+    worker.model.tick(2.1)
+    assert task.state is TaskState.RUNNING and [event.kind for event in worker.events] == ["on"]
+    worker.model.tick(2.1 + 15.1)
+    reported = json.loads(worker.model.heartbeat(17.3))["parts"][0]
+    assert reported == {"part": "wk-000001/0", "try": 7, "status": "ended", "cause": "done"}
+    assert worker.respond(17.4, ("clear", "wk-000001/0", 7), ("run", "wk-000001/1", 8))
+    assert worker.model.tasks["wk-000001/1"].state is TaskState.RUNNING, "its image is cached"
 
 
-def test_late_older_and_former_answers_are_dropped_and_renew_nothing():
-    machine = Machine()
-    assert machine.answer(1.0, ("run", "wk-000001/0", 7))
-    assert not machine.answer(6.0, ("run", "wk-000001/1", 8), sent_at=1.5)
-    assert not machine.answer(6.0, ("run", "wk-000001/1", 8), fencing_token=4)
-    assert list(machine.model.tasks) == ["wk-000001/0"] and machine.model.answered_at == 1.0
-    machine.model.tick(18.1)
-    assert not machine.model.tasks and (machine.model.incarnation, machine.model.sequence) == (2, 0)
-    assert not machine.answer(18.2, ("run", "wk-000001/1", 8), incarnation=1)
+def test_late_and_outdated_responses_are_discarded_without_renewing_the_lease():
+    worker = RecordedWorker()
+    assert worker.respond(1.0, ("run", "wk-000001/0", 7))
+    assert not worker.respond(6.0, ("run", "wk-000001/1", 8), sent_at=1.5)
+    assert not worker.respond(6.0, ("run", "wk-000001/1", 8), fencing_token=4)
+    assert list(worker.model.tasks) == ["wk-000001/0"] and worker.model.lease_renewed_at == 1.0
+    worker.model.tick(18.1)
+    assert not worker.model.tasks and (worker.model.incarnation, worker.model.sequence) == (2, 0)
+    assert not worker.respond(18.2, ("run", "wk-000001/1", 8), incarnation=1)
 
 
-def test_a_lease_ends_at_its_time_however_late_that_is_looked_at():
-    """Looked at up to 4 s late, while a report waited for its answer, tasks seemed to run on two machines."""
-    machine = Machine()
-    assert machine.answer(1.0, ("run", "wk-000001/0", 7), ("run", "wk-000002/0", 7))
-    end = machine.model.plan.run_s("wk-000001/0")
-    machine.model.tick(60.0)
-    lapse = 1.0 + 17.0
-    ended = [(event.at, event.what) for event in machine.events if event.what != "on"]
-    assert max(at for at, _ in ended) <= lapse and machine.model.incarnation == 1 + int(59.0 // 17.0)
-    assert (2.0 + end < lapse) is any(what == "done" for _, what in ended) and len(ended) == 2
+def test_a_lease_expires_at_its_time_however_late_the_model_is_polled():
+    """A late expiry would make tasks appear to run on two machines."""
+    worker = RecordedWorker()
+    assert worker.respond(1.0, ("run", "wk-000001/0", 7), ("run", "wk-000002/0", 7))
+    end = worker.model.plan.run_s("wk-000001/0")
+    worker.model.tick(60.0)
+    expired_at = 1.0 + 17.0
+    ended = [(event.occurred_at, event.kind) for event in worker.events if event.kind != "on"]
+    assert max(ended_at for ended_at, _ in ended) <= expired_at and worker.model.incarnation == 1 + int(59.0 // 17.0)
+    assert (2.0 + end < expired_at) is any(kind == "done" for _, kind in ended) and len(ended) == 2
 
 
-def test_direct_commands_need_token_and_session_and_renew_nothing():
-    machine = Machine()
-    assert machine.model.on_commands({"mandate": 3}, 1.0) == 400
-    assert machine.model.on_commands({"mandate": 3, "tenure": 2, "orders": []}, 1.0) == 409
-    assert machine.model.on_commands({"mandate": 3, "tenure": 1, "orders": []}, 1.0) == 200
-    assert machine.model.on_commands({"mandate": 2, "tenure": 1, "orders": []}, 1.0) == 409
-    assert machine.model.changed and machine.model.answered_at == 0.0
+def test_direct_commands_need_fencing_token_and_incarnation_and_do_not_renew_the_lease():
+    worker = RecordedWorker()
+    assert worker.model.on_commands({"mandate": 3}, 1.0) == 400
+    assert worker.model.on_commands({"mandate": 3, "tenure": 2, "orders": []}, 1.0) == 409
+    assert worker.model.on_commands({"mandate": 3, "tenure": 1, "orders": []}, 1.0) == 200
+    assert worker.model.on_commands({"mandate": 2, "tenure": 1, "orders": []}, 1.0) == 409
+    assert worker.model.changed and worker.model.lease_renewed_at == 0.0
 
 
-# -- the judge
+def on(occurred_at, machine, task_id, number=1):
+    return Event(occurred_at, number, machine, task_id, "on")
 
 
-def on(at, machine, part, number=1):
-    return Event(at, number, machine, part, "on")
+def off(occurred_at, machine, task_id, number=2):
+    return Event(occurred_at, number, machine, task_id, "off")
 
 
-def off(at, machine, part, number=2):
-    return Event(at, number, machine, part, "off")
-
-
-def test_the_judge_takes_what_came_at_one_moment_in_its_order():
-    """A task that started and was halted in one tick was counted as running on: a team's limit seemed broken."""
+def test_the_checker_orders_events_of_the_same_time_by_number():
+    """Otherwise a task that starts and stops in one tick would count as running and exceed the team's limit."""
     events = [on(1.0, "n-1", f"wk-000001/{n}", 2 * n) for n in range(9)]
     events += [off(1.0, "n-1", f"wk-000001/{n}", 2 * n + 1) for n in range(9)]
-    assert Judge(PLAN, most_cpus=4.0, cancel_s=42.0).judge(events, {}) == []
+    assert InvariantChecker(PLAN, max_cpus=4.0, cancel_s=42.0).find_violations(events, {}) == []
 
 
 @pytest.mark.parametrize(
-    "events, cancelled, broken",
+    "events, cancelled, violation",
     [
         (
             [on(1.0, "n-1", "wk-000001/0"), off(2.0, "n-1", "wk-000001/0"), on(3.0, "n-2", "wk-000001/0")],
@@ -169,16 +160,13 @@
         ([on(1.0, "n-1", "wk-000001/0"), off(40.0, "n-1", "wk-000001/0")], {"wk-000001": 5.0}, ""),
     ],
 )
-def test_the_judge_sees_what_is_broken(events, cancelled, broken):
-    found = Judge(PLAN, most_cpus=8.0, cancel_s=42.0).judge(reversed(events), cancelled)
-    assert bool(found) is bool(broken) and all(line.startswith(broken) for line in found)
-
-
-# -- experiments
+def test_the_checker_finds_violations(events, cancelled, violation):
+    found = InvariantChecker(PLAN, max_cpus=8.0, cancel_s=42.0).find_violations(reversed(events), cancelled)
+    assert bool(found) is bool(violation) and all(line.startswith(violation) for line in found)
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [
         ("[experiment]\nworker = 3\n", "no such setting"),
         ("[experiment]\nworkers = many\n", "expected a number"),
@@ -190,20 +178,20 @@
         ("[fault 1]\nkind = flood\n", "expected one of"),
         ("[fault 1]\nkind = kill controller\nat_s = 5\n", "must be numbers"),
         ("[fault 1]\nkind = kill controller\nat_s = 5\nfor_s = 1\ntarget = host-9\n", "is not among"),
-        ("[fault 1]\nkind = state refuses\nat_s = 99\nfor_s = 1\n", "the run has 30 s"),
+        ("[fault 1]\nkind = state refuses\nat_s = 99\nfor_s = 1\n", "the run lasts 30 s"),
     ],
 )
-def test_a_faulty_experiment_gets_one_clear_line(tmp_path, text, told):
+def test_an_invalid_experiment_gets_a_one_line_error(tmp_path, text, message):
     path = tmp_path / "one.ini"
     path.write_text(text)
     done = subprocess.run(
         [sys.executable, "tools/scale_run.py", str(path)], cwd=ROOT, capture_output=True, text=True, timeout=30
     )
-    assert done.returncode == 2 and told in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and message in done.stderr and done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "more, told",
+    "options, message",
     [
         (["--beside", "nowhere"], "no run.py there"),
         (["--out", "nowhere/results.json"], "no such folder"),
@@ -211,13 +199,13 @@
         (["--set", "controllers=0"], "controllers = 0"),
     ],
 )
-def test_a_faulty_option_gets_one_clear_line(more, told):
-    command = [sys.executable, "tools/scale_run.py", "scale/experiments/smallest.ini", *more]
+def test_an_invalid_option_gets_a_one_line_error(options, message):
+    command = [sys.executable, "tools/scale_run.py", "scale/experiments/smallest.ini", *options]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 2 and told in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and message in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_half_of_the_memory_and_too_many_sockets_are_refused():
+def test_more_than_half_of_the_memory_and_too_many_sockets_are_refused():
     one = Experiment(workers=3600, controllers=16)
     one.check(24_000.0, 20_000)
     with pytest.raises(ExperimentError, match="at most half of 4000 MB"):
@@ -229,11 +217,11 @@
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scale" / "experiments").glob("*.ini")), ids=lambda path: path.stem)
-def test_the_experiments_that_come_along_can_be_played_on_a_machine_of_24_gb(path):
+def test_the_included_experiments_fit_a_machine_with_24_gb(path):
     read(path).check(24_000.0, 20_000)
 
 
-def test_a_small_run_with_a_killed_controller_breaks_no_rule_and_leaves_nothing_behind(tmp_path):
+def test_a_small_run_with_a_killed_controller_has_no_violations_and_leaves_no_processes(tmp_path):
     path, out = tmp_path / "one.ini", tmp_path / "out.json"
     path.write_text(SMALL + "[fault 1]\nkind = kill controller\nat_s = 3\nfor_s = 1\ntarget = host-0\n")
     done = subprocess.run(
@@ -246,12 +234,12 @@
     assert done.returncode == 0, done.stdout + done.stderr
     results = json.loads(out.read_text())
     assert results["broken"] == [] and results["starts_a_second"]["most"] > 0
-    assert results["roles"]["controller"]["processes"] == 4, "three, and the one that was started again"
-    assert not left_running(tmp_path)
+    assert results["roles"]["controller"]["processes"] == 4, "three, and the restarted one"
+    assert not running_processes(tmp_path)
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_run_leaves_nothing_behind(tmp_path, number):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
+def test_an_interrupted_run_leaves_no_processes(tmp_path, signal_number):
     path = tmp_path / "one.ini"
     path.write_text(SMALL.replace("seconds = 9", "seconds = 60"))
     process = subprocess.Popen(
@@ -264,13 +252,13 @@
     end = time.monotonic() + 30.0
     while not (tmp_path / "kept" / "hollow-0.log").exists() and time.monotonic() < end:
         time.sleep(0.1)
-    assert left_running(tmp_path)
-    os.kill(process.pid, number)
+    assert running_processes(tmp_path)
+    os.kill(process.pid, signal_number)
     assert process.wait(30.0) == 1 and "nothing is left running" in process.stderr.read()
-    assert not left_running(tmp_path)
+    assert not running_processes(tmp_path)
 
 
-def left_running(folder):
+def running_processes(folder):
     """Processes whose command line names the run's folder."""
     found = []
     for process in psutil.process_iter(["cmdline"]):
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -48,7 +48,7 @@
         name, equals, value = text.partition("=")
         if not equals:
             raise experiments.ExperimentError(f"--set {text}: expected NAME=VALUE")
-        one = dataclasses.replace(one, **{name: experiments.value_of("--set", name, value)})
+        one = dataclasses.replace(one, **{name: experiments.parse_value("--set", name, value)})
     machine_mb = psutil.virtual_memory().total / 2**20
     one.check(machine_mb, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     if args.beside is not None and not (args.beside / "run.py").is_file():
