--- a/alderbridge/calendars/__init__.py
+++ b/alderbridge/calendars/__init__.py
@@ -1,4 +1,4 @@
-"""Calendars that jobs consult before they run; docs/hours.md."""
+"""Calendars of opening hours that limit when the tasks of a job class may start; see ``docs/hours.md``."""
 
 from alderbridge.calendars.configuration import check_lines, parse
 from alderbridge.calendars.model import CalendarConfiguration
--- a/alderbridge/calendars/configuration.py
+++ b/alderbridge/calendars/configuration.py
@@ -1,8 +1,9 @@
-"""The configuration of hours: what operators write, checked, and compiled to what the store keeps of it.
+"""Parser of the calendar INI file: checks it and compiles it to the ``CalendarConfiguration`` that is stored.
 
-It says all but when a zone changes its clocks, which pinned ``tzdata`` knows: holidays are written out as dates by
-whoever proposes it, so two versions of the library of holidays cannot read one revision in two ways. It is a pure
-function of the file and that library: the years are named in the file, or one file would be two texts at new year.
+Holidays are expanded to dates when the file is compiled, so controllers with different versions of the holiday library
+interpret a stored revision alike. The file names the years to expand: the result must not depend on the current date,
+or one file would compile to two different texts. Only the clock changes of a zone are looked up later, in the pinned
+``tzdata``.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 def parse(parser: configparser.ConfigParser, path: str) -> CalendarConfiguration:
-    """Compile a file that was read; ``ConfigError`` with one line per fault."""
+    """Compile a parsed INI file; raise ``ConfigError`` with one line per fault."""
     faults: list[str] = []
     calendars: dict[str, Calendar] = {}
     rules: list[CalendarRule] = []
@@ -54,16 +55,16 @@
             calendars[name] = calendar
         elif section.word == "class" and name.count("/") == 1 and all(name.split("/")):
             rule = reader.rule(*name.split("/"))
-            before = next((one for one in rules if one.matches(rule.owner, rule.workload)), None)
-            if before is not None:
-                reader.fault("", f"never holds a job: [class {before.name}] above holds all of them")
+            earlier = next((one for one in rules if one.matches(rule.owner, rule.workload)), None)
+            if earlier is not None:
+                reader.fault("", f"never matches a job: [class {earlier.name}] above matches all of them")
             rules.append(rule)
         else:
             reader.fault("", "expected [declaration], [calendar NAME] or [class OWNER/WORKLOAD]")
     faults += _unknown_calendars(calendars, rules, path)
     faults += [
-        f"{path}: [calendar {name}] {calendars[name].of} of: rests on itself: {' > '.join(ring)}"
-        for name, ring in _rings(calendars)
+        f"{path}: [calendar {name}] {calendars[name].of} of: depends on itself: {' > '.join(cycle)}"
+        for name, cycle in _cycles(calendars)
     ]
     if faults:
         raise ConfigError("\n".join(faults))
@@ -71,7 +72,7 @@
 
 
 def _unknown_calendars(calendars: dict[str, Calendar], rules: list[CalendarRule], path: str) -> Iterator[str]:
-    """Faults of names that no calendar of the file has."""
+    """Yield a fault for each reference to a calendar that the file does not define."""
     for calendar in calendars.values():
         for name in calendar.parts:
             if name not in calendars:
@@ -81,38 +82,38 @@
             yield f"{path}: [class {rule.name}] calendar: no calendar {rule.calendar!r} in this file"
 
 
-def _rings(calendars: dict[str, Calendar]) -> Iterator[tuple[str, list[str]]]:
-    """Calendars that rest on themselves, each ring once."""
-    sound: set[str] = set()
+def _cycles(calendars: dict[str, Calendar]) -> Iterator[tuple[str, list[str]]]:
+    """Yield each cycle of calendars that depend on themselves, with the name at which it was found."""
+    visited: set[str] = set()
     for start in calendars:
-        way: list[str] = []
-        todo = [(start, 0)]
-        while todo:
-            name, depth = todo.pop()
-            del way[depth:]
-            if name in way:
-                ring = [*way[way.index(name) :], name]
-                sound.update(ring)
-                yield name, ring
-            elif name in calendars and name not in sound:
-                way.append(name)
-                todo += [(other, depth + 1) for other in calendars[name].parts]
-        sound.add(start)
+        path: list[str] = []
+        stack = [(start, 0)]
+        while stack:
+            name, depth = stack.pop()
+            del path[depth:]
+            if name in path:
+                cycle = [*path[path.index(name) :], name]
+                visited.update(cycle)
+                yield name, cycle
+            elif name in calendars and name not in visited:
+                path.append(name)
+                stack += [(other, depth + 1) for other in calendars[name].parts]
+        visited.add(start)
 
 
 class _SectionReader:
-    """One section, value by value; faults are collected, and the rest is read on."""
+    """Parses one section; collects faults and continues with the remaining values."""
 
     def __init__(self, section: Section, faults: list[str]) -> None:
         self.section, self.faults = section, faults
-        self.items = section.values  # those that are read are taken out
+        self.items = section.values  # values not parsed yet; ``take`` removes them
 
     def fault(self, key: str, problem: str) -> None:
-        """Collect a fault of one value, or with key "" of the section as a whole."""
+        """Add a fault of one value, or of the whole section if ``key`` is empty."""
         self.faults.append(str(self.section.error(key, problem)))
 
     def take(self, key: str, read: Callable[[str], T], default: T) -> T:
-        """Read a value and take it out; ``read`` raises ``ExpectationError``, for which the default stands."""
+        """Remove and parse a value. If it is missing, or ``read`` raises ``ExpectationError``, return the default."""
         text = self.items.pop(key, None)
         if text is None:
             return default
@@ -123,22 +124,20 @@
             return default
 
     def take_number(self, key: str, setting: NumberSetting) -> float:
-        """Read a number and take it out."""
+        """Remove and parse a number."""
         return self.take(key, setting.parse, setting.default)
 
-    # -- [calendar NAME] -----------------------------------------------------
-
     def calendar(self, name: str) -> Calendar:
-        """Read all values of a calendar."""
-        given = [of for of in ("all", "any") if f"{of} of" in self.items]
-        if given:
-            return self._calendar_of_others(name, given[0])
+        """Parse a ``[calendar NAME]`` section."""
+        combinations = [of for of in ("all", "any") if f"{of} of" in self.items]
+        if combinations:
+            return self._combined_calendar(name, combinations[0])
         if "zone" not in self.items:
             self.fault("zone", "expected a time zone such as Europe/Oslo, or 'all of' or 'any of' other calendars")
         zone = self.take("zone", read_zone, "")
         regions: list[Region] = self.take("holidays", read_regions, [])
         if regions and "holiday years" not in self.items:
-            self.fault("holiday years", "expected the years to write holidays out for, such as 2026-2030")
+            self.fault("holiday years", "expected the years to include holidays of, such as 2026-2030")
         years = self.take("holiday years", read_years, range(0))
         on_holidays: Spans = self.take("on holidays", read_spans, [])
         holidays = sorted(
@@ -150,14 +149,14 @@
             self.fault("", "expected hours on some day, such as mon-fri = 07:30-15:45")
         return Calendar(name, zone, week, sorted(dates.items()), holidays, on_holidays)
 
-    def _calendar_of_others(self, name: str, of: str) -> Calendar:
+    def _combined_calendar(self, name: str, of: str) -> Calendar:
         names: list[str] = self.take(f"{of} of", read_names, [])
         for key in self.items:
-            self.fault(key, f"expected nothing beside '{of} of'")
+            self.fault(key, f"expected no other setting together with '{of} of'")
         return Calendar(name, of=of, parts=names)
 
     def _hours_by_day(self) -> tuple[list[Spans], dict[int, Spans]]:
-        """Read all other keys as days: hours of the week, Monday first, and of single dates."""
+        """Parse the remaining keys as days: return weekly hours, Monday first, and the hours of single dates."""
         week: list[Spans | None] = [None] * 7
         dates: dict[int, Spans] = {}
         for key in list(self.items):
@@ -178,16 +177,14 @@
         return [spans or [] for spans in week], dates
 
     def _check_overnight(self, week: list[Spans]) -> None:
-        """A shift that runs on past midnight must end before the next one begins."""
+        """Add a fault for a shift past midnight that overlaps the first shift of the next day."""
         for day, spans in enumerate(week):
-            after = week[(day + 1) % 7]
-            if spans and after and spans[-1][1] - MINUTES_OF_DAY > after[0][0]:
+            following = week[(day + 1) % 7]
+            if spans and following and spans[-1][1] - MINUTES_OF_DAY > following[0][0]:
                 self.fault(DAYS[(day + 1) % 7], f"overlaps the shift that begins on {DAYS[day]}")
 
-    # -- [class OWNER/WORKLOAD] ----------------------------------------------
-
     def rule(self, owner: str, workload: str) -> CalendarRule:
-        """Read all values of a class."""
+        """Parse a ``[class OWNER/WORKLOAD]`` section."""
         calendar = self.take("calendar", str, "")
         if not calendar:
             self.fault("calendar", "expected the name of a calendar")
@@ -207,38 +204,38 @@
 
 
 def check_lines(configuration: CalendarConfiguration, wall: float | None = None) -> list[str]:
-    """Return what ``--check`` prints: what holds for each class, and when each calendar opens next.
+    """Return what ``--check`` prints: the next openings of each calendar, and the rule of each class.
 
-    ``wall``: the time of day to count from, in s; None: now.
+    ``wall``: list openings from this time on, in seconds since 1970; None: the current time.
     """
     wall = time.time() if wall is None else wall
-    table = Timetable(configuration)
+    timetable = Timetable(configuration)
     lines = []
     for calendar in configuration.calendars:
         zone = calendar.zone or "UTC"
-        periods = table.periods(calendar.name, wall, 3)
-        openings = ", ".join(f"{_clock(begin, zone)} to {_clock(end, zone)}" for begin, end in periods)
+        periods = timetable.periods(calendar.name, wall, 3)
+        openings = ", ".join(f"{_format_time(begin, zone)} to {_format_time(end, zone)}" for begin, end in periods)
         never = f"never in the next {constants.CALENDAR_AHEAD_DAYS} days"
         line = f"calendar {calendar.name}: open {openings or never} ({zone})"
         if calendar.holidays:
             last = EPOCH + timedelta(calendar.holidays[-1])
             line += f"; {len(calendar.holidays)} holidays, the last on {last}"
         lines.append(line)
-    for one in configuration.classes:
-        line = f"class {one.name}: calendar {one.calendar}, at closing {'stopped' if one.stops else 'runs on'}"
-        if one.ends:
-            line += f", started only if {one.run_factor:g} times its estimate ends before closing"
-        if one.warm_up_s:
-            line += f", machines rented from {one.warm_up_s:g} s before opening"
-        lines.append(f"{line}, what waits at opening spread over {one.spread_s:g} s")
+    for rule in configuration.classes:
+        line = f"class {rule.name}: calendar {rule.calendar}, at closing {'stopped' if rule.stops else 'runs on'}"
+        if rule.ends:
+            line += f", started only if {rule.run_factor:g} times its estimate ends before closing"
+        if rule.warm_up_s:
+            line += f", machines rented from {rule.warm_up_s:g} s before opening"
+        lines.append(f"{line}, starts after an opening spread over {rule.spread_s:g} s")
     return lines
 
 
-def _clock(wall: float, zone: str) -> str:
+def _format_time(wall: float, zone: str) -> str:
     if not abs(wall) < 1e11:
         return "no end"
     tz = load_zone(zone)
     return datetime.fromtimestamp(wall, tz).strftime("%a %Y-%m-%d %H:%M") if tz else f"{wall:.0f}"
 
 
-configuration_type = CalendarConfiguration  # for ``configuration.ConfigurationReader``
+configuration_type = CalendarConfiguration  # part of the ``ConfigurationReader`` protocol
--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -1,13 +1,14 @@
-"""What the calendars in force mean for the jobs of one controller: which are closed, from when times count, what stops.
+"""Applies the calendars in force to the jobs of one controller: which may start, which must stop, and when they wait.
 
-For its calendar a job is in one of these states, each reached by one method of ``CalendarJob``:
+A job is in one of these states:
 
-* OPEN: its tasks may start once its turn has come.
-* CLOSED: ``opens_at`` says until when. No queue row, nothing of limit or guarantee; the job is pending.
-* WARM: closed, shortly before the opening: a row with nothing on offer, so that the leader can rent in time.
+* OPEN: its tasks may start.
+* CLOSED: its tasks may not start before ``opens_at``. The job is pending, has no queue row and uses no quota.
+* WARM: closed, but so shortly before the opening that it has a queue row, which offers no tasks, for the leader to rent
+  machines in time.
 
-At an opening all that waits would be due at once. So each job's times count from its turn: jobs in the order of need
-(priority, deadline, arrival), each as long after the opening as the backlog before it takes at an even pace.
+At an opening all waiting jobs would become due at once. So the start of their waiting time is spread: jobs are sorted
+by priority, deadline and arrival, and each is delayed by the time that the tasks ahead of it take at an even pace.
 """
 
 from __future__ import annotations
@@ -26,31 +27,31 @@
 
 
 class CalendarJob(Protocol):
-    """What the gate reads and changes of a job."""
+    """The part of a job that the gate reads and changes. Times are monotonic, in seconds, unless called time of day."""
 
     spec: JobSpec
-    is_blocked: bool  # waits for other jobs
-    submitted: float  # steady clock, s
-    ready_since: float  # steady clock, s
+    is_blocked: bool  # a dependency is not done yet
+    submitted: float
+    ready_since: float  # when its last dependency was done, or its submission
     opens_at: float  # time of day until which its calendar is closed; 0: open
-    opened_at: float  # time of day of the opening from which its times count; 0: none
+    opened_at: float  # time of day of the opening from which its waiting time counts; 0: none
 
     @property
     def waiting(self) -> int:
-        """Return its tasks that wait."""
+        """Return the number of waiting tasks."""
 
     def close(self, opens_at: float) -> None:
-        """Begin to wait for an opening."""
+        """Mark the job as closed until ``opens_at``, a time of day."""
 
     def reopen(self) -> None:
-        """End to wait for one."""
+        """Mark the job as open."""
 
     def schedule_after_opening(self, opened_at: float, since: float) -> None:
-        """Count its times from ``since``, after an opening."""
+        """Count its waiting time from ``since``, at or after the opening at ``opened_at``, a time of day."""
 
 
 class CalendarGate:
-    """Decides for each job by the calendars in force and this controller's clock."""
+    """Decides which jobs may run, by the calendars in force and this controller's clock."""
 
     def __init__(
         self,
@@ -59,77 +60,85 @@
         skew_s: float,
         rank: Callable[[JobSpec], int],
     ) -> None:
-        """``clock``: the time of day, right to within ``skew_s``. ``rank``: of the jobs that need a job, or -1."""
-        self.configurations, self.tables = list(configurations), Timetables(configurations)
+        """Create a gate for the configurations in force.
+
+        ``clock``: returns the time of day, accurate to ``skew_s``. ``rank``: returns the highest priority of the jobs
+        that depend on a job, or -1.
+        """
+        self.configurations, self.timetables = list(configurations), Timetables(configurations)
         self.clock, self.skew_s, self.rank = clock, skew_s, rank
-        self._warn_of_last_holidays()
+        self._warn_of_ending_holidays()
 
-    def _warn_of_last_holidays(self) -> None:
+    def _warn_of_ending_holidays(self) -> None:
         for configuration in self.configurations:
             for calendar in configuration.calendars:
-                left = calendar.holidays[-1] - self.clock() / DAY if calendar.holidays else NEVER
-                if left < constants.HOLIDAYS_SHORT_DAYS:
+                remaining_days = calendar.holidays[-1] - self.clock() / DAY if calendar.holidays else NEVER
+                if remaining_days < constants.HOLIDAYS_SHORT_DAYS:
                     log.warning(
-                        "calendar=%s state=running out cause=its last holiday is in %d days", calendar.name, left
+                        "calendar=%s state=running out cause=its last holiday is in %d days",
+                        calendar.name,
+                        remaining_days,
                     )
 
     def eligibility(self, spec: JobSpec) -> Eligibility:
-        """Return what holds for the job now."""
-        return self.tables.eligibility(spec, self.clock(), self.skew_s)
+        """Return the eligibility of the job now."""
+        return self.timetables.eligibility(spec, self.clock(), self.skew_s)
 
     def may_start(self, spec: JobSpec) -> bool:
-        """Whether a task of the job may start now."""
-        return self.tables.eligibility(spec, self.clock(), self.skew_s).may_start
+        """Return whether a task of the job may start now."""
+        return self.timetables.eligibility(spec, self.clock(), self.skew_s).may_start
 
     def to_stop(self, spec: JobSpec) -> bool:
-        """Whether what runs of the job is to be stopped now."""
+        """Return whether the running tasks of the job must be stopped now."""
         wall = self.clock()
-        return wall >= self.tables.eligibility(spec, wall, self.skew_s).stop_at
+        return wall >= self.timetables.eligibility(spec, wall, self.skew_s).stop_at
 
     def update_turns(self, jobs: Iterable[CalendarJob], now: float) -> set[str]:
-        """Return the jobs that are closed, and not warm. Gives each job its turn as its state changes."""
+        """Update the calendar state of each job, and return the ids of the jobs that are closed and not warm."""
         wall = self.clock()
         closed: set[str] = set()
-        waits: dict[tuple[float, float], list[CalendarJob]] = {}  # (opening, spread) -> jobs that get their turn anew
+        jobs_to_spread: dict[tuple[float, float], list[CalendarJob]] = {}  # by opening (time of day) and spread in s
         for job in jobs:
             if job.is_blocked or not job.waiting:
                 continue
-            answer = self.tables.eligibility(job.spec, wall, self.skew_s)
-            if answer.rule is None and not job.opens_at and not job.opened_at:
+            eligibility = self.timetables.eligibility(job.spec, wall, self.skew_s)
+            if eligibility.rule is None and not job.opens_at and not job.opened_at:
                 continue
-            if not answer.may_start:
-                if job.opens_at != answer.opens_at:
-                    self._say_closed(job, answer)
-                    job.close(answer.opens_at)
-                if not answer.warm:
+            if not eligibility.may_start:
+                if job.opens_at != eligibility.opens_at:
+                    self._log_closed(job, eligibility)
+                    job.close(eligibility.opens_at)
+                if not eligibility.warm:
                     closed.add(job.spec.id)
                     continue
-                opening = answer.opens_at
+                opening = eligibility.opens_at
             else:
                 was_closed = job.opens_at != 0.0
                 if was_closed:
-                    self._say_open(job, answer)
+                    self._log_open(job, eligibility)
                     job.reopen()
-                opening = answer.opened_at or (wall if was_closed else 0.0)
-                if opening == job.opened_at or (not was_closed and answer.opened_at == 0.0):
+                opening = eligibility.opened_at or (wall if was_closed else 0.0)
+                if opening == job.opened_at or (not was_closed and eligibility.opened_at == 0.0):
                     continue
                 if opening <= wall - now + job.ready_since:
-                    job.schedule_after_opening(opening, job.ready_since)  # it came while it was open
+                    job.schedule_after_opening(opening, job.ready_since)  # the job became ready after the opening
                     continue
-            spread = answer.rule.spread_s if answer.rule is not None else constants.OPENING_SPREAD_S
-            waits.setdefault((opening, spread), []).append(job)
-        self._spread_all(waits, wall - now)
+            spread = eligibility.rule.spread_s if eligibility.rule is not None else constants.OPENING_SPREAD_S
+            jobs_to_spread.setdefault((opening, spread), []).append(job)
+        self._spread_all(jobs_to_spread, wall - now)
         return closed
 
-    def _spread_all(self, waits: Mapping[tuple[float, float], list[CalendarJob]], wall_offset_s: float) -> None:
-        """Give the jobs of each (opening, spread) their turns; ``wall_offset_s``: time of day less the steady clock."""
-        for (opening, spread), group in waits.items():
+    def _spread_all(
+        self, jobs_to_spread: Mapping[tuple[float, float], list[CalendarJob]], wall_offset_s: float
+    ) -> None:
+        """Spread the jobs of each opening; ``wall_offset_s``: the time of day minus the monotonic clock."""
+        for (opening, spread), group in jobs_to_spread.items():
             self._spread(group, opening, opening - wall_offset_s, spread)
 
     def _spread(self, group: list[CalendarJob], opening: float, since: float, spread_s: float) -> None:
-        """Give turns after an opening at ``since`` by the steady clock."""
+        """Set from when each job's waiting time counts, after an opening at ``since`` by the monotonic clock."""
 
-        def by_need(job: CalendarJob) -> tuple[int, float, float]:
+        def start_order(job: CalendarJob) -> tuple[int, float, float]:
             return (
                 -max(self.rank(job.spec), job.spec.rank),
                 job.submitted + job.spec.due_s if job.spec.due_s is not None else math.inf,
@@ -138,21 +147,21 @@
 
         total = sum(job.waiting for job in group)
         pace = max(total / spread_s, constants.OPENING_PACE) if spread_s else math.inf
-        before = 0
-        for job in sorted(group, key=by_need):
-            job.schedule_after_opening(opening, max(since, job.ready_since) + before / pace)
-            before += job.waiting
+        tasks_ahead = 0
+        for job in sorted(group, key=start_order):
+            job.schedule_after_opening(opening, max(since, job.ready_since) + tasks_ahead / pace)
+            tasks_ahead += job.waiting
 
     @staticmethod
-    def _say_open(job: CalendarJob, answer: Eligibility) -> None:
-        calendar = answer.rule.calendar if answer.rule is not None else "taken back"
+    def _log_open(job: CalendarJob, eligibility: Eligibility) -> None:
+        calendar = eligibility.rule.calendar if eligibility.rule is not None else "taken back"
         log.info("job=%s state=open cause=calendar %s", job.spec.id, calendar)
 
     @staticmethod
-    def _say_closed(job: CalendarJob, answer: Eligibility) -> None:
-        spec, rule = job.spec, answer.rule
+    def _log_closed(job: CalendarJob, eligibility: Eligibility) -> None:
+        spec, rule = job.spec, eligibility.rule
         assert rule is not None
-        if answer.opens_at == NEVER:
+        if eligibility.opens_at == NEVER:
             log.error(
                 "job=%s state=closed class=%s/%s cause=calendar %s never opens for it within %d days, estimate %g s",
                 spec.id,
@@ -169,5 +178,5 @@
                 spec.team,
                 spec.job_class,
                 rule.calendar,
-                format_wall(answer.opens_at),
+                format_wall(eligibility.opens_at),
             )
--- a/alderbridge/calendars/zones.py
+++ b/alderbridge/calendars/zones.py
@@ -12,9 +12,9 @@
 
 
 def load_zone(name: str) -> ZoneInfo | None:
-    """Return a zone of the pinned ``tzdata``, whatever the system has: two controllers must read one text alike.
+    """Return the zone from the pinned ``tzdata`` package, or ``None`` if it has no such zone.
 
-    ``zoneinfo`` would take the system's files first. ``None``: there is no such zone.
+    ``zoneinfo.ZoneInfo(name)`` would prefer the system's files, and all controllers must interpret a calendar alike.
     """
     if name not in _zones:
         from importlib import resources
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -1,4 +1,4 @@
-"""Calendars against a slow reading of the clock on the wall, minute by minute; what they refuse; the hard days."""
+"""Calendars compared with a minute-by-minute reference, on days of clock changes and holidays; faults in files."""
 
 import configparser
 from datetime import UTC, date, datetime, timedelta
@@ -32,27 +32,24 @@
 )
 
 
-def read(text: str) -> CalendarConfiguration:
+def parse_text(text: str) -> CalendarConfiguration:
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
     return parse(parser, "hours.ini")
 
 
-def table(hours: str, job_class: str = "", name: str = "c") -> Timetable:
-    return Timetable(read(f"{hours}\n[class desk/*]\ncalendar = {name}\n{job_class}"))
+def timetable_of(hours: str, job_class: str = "", name: str = "c") -> Timetable:
+    return Timetable(parse_text(f"{hours}\n[class desk/*]\ncalendar = {name}\n{job_class}"))
 
 
-def at(*when: int, zone: str = "Europe/Oslo", fold: int = 0) -> float:
-    return datetime(*when, tzinfo=ZoneInfo(zone), fold=fold).timestamp()
+def timestamp(*local_time: int, zone: str = "Europe/Oslo", fold: int = 0) -> float:
+    return datetime(*local_time, tzinfo=ZoneInfo(zone), fold=fold).timestamp()
 
 
-def may(timetable, wall: float, skew_s: float = 0.0, spec=SPEC) -> bool:
+def may_start(timetable, wall: float, skew_s: float = 0.0, spec=SPEC) -> bool:
     return timetable.eligibility(spec, wall, skew_s).may_start
 
 
-# -- against a slow reading
-
-
 def slow(calendar: Calendar, others: dict[str, Calendar], wall: float) -> bool:
     if calendar.of:
         return (all if calendar.of == "all" else any)(slow(others[part], others, wall) for part in calendar.parts)
@@ -77,7 +74,7 @@
     ),
 )
 first_day = date(2025, 1, 1)
-hard_days = [
+edge_days = [
     date(2026, 3, 28),
     date(2026, 10, 24),
     date(2028, 2, 28),
@@ -85,25 +82,29 @@
     date(2030, 3, 30),
     date(2034, 10, 28),
 ]
-days = st.one_of(st.sampled_from(hard_days), st.integers(0, 3650).map(lambda n: first_day + timedelta(n)))
+days = st.one_of(st.sampled_from(edge_days), st.integers(0, 3650).map(lambda n: first_day + timedelta(n)))
 
 
 @st.composite
-def texts(draw):
+def configurations(draw):
     day = draw(days)
-    near = [day_number(day) + n for n in range(4)]
+    nearby_days = [day_number(day) + n for n in range(4)]
 
     def calendar(name):
         return Calendar(
             name,
             draw(st.sampled_from(ZONES)),
             draw(st.lists(spans, min_size=7, max_size=7)),
-            [(one, draw(spans)) for one in draw(st.sets(st.sampled_from(near), max_size=2))],
-            sorted(draw(st.sets(st.sampled_from(near), max_size=2))),
+            [(one, draw(spans)) for one in draw(st.sets(st.sampled_from(nearby_days), max_size=2))],
+            sorted(draw(st.sets(st.sampled_from(nearby_days), max_size=2))),
             draw(spans),
         )
 
-    both = [calendar("a"), calendar("b"), Calendar("c", of=draw(st.sampled_from(["all", "any"])), parts=["a", "b"])]
+    calendars = [
+        calendar("a"),
+        calendar("b"),
+        Calendar("c", of=draw(st.sampled_from(["all", "any"])), parts=["a", "b"]),
+    ]
     rule = CalendarRule(
         "desk",
         "*",
@@ -112,18 +113,18 @@
         draw(st.sampled_from([0.1, 1.0, 6.0])),
         draw(st.booleans()),
     )
-    return day, CalendarConfiguration(both, [rule]), draw(st.sampled_from([0, 60, 180]))
+    return day, CalendarConfiguration(calendars, [rule]), draw(st.sampled_from([0, 60, 180]))
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
-@given(texts())
+@given(configurations())
 def test_a_check_says_what_the_clock_on_the_wall_says_minute_by_minute(drawn):
     day, text, skew = drawn
     rule, others = text.classes[0], {one.name: one for one in text.calendars}
     begin = int(datetime(day.year, day.month, day.day, tzinfo=UTC).timestamp())
     minutes = [slow(others[rule.calendar], others, begin + 60 * n) for n in range(-60, 3 * 1440 + 200)]
-    tail = int(rule.run_factor * 10) if rule.ends else 0  # minutes, of a task of 600 s that never saves
-    shuts = [0] * len(minutes)  # until when it stays open
+    tail = int(rule.run_factor * 10) if rule.ends else 0  # minutes; the task runs for 600 s and does not save progress
+    shuts = [0] * len(minutes)  # index of the minute at which it closes next
     for n in range(len(minutes) - 1, -1, -1):
         shuts[n] = (shuts[n + 1] if n + 1 < len(minutes) else len(minutes)) if minutes[n] else n
     timetable = Timetable(text)
@@ -147,96 +148,113 @@
         if expected:
             assert eligibility.opened_at <= wall and eligibility.closes_at >= wall + 60 * tail
     fresh = Timetable(text)
-    for n in range(0, 3 * 1440, 191):  # what is kept from one question to the next is what a first answer says
+    for n in range(0, 3 * 1440, 191):  # cached answers equal those of a new timetable
         wall = begin + 60.0 * n
         assert timetable.eligibility(SPEC, wall, float(skew)) == fresh.eligibility(SPEC, wall, float(skew))
 
 
-# -- hard cases, each by name
-
-
-def test_both_hours_of_the_autumn_change_and_the_missing_one_of_spring():
-    timetable = table("[calendar c]\nzone = Europe/Oslo\nsun = 02:15-02:45")
-    assert [may(timetable, at(2026, 10, 25, 2, 30, fold=fold)) for fold in (0, 1)] == [True, True]
-    between = at(2026, 10, 25, 2, 50)
-    assert not may(timetable, between) and timetable.eligibility(SPEC, between, 0.0).opens_at == at(
+def test_repeated_hour_in_autumn_and_skipped_hour_in_spring():
+    timetable = timetable_of("[calendar c]\nzone = Europe/Oslo\nsun = 02:15-02:45")
+    assert [may_start(timetable, timestamp(2026, 10, 25, 2, 30, fold=fold)) for fold in (0, 1)] == [True, True]
+    between = timestamp(2026, 10, 25, 2, 50)
+    assert not may_start(timetable, between) and timetable.eligibility(SPEC, between, 0.0).opens_at == timestamp(
         2026, 10, 25, 2, 15, fold=1
     )
-    spring = at(2026, 3, 28, 12, 0)
-    expected = at(2026, 4, 5, 2, 15)  # on 29 March there is no such time
+    spring = timestamp(2026, 3, 28, 12, 0)
+    expected = timestamp(2026, 4, 5, 2, 15)  # 02:15 is skipped on 29 March
     assert timetable.eligibility(SPEC, spring, 0.0).opens_at == expected
-    night = table("[calendar c]\nzone = Europe/Oslo\nsat = 22:00-06:00")
-    assert night.periods("c", at(2026, 10, 24, 12), 1)[0] == (at(2026, 10, 24, 22), at(2026, 10, 25, 6))
-    assert at(2026, 10, 25, 6) - at(2026, 10, 24, 22) == 9 * 3600
+    night = timetable_of("[calendar c]\nzone = Europe/Oslo\nsat = 22:00-06:00")
+    assert night.periods("c", timestamp(2026, 10, 24, 12), 1)[0] == (
+        timestamp(2026, 10, 24, 22),
+        timestamp(2026, 10, 25, 6),
+    )
+    assert timestamp(2026, 10, 25, 6) - timestamp(2026, 10, 24, 22) == 9 * 3600
 
 
 def test_a_shift_belongs_to_the_day_on_which_it_begins():
     hours = "[calendar c]\nzone = Europe/Oslo\nmon-sun = 22:00-06:00\n2026-12-25 = closed\n2026-12-26 = 23:00-02:00"
-    timetable = table(hours)
-    assert may(timetable, at(2026, 12, 25, 5, 59))  # of the 24th
-    assert not may(timetable, at(2026, 12, 25, 23, 0)) and not may(timetable, at(2026, 12, 26, 1, 0))
-    assert not may(timetable, at(2026, 12, 26, 22, 30)) and may(timetable, at(2026, 12, 27, 1, 59))
-    assert not may(timetable, at(2026, 12, 27, 2, 0))
+    timetable = timetable_of(hours)
+    assert may_start(timetable, timestamp(2026, 12, 25, 5, 59))  # shift of the 24th
+    assert not may_start(timetable, timestamp(2026, 12, 25, 23, 0)) and not may_start(
+        timetable, timestamp(2026, 12, 26, 1, 0)
+    )
+    assert not may_start(timetable, timestamp(2026, 12, 26, 22, 30)) and may_start(
+        timetable, timestamp(2026, 12, 27, 1, 59)
+    )
+    assert not may_start(timetable, timestamp(2026, 12, 27, 2, 0))
 
 
-def test_29_february_easter_and_a_holiday_in_one_zone_only():
+def test_leap_day_easter_and_a_holiday_in_one_country_only():
     hours = (
         "[calendar c]\nzone = Europe/Oslo\nmon-sun = 08:00-16:00\nholidays = NO\nholiday years = 2026-2030\n"
         "2028-02-29 = 10:00-11:00\n[calendar d]\nzone = Europe/London\nmon-sun = all day\nholidays = GB-ENG\n"
         "holiday years = 2026-2030\n[calendar both]\nall of = c, d"
     )
-    timetable, both = table(hours), table(hours, name="both")
-    assert not may(timetable, at(2028, 2, 29, 9, 0)) and may(timetable, at(2028, 2, 29, 10, 0))
-    assert may(timetable, at(2028, 3, 1, 9, 0))
+    timetable, both = timetable_of(hours), timetable_of(hours, name="both")
+    assert not may_start(timetable, timestamp(2028, 2, 29, 9, 0)) and may_start(
+        timetable, timestamp(2028, 2, 29, 10, 0)
+    )
+    assert may_start(timetable, timestamp(2028, 3, 1, 9, 0))
     for easter_monday in ((2026, 4, 6), (2027, 3, 29), (2030, 4, 22)):
-        assert not may(timetable, at(*easter_monday, 9, 0)) and not may(both, at(*easter_monday, 9, 0))
-    assert not may(timetable, at(2026, 5, 14, 9, 0))  # Ascension day in Norway alone
-    assert may(table(hours, name="d"), at(2026, 5, 14, 9, 0)) and not may(both, at(2026, 5, 14, 9, 0))
-    assert may(timetable, at(2026, 8, 31, 9, 0)) and not may(both, at(2026, 8, 31, 9, 0))  # England's summer holiday
+        assert not may_start(timetable, timestamp(*easter_monday, 9, 0)) and not may_start(
+            both, timestamp(*easter_monday, 9, 0)
+        )
+    assert not may_start(timetable, timestamp(2026, 5, 14, 9, 0))  # Ascension Day is a holiday in Norway only
+    assert may_start(timetable_of(hours, name="d"), timestamp(2026, 5, 14, 9, 0)) and not may_start(
+        both, timestamp(2026, 5, 14, 9, 0)
+    )
+    # Summer bank holiday in England only.
+    assert may_start(timetable, timestamp(2026, 8, 31, 9, 0)) and not may_start(both, timestamp(2026, 8, 31, 9, 0))
 
 
-def test_an_exception_added_this_minute_holds_at_once_and_beside_the_older_revision():
-    wall = at(2026, 6, 1, 9, 0)
-    older = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00").configuration
-    newer = table("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00\n2026-06-01 = 11:00-18:00").configuration
-    assert may(Timetable(older), wall) and not may(Timetable(newer), wall)
+def test_new_exception_applies_at_once_and_together_with_the_older_revision():
+    wall = timestamp(2026, 6, 1, 9, 0)
+    older = timetable_of("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00").configuration
+    newer = timetable_of("[calendar c]\nzone = Europe/Oslo\nmon = 08:00-16:00\n2026-06-01 = 11:00-18:00").configuration
+    assert may_start(Timetable(older), wall) and not may_start(Timetable(newer), wall)
     eligibility = Timetables([older, newer]).eligibility(SPEC, wall, 0.0)
-    assert not eligibility.may_start and eligibility.opens_at == at(2026, 6, 1, 11, 0)
-    late = at(2026, 6, 1, 17, 0)
-    assert may(Timetables([newer]), late) and not may(Timetables([older, newer]), late)
-    assert Timetables([older, newer]).eligibility(SPEC, late, 0.0).opens_at == at(2026, 6, 8, 8, 0)
-    assert Timetables([CalendarConfiguration()]).eligibility(SPEC, wall, 0.0).may_start  # an empty one takes all back
+    assert not eligibility.may_start and eligibility.opens_at == timestamp(2026, 6, 1, 11, 0)
+    late = timestamp(2026, 6, 1, 17, 0)
+    assert may_start(Timetables([newer]), late) and not may_start(Timetables([older, newer]), late)
+    assert Timetables([older, newer]).eligibility(SPEC, late, 0.0).opens_at == timestamp(2026, 6, 8, 8, 0)
+    # An empty configuration withdraws the calendars.
+    assert Timetables([CalendarConfiguration()]).eligibility(SPEC, wall, 0.0).may_start
 
 
-def test_a_task_that_can_never_end_before_closing_never_opens():
+def test_task_that_cannot_end_before_closing_never_starts():
     hours = "[calendar c]\nzone = Europe/Oslo\nmon = 08:00-09:00\ntue = 08:00-12:00\n[calendar e]\nzone = UTC\n"
     hours += "2031-01-01 = 08:00-12:00"
     rule = "end before closing = yes\nrun factor = 2"
-    monday = at(2026, 6, 1, 8, 0)
-    timetable = table(hours, rule)
-    assert may(timetable, monday + 39 * 60) and not may(timetable, monday + 40 * 60)  # twice 10 minutes
+    monday = timestamp(2026, 6, 1, 8, 0)
+    timetable = timetable_of(hours, rule)
+    # Twice the estimate of 10 minutes.
+    assert may_start(timetable, monday + 39 * 60) and not may_start(timetable, monday + 40 * 60)
     long = msgspec.structs.replace(SPEC, estimate_s=3600.0)
-    assert timetable.eligibility(long, monday, 0.0).opens_at == at(2026, 6, 2, 8, 0)
-    for_ever = msgspec.structs.replace(SPEC, estimate_s=7201.0)
-    assert timetable.eligibility(for_ever, monday, 0.0)[:2] == (False, NEVER)
-    assert table(hours, name="e").eligibility(SPEC, monday, 0.0).opens_at == NEVER
+    assert timetable.eligibility(long, monday, 0.0).opens_at == timestamp(2026, 6, 2, 8, 0)
+    too_long = msgspec.structs.replace(SPEC, estimate_s=7201.0)
+    assert timetable.eligibility(too_long, monday, 0.0)[:2] == (False, NEVER)
+    assert timetable_of(hours, name="e").eligibility(SPEC, monday, 0.0).opens_at == NEVER
 
 
-def test_the_cautious_end_of_the_clock_the_stop_and_the_warm_up():
-    timetable = table("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "at closing = stop\nwarm up = 120")
+def test_clock_skew_stop_time_and_warm_up():
+    timetable = timetable_of("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "at closing = stop\nwarm up = 120")
     eight, spec = datetime(2026, 6, 1, 8, tzinfo=UTC).timestamp(), msgspec.structs.replace(SPEC, save_s=10.0)
     eligibility = timetable.eligibility(spec, eight - 125.0, 2.0)
     assert not eligibility.warm and eligibility.opens_at == eight + 2.0 and eligibility.stop_at < eight
-    assert timetable.eligibility(spec, eight - 118.0, 2.0).warm and not may(timetable, eight + 1.9, 2.0)
-    assert may(timetable, eight + 2.0, 2.0) and timetable.eligibility(spec, eight + 9.0, 2.0).stop_at == eight + 3588.0
-    assert may(timetable, eight + 3557.0, 2.0, spec) and not may(timetable, eight + 3558.0, 2.0, spec)
+    assert timetable.eligibility(spec, eight - 118.0, 2.0).warm and not may_start(timetable, eight + 1.9, 2.0)
+    assert (
+        may_start(timetable, eight + 2.0, 2.0)
+        and timetable.eligibility(spec, eight + 9.0, 2.0).stop_at == eight + 3588.0
+    )
+    assert may_start(timetable, eight + 3557.0, 2.0, spec) and not may_start(timetable, eight + 3558.0, 2.0, spec)
     service = msgspec.structs.replace(SPEC, kind="standing", estimate_s=0.0)
-    ends = table("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "end before closing = yes")
-    assert ends.eligibility(service, eight, 0.0).stop_at == eight + 3600.0  # a replica has no end of its own
+    ends = timetable_of("[calendar c]\nzone = UTC\nmon = 08:00-09:00", "end before closing = yes")
+    # A service has no expected end, so it is stopped.
+    assert ends.eligibility(service, eight, 0.0).stop_at == eight + 3600.0
     assert ends.eligibility(SPEC, eight, 0.0).stop_at == NEVER
 
 
-def test_a_zone_that_this_controller_does_not_know_is_closed():
+def test_calendar_with_an_unknown_zone_is_closed():
     text = CalendarConfiguration([Calendar("c", "Europe/Atlantis", [[(0, 1440)]] * 7)], [CalendarRule("*", "*", "c")])
     assert Timetable(text).eligibility(SPEC, 0.0, 0.0)[:2] == (False, NEVER)
 
@@ -250,9 +268,6 @@
     assert load_zone("../Europe/Oslo") is None and load_zone("Europe") is None
 
 
-# -- faults, each one clear line
-
-
 FAULTS = {
     "[calendar c]\nzone = Europe/Atlantis\nmon = 08:00-09:00": "[calendar c] zone: expected a time zone",
     "[calendar c]\nmon = 08:00-09:00": "[calendar c] zone: expected a time zone such as Europe/Oslo, or 'all of'",
@@ -269,10 +284,10 @@
     "[calendar c]\nzone = UTC\nmon = all day\nholidays = GB-XYZ": "'GB-XYZ' is not known",
     "[calendar c]\nzone = UTC\nmon = all day\nholidays = NO": "[calendar c] holiday years: expected the years",
     "[calendar c]\nall of = d": "[calendar c] all of: no calendar 'd' in this file",
-    "[calendar c]\nall of = d\n[calendar d]\nany of = e\n[calendar e]\nall of = c": "rests on itself: c > d > e > c",
+    "[calendar c]\nall of = d\n[calendar d]\nany of = e\n[calendar e]\nall of = c": "depends on itself: c > d > e > c",
     "[class a/b]\ncalendar = gone": "[class a/b] calendar: no calendar 'gone' in this file",
     "[class a/b]\nwarm up = 1": "[class a/b] calendar: expected the name of a calendar",
-    "[calendar c]\nzone = UTC\nmon = all day\n[class */b]\ncalendar = c\n[class a/b]\ncalendar = c": "never holds",
+    "[calendar c]\nzone = UTC\nmon = all day\n[class */b]\ncalendar = c\n[class a/b]\ncalendar = c": "never matches",
     "[calendar c]\nzone = UTC\nmon = all day\n[class a/b]\ncalendar = c\nat closing = halt": "expected stop or run on",
     "[calendar c]\nzone = UTC\nmon = all day\n[class a/b]\ncalendar = c\nrun factor = 0": "expected a number from 0.1",
     "[calender c]\nzone = UTC": "[calender c]: expected [declaration], [calendar NAME] or [class OWNER/WORKLOAD]",
@@ -282,32 +297,32 @@
 @pytest.mark.parametrize("text", FAULTS)
 def test_a_fault_is_one_line_that_names_file_section_and_key(text):
     with pytest.raises(ConfigError) as error:
-        read(text)
+        parse_text(text)
     lines = str(error.value).split("\n")
     assert len([line for line in lines if FAULTS[text] in line]) == 1
     assert all(line.startswith("hours.ini: [") for line in lines)
 
 
 def test_check_shows_the_next_openings():
-    text = read(
+    text = parse_text(
         "[calendar c]\nzone = Europe/Oslo\nmon-fri = 08:00-16:00\n[class desk/*]\ncalendar = c\n"
         "end before closing = yes"
     )
-    lines = check_lines(text, at(2026, 10, 23, 17, 0))
+    lines = check_lines(text, timestamp(2026, 10, 23, 17, 0))
     assert lines[0].startswith("calendar c: open Mon 2026-10-26 08:00 to Mon 2026-10-26 16:00, Tue 2026-10-27 08:00")
     assert lines[1].startswith("class desk/*: calendar c, at closing runs on, started only if 1.4 times")
 
 
-def test_a_check_is_cheap_and_a_compiled_revision_is_small():
-    text = read(
+def test_eligibility_is_cached_and_a_compiled_revision_is_small():
+    text = parse_text(
         "[calendar c]\nzone = Europe/Oslo\nmon-fri = 08:00-16:00\nholidays = NO, GB-ENG\n"
         "holiday years = 2026-2030\n[class desk/*]\ncalendar = c\nend before closing = yes"
     )
     raw = msgspec.json.encode(text)
     assert len(raw) < 900 and msgspec.json.decode(raw, type=CalendarConfiguration) == text
     timetable = Timetable(text)
-    calls = []
-    inner, timetable._compute = timetable._compute, lambda *args: calls.append(args) or inner(*args)
+    computations = []
+    compute, timetable._compute = timetable._compute, lambda *args: computations.append(args) or compute(*args)
     for second in range(DAY):
-        timetable.eligibility(SPEC, at(2026, 6, 1, 0, 0) + second, 1.0)
-    assert len(calls) <= 6
+        timetable.eligibility(SPEC, timestamp(2026, 6, 1, 0, 0) + second, 1.0)
+    assert len(computations) <= 6
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -1,10 +1,10 @@
-"""Seeded random runs with hours declared: three and five controllers that fail, clocks off by up to the bound."""
+"""Seeded simulations with calendars: no task starts in closed hours under controller failures and clock skew."""
 
 import math
 
 import msgspec
 import pytest
-import simulation as w
+import simulation
 
 from alderbridge import constants
 from alderbridge.calendars import CalendarConfiguration, Timetable
@@ -15,43 +15,43 @@
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import TaskRequest
 
-BASE = 20752 * DAY - 180.0  # three minutes before midnight, UTC
-SKEW_S, KEY, TTL_S = 2.0, "ab/hours", constants.TOTAL_LEASE_S - w.LEASE_S
-LATE_S = 5.0  # s; a report interval and the way
+START_TIME = 20752 * DAY - 180.0  # time of day at the start, three minutes before midnight UTC
+SKEW_S, CONFIGURATION_KEY, TTL_S = 2.0, "ab/hours", constants.TOTAL_LEASE_S - simulation.LEASE_S
+STOP_DELAY_S = 5.0  # s; a heartbeat interval and the delivery of the command
 
 
-class HoursWorld(w.World):
-    """Texts are stored one after the other; each node obeys the one before as well for the ttl and a second."""
+class CalendarWorld(simulation.World):
+    """Stores configurations one after the other; each replaces the previous one after a store lease and a margin."""
 
-    def __init__(self, seed: int, falls: bool = True, **more) -> None:
+    def __init__(self, seed: int, crashes: bool = True, **more) -> None:
         super().__init__(seed, **more)
-        self.is_quiet = not (falls or more.get("random_faults", True))
+        self.is_fault_free = not (crashes or more.get("random_faults", True))
         rng = self.rng
-        self.texts, self.stored = [CalendarConfiguration()], [-math.inf]
-        for at in (rng.uniform(2.0, 15.0), rng.uniform(50.0, 110.0)):
-            self.after(at, self.declare, self.text())
+        self.configurations, self.stored_at = [CalendarConfiguration()], [-math.inf]
+        for delay_s in (rng.uniform(2.0, 15.0), rng.uniform(50.0, 110.0)):
+            self.after(delay_s, self.declare, self.random_configuration())
         self.after(210.0, self.declare, CalendarConfiguration())
-        off = rng.choice([-SKEW_S, SKEW_S, None])  # all at one end of the bound, or anywhere in it
+        clock_offset_s = rng.choice([-SKEW_S, SKEW_S, None])  # all at one limit of the skew, or each anywhere within it
         for sim in self.nodes.values():
-            sim.ahead_s = BASE + (rng.uniform(-SKEW_S, SKEW_S) if off is None else off)
+            sim.ahead_s = START_TIME + (rng.uniform(-SKEW_S, SKEW_S) if clock_offset_s is None else clock_offset_s)
         for number in range(6):
             self.after(rng.uniform(40.0, 200.0), self.submit, self.make_job(60 + number))
-        if not self.is_quiet:
+        if not self.is_fault_free:
             self.late_share = 0.03
-            for minute in range(1, 4):  # what was asked for or granted before closing arrives after it
-                self.after(60.0 * minute - rng.uniform(4.0, 12.0), self.cut, rng.uniform(6.0, 20.0))
-        for _ in range(rng.randint(2, 5) if falls else 0):
-            self.after(rng.uniform(10.0, 190.0), self.some_fall)
+            for minute in range(1, 4):  # requests and grants sent before closing arrive after it
+                self.after(60.0 * minute - rng.uniform(4.0, 12.0), self.partition_controller, rng.uniform(6.0, 20.0))
+        for _ in range(rng.randint(2, 5) if crashes else 0):
+            self.after(rng.uniform(10.0, 190.0), self.crash_some_controllers)
 
     def make_job(self, number: int) -> wire.JobSpec:
-        """Small ones, so that room is there whenever the hours allow a start."""
+        """Return a small job, so that capacity is free whenever the calendar allows a start."""
         spec = super().make_job(number)
         return msgspec.structs.replace(
             spec, cpus=1.0, save_s=self.rng.choice([0.0, 1.0]), estimate_s=spec.estimate_s * self.rng.choice([1.0, 1.5])
         )
 
-    def text(self) -> CalendarConfiguration:
-        """Minutes that are open or closed, over midnight, a calendar a team."""
+    def random_configuration(self) -> CalendarConfiguration:
+        """Return a calendar for each team, with random open minutes around midnight."""
         rng, calendars, classes = self.rng, [], []
         for team in ("free", "bound"):
             days = []
@@ -72,30 +72,30 @@
             )
         return CalendarConfiguration(calendars, classes)
 
-    def declare(self, text: CalendarConfiguration) -> None:
+    def declare(self, configuration: CalendarConfiguration) -> None:
         if self.t < self.store.down_until:
-            self.after(1.0, self.declare, text)
+            self.after(1.0, self.declare, configuration)
             return
-        self.texts.append(text)
-        self.stored.append(self.t)
-        self.store.commit({}, {KEY: len(self.texts) - 1})
+        self.configurations.append(configuration)
+        self.stored_at.append(self.t)
+        self.store.commit({}, {CONFIGURATION_KEY: len(self.configurations) - 1})
 
     def followed(self, sim, rows) -> None:
         for row in rows:
-            if KEY in (getattr(row, "key", None), getattr(row, "put", None)):
+            if CONFIGURATION_KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
-                sim.core.calendars.apply(self.texts[number - 1 : number + 1])
+                sim.core.calendars.apply(self.configurations[number - 1 : number + 1])
                 self.after(TTL_S + constants.PROOF_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
-        known = sim.core is not None and sim.life == life and sim.core.calendars.gate is not None
-        if known and sim.core.calendars.gate.configurations[-1] is self.texts[number]:
-            sim.core.calendars.apply([self.texts[number]])
+        is_running = sim.core is not None and sim.life == life and sim.core.calendars.gate is not None
+        if is_running and sim.core.calendars.gate.configurations[-1] is self.configurations[number]:
+            sim.core.calendars.apply([self.configurations[number]])
 
-    def cut(self, for_s: float) -> None:
-        self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + for_s
+    def partition_controller(self, duration_s: float) -> None:
+        self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + duration_s
 
-    def some_fall(self) -> None:
+    def crash_some_controllers(self) -> None:
         sims = list(self.nodes.values())
         for sim in self.rng.choice([sims, self.rng.sample(sims, 1), self.rng.sample(sims, 2)]):
             sim.crash()
@@ -106,79 +106,89 @@
             )
 
     def in_force(self) -> list[CalendarConfiguration]:
-        """What nobody may act against by now: known for a ttl to all who act, and dropped by none before a ttl."""
-        after = [*self.stored[1:], math.inf]
+        """Return the configurations that every acting controller applies now, by the store lease and the margins."""
+        replaced_at = [*self.stored_at[1:], math.inf]
         return [
-            text
-            for text, since, until in zip(self.texts, self.stored, after, strict=True)
+            configuration
+            for configuration, since, until in zip(self.configurations, self.stored_at, replaced_at, strict=True)
             if since + TTL_S + constants.ORDER_DELIVERY_S <= self.t < until + TTL_S + constants.PROOF_MARGIN_S
         ]
 
-    def open_until(
-        self, text: CalendarConfiguration, spec: wire.JobSpec, ago_s: float = 0.0
+    def closing_time(
+        self, configuration: CalendarConfiguration, spec: wire.JobSpec, delay_s: float = 0.0
     ) -> tuple[CalendarRule | None, float]:
-        table, wall = Timetable(text), BASE + self.t - ago_s
-        rule = table.rule(spec)
+        timetable, wall = Timetable(configuration), START_TIME + self.t - delay_s
+        rule = timetable.rule(spec)
         if rule is None:
             return None, NEVER
-        begin, end = next(table.hours[rule.calendar].periods(wall), (NEVER, 0.0))
+        begin, end = next(timetable.hours[rule.calendar].periods(wall), (NEVER, 0.0))
         return rule, end if begin <= wall else 0.0
 
-    def ordered(self, part: str) -> None:
-        spec = self.specs[wire.split_task_id(part)[0]]
-        for text in self.in_force():
-            rule, until = self.open_until(text, spec)
+    def ordered(self, task: str) -> None:
+        spec = self.specs[wire.split_task_id(task)[0]]
+        for configuration in self.in_force():
+            rule, until = self.closing_time(configuration, spec)
             run_s = spec.estimate_s * rule.run_factor if rule is not None and rule.ends else 0.0
-            if BASE + self.t + run_s >= until:
-                raise w.Broken(f"closed: {part} started at {self.t:.2f}")
+            if START_TIME + self.t + run_s >= until:
+                raise simulation.Broken(f"closed: {task} started at {self.t:.2f}")
 
     def watch(self) -> None:
         super().watch()
-        for part in self.on if self.is_quiet else ():
-            spec, text = self.specs[wire.split_task_id(part)[0]], self.texts[-1]
-            rule, until = self.open_until(text, spec, LATE_S)
-            since = self.open_until(text, spec)[1]
-            if rule is not None and rule.stops and not until and not since and self.t > self.stored[-1] + LATE_S:
-                raise w.Broken(f"not stopped: {part} runs at {self.t:.2f}")
+        for task in self.on if self.is_fault_free else ():
+            spec, configuration = self.specs[wire.split_task_id(task)[0]], self.configurations[-1]
+            rule, until = self.closing_time(configuration, spec, STOP_DELAY_S)
+            since = self.closing_time(configuration, spec)[1]
+            if (
+                rule is not None
+                and rule.stops
+                and not until
+                and not since
+                and self.t > self.stored_at[-1] + STOP_DELAY_S
+            ):
+                raise simulation.Broken(f"not stopped: {task} runs at {self.t:.2f}")
 
 
 @pytest.fixture(autouse=True)
-def clocks_may_be_off(monkeypatch):
-    plain = w.platform
+def allow_clock_skew(monkeypatch):
+    original = simulation.platform
 
     def platform(*args):
-        made = plain(*args)
-        return msgspec.structs.replace(made, settings=msgspec.structs.replace(made.settings, skew_ms=SKEW_S * 1000))
+        settings = original(*args)
+        return msgspec.structs.replace(
+            settings, settings=msgspec.structs.replace(settings.settings, skew_ms=SKEW_S * 1000)
+        )
 
-    monkeypatch.setattr(w.deployment, "platform", platform)
+    monkeypatch.setattr(simulation.deployment, "platform", platform)
 
 
-def play(seed: int, until: float = 600.0, **more) -> HoursWorld:
-    world = HoursWorld(seed, **more)
+def play(seed: int, until: float = 600.0, **more) -> CalendarWorld:
+    world = CalendarWorld(seed, **more)
     world.run(until)
     return world
 
 
-def lacking(world) -> list[str]:
+def unfinished_jobs(world) -> list[str]:
     return [job for job in world.accepted if job not in world.said and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("seed", range(9000, 9006))
-def test_no_start_in_closed_hours_and_every_job_ends_once_open(seed):
-    world = play(seed, nodes=3 + 2 * (seed % 2), random_faults=False, falls=seed % 3 > 0)
-    assert len(world.accepted) == 20 and not lacking(world)
+def test_no_task_starts_in_closed_hours_and_every_job_ends(seed):
+    world = play(seed, nodes=3 + 2 * (seed % 2), random_faults=False, crashes=seed % 3 > 0)
+    assert len(world.accepted) == 20 and not unfinished_jobs(world)
 
 
 @pytest.mark.parametrize("seed", range(9100, 9105))
-def test_no_start_in_closed_hours_whatever_fails(seed):
+def test_no_task_starts_in_closed_hours_under_random_faults(seed):
     assert play(seed, 260.0, nodes=3 + 2 * (seed % 2), pipelines=2, groups=seed % 2 == 0).starts > 0
 
 
-def test_what_was_granted_and_not_sent_at_closing_is_freed():
-    """Between the grant and the report whose answer brings the order a machine may hang for as long as its lease."""
-    world = w.World(1, jobs=6, random_faults=False)
+def test_task_granted_but_not_sent_at_closing_is_released():
+    """A machine may stall between the grant and the heartbeat whose response carries the command."""
+    world = simulation.World(1, jobs=6, random_faults=False)
     world.run(100.0)
-    shut = CalendarConfiguration([Calendar("never", "UTC", [[]] * 7)], [CalendarRule("*", "*", "never", stops=True)])
+    always_closed = CalendarConfiguration(
+        [Calendar("never", "UTC", [[]] * 7)], [CalendarRule("*", "*", "never", stops=True)]
+    )
     spec = msgspec.structs.replace(world.make_job(90), kind="sweep", tasks=1, types=None, zone=None, one_zone=False)
     world.submit(spec)
     for step in range(90_000):
@@ -191,46 +201,48 @@
         ]
         if pending:
             break
-    (sim, machine), part = pending[0], f"{spec.id}/0"
+    (sim, machine), task = pending[0], f"{spec.id}/0"
     for other in world.nodes.values():
-        other.core.calendars.apply([shut])
+        other.core.calendars.apply([always_closed])
     assert not [order for order in sim.core.machine_shard.order_builder.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
-    home = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
-    home.grants.on_task_request(
+    owner = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
+    owner.grants.on_task_request(
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
-    )  # of an older offer
-    assert not home.jobs[spec.id].runs
-    assert part not in world.on and home.jobs[spec.id].waiting == 1 and not machine.orders.pending
+    )  # for an older offer
+    assert not owner.jobs[spec.id].runs
+    assert task not in world.on and owner.jobs[spec.id].waiting == 1 and not machine.orders.pending
     for other in world.nodes.values():
         assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.calendars.apply([])
-    world.run(world.t + 200.0)  # its team is at its limit
-    assert part in world.completed
+    world.run(world.t + 200.0)  # the team is at its quota limit, so this takes time
+    assert task in world.completed
 
 
-def broken(monkeypatch, what: str) -> None:
-    declare = CalendarControl.apply
-    if what == "no cautious clock":
+def break_guard(monkeypatch, guard: str) -> None:
+    apply = CalendarControl.apply
+    if guard == "skew ignored":
 
-        def careless(calendars, texts):
-            declare(calendars, texts)
+        def apply_without_skew(calendars, configurations):
+            apply(calendars, configurations)
             calendars.gate.skew_s = 0.0
 
-        monkeypatch.setattr(CalendarControl, "apply", careless)
-    elif what == "nothing stopped":
-        monkeypatch.setattr(JobCalendars, "stop_tasks", lambda home: None)
+        monkeypatch.setattr(CalendarControl, "apply", apply_without_skew)
+    elif guard == "tasks not stopped":
+        monkeypatch.setattr(JobCalendars, "stop_tasks", lambda job_calendars: None)
     else:
-        monkeypatch.setattr(CalendarControl, "apply", lambda calendars, texts: declare(calendars, texts[:1]))
+        monkeypatch.setattr(
+            CalendarControl, "apply", lambda calendars, configurations: apply(calendars, configurations[:1])
+        )
 
 
 @pytest.mark.parametrize(
-    "what, seeds",
-    (("no cautious clock", (9008, 9009)), ("the older text alone", (9000, 9003)), ("nothing stopped", (9011,))),
+    "guard, seeds",
+    (("skew ignored", (9008, 9009)), ("newer revision ignored", (9000, 9003)), ("tasks not stopped", (9011,))),
 )
-def test_each_guard_broken_on_purpose_is_caught(what, seeds, monkeypatch):
-    """The checks at the grant and with the order have a test of their own above, which fails without either."""
-    broken(monkeypatch, what)
-    with pytest.raises(w.Broken, match="not stopped: " if what == "nothing stopped" else "closed: "):
+def test_each_disabled_guard_is_detected(guard, seeds, monkeypatch):
+    """The checks at the grant and with the command are covered by the test above, which fails without either."""
+    break_guard(monkeypatch, guard)
+    with pytest.raises(simulation.Broken, match="not stopped: " if guard == "tasks not stopped" else "closed: "):
         for seed in seeds:
-            play(seed, 220.0, nodes=3 + 2 * (seed % 2), random_faults=False, falls=what != "nothing stopped")
+            play(seed, 220.0, nodes=3 + 2 * (seed % 2), random_faults=False, crashes=guard != "tasks not stopped")
