--- a/alderbridge/configuration/__init__.py
+++ b/alderbridge/configuration/__init__.py
@@ -1,13 +1,12 @@
-"""What operators declare (priorities, hours, lending), the same on all controllers: one revision each, in the store.
+"""Operator configuration (priorities, hours, lending): one revision of each kind, stored for all controllers.
 
-Pure but for the reading of files. ``ControllerCore`` owns one ``OperatorConfiguration``, and the controller writes
-what it proposes. The safety argument is in ``docs/design.md``, what people on call see in ``docs/declared.md``.
+Only reading files does I/O. ``ControllerCore`` owns one ``OperatorConfiguration``, and the controller writes the
+transactions that it proposes. The safety argument is in ``docs/design.md``, operation in ``docs/declared.md``.
 
-* ``load``, ``check_lines``: a file, checked and compiled to a ``ConfigurationRevision``, and what it would put in
-  force.
-* ``READERS``: the package of each kind, imported only where something of that kind is declared.
-* ``ConfigurationHead``: the record that says which revision counts; its texts are values of their own.
-* ``OperatorConfiguration``: the states unread, read, proposed, stored, in force and refused; what to write next.
+* ``load``, ``check_lines``: check a file, compile it to a ``ConfigurationRevision``, and describe its effect.
+* ``READERS``: the parser module of each kind, imported when a configuration of that kind is first used.
+* ``ConfigurationHead``: the stored record that names the current revision; its text is stored under separate keys.
+* ``OperatorConfiguration``: tracks the state of the file and of the stored revision, and proposes what to write.
 """
 
 from alderbridge.configuration.compiler import READERS, ConfigurationRevision, check_lines, load
--- a/alderbridge/configuration/compiler.py
+++ b/alderbridge/configuration/compiler.py
@@ -1,6 +1,6 @@
-"""A file of the operators: read, checked, and compiled to the text that the store keeps.
+"""Reads and checks an operator configuration file, and compiles it to the text that is stored.
 
-Each kind has a package with a module ``configuration``, a ``ConfigurationReader``.
+The package of each kind has a module ``configuration`` that implements ``ConfigurationReader``.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 
 class ConfigurationReader(Protocol):
-    """The module that reads one kind."""
+    """The module that parses one kind."""
 
-    # A struct whose fields all have defaults; one of defaults alone declares nothing. A field that an earlier program
-    # can't pass over needs a new protocol version, as in any other record.
+    # A struct whose fields all have defaults; without arguments it declares nothing. As in any other record, a field
+    # that an earlier version must not ignore needs a new protocol version.
     configuration_type: type[msgspec.Struct]
 
     def parse(self, parser: configparser.ConfigParser, path: str) -> msgspec.Struct:
-        """Compile all sections but ``[declaration]``; ``ConfigError`` for a fault.
+        """Compile all sections except ``[declaration]``; raise ``ConfigError`` for a fault.
 
-        It depends on the file alone: two controllers, on two days, must compile the same.
+        The result must depend on the file alone: all controllers must compile it alike, on any day.
         """
 
     def check_lines(self, configuration: Any) -> list[str]:
-        """Say for people what the configuration puts in force."""
+        """Return a readable description of what the configuration puts in force."""
 
 
-READERS: dict[str, ConfigurationReader] = {}  # kind -> its module, once imported
+READERS: dict[str, ConfigurationReader] = {}  # by kind; filled when a module is imported
 SECTION = "declaration"
 
 
 class ConfigurationRevision(msgspec.Struct, frozen=True):
-    """A file, compiled. An empty ``text`` takes back what was declared before."""
+    """A compiled file. An empty ``text`` withdraws earlier declarations."""
 
     kind: str
     revision: int
@@ -47,7 +47,7 @@
 
 
 def reader(kind: str) -> ConfigurationReader:
-    """Return the kind's module. Imported only when something of the kind is declared: start-up is charged."""
+    """Return the kind's module, imported on first use to keep start-up short."""
     if kind not in READERS:
         module = importlib.import_module(f"alderbridge.{KINDS[kind]}.configuration")
         READERS[kind] = cast(ConfigurationReader, module)
@@ -55,19 +55,19 @@
 
 
 def digest_of(text: bytes) -> str:
-    """Return the digest that names a compiled text."""
+    """Return the digest that identifies a compiled text."""
     return hashlib.blake2b(text, digest_size=16).hexdigest()
 
 
 def compiled(kind: str, text: bytes) -> msgspec.Struct:
-    """Return what a text declares; ``msgspec.DecodeError`` where this program can't read it."""
+    """Decode a compiled text; raise ``msgspec.DecodeError`` if this version can't read it."""
     return (
         msgspec.json.decode(text, type=reader(kind).configuration_type) if text else reader(kind).configuration_type()
     )
 
 
 def load(path: str, kind: str) -> ConfigurationRevision:
-    """Read a file of the kind; ``ConfigError``, one line, for each of its faults."""
+    """Read and compile a file of the kind; raise ``ConfigError`` with one line per fault."""
     if kind not in KINDS:
         raise ConfigError(f"{path}: expected one of {', '.join(KINDS)}, got {kind!r}")
     parser = read_ini(path)
@@ -75,7 +75,7 @@
     text = b""
     if parser.sections() != [SECTION]:
         text = msgspec.json.encode(reader(kind).parse(parser, path))
-        compiled(kind, text)  # what could not be read back must never be proposed
+        compiled(kind, text)  # a text that can't be decoded must never be proposed
     if len(text) > constants.CONFIGURATION_MAX_BYTES:
         raise ConfigError(
             f"{path}: expected no more than {constants.CONFIGURATION_MAX_BYTES} bytes when compiled, got {len(text)}"
@@ -84,7 +84,7 @@
 
 
 def _revision(parser: configparser.ConfigParser, path: str) -> int:
-    """Read the file's own number."""
+    """Return the revision that the file declares."""
     if not parser.has_section(SECTION):
         raise ConfigError(f"{path}: [{SECTION}]: no such section, expected one with the key revision")
     for key in parser.options(SECTION):
@@ -99,8 +99,11 @@
 
 
 def check_lines(declared: ConfigurationRevision) -> list[str]:
-    """Return what ``--check`` prints of a file."""
-    first = f"{declared.kind}: revision {declared.revision}, digest {declared.digest}, {len(declared.text)} bytes"
+    """Return what ``--check`` prints about a file."""
+    summary = f"{declared.kind}: revision {declared.revision}, digest {declared.digest}, {len(declared.text)} bytes"
     if not declared.text:
-        return [f"{first}: nothing is declared any more"]
-    return [first, *(f"  {line}" for line in reader(declared.kind).check_lines(compiled(declared.kind, declared.text)))]
+        return [f"{summary}: nothing is declared any more"]
+    return [
+        summary,
+        *(f"  {line}" for line in reader(declared.kind).check_lines(compiled(declared.kind, declared.text))),
+    ]
--- a/alderbridge/configuration/operator_configuration.py
+++ b/alderbridge/configuration/operator_configuration.py
@@ -1,4 +1,4 @@
-"""Which revision of each kind counts in this process, from when, and what this process writes of it."""
+"""Tracks which revisions of the operator configuration are in force in this process, and proposes what to write."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from alderbridge.settings import KINDS
 
 log = logging.getLogger("configuration")
-_head = msgspec.json.Decoder(ConfigurationHead)
-_piece = msgspec.json.Decoder(bytes)  # base64, as msgspec keeps bytes in JSON
-NOTHING: list[msgspec.Struct] = []
+_head_decoder = msgspec.json.Decoder(ConfigurationHead)
+_piece_decoder = msgspec.json.Decoder(bytes)  # base64, as msgspec keeps bytes in JSON
+NO_CONFIGURATIONS: list[msgspec.Struct] = []
 
 
 class RevisionState(str, Enum):
-    """How far a revision has come: that of this process's file, or that of the store's head."""
+    """The state of a revision: that of this process's file, or that of the stored head."""
 
-    UNREAD = "unread"  # file: none here. Store: no head known
-    READ = "read"  # file: checked, newer than the store's or not compared yet
+    UNREAD = "unread"  # file: this process has none. Store: no head received
+    READ = "read"  # file: valid, and newer than the stored revision or not compared yet
     PROPOSED = "proposed"  # file: its records are being written
-    STORED = "stored"  # the head is in the replica; the one before is obeyed as well
-    IN_FORCE = "in force"  # obeyed alone
-    REFUSED = "refused"  # file: older than the store's, or the same revision with another text
+    STORED = "stored"  # the head is in the replica; the previous revision is applied as well
+    IN_FORCE = "in force"  # the only revision that is applied
+    REFUSED = "refused"  # file: older than the stored revision, or the same revision with another text
 
 
 @dataclass(eq=False)
 class ConfigurationProposal:
-    """One transaction on one kind; the caller adds the view to its conditions."""
+    """A transaction on one kind; the caller adds the view to its conditions."""
 
     kind: str
     conditions: dict[str, int]
@@ -43,43 +43,41 @@
 
     @property
     def changes(self) -> int:
-        """Return its changes of the store."""
+        """Return the number of keys that the transaction changes."""
         return len(self.puts) + len(self.drops)
 
 
 class _KindConfiguration:
-    """One kind. ``file_state`` is that of this process's own file, ``stored_state`` that of the store's head."""
+    """The configuration of one kind. ``file_state`` is about this process's file, ``stored_state`` about the head."""
 
-    def __init__(self, kind: str, own: ConfigurationRevision | None) -> None:
-        self.kind, self.own = kind, own
+    def __init__(self, kind: str, own_file: ConfigurationRevision | None) -> None:
+        self.kind, self.own_file = kind, own_file
         self.file_state = RevisionState.UNREAD
         self.stored_state = RevisionState.UNREAD
         self.head: ConfigurationHead | None = None
         self.store_revision = 0
-        self.alone_at = float("inf")  # from when the head's text is obeyed alone
-        self.pieces: dict[str, bytes] = {}  # of texts in the replica, named by a head or not
-        self.arrived: tuple[ConfigurationHead, int] | None = None  # and not taken in yet
-        self.in_force = NOTHING  # obeyed now, oldest first; the list is made anew for each change
+        self.in_force_at = float("inf")  # when the current revision becomes the only one that is applied
+        self.pieces: dict[str, bytes] = {}  # parts of texts in the replica by key, referenced by a head or not
+        self.pending_head: tuple[ConfigurationHead, int] | None = None  # with its store revision, until ``refresh``
+        self.in_force = NO_CONFIGURATIONS  # applied now, oldest first; a new list after each change
         self.compiled: dict[str, msgspec.Struct] = {}  # by digest
-        self.stale: list[str] = []  # keys of texts that the head, once settled, does not name
-        self.unreadable = ""
-        self.last_wait = ""  # why nothing is proposed, as it was last said
-        if own is not None:
+        self.unreferenced: list[str] = []  # keys of texts that the current revision does not use
+        self.unreadable = ""  # why the revisions in force can't be read; empty: they can
+        self.last_logged_wait = ""  # cause in the last log line about waiting
+        if own_file is not None:
             self._read()
 
-    # -- changes of state, one method each ---------------------------------
-
     def _read(self) -> None:
         self.file_state = RevisionState.READ
-        self._say(self.own, "read")
+        self._log_state(self.own_file, "read")
 
     def _propose(self) -> None:
         if self.file_state is RevisionState.READ:
             self.file_state = RevisionState.PROPOSED
-            self._say(self.own, "proposed")
+            self._log_state(self.own_file, "proposed")
 
-    def _fall_back(self) -> None:
-        """Refused, in conflict or without an answer: what has become of it, the replica will tell."""
+    def _revert_proposal(self) -> None:
+        """Propose the file again, after a proposal that failed or whose result is unknown."""
         if self.file_state is RevisionState.PROPOSED:
             self.file_state = RevisionState.READ
 
@@ -88,59 +86,63 @@
 
     def _refuse(self) -> None:
         self.file_state = RevisionState.REFUSED
-        assert self.own is not None and self.head is not None
-        if self.own.revision < self.head.revision:
-            self._say(self.own, "refused", f"revision {self.head.revision} is in the store")
+        assert self.own_file is not None and self.head is not None
+        if self.own_file.revision < self.head.revision:
+            self._log_state(self.own_file, "refused", f"revision {self.head.revision} is in the store")
         else:
-            self._say(self.own, "refused", f"the store has another text of this revision, {self.head.digest}", True)
+            self._log_state(
+                self.own_file, "refused", f"the store has another text of this revision, {self.head.digest}", True
+            )
 
     def _store(self, head: ConfigurationHead, store_revision: int, now: float, wait_s: float) -> None:
-        """A head has arrived: the same one again goes on with its time."""
+        """Store a received head; a repeated head of the same revision keeps its ``in_force_at``."""
         same = self.head is not None and self.head.last == head.last
         self.head, self.store_revision = head, store_revision
         if not same:
-            self.stored_state, self.alone_at = RevisionState.STORED, now + wait_s
-            self._say(head, "stored")
+            self.stored_state, self.in_force_at = RevisionState.STORED, now + wait_s
+            self._log_state(head, "stored")
 
     def _enforce(self) -> None:
-        self.stored_state, self.alone_at = RevisionState.IN_FORCE, float("-inf")
+        self.stored_state, self.in_force_at = RevisionState.IN_FORCE, float("-inf")
         if self.file_state is RevisionState.STORED:
             self.file_state = RevisionState.IN_FORCE
-        self._say(self.head, "in force")
-
-    # -- the rest ----------------------------------------------------------
-
-    def _say(
-        self, what: ConfigurationRevision | ConfigurationHead | None, state: str, cause: str = "", bad: bool = False
+        self._log_state(self.head, "in force")
+
+    def _log_state(
+        self,
+        revision: ConfigurationRevision | ConfigurationHead | None,
+        state: str,
+        cause: str = "",
+        is_error: bool = False,
     ) -> None:
-        assert what is not None
+        assert revision is not None
         log.log(
-            logging.ERROR if bad else logging.INFO,
+            logging.ERROR if is_error else logging.INFO,
             "declaration=%s revision=%d digest=%s state=%s%s",
             self.kind,
-            what.revision,
-            what.digest,
+            revision.revision,
+            revision.digest,
             state,
             f" cause={cause}" if cause else "",
         )
 
     def refresh(self, now: float, wait_s: float) -> None:
-        """After changes of the store have arrived."""
-        if self.arrived is not None:
-            head, store_revision = self.arrived
-            self.arrived = None
+        """Apply the changes that were received from the store."""
+        if self.pending_head is not None:
+            head, store_revision = self.pending_head
+            self.pending_head = None
             self._store(head, store_revision, now, wait_s)
             if head.before is None and self.stored_state is RevisionState.STORED:
                 self._enforce()
         if self.head is None:
             return
-        self.stale = self._unnamed([self.head.last])
-        if self.own is not None and self.file_state is not RevisionState.REFUSED:
-            self._compare(self.own, self.head)
+        self.unreferenced = self._unreferenced_keys([self.head.last])
+        if self.own_file is not None and self.file_state is not RevisionState.REFUSED:
+            self._compare(self.own_file, self.head)
         self.refresh_in_force()
 
     def _compare(self, own: ConfigurationRevision, stored: ConfigurationHead) -> None:
-        """Accept or refuse this process's own file, by what the store has."""
+        """Accept or refuse this process's file by the stored revision."""
         if own.revision < stored.revision or (own.revision == stored.revision and own.digest != stored.digest):
             self._refuse()
         elif own.revision == stored.revision and self.file_state in (RevisionState.READ, RevisionState.PROPOSED):
@@ -149,13 +151,13 @@
                 self.file_state = RevisionState.IN_FORCE
 
     def enforce_if_due(self, now: float) -> None:
-        """Obey the head's revision alone once every member that acts must know it."""
-        if now >= self.alone_at and self.stored_state is RevisionState.STORED:
+        """Put the current revision in force alone once every member that may act must have received it."""
+        if now >= self.in_force_at and self.stored_state is RevisionState.STORED:
             self._enforce()
             self.refresh_in_force()
 
     def refresh_in_force(self) -> None:
-        """Read the revisions that count now; one that can't be read leaves those before in force."""
+        """Decode the revisions to apply now; if one can't be read, the earlier ones stay in force."""
         assert self.head is not None
         revisions = [self.head.last] if self.stored_state is RevisionState.IN_FORCE else self.head.named
         try:
@@ -163,83 +165,84 @@
         except (KeyError, ImportError, msgspec.DecodeError) as error:
             if not self.unreadable:
                 self.unreadable = f"{type(error).__name__}: {error}"
-                self._say(self.head, "unreadable", self.unreadable, True)
+                self._log_state(self.head, "unreadable", self.unreadable, True)
             return
         self.unreadable = ""
         if len(revisions) == 1 and not revisions[0].parts:
-            texts = NOTHING
+            texts = NO_CONFIGURATIONS
         if len(texts) != len(self.in_force) or any(a is not b for a, b in zip(texts, self.in_force, strict=True)):
             self.in_force = texts
         self.compiled = {rev.digest: text for rev, text in zip(revisions, texts, strict=False)}
 
     def configuration_of(self, revision: StoredRevision) -> msgspec.Struct:
-        """Return what the revision's text declares; ``KeyError``: it is not all here."""
-        known = self.compiled.get(revision.digest)
-        if known is None:
+        """Return the decoded revision; raise ``KeyError`` if its text is incomplete."""
+        configuration = self.compiled.get(revision.digest)
+        if configuration is None:
             raw = b"".join(self.pieces[key] for key in piece_keys(self.kind, revision))
             if revision.parts and digest_of(raw) != revision.digest:
                 raise KeyError(f"the text is not {revision.digest}")
-            known = compiled(self.kind, raw)
-        return known
+            configuration = compiled(self.kind, raw)
+        return configuration
 
     def due(
         self, membership: Membership, labels: list[str], now: float, wall: float, room: int, value_bytes: int
     ) -> ConfigurationProposal | None:
-        """Return what to write next of this kind; see ``OperatorConfiguration.due``.
+        """Return the next transaction for this kind; see ``OperatorConfiguration.due``.
 
-        ``labels``: of all controllers in the settings, which the first revision waits for.
+        ``labels``: all controllers in the settings; the first revision waits until they are registered.
         """
         self.enforce_if_due(now)
-        head, own = self.head, self.own
+        head, own = self.head, self.own_file
         if (
             own is not None
             and self.file_state in (RevisionState.READ, RevisionState.PROPOSED)
             and (head is None or (head.before is None and head.revision < own.revision))
         ):
-            return self._due_revision(membership, labels, wall, room, value_bytes)
+            return self._propose_revision(membership, labels, wall, room, value_bytes)
         if head is not None and self.stored_state is RevisionState.IN_FORCE and membership.is_leader(now):
-            if head.before is not None or (self.stale and room > 1):
+            if head.before is not None or (self.unreferenced and room > 1):
                 settled = ConfigurationHead(head.revision, head.digest, head.parts, head.at)
                 return ConfigurationProposal(
                     self.kind,
                     {head_key(self.kind): self.store_revision},
                     {head_key(self.kind): settled},
-                    self.stale[: room - 1],
+                    self.unreferenced[: room - 1],
                 )
         return None
 
-    def _due_revision(
+    def _propose_revision(
         self, membership: Membership, labels: list[str], wall: float, room: int, value_bytes: int
     ) -> ConfigurationProposal | None:
-        """The texts that are not there yet, as many as have room; with the last of them, or after it, the head."""
-        own, head = self.own, self.head
+        """Propose the missing parts of the text, up to ``room`` changes; with or after the last of them, the head."""
+        own, head = self.own_file, self.head
         assert own is not None
-        why = self._cause_to_wait(membership, labels)
-        if why:
-            if why != self.last_wait:
-                self.last_wait = why
-                self._say(own, "waits", why)
+        cause = self._wait_cause(membership, labels)
+        if cause:
+            if cause != self.last_logged_wait:
+                self.last_logged_wait = cause
+                self._log_state(own, "waits", cause)
             return None
         self._propose()
         last = StoredRevision(own.revision, own.digest, parts_of(own.text, value_bytes))
         keys = piece_keys(self.kind, last)
-        # Nobody drops a text but with a change of the head: what the replica has at this revision is there.
+        # Texts are dropped only together with a change of the head: while the head has this store revision, the texts
+        # in the replica exist in the store.
         proposal = ConfigurationProposal(self.kind, {head_key(self.kind): self.store_revision})
-        most = min(room, max(1, constants.MAX_BODY * 3 // 4 // value_bytes))
-        left = [
+        max_texts = min(room, max(1, constants.MAX_BODY * 3 // 4 // value_bytes))
+        missing = [
             (key, piece)
             for key, piece in zip(keys, pieces(own.text, last.parts), strict=True)
             if key not in self.pieces
         ]
-        proposal.puts |= left[:most]
-        if len(left) < most:
+        proposal.puts |= missing[:max_texts]
+        if len(missing) < max_texts:
             before = head.last if head is not None else StoredRevision(0)
             proposal.puts[head_key(self.kind)] = ConfigurationHead(last.revision, last.digest, last.parts, wall, before)
-            proposal.drops = self._unnamed([before, last])[: max(0, room - len(proposal.puts))]
+            proposal.drops = self._unreferenced_keys([before, last])[: max(0, room - len(proposal.puts))]
         return proposal
 
-    def _cause_to_wait(self, membership: Membership, labels: list[str]) -> str:
-        """Why nothing may be proposed yet; "": it may."""
+    def _wait_cause(self, membership: Membership, labels: list[str]) -> str:
+        """Return why nothing may be proposed yet; empty if it may."""
         missing = [label for label in labels if label not in membership.registered] if self.head is None else []
         if missing:
             return f"{', '.join(missing)} not here"
@@ -247,8 +250,8 @@
             return f"not all run generation {constants.VERSION_WITH_CONFIGURATION}"
         return ""
 
-    def _unnamed(self, named: list[StoredRevision]) -> list[str]:
-        """Keys of texts that such a head does not name."""
+    def _unreferenced_keys(self, named: list[StoredRevision]) -> list[str]:
+        """Return the keys of texts that do not belong to the revisions ``named``."""
         if not self.pieces:
             return []
         keys = {key for revision in named for key in piece_keys(self.kind, revision)}
@@ -256,25 +259,25 @@
 
 
 class OperatorConfiguration:
-    """All kinds. Pure: what has arrived in the replica goes in, what to obey and what to write come out."""
+    """The configuration of all kinds. Does no I/O: callers pass changes of the store and write the proposals."""
 
     def __init__(self, own: dict[str, ConfigurationRevision] | None, ttl_s: float, labels: list[str]) -> None:
-        """``own``: by kind, of this process's files. ``ttl_s``: for so long a member acts without news, in s.
+        """``own``: this process's files by kind. ``labels``: all controllers in the settings.
 
-        ``labels``: of all controllers in the settings.
+        ``ttl_s``: how long a member may act after it last synchronized with the store.
         """
         self.kinds = {kind: _KindConfiguration(kind, declared) for kind, declared in (own or {}).items()}
         self.wait_s = ttl_s + constants.PROOF_MARGIN_S
         self.labels = labels
-        self.changed = False  # something has arrived since the last ``refresh``
-        self.unreadable = False  # a text that counts can't be read here: the replica is not understood
-        self.rests_until = float("-inf")
+        self.changed = False  # changes were applied since the last ``refresh``
+        self.unreadable = False  # a revision to apply can't be read, so this controller must not act
+        self.retry_at = float("-inf")
 
     def apply(self, key: str, data: bytes | None, store_revision: int) -> None:
-        """A change of the store, in order; ``data`` None: dropped. ``refresh`` follows when all of them are in."""
+        """Record a change of the store, in order; ``data`` None: dropped. Call ``refresh`` after the last change."""
         kind, _, piece = key[len(DECLARED) :].partition("/")
         if kind not in KINDS:
-            return  # of a later version
+            return  # declared by a later version
         entry = self.kinds.get(kind)
         if entry is None:
             entry = self.kinds[kind] = _KindConfiguration(kind, None)
@@ -282,53 +285,59 @@
             if data is None:
                 entry.pieces.pop(key, None)
             else:
-                entry.pieces[key] = _piece.decode(data)
-        elif data is not None and store_revision > max(entry.store_revision, entry.arrived[1] if entry.arrived else 0):
-            entry.arrived = _head.decode(data), store_revision
+                entry.pieces[key] = _piece_decoder.decode(data)
+        elif data is not None and store_revision > max(
+            entry.store_revision, entry.pending_head[1] if entry.pending_head else 0
+        ):
+            entry.pending_head = _head_decoder.decode(data), store_revision
         self.changed = True
 
     def reload(self) -> None:
-        """All rows are read again: texts may have gone unseen."""
+        """Forget all texts before all rows are read again: some may have been dropped meanwhile."""
         for entry in self.kinds.values():
             entry.pieces.clear()
 
     def refresh(self, now: float) -> None:
-        """Take in what was applied; ``now``: no earlier than its arrival."""
+        """Evaluate the recorded changes; ``now``: not earlier than when they were received."""
         self.changed = False
         for entry in self.kinds.values():
             entry.refresh(now, self.wait_s)
         self.unreadable = any(entry.unreadable for entry in self.kinds.values())
 
     def in_force(self, kind: str, now: float) -> list[msgspec.Struct]:
-        """Return what is to be obeyed: [], [one], or [older, newer] while one replaces the other.
+        """Return the configurations to apply: [], [one], or [older, newer] while one replaces the other.
 
-        The strictest of all in the list counts.
-        The same list until something changes, so ``is`` tells whether what was made of it still holds. In a change
-        from or to nothing, an empty configuration stands for nothing.
+        With two, the stricter one decides in each case. The same list object is returned until something changes, so
+        callers may compare with ``is``. While the first configuration comes into force or the last is withdrawn, an
+        empty configuration stands for the missing one.
         """
         entry = self.kinds.get(kind)
         if entry is None:
-            return NOTHING
+            return NO_CONFIGURATIONS
         entry.enforce_if_due(now)
         return entry.in_force
 
     def revisions_in_force(self, kind: str, now: float) -> list[int]:
-        """The revisions of ``in_force``; 0 is nothing."""
+        """Return the revisions of ``in_force``; 0 stands for no configuration."""
         entry = self.kinds.get(kind)
         if entry is None or entry.head is None:
             return [0]
         entry.enforce_if_due(now)
         head = entry.head
-        return [head.revision] if entry.stored_state is RevisionState.IN_FORCE else [one.revision for one in head.named]
+        return (
+            [head.revision]
+            if entry.stored_state is RevisionState.IN_FORCE
+            else [stored.revision for stored in head.named]
+        )
 
     def due(
         self, membership: Membership, now: float, wall: float, room: int, value_bytes: int
     ) -> ConfigurationProposal | None:
-        """What to write next, with no more than ``room`` changes; one at a time: ``done`` or ``failed`` comes first.
+        """Return the next transaction, with at most ``room`` changes; call ``done`` or ``failed`` before the next call.
 
-        ``wall``: time of day, in s. ``value_bytes``: most that one value may have.
+        ``wall``: time of day, in s. ``value_bytes``: maximum size of a stored value.
         """
-        if not self.kinds or now < self.rests_until:
+        if not self.kinds or now < self.retry_at:
             return None
         for entry in self.kinds.values():
             proposal = entry.due(membership, self.labels, now, wall, room, value_bytes)
@@ -337,13 +346,13 @@
         return None
 
     def done(self, proposal: ConfigurationProposal, store_revision: int, now: float) -> None:
-        """Carried out: known here before the change comes back.
+        """Apply a committed proposal without waiting for the change to arrive from the store.
 
-        Not where the replica has a newer head already: what was put may be dropped by it, and what was dropped put
-        again. A text counted on that is not in the store would be named by a head that nobody can read.
+        It is ignored if the replica has a newer head already: later changes may have dropped or restored its texts,
+        and a head that refers to a text missing from the store could not be read by any controller.
         """
         entry = self.kinds[proposal.kind]
-        if max(entry.store_revision, entry.arrived[1] if entry.arrived else 0) >= store_revision:
+        if max(entry.store_revision, entry.pending_head[1] if entry.pending_head else 0) >= store_revision:
             return
         for key, value in proposal.puts.items():
             self.apply(key, msgspec.json.encode(value), store_revision)
@@ -352,6 +361,6 @@
         self.refresh(now)
 
     def failed(self, proposal: ConfigurationProposal, now: float) -> None:
-        """In conflict, refused or without an answer: once more when the replica had time to tell."""
-        self.kinds[proposal.kind]._fall_back()
-        self.rests_until = now + constants.CONFIGURATION_RETRY_S
+        """Retry after a delay: in a conflict, a refusal or a missing answer the replica is updated first."""
+        self.kinds[proposal.kind]._revert_proposal()
+        self.retry_at = now + constants.CONFIGURATION_RETRY_S
--- a/alderbridge/configuration/records.py
+++ b/alderbridge/configuration/records.py
@@ -1,4 +1,4 @@
-"""Keys and values of the operator configuration in the store: a head for each kind, and the texts that heads name."""
+"""Keys and values of the operator configuration in the store: a head for each kind, and the texts that it names."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class StoredRevision(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One text, in ``parts`` values. Revision 0: nothing was declared; no parts: nothing is declared any more."""
+    """A compiled text, stored in ``parts`` values.
+
+    Revision 0 stands for no declaration yet; a later revision without parts withdraws the earlier ones.
+    """
 
     revision: int
     digest: str = ""
@@ -16,44 +19,44 @@
 
 
 class ConfigurationHead(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Record ``ab/d/KIND``: which revision counts."""
+    """Record ``ab/d/KIND``: the current revision, and the previous one during a change."""
 
     revision: int
     digest: str
     parts: int
-    at: float  # time of day of the proposal, for people only
-    before: StoredRevision | None = None  # obeyed as well where it forbids something; None: settled
+    at: float  # time of day of the proposal; informational
+    before: StoredRevision | None = None  # applied as well until the change is complete; None: complete
 
     @property
     def last(self) -> StoredRevision:
-        """Return the revision that counts."""
+        """Return the current revision."""
         return StoredRevision(self.revision, self.digest, self.parts)
 
     @property
     def named(self) -> list[StoredRevision]:
-        """Return all that it names, oldest first."""
+        """Return the revisions that the head refers to, oldest first."""
         return [self.last] if self.before is None else [self.before, self.last]
 
 
 def head_key(kind: str) -> str:
-    """Return the key of the kind's head."""
+    """Return the key under which the head of a kind is stored."""
     return DECLARED + kind
 
 
 def parts_of(text: bytes, value_bytes: int) -> int:
-    """Return how many values the text takes where one may have that many bytes: base64 between quotation marks."""
+    """Return how many values of at most ``value_bytes`` the text needs, as base64 in quotation marks."""
     return -(-len(text) // max(1, (value_bytes - 2) // 4 * 3))
 
 
 def piece_keys(kind: str, revision: StoredRevision) -> list[str]:
-    """Return the keys of a revision's text.
+    """Return the keys under which the parts of a revision's text are stored.
 
-    What is under a key never changes: the text and the number of its parts say it all.
+    The value of a key never changes: the key contains the digest of the text and the number of parts.
     """
     return [f"{DECLARED}{kind}/{revision.digest}-{revision.parts}/{number}" for number in range(revision.parts)]
 
 
 def pieces(text: bytes, parts: int) -> list[bytes]:
-    """Cut a text into values of about the same size."""
-    at = [len(text) * number // parts for number in range(parts + 1)] if parts else []
-    return [text[low:high] for low, high in zip(at, at[1:], strict=False)]
+    """Split a text into values of about the same size."""
+    offsets = [len(text) * number // parts for number in range(parts + 1)] if parts else []
+    return [text[begin:end] for begin, end in zip(offsets, offsets[1:], strict=False)]
