--- a/tests/controller_clock.py
+++ b/tests/controller_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a whole controller, moved by a test."""
+"""Replaces the clock of a whole controller in a test."""
 
 import importlib
 import pkgutil
@@ -7,11 +7,11 @@
 
 
 def patch_now(monkeypatch, clock) -> None:
-    """Have ``clock`` tell the time in every module of the controller that asks for it."""
+    """Replaces ``now`` by ``clock`` in every module of the controller that has it."""
     patched = []
-    for found in pkgutil.walk_packages(controller.__path__, controller.__name__ + "."):
-        module = importlib.import_module(found.name)
+    for module_info in pkgutil.walk_packages(controller.__path__, controller.__name__ + "."):
+        module = importlib.import_module(module_info.name)
         if hasattr(module, "now"):
             monkeypatch.setattr(module, "now", clock)
-            patched.append(found.name.rpartition(".")[2])
+            patched.append(module_info.name.rpartition(".")[2])
     assert {"process", "users_api", "workers_api", "job_queries", "health", "records"} <= set(patched)
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,8 +1,8 @@
-"""A small simulated world: store, cloud, workers, users and a bad network around three or five pure controllers.
+"""Discrete-event simulation: controller cores with a simulated store, cloud, workers, users and unreliable network.
 
-Everything is drawn from one seed. The rules of the protocol are asserted after each step that could break them;
-``Broken`` names the rule. Processes return within 0.1 to 60 s of their end, mostly at once. What an earlier life of
-theirs had on its way still arrives: frames, transactions, answers, heartbeats.
+All randomness comes from one seed. Protocol invariants are checked after each step that could violate them; ``Broken``
+names the violated invariant. Crashed controllers restart within 0.1 to 60 s, mostly in under a second. Frames,
+transactions, responses and heartbeats that were in flight before a crash are still delivered.
 """
 
 from simulation.controller import SimController
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""The simulated cloud: machines are rented, boot, are listed late and returned."""
+"""The simulated cloud: rents, boots, lists (with a delay) and terminates machines."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Cloud:
-    """The machines that the cloud has; a part of ``World``."""
+    """The machines of the cloud provider; a mixin of ``World``."""
 
     def rent(self, kind, count: int) -> list[str]:
         names = []
         for _ in range(count):
-            if sum(name in self.kinds for name in self.machines) >= self.most_machines:
+            if sum(name in self.kinds for name in self.machines) >= self.max_machines:
                 break
             name = f"n-{len(self.machines):06d}"
             self.machines[name] = None
@@ -44,17 +44,17 @@
             self.kinds.pop(name, None)
 
     def listing(self) -> list[wire.ListedMachine]:
-        now = [
+        machines = [
             wire.ListedMachine(
                 name,
                 kind.type,
                 "running" if self.machines[name] else "booting",
-                self.t - at - 4.0,
+                self.t - rented_at - 4.0,
                 kind.zone,
                 kind.spot,
             )
-            for name, (kind, at) in self.kinds.items()
-            if self.t - at > 4.0
+            for name, (kind, rented_at) in self.kinds.items()
+            if self.t - rented_at > 4.0
         ]
-        self.lagging.append(now)
-        return self.lagging.popleft() if len(self.lagging) > 4 else []
+        self.delayed_listings.append(machines)
+        return self.delayed_listings.popleft() if len(self.delayed_listings) > 4 else []
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -1,4 +1,4 @@
-"""One controller process of the simulation: its loops as events, its calls with delays, losses and late arrivals."""
+"""One simulated controller process: loops run as events; calls are subject to delay, loss and late delivery."""
 
 from __future__ import annotations
 
@@ -29,28 +29,29 @@
 
 
 class SimController:
-    """One controller process: its loops as events, its calls with delays, losses and late arrivals.
+    """One controller process: loops run as events; calls are subject to delay, loss and late delivery.
 
-    ``old``: what passes its boundary is what the version in production sees and sends.
+    ``old``: records and frames are converted to what the previous version reads and writes.
     """
 
     def __init__(self, world: World, label: str) -> None:
         self.world, self.label = world, label
         self.old = world.upgrade
         self.cut_store_until = self.cut_mesh_until = self.cut_workers_until = 0.0
-        self.mesh_held_until = 0.0  # until then frames are held back for the cut's end, not lost: then it connects anew
-        self.refused_until = 0.0  # the store says 503 to this one alone
+        self.mesh_delayed_until = 0.0  # until then a cut delays frames to its end, instead of losing them
+        self.refused_until = 0.0  # until then the store answers 503 to this controller alone
         self.follow_hangs = False
-        self.ahead_s = 0.0  # its time of day less the world's
-        self.dead_links: set[str] = set()  # the other end has closed and it was not heard: all is lost until renewed
-        self.links = dict.fromkeys(world.labels, 0.0)  # arrival time of the last frame: order is kept
+        self.ahead_s = 0.0  # its wall clock minus simulated time
+        # Peers that closed the connection unnoticed: frames to them are lost until the connection is renewed.
+        self.half_open_links: set[str] = set()
+        self.links = dict.fromkeys(world.labels, 0.0)  # peer -> arrival time of the last frame, to keep frames in order
         self.life = 0
         self.core: ControllerCore | None = None
         self.start()
 
     def start(self) -> None:
         self.life += 1
-        world, life = self.world, self.life
+        world, generation = self.world, self.life
         self.core = ControllerCore(
             deployment.platform(self.label, world.labels, None if self.old else world.coming),
             Tuning(),
@@ -60,15 +61,15 @@
         self.core.machine_shard.capacity.types = TYPES
         self.core.leader.on_types(TYPES)
         world.prepare(self.core)
-        self.busy = self.entering = False
-        self.rests_until = 0.0
-        self.follow_busy = self.reads_all = False
-        self.links = dict.fromkeys(self.links, 0.0)  # new connections: what the earlier life sent may come after
-        self.dead_links = set()
+        self.busy = self.is_registering = False
+        self.writer_idle_until = 0.0
+        self.follow_busy = self.needs_full_read = False
+        self.links = dict.fromkeys(self.links, 0.0)  # new connections: frames from before the crash may arrive later
+        self.half_open_links = set()
         for other in world.nodes.values():
-            other.dead_links.discard(self.label)
-        self.rents = 0
-        self.renting = False
+            other.half_open_links.discard(self.label)
+        self.rental_count = 0
+        self.is_renting = False
         for step, pause in (
             (self.hold, 1.5),
             (self.follow, 0.15),
@@ -77,31 +78,31 @@
             (self.round, constants.ROUND_S),
             (self.lead, constants.LEADER_ROUND_S),
         ):
-            world.after(world.rng.random() * 0.2, self.loop, life, step, pause)
+            world.after(world.rng.random() * 0.2, self.loop, generation, step, pause)
 
     def crash(self) -> None:
         self.life += 1
         self.core = None
 
-    def loop(self, life: int, step, pause: float) -> None:
-        if life == self.life:
+    def loop(self, generation: int, step, pause: float) -> None:
+        if generation == self.life:
             step()
             self.flush()
-            self.world.after(pause, self.loop, life, step, pause)
+            self.world.after(pause, self.loop, generation, step, pause)
 
-    def call(self, then, fail, method, *args, too_large=None) -> None:
-        """A call to the store: may be refused, lost, unanswered, or carried out late."""
-        world, life, rng = self.world, self.life, self.world.rng
+    def call(self, on_result, on_failure, method, *args, too_large=None) -> None:
+        """Calls the store: the call may fail, be lost, be carried out late, or get no response."""
+        world, generation, rng = self.world, self.life, self.world.rng
         cut = world.t < self.cut_store_until
 
         def settle(answer) -> None:
-            if life == self.life:
+            if generation == self.life:
                 if answer is TransactionTooLargeError:
-                    (too_large or fail)()
+                    (too_large or on_failure)()
                 elif answer is None:
-                    fail()
+                    on_failure()
                 else:
-                    then(answer)
+                    on_result(answer)
                 self.flush()
 
         def carry_out(answered: bool) -> None:
@@ -114,22 +115,22 @@
             if answered:
                 world.after(rng.uniform(0.001, 0.01), settle, answer)
 
-        store, reads = world.store, method.__name__ == "read"  # all else changes the store
+        store, reads = world.store, method.__name__ == "read"  # every other method writes
         if world.t < self.refused_until and not cut:
-            # What it followed when the refusals began is open, and hangs until the client gives it up.
+            # The watch that was open when the refusals began hangs until the client times out.
             hangs, self.follow_hangs = self.follow_hangs and reads, self.follow_hangs and not reads
             world.after(constants.WATCH_WAIT_S + STORE_S if hangs else 0.01, settle, None)
             return
         lost = rng.random()
         if cut or lost < 0.01:
             if not cut or rng.random() < 0.5:
-                world.after(rng.uniform(0.5, 30.0), carry_out, False)  # a late transaction
+                world.after(rng.uniform(0.5, 30.0), carry_out, False)  # applied after the client has timed out
             world.after(STORE_S, settle, None)
         elif not reads and world.t < store.late_until and rng.random() < store.late_share:
-            world.after(rng.uniform(2.0, 12.0), carry_out, False)  # after newer ones of this controller
+            world.after(rng.uniform(2.0, 12.0), carry_out, False)  # maybe after newer writes
             world.after(STORE_S, settle, None)
         elif not reads and world.t < store.lost_until and rng.random() < store.lost_share:
-            world.after(rng.uniform(0.001, 0.01), carry_out, False)  # others read it before its writer knows
+            world.after(rng.uniform(0.001, 0.01), carry_out, False)  # its writer sees a timeout
             world.after(STORE_S, settle, None)
         else:
             delay = rng.uniform(0.001, 0.01) * (store.slow_by if world.t < store.slow_until else 1.0)
@@ -139,70 +140,70 @@
 
     def hold(self) -> None:
         core, store, world, sent = self.core, self.world.store, self.world, self.world.t
-        hold = core.membership.store_lease
+        lease = core.membership.store_lease
 
         def extend():
             store.check()
-            if hold.lease_id not in store.holds:
+            if lease.lease_id not in store.holds:
                 return False
-            store.holds[hold.lease_id] = world.t + hold.ttl_s
+            store.holds[lease.lease_id] = world.t + lease.ttl_s
             return True
 
-        def extended(good):
-            if good:
-                hold.record_renewal(hold.lease_id, sent)
+        def on_extended(is_extended):
+            if is_extended:
+                lease.record_renewal(lease.lease_id, sent)
             else:
-                hold.mark_expired()
+                lease.mark_expired()
 
         if core.membership.is_removed():
-            hold.mark_expired()
-        if hold.lease_id:
-            self.call(extended, lambda: None, extend)
-        elif not self.entering:
-            self.entering = True
+            lease.mark_expired()
+        if lease.lease_id:
+            self.call(on_extended, lambda: None, extend)
+        elif not self.is_registering:
+            self.is_registering = True
             self.acquire()
 
     def acquire(self) -> None:
-        """Step by step as the program enters: what an earlier life had on its way may come in between."""
+        """Registers as a member in separate calls, as the program does; writes from before a crash may interleave."""
         core, store, world = self.core, self.world.store, self.world
-        key, before, sent = MEMBERS + self.label, None, 0.0
+        key, previous, sent = MEMBERS + self.label, None, 0.0
 
         def failed() -> None:
-            self.entering = False
+            self.is_registering = False
 
-        def looked(answer) -> None:
-            nonlocal before, sent
-            before, sent = answer[0], world.t
-            self.call(got, failed, take)
+        def on_member_read(rows) -> None:
+            nonlocal previous, sent
+            previous, sent = rows[0], world.t
+            self.call(on_lease_granted, failed, grant_lease)
 
-        def take() -> int:
+        def grant_lease() -> int:
             store.check()
             lease_id = next(store.lease_ids)
             store.holds[lease_id] = world.t + core.membership.store_lease.ttl_s
             return lease_id
 
-        def got(lease_id: int) -> None:
+        def on_lease_granted(lease_id: int) -> None:
             member = MemberRecord(lease_id, 1 if self.old else constants.PROTOCOL_VERSION)
             self.call(
-                lambda answer: entered(lease_id, answer),
+                lambda answer: on_registered(lease_id, answer),
                 failed,
                 store.commit,
-                {key: before.revision if before else 0},
+                {key: previous.revision if previous else 0},
                 {key: member},
                 (),
                 lease_id,
             )
 
-        def entered(lease_id: int, answer: wire.TransactionResult) -> None:
-            self.entering = False
+        def on_registered(lease_id: int, answer: wire.TransactionResult) -> None:
+            self.is_registering = False
             if answer.failed:
                 return
             core.view_entry.lease_acquired(lease_id, sent, world.t)
-            if before is not None:
-                lease_id = msgspec.json.decode(before.data, type=MemberRecord).lease_id
+            if previous is not None:
+                lease_id = msgspec.json.decode(previous.data, type=MemberRecord).lease_id
                 self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
 
-        self.call(looked, failed, self.read, key)
+        self.call(on_member_read, failed, self.read, key)
 
     def follow(self) -> None:
         core, store, world = self.core, self.world.store, self.world
@@ -213,14 +214,15 @@
 
         def read(since: int | None = None):
             store.check()
-            if since is None and (self.reads_all or not core.state.loaded):
+            if since is None and (self.needs_full_read or not core.state.loaded):
                 return self.seen(store.rows()), [], store.revision
             return None, self.seen(store.since(core.replica.revision if since is None else since)), store.revision
 
         def done(answer, rows=None, sent=sent):
             rows, changes, revision = answer if rows is None else (rows, *answer[1:])
-            if rows is not None and core.state.loaded and self.reads_all:  # then what has changed since the first row
-                self.reads_all = False
+            # A full read of a loaded controller is followed by a read of the changes since its first row.
+            if rows is not None and core.state.loaded and self.needs_full_read:
+                self.needs_full_read = False
                 self.call(lambda answer, sent=world.t: done(answer, rows, sent), failed, read, revision)
                 return
             self.follow_busy = False
@@ -234,12 +236,13 @@
 
         def failed():
             self.follow_busy = False
-            self.reads_all = world.reloads and core.state.loaded  # as the program does after any failure to follow
+            # As the program does after a failed watch.
+            self.needs_full_read = world.reload_on_failure and core.state.loaded
 
         self.call(done, failed, read)
 
     def seen(self, rows: list) -> list:
-        """Rows or changes as this version reads them."""
+        """Converts rows or events to what this controller's version reads."""
         if not self.old:
             return rows
         return [
@@ -261,11 +264,11 @@
         if self.busy:
             return
         core, world = self.core, self.world
-        if world.t < self.rests_until and core.record_writer.nothing_to_write():
-            return  # as the program rests
+        if world.t < self.writer_idle_until and core.record_writer.nothing_to_write():
+            return  # the program idles until then as well
         batch = core.record_writer.next_batch(world.t)
         if batch is None:
-            self.rests_until = world.t + core.record_writer.next_write_in(world.t)
+            self.writer_idle_until = world.t + core.record_writer.next_write_in(world.t)
             return
         self.busy = True
 
@@ -288,9 +291,9 @@
         def failed():
             self.busy = False
             core.batch_results.on_failed(batch, world.t)
-            away = world.t < max(self.cut_store_until, self.refused_until, world.store.down_until)
-            if away or world.rng.random() < 0.5:
-                core.submissions.refuse_all()  # the store has said 503, after an attempt that had no answer, it may be
+            is_store_unreachable = world.t < max(self.cut_store_until, self.refused_until, world.store.down_until)
+            if is_store_unreachable or world.rng.random() < 0.5:
+                core.submissions.refuse_all()  # the store answered 503, possibly after an attempt without a response
             self.tell_users()
 
         def too_large():
@@ -321,14 +324,14 @@
         self.ask()
 
     def ask(self) -> None:
-        """Empty ``/commands`` to the machines of a new view; some are held back, and arrive late."""
-        core, world, life = self.core, self.world, self.life
+        """Sends empty ``/commands`` requests to the machines of a new view; some are delayed."""
+        core, world, generation = self.core, self.world, self.life
         while core.may_act() and (machine := core.machine_shard.next_to_probe(world.t)) is not None:
             name, _, incarnation = machine
             fencing_token = core.membership.fencing_token
 
             def answered(raw: bytes, fencing_token: int = fencing_token) -> None:
-                if life == self.life and fencing_token == core.membership.fencing_token:
+                if generation == self.life and fencing_token == core.membership.fencing_token:
                     core.on_probe_answered(wire.parse_heartbeat(raw), world.t)
                     self.flush()
 
@@ -351,15 +354,15 @@
 
     def lead(self) -> None:
         core, world = self.core, self.world
-        if not core.membership.is_leader(world.t) or self.renting:
+        if not core.membership.is_leader(world.t) or self.is_renting:
             return
         core.leader.on_listing(world.listing(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
         for kind, count in decision.scale_out:
             names = world.rent(kind, count)
-            if world.t < world.quick_until:  # the machines are up and report before the answer is here
-                self.renting = True
+            if world.t < world.quick_until:  # machines boot and send heartbeats before the rental response arrives
+                self.is_renting = True
                 world.after(world.rng.uniform(0.5, 3.0), self.rented, self.life, kind, names, count)
             else:
                 self.rented(self.life, kind, names, count)
@@ -368,44 +371,44 @@
             if world.rng.random() < 0.95:
                 core.on_terminated(decision.terminate, world.t)
 
-    def rented(self, life: int, kind, names: list[str], count: int) -> None:
-        if life == self.life:
-            self.renting = False
+    def rented(self, generation: int, kind, names: list[str], count: int) -> None:
+        if generation == self.life:
+            self.is_renting = False
             self.core.leader.on_scaled_out(kind, names, self.world.t)
             if len(names) < count:
                 self.core.leader.on_refused(kind, self.world.t)
 
-    # -- users, as ``UsersApi`` serves them; ``told`` a state, ``NOT_FOUND``, or None for 503
+    # User requests, as ``UsersApi`` serves them. The callback gets a state, ``NOT_FOUND``, or None for 503.
 
-    def status(self, job: str, told) -> None:
-        """As ``StatusHandler.poll_status``: from memory, else by the job's home, by messages, else from the store."""
-        core, world, life = self.core, self.world, self.life
+    def status(self, job: str, callback) -> None:
+        """As ``StatusHandler.poll_status``: from memory, else from the job owner by message, else from the store."""
+        core, world, generation = self.core, self.world, self.life
         state = core.local_jobs.local_job_state(job, world.t)
         if state is not None:
-            told(self.noted(job, state[0]))
+            callback(self.with_stored_end(job, state[0]))
             return
-        home = core.directory.job_owner(job)
-        if not home or home == self.label:
-            self.status_stored(job, told)
+        owner = core.directory.job_owner(job)
+        if not owner or owner == self.label:
+            self.answer_from_store(job, callback)
             return
-        number = next(world.ask_numbers)
+        query_id = next(world.query_ids)
 
         def answered(state: str | None) -> None:
             if state is None:
-                self.status_stored(job, told)
+                self.answer_from_store(job, callback)
             else:
-                told(self.noted(job, state))
+                callback(self.with_stored_end(job, state))
 
-        def given_up() -> None:
-            if world.asking.pop(number, None) is not None and life == self.life:
-                self.status_stored(job, told)
+        def on_timeout() -> None:
+            if world.pending_queries.pop(query_id, None) is not None and generation == self.life:
+                self.answer_from_store(job, callback)
 
-        world.asking[number] = (self.label, life, world.t + constants.QUERY_TIMEOUT_S, answered)
-        world.after(constants.QUERY_TIMEOUT_S, given_up)
-        core.messenger.send_unreliable(home, messages.JobQuery(number, "status", job))
+        world.pending_queries[query_id] = (self.label, generation, world.t + constants.QUERY_TIMEOUT_S, answered)
+        world.after(constants.QUERY_TIMEOUT_S, on_timeout)
+        core.messenger.send_unreliable(owner, messages.JobQuery(query_id, "status", job))
         self.flush()
 
-    def status_stored(self, job: str, told) -> None:
+    def answer_from_store(self, job: str, callback) -> None:
         core, world = self.core, self.world
 
         def read(answer) -> None:
@@ -419,117 +422,117 @@
                     state = record.state.value
                 elif not waits or core.local_jobs.is_certainly_pending(job, world.t):
                     state = "pending"
-            told(self.noted(job, state))
+            callback(self.with_stored_end(job, state))
 
-        self.call(read, lambda: told(self.noted(job, None)), self.read, JOBS + job)
+        self.call(read, lambda: callback(self.with_stored_end(job, None)), self.read, JOBS + job)
 
-    def noted(self, job: str, state: str | None) -> str | None:
+    def with_stored_end(self, job: str, state: str | None) -> str | None:
         ended = self.core.replica.ended.get(job)
         return state if ended is None else ended.value
 
-    def send_job(self, body: bytes, told) -> None:
-        """As ``SubmissionHandler.submit``; ``NOT_FOUND`` stands for 400 and 422, too."""
-        core, world, life = self.core, self.world, self.life
+    def submit_body(self, body: bytes, callback) -> None:
+        """As ``SubmissionHandler.submit``; ``NOT_FOUND`` also stands for 400 and 422."""
+        core, world, generation = self.core, self.world, self.life
         try:
             spec = wire.parse_job(body)
         except wire.MalformedBodyError:
             job = wire.job_id_in(body)
             if job:
-                self.status(job, told)
+                self.status(job, callback)
             else:
-                told(NOT_FOUND)
+                callback(NOT_FOUND)
             return
 
-        def known() -> None:
-            self.status(spec.id, lambda state: told(None if state == NOT_FOUND else state))
+        def answer_known_job() -> None:
+            self.status(spec.id, lambda state: callback(None if state == NOT_FOUND else state))
 
         def wait(submission: Submission, until: float) -> None:
-            if life != self.life:
+            if generation != self.life:
                 return
             if not submission.outcome and world.t < until:
                 world.after(0.02, wait, submission, until)
             elif submission.outcome == "accepted":
                 ended = core.replica.ended.get(spec.id)
-                told("pending" if ended is None else ended.value)
+                callback("pending" if ended is None else ended.value)
             elif submission.outcome == "known":
-                known()
+                answer_known_job()
             elif submission.outcome == "too long":
-                self.status(spec.id, told)
+                self.status(spec.id, callback)
             else:
-                told(None)
+                callback(None)
 
         if core.directory.knows_job(spec.id):
-            known()
+            answer_known_job()
         elif not core.state.loaded or not core.machine_shard.capacity.types:
-            told(None)
+            callback(None)
         elif admission.rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values()):
-            self.status(spec.id, told)
+            self.status(spec.id, callback)
         elif not core.membership.may_act(world.t) or spec.needs:
-            told(None)
+            callback(None)
         else:
             submission = core.submissions.submit(spec, world.t, world.t + self.ahead_s)
             if submission is None:
-                self.status(spec.id, told)
+                self.status(spec.id, callback)
             else:
                 wait(submission, world.t + constants.SUBMIT_WAIT_S)
 
-    def withdraw(self, job: str, told, since: float | None = None) -> None:
-        """``told`` the job's end when the store has it; None: this is not its home, or the store is slow."""
-        core, life, world = self.core, self.life, self.world
+    def withdraw(self, job: str, callback, since: float | None = None) -> None:
+        """Replies with the final state once it is stored; None: not the job owner, or not stored in time."""
+        core, generation, world = self.core, self.life, self.world
         since = world.t if since is None else since
         state = core.local_jobs.cancel(job, world.t)
         if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
-            world.after(0.1, lambda: life == self.life and self.withdraw(job, told, since))
+            world.after(0.1, lambda: generation == self.life and self.withdraw(job, callback, since))
         else:
-            told(state or None)
+            callback(state or None)
         self.flush()
 
-    def questions(self) -> None:
-        """What others ask this one to withdraw, and their answers."""
+    def serve_queries(self) -> None:
+        """Handles queries of other controllers and the replies to its own."""
         core, world = self.core, self.world
         while core.effects.queries:
-            label, ask = core.effects.queries.popleft()
+            label, query = core.effects.queries.popleft()
 
-            def told(state: str | None, label: str = label, ask: messages.JobQuery = ask) -> None:
+            def callback(state: str | None, label: str = label, query: messages.JobQuery = query) -> None:
                 core.messenger.send_unreliable(
-                    label, messages.JobQueryReply(ask.query_id, 200 if state else 503, (state or "").encode())
+                    label, messages.JobQueryReply(query.query_id, 200 if state else 503, (state or "").encode())
                 )
 
-            if ask.kind == "withdraw":
-                self.withdraw(ask.job, told)
+            if query.kind == "withdraw":
+                self.withdraw(query.job, callback)
             else:
-                told((core.local_jobs.local_job_state(ask.job, world.t) or (None,))[0])
+                callback((core.local_jobs.local_job_state(query.job, world.t) or (None,))[0])
         while core.effects.query_replies:
             reply = core.effects.query_replies.popleft()
-            label, life, until, told = world.asking.pop(reply.query_id, ("", 0, 0.0, None))
-            if label == self.label and life == self.life and world.t <= until:
-                told(reply.body.decode() if reply.status == 200 else None)
+            label, generation, until, callback = world.pending_queries.pop(reply.query_id, ("", 0, 0.0, None))
+            if label == self.label and generation == self.life and world.t <= until:
+                callback(reply.body.decode() if reply.status == 200 else None)
 
     def flush(self) -> None:
         if self.core is None:
             return
         world = self.world
         if self.core.effects.queries or self.core.effects.query_replies:
-            self.questions()
-        self.dead_links -= set(self.core.effects.channel_renewals)
+            self.serve_queries()
+        self.half_open_links -= set(self.core.effects.channel_renewals)
         self.core.effects.channel_renewals.clear()
         outgoing, self.core.effects.outgoing_frames = self.core.effects.outgoing_frames, []
         for label, frame in outgoing:
             other = world.nodes[label]
             cut = max(self.cut_mesh_until, other.cut_mesh_until)
-            held_back = world.t < cut and world.t < max(self.mesh_held_until, other.mesh_held_until)
-            if label in self.dead_links or (world.t < cut and not held_back):
+            held_back = world.t < cut and world.t < max(self.mesh_delayed_until, other.mesh_delayed_until)
+            if label in self.half_open_links or (world.t < cut and not held_back):
                 continue
             if world.rng.random() < 0.002:
                 continue
-            late = world.rng.random() < world.late_share
-            delay = 5.0 * world.rng.random() if late else world.rng.uniform(0.0005, 0.003)
-            at = max(self.links[label] + 1e-6, (cut if held_back else world.t) + delay)
-            self.links[label] = at
+            is_late = world.rng.random() < world.late_share
+            delay = 5.0 * world.rng.random() if is_late else world.rng.uniform(0.0005, 0.003)
+            arrives_at = max(self.links[label] + 1e-6, (cut if held_back else world.t) + delay)
+            self.links[label] = arrives_at
             data = msgspec.msgpack.encode(frame)
             data = production.frame(data) if self.old else data
-            world.after(at - world.t, other.frame, data)
-            if world.rng.random() < 0.003:  # again, from a connection that was held back
+            world.after(arrives_at - world.t, other.frame, data)
+            if world.rng.random() < 0.003:  # a duplicate from a delayed connection
                 world.after(world.rng.choice([0.3, 3.0, 60.0]) * world.rng.random(), other.frame, data)
 
     def frame(self, data: bytes) -> None:
@@ -539,8 +542,8 @@
             self.flush()
 
     def heartbeat(self, raw: bytes, reply) -> None:
-        """``reply(status, body)`` after the grants had a moment to arrive."""
-        world, life = self.world, self.life
+        """Calls ``reply(status, body)``; an accepted heartbeat waits 20 ms, so that task grants arrive first."""
+        world, generation = self.world, self.life
         if self.core is None or world.t < self.cut_workers_until:
             return
         core = self.core
@@ -559,7 +562,7 @@
             return reply(503, b"")
 
         def finish() -> None:
-            if life != self.life:
+            if generation != self.life:
                 return
             if fencing_token != core.membership.fencing_token or not core.membership.may_act(world.t):
                 return reply(503, b"")
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""The simulated deployment: labels, times, machine types, teams, and the settings file of a controller."""
+"""The simulated deployment: controller labels, timeouts, machine types, teams and the settings of a controller."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 ]
 
 
-def platform(label: str, labels: list[str], coming: NextStateLimits | None = None) -> Platform:
+def platform(label: str, labels: list[str], next_limits: NextStateLimits | None = None) -> Platform:
     peers = [Peer(other, "a", "127.0.0.1:1") for other in labels if other != label]
     shared = Shared(
         ZONES,
         TEAMS,
         Workers(REPORT_S, LEASE_S, CANCEL_S),
-        StateLimits(100.0, 60.0, 4.0, 12, coming),
+        StateLimits(100.0, 60.0, 4.0, 12, next_limits),
         CloudSettings(6.0, 4.0),
         Limits(0.75, 186.0, 1000),
         OBJECTIVES,
--- a/tests/simulation/errors.py
+++ b/tests/simulation/errors.py
@@ -1,10 +1,10 @@
-"""What goes wrong in the simulation: a broken rule, and the answers of the simulated store."""
+"""Errors of the simulation: a violated invariant, and the errors of the simulated store."""
 
 from __future__ import annotations
 
 
 class Broken(AssertionError):
-    """A rule of the protocol was broken."""
+    """An invariant of the protocol was violated."""
 
 
 class StoreRefusedError(Exception):
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""The faults that are injected, one by one and several at a time."""
+"""The faults that the simulation injects, one at a time and several together."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from alderbridge.membership.records import View
 from alderbridge.protocol.keys import VIEW
 from simulation.deployment import CANCEL_S, LEASE_S, ZONES
-from simulation.users import LEADERS, LEADERS_S, STREAM_S
+from simulation.users import LEADERS, REPLACED_LEADERS_S, STREAM_INTERVAL_S
 
 if TYPE_CHECKING:
     from simulation.controller import SimController
@@ -35,22 +35,22 @@
     "deaf",
     "late_reports",
     "late_writes",
-    "cut_alone",
+    "cut_from_store_and_peers",
     "refused",
     "held_up",
 ]
-# Concurrent faults have one of the first at least; see ``World.schedule_concurrent_faults``.
+# Overlapping faults include at least one of CONCURRENT_FAULTS; see ``schedule_concurrent_faults``.
 CONCURRENT_FAULTS = [
     "deaf",
     "late_reports",
     "late_writes",
-    "cut_alone",
+    "cut_from_store_and_peers",
     "refused",
     "held_up",
     "slow_store",
     "mute",
-    "looks",
-    "lost_answers",
+    "concurrent_reads",
+    "lost_responses",
     "reports_kept",
     "cancel_now",
     "cancel_at_end",
@@ -58,22 +58,22 @@
     "quick_boots",
     "zone_away",
     "limits",
-    "stream",
+    "job_stream",
     "ten_leaders",
 ]
-EARLIER_FAULTS = ["crash", "crash_all", "one_returns", "flap", "end_leaders", "hang", "cut_machine"]
-ON_MACHINES = ("deaf", "held_up", "hang", "cut_machine", "mute")
+SECONDARY_FAULTS = ["crash", "crash_all", "staggered_restart", "flap", "end_leaders", "hang", "cut_machine"]
+MACHINE_FAULTS = ("deaf", "held_up", "hang", "cut_machine", "mute")
 
 
 class Faults:
-    """What goes wrong, and when; a part of ``World``."""
+    """Draws and injects faults; a mixin of ``World``."""
 
     def inject_fault(self) -> None:
         sim = self.nodes[self.rng.choice(self.labels)]
         self.bring(self.rng.choice(SINGLE_FAULTS), sim, self.rng.uniform(2.0, 40.0))
 
     def bring(self, kind: str, sim: SimController, length: float) -> None:
-        """One fault, of that controller, of one machine or of all."""
+        """Injects one fault: of the controller ``sim``, of one random machine, or of the whole deployment."""
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
         if kind.startswith("crash"):
@@ -81,7 +81,7 @@
                 self.end(victim)
         elif kind == "flap":
             self.flap()
-        elif kind == "one_returns":
+        elif kind == "staggered_restart":
             for victim in self.nodes.values():
                 self.end(victim, rng.uniform(0.1, 1.0) if victim is sim else rng.uniform(0.1, 35.0))
         elif kind == "end_leaders":
@@ -89,47 +89,47 @@
         elif kind == "outage":
             self.store.outage(min(length, 25.0))
         elif kind == "late_reports":
-            self.copied_share, self.copies_until = rng.uniform(0.1, 0.9), self.t + length
+            self.duplicate_share, self.duplicates_until = rng.uniform(0.1, 0.9), self.t + length
         elif kind == "late_writes":
             self.store.late_share, self.store.late_until = rng.uniform(0.1, 0.6), self.t + length
         elif kind == "slow_store":
             self.store.slow_by, self.store.slow_until = rng.choice([25.0, 100.0, 400.0]), self.t + length
-        elif kind == "lost_answers":
+        elif kind == "lost_responses":
             self.store.lost_share, self.store.lost_until = rng.uniform(0.2, 0.9), self.t + length
         elif kind == "reports_kept":
             self.kept_share, self.kept_until = rng.uniform(0.1, 0.6), self.t + length
             self.after(rng.uniform(0.3, 1.0) * length, self.end_leaders, rng.randint(1, 3), rng.uniform(1.0, 8.0))
-        elif kind == "looks":
+        elif kind == "concurrent_reads":
             self.looks_until = self.t + length
         elif kind == "quick_boots":
             self.quick_until = self.t + length
             if rng.random() < 0.5:
                 self.after(rng.uniform(1.0, length), self.end_leaders, 1, 1.0)
         elif kind == "cancel_now":
-            self.cancel_now(rng.randint(4, 12), rng.choice([0.0, rng.uniform(2.0, 60.0)]))
+            self.cancel_running_jobs(rng.randint(4, 12), rng.choice([0.0, rng.uniform(2.0, 60.0)]))
         elif kind == "cancel_at_end":
-            self.at_end_share, self.at_end_until = rng.uniform(0.3, 0.9), self.t + length
+            self.cancel_at_end_share, self.cancel_at_end_until = rng.uniform(0.3, 0.9), self.t + length
         elif kind == "odd_requests":
             for _ in range(int(length)):
                 self.after(rng.uniform(0.0, length), self.odd_request)
         elif kind == "limits":
-            self.fill_team(length)
-        elif kind == "stream":
-            for number in range(int(length / STREAM_S)):
-                self.after(number * STREAM_S, self.send_one)
+            self.exceed_team_quota(length)
+        elif kind == "job_stream":
+            for index in range(int(length / STREAM_INTERVAL_S)):
+                self.after(index * STREAM_INTERVAL_S, self.submit_stream_job)
         elif kind == "ten_leaders":
-            for number in range(LEADERS):
-                self.after((number + 0.5 * rng.random()) * LEADERS_S / LEADERS, self.replace_leader)
+            for index in range(LEADERS):
+                self.after((index + 0.5 * rng.random()) * REPLACED_LEADERS_S / LEADERS, self.replace_leader)
         elif kind == "zone_away":
             self.cut_zone(rng.choice(ZONES), sim, length)
-        elif kind == "cut_alone":  # not from workers and users
+        elif kind == "cut_from_store_and_peers":  # workers and users still reach it
             sim.cut_store_until = sim.cut_mesh_until = self.t + max(10.0, length)
             if rng.random() < 0.5:
-                sim.mesh_held_until = self.t + constants.MESH_STALL_S
+                sim.mesh_delayed_until = self.t + constants.MESH_STALL_S
         elif kind == "refused":
-            if rng.random() < 0.5:  # at first it carries things out, and the answers are lost
+            if rng.random() < 0.5:  # writes are applied without a response before the refusals begin
                 self.store.late_share, self.store.late_until = 0.8, self.t + 3.0
-            self.after(rng.uniform(0.0, 3.0), self.refuse, sim, length)
+            self.after(rng.uniform(0.0, 3.0), self.refuse_store_calls, sim, length)
         elif kind.startswith("cut") and kind != "cut_machine":
             if kind in ("cut", "cut_store"):
                 sim.cut_store_until = self.t + length
@@ -156,8 +156,8 @@
             else:
                 worker.recall_at = self.t + rng.uniform(2.0, 15.0)
 
-    def refuse(self, sim: SimController, for_s: float) -> None:
-        """The store refuses one, and while that lasts it is down for all, maybe for longer than ``cancel_s``."""
+    def refuse_store_calls(self, sim: SimController, for_s: float) -> None:
+        """The store refuses one controller; meanwhile it may be down for all, also beyond ``cancel_s``."""
         rng = self.rng
         sim.refused_until, sim.follow_hangs = self.t + for_s, True
         if rng.random() < 0.6:
@@ -167,57 +167,57 @@
                 CANCEL_S + rng.uniform(1.0, 10.0) if rng.random() < 0.5 else rng.uniform(2.0, 25.0),
             )
 
-    def schedule_concurrent_faults(self, at: float) -> None:
-        """Two faults or three that overlap, and users who cancel a moment before them and while they last."""
+    def schedule_concurrent_faults(self, starts_at: float) -> None:
+        """Schedules two or three overlapping faults, and cancellations shortly before and during them."""
         rng = self.rng
         kinds = [rng.choice(CONCURRENT_FAULTS)]
         kinds += rng.sample(
-            [kind for kind in CONCURRENT_FAULTS + EARLIER_FAULTS if kind not in kinds], rng.choice([1, 1, 2])
+            [kind for kind in CONCURRENT_FAULTS + SECONDARY_FAULTS if kind not in kinds], rng.choice([1, 1, 2])
         )
         for kind in kinds:
-            begin = at + rng.uniform(0.0, 8.0)
+            begins_at = starts_at + rng.uniform(0.0, 8.0)
             length = rng.uniform(10.0, 45.0)
             if kind in ("deaf", "mute"):
                 length = rng.choice([rng.uniform(5.0, 40.0), rng.uniform(20.0, 200.0)])
             elif kind == "ten_leaders":
-                length = LEADERS_S
+                length = REPLACED_LEADERS_S
             elif kind == "cancel_now":
                 length = 60.0
             elif kind == "zone_away":
                 length += LEASE_S
-            elif kind == "stream":
+            elif kind == "job_stream":
                 length = min(length, 25.0)
             elif kind == "limits":
                 length += 20.0
-            self.after(begin, self.meet, kind, length)
-            self.calm_at = max(self.calm_at, begin + length + 60.0 * (kind == "refused"))
+            self.after(begins_at, self.meet, kind, length)
+            self.calm_at = max(self.calm_at, begins_at + length + 60.0 * (kind == "refused"))
         for _ in range(rng.randint(2, 5)):
-            self.after(at + rng.uniform(-3.0, 30.0), self.cancel_any)
+            self.after(starts_at + rng.uniform(-3.0, 30.0), self.cancel_any)
 
     def meet(self, kind: str, length: float) -> None:
-        """On a share of the machines, where it is theirs; of controllers the leader mostly."""
+        """Injects a fault into the leader (mostly) or another controller, or into one to eight machines."""
         rng = self.rng
         leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader if VIEW in self.store.data else ""
         sim = self.nodes[leader if leader and rng.random() < 0.6 else rng.choice(self.labels)]
-        if kind in ("refused", "cut_alone", "late_writes"):
+        if kind in ("refused", "cut_from_store_and_peers", "late_writes"):
             for _ in range(rng.randint(0, 3)):
                 self.after(rng.uniform(0.0, 4.0), self.cancel_any)
-        for _ in range(rng.choice([1, 2, 4, 8]) if kind in ON_MACHINES else 1):
+        for _ in range(rng.choice([1, 2, 4, 8]) if kind in MACHINE_FAULTS else 1):
             self.bring(kind, sim, length)
 
     def reaches(self, worker: SimWorker, label: str) -> bool:
-        """Whether a zone that is away lies between them."""
+        """Whether no zone partition separates the worker from the controller."""
         zone, inside, until = self.zone_away
         return self.t >= until or (worker.kind.zone == zone) == (label == inside)
 
     def cut_zone(self, zone: str, sim: SimController, for_s: float) -> None:
-        """Its workers and one controller reach each other, and users it, and nothing else; jobs are bound to it."""
+        """Partitions a zone: its workers and ``sim`` reach only each other, users reach all; submits one-zone jobs."""
         rng = self.rng
         self.zone_away = (zone, sim.label, self.t + for_s)
         sim.cut_store_until = sim.cut_mesh_until = self.t + for_s
         for _ in range(rng.randint(2, 4)):
             spec = msgspec.structs.replace(
-                self.make_long(next(self.numbers)),
+                self.make_long_job(next(self.job_numbers)),
                 types=None,
                 spread=False,
                 zone=rng.choice([None, zone]),
@@ -227,17 +227,17 @@
             self.after(rng.uniform(0.0, for_s), self.submit, spec)
 
     def inject_group_fault(self) -> None:
-        """A good part of the machines at once, and with them one controller, all of them, or none."""
+        """Fails 30 to 90 % of the machines at once, and with them one controller, all or none."""
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
-        kind, length = rng.choice(["die", "hang", "cut", "hang_in_turn"]), rng.uniform(5.0, 45.0)
-        for number, worker in enumerate(rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.3, 0.9)))):
+        kind, length = rng.choice(["die", "hang", "cut", "staggered_hang"]), rng.uniform(5.0, 45.0)
+        for index, worker in enumerate(rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.3, 0.9)))):
             if kind == "die":
                 worker.die()
             elif kind == "cut":
                 worker.cut_until = self.t + length
             else:
-                worker.hangs_until = self.t + length + (number if kind == "hang_in_turn" else 0.0)
+                worker.hangs_until = self.t + length + (index if kind == "staggered_hang" else 0.0)
         victims = rng.choice([[], rng.sample(list(self.nodes.values()), 1), list(self.nodes.values())])
         for victim in victims:
             self.end(victim)
@@ -245,29 +245,29 @@
             self.store.outage(rng.uniform(2.0, 25.0))
 
     def fall(self) -> None:
-        """All controllers end within 5 s and return within a minute in any order, some end again at once.
+        """Crashes all controllers within 5 s; they restart within a minute in any order, some crash again soon.
 
-        With them a third to nine tenths of the machines die, hang, are cut off, cut off for longer than
-        their lease (they come back with a raised tenure) or fail what they run; the store is down, or slow.
+        33 to 90 % of the machines crash, hang, are cut off, are cut off for longer than their lease (their incarnation
+        is then higher) or fail their tasks. The store is up, down or slow.
         """
         rng = self.rng
         for sim in rng.sample(list(self.nodes.values()), len(self.nodes)):
-            at = rng.uniform(0.0, 5.0)
-            back = at + self.away()
-            self.after(at, sim.crash)
-            self.after(back, self.restart, sim)
+            crashes_at = rng.uniform(0.0, 5.0)
+            restarts_at = crashes_at + self.draw_downtime()
+            self.after(crashes_at, sim.crash)
+            self.after(restarts_at, self.restart, sim)
             if rng.random() < 0.3:
-                again = back + rng.uniform(0.3, 8.0)
-                self.after(again, sim.crash)
-                self.after(again + rng.uniform(0.5, 8.0), self.restart, sim)
+                second_crash_at = restarts_at + rng.uniform(0.3, 8.0)
+                self.after(second_crash_at, sim.crash)
+                self.after(second_crash_at + rng.uniform(0.5, 8.0), self.restart, sim)
         workers = [worker for worker in self.machines.values() if worker is not None]
-        kind, length = rng.choice(["die", "hang", "cut", "raise", "sick"]), rng.uniform(5.0, 45.0)
+        kind, length = rng.choice(["die", "hang", "cut", "cut_past_lease", "failing_tasks"]), rng.uniform(5.0, 45.0)
         for worker in rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.33, 0.9))):
             if kind == "die":
                 worker.die()
             elif kind == "hang":
                 worker.hangs_until = self.t + length
-            elif kind == "sick":
+            elif kind == "failing_tasks":
                 worker.faulty = True
                 self.after(length, setattr, worker, "faulty", False)
             else:
@@ -278,8 +278,8 @@
         elif store == "slow":
             self.store.slow_until = self.t + rng.uniform(10.0, 40.0)
 
-    def away(self) -> float:
-        """How long a process is gone, in s: mostly a fraction of a second, seldom up to a minute."""
+    def draw_downtime(self) -> float:
+        """Draws how long a crashed process is down, in s: mostly below 1 s, rarely up to a minute."""
         rng = self.rng
         if self.slow:
             return rng.uniform(1.0, 60.0) if rng.random() < 0.1 else rng.uniform(1.0, 8.0)
@@ -293,27 +293,27 @@
             ]
         )
 
-    def end(self, sim: SimController, back_s: float | None = None) -> None:
+    def end(self, sim: SimController, downtime_s: float | None = None) -> None:
         sim.crash()
-        self.after(self.away() if back_s is None else back_s, self.restart, sim)
+        self.after(self.draw_downtime() if downtime_s is None else downtime_s, self.restart, sim)
 
     def flap(self) -> None:
-        """One twice within a second, one after the other round all, or the leader and then whoever follows."""
+        """Restarts one controller repeatedly, all in rotation, or each new leader."""
         rng = self.rng
         sims = rng.sample(list(self.nodes.values()), len(self.nodes))
         kind = rng.choice(["twice", "roll", "leaders"])
         if kind == "twice":
-            for number in range(rng.randint(2, 4)):
-                self.after(number * rng.uniform(0.3, 0.6), self.end, sims[0], rng.uniform(0.1, 0.25))
+            for index in range(rng.randint(2, 4)):
+                self.after(index * rng.uniform(0.3, 0.6), self.end, sims[0], rng.uniform(0.1, 0.25))
         elif kind == "roll":
             pause = rng.uniform(0.2, 4.0)
-            for number, sim in enumerate(sims * rng.randint(1, 3)):
-                self.after(number * pause, self.end, sim, rng.uniform(0.1, 0.6))
+            for index, sim in enumerate(sims * rng.randint(1, 3)):
+                self.after(index * pause, self.end, sim, rng.uniform(0.1, 0.6))
         else:
             self.end_leaders(rng.randint(3, 8), rng.uniform(0.2, 3.0))
 
     def end_leaders(self, times: int, pause: float) -> None:
-        """Whoever leads, by what the store says."""
+        """Crashes the leader of the stored view, ``times`` times with ``pause`` s between."""
         if VIEW in self.store.data:
             self.end(
                 self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader], self.rng.uniform(0.1, 0.6)
@@ -322,7 +322,7 @@
             self.after(pause, self.end_leaders, times - 1, pause)
 
     def replace_leader(self) -> None:
-        """It is gone until another leads: one that is back at once leads again."""
+        """Crashes the leader for at least 6 s, so that it does not lead again after its restart."""
         if VIEW in self.store.data:
             sim = self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
             if sim.core is not None:
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol and what users may expect, checked after each step."""
+"""The invariants of the protocol and the guarantees to users, checked after each step."""
 
 from __future__ import annotations
 
@@ -22,67 +22,67 @@
     from simulation.controller import SimController
     from simulation.worker import SimTask, SimWorker
 
-KNOWN_S, BEGIN_S = 75.0, 240.0  # a job is forgotten after so long without an answer; the largest ones begin within
-ROOM_S = 90.0  # no job waits so long, once the faults are over, beside room that fits
+KNOWN_S, BEGIN_S = 75.0, 240.0  # maximum time without a status for a job; until the largest jobs start
+ROOM_S = 90.0  # maximum wait while free capacity suits the job, after the faults have ended
 
 
 class Invariants:
-    """What must hold whatever goes wrong; a part of ``World``."""
+    """What must hold under any fault; a mixin of ``World``."""
 
-    def halted(self, part: str, task: SimTask, worker: SimWorker) -> None:
-        """A task that its user still wants is told to stop."""
+    def halted(self, task_id: str, task: SimTask, worker: SimWorker) -> None:
+        """Hook for subclasses: a worker halts a task whose job is not cancelled."""
 
-    def saved(self, part: str, left_s: float) -> None:
-        """It saves, with so much left to run."""
+    def saved(self, task_id: str, remaining_s: float) -> None:
+        """Hook for subclasses: a worker starts to save a checkpoint, with ``remaining_s`` left to run."""
 
-    def run_time(self, part: str) -> float:
-        spec = self.specs[wire.split_task_id(part)[0]]
+    def run_time(self, task_id: str) -> float:
+        spec = self.specs[wire.split_task_id(task_id)[0]]
         if spec.job_class == "long":
             return self.rng.uniform(20.0, 110.0)
         return math.inf if spec.service else spec.estimate_s * self.rng.uniform(0.5, 1.5)
 
     def followed(self, sim: SimController, rows: list) -> None:
-        """A node has read these rows or changes; for worlds with more rules than this one."""
+        """Hook for subclasses: a controller has read these rows and events."""
 
-    def ordered(self, part: str) -> None:
-        """A worker carries the order to run it out; for worlds with more rules than this one."""
+    def ordered(self, task_id: str) -> None:
+        """Hook for subclasses: a worker accepts the order to run the task."""
 
-    def entered(self, part: str, worker: SimWorker) -> None:
-        job = wire.split_task_id(part)[0]
+    def entered(self, task_id: str, worker: SimWorker) -> None:
+        job = wire.split_task_id(task_id)[0]
         spec = self.specs[job]
-        if part in self.on:
-            raise Broken(f"ran_twice: {part} on {self.on[part]} and {worker.name} at {self.t:.2f}")
+        if task_id in self.on:
+            raise Broken(f"ran_twice: {task_id} on {self.on[task_id]} and {worker.name} at {self.t:.2f}")
         zones = [
             self.machines[name].kind.zone
-            for p, name in self.on.items()
-            if wire.split_task_id(p)[0] == job and self.machines.get(name)
+            for other, name in self.on.items()
+            if wire.split_task_id(other)[0] == job and self.machines.get(name)
         ]
         zones.append(worker.kind.zone)
-        if not self.may_use(spec, worker.kind, zones):
-            raise Broken(f"wrong_place: {part} on {worker.name}")
+        if not self.may_place(spec, worker.kind, zones):
+            raise Broken(f"wrong_place: {task_id} on {worker.name}")
         for need in spec.needs or ():
             if any(f"{need}/{index}" not in self.completed for index in range(self.specs[need].tasks)):
-                raise Broken(f"too_early: {part} before {need}")
-        self.on[part] = worker.name
+                raise Broken(f"too_early: {task_id} before {need}")
+        self.on[task_id] = worker.name
         self.starts += 1
         self.waits.pop(job, None)
         if self.t > self.cancelled_at.get(job, math.inf):
-            self.starts_after.append((part, self.t - self.cancelled_at[job]))
+            self.starts_after.append((task_id, self.t - self.cancelled_at[job]))
         self.began.setdefault(job, self.t)
         for team in deployment.TEAMS:
             used = sum(
-                self.specs[wire.split_task_id(p)[0]].cpus
-                for p in self.on
-                if self.specs[wire.split_task_id(p)[0]].team == team.name
+                self.specs[wire.split_task_id(other)[0]].cpus
+                for other in self.on
+                if self.specs[wire.split_task_id(other)[0]].team == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-9:
                 raise Broken(f"quota: {team.name} uses {used}")
         if self.t > self.cancelled_at.get(job, math.inf) + CANCEL_S:
-            raise Broken(f"ran_cancelled: {part}")
+            raise Broken(f"ran_cancelled: {task_id}")
 
     @staticmethod
-    def may_use(spec: wire.JobSpec, kind, zones: list[str]) -> bool:
-        """``zones``: of the job's tasks, with this one's."""
+    def may_place(spec: wire.JobSpec, kind, zones: list[str]) -> bool:
+        """Whether a task may run on such a machine; ``zones``: of the job's running tasks, including this one."""
         return (
             (not spec.types or kind.type in spec.types)
             and spec.zone in (None, kind.zone)
@@ -91,11 +91,11 @@
             and not (spec.spread and zones.count(kind.zone) > math.ceil(spec.tasks / 2))
         )
 
-    def look_for_room(self) -> None:
-        """Who waits beside room that fits, by what is on the machines: ``ROOM_S`` at most, faults over."""
+    def check_placeable_jobs(self) -> None:
+        """Checks that no job waits longer than ``ROOM_S`` while free capacity suits it, after the faults have ended."""
         if self.t < self.calm_at:
             return
-        there: dict[str, SimWorker] = {}
+        reported: dict[str, SimWorker] = {}
         used: dict[str, float] = {}
         free: list[tuple[SimWorker, float, float]] = []
         zones: dict[str, list[str]] = {}
@@ -104,10 +104,10 @@
                 continue
             kind = TYPES[worker.kind.type]
             cpus, memory = kind.cpus, kind.memory_gb
-            for part, task in worker.tasks.items():
-                job = wire.split_task_id(part)[0]
+            for task_id, task in worker.tasks.items():
+                job = wire.split_task_id(task_id)[0]
                 spec = self.specs[job]
-                there[part] = worker
+                reported[task_id] = worker
                 if task.status != "ended":
                     cpus, memory = cpus - spec.cpus, memory - spec.memory_gb
                     used[spec.team] = used.get(spec.team, 0.0) + spec.cpus
@@ -122,15 +122,15 @@
         limits = {team.name: team.cpus_max or math.inf for team in deployment.TEAMS}
         for job in sorted(self.accepted):
             spec = self.specs[job]
-            over = job in self.said or job in self.cancelled_at or spec.needs
-            if over or all(f"{job}/{i}" in self.completed or f"{job}/{i}" in there for i in range(spec.tasks)):
+            is_exempt = job in self.said or job in self.cancelled_at or spec.needs
+            if is_exempt or all(f"{job}/{i}" in self.completed or f"{job}/{i}" in reported for i in range(spec.tasks)):
                 self.waits.pop(job, None)
                 continue
-            under = used.get(spec.team, 0.0) + spec.cpus <= limits[spec.team] + 1e-9
-            if not under or not any(
+            is_within_limit = used.get(spec.team, 0.0) + spec.cpus <= limits[spec.team] + 1e-9
+            if not is_within_limit or not any(
                 cpus >= spec.cpus
                 and memory >= spec.memory_gb
-                and self.may_use(spec, worker.kind, [*zones.get(job, ()), worker.kind.zone])
+                and self.may_place(spec, worker.kind, [*zones.get(job, ()), worker.kind.zone])
                 for worker, cpus, memory in free
             ):
                 self.waits.pop(job, None)
@@ -138,19 +138,19 @@
             waited = self.t - self.waits.setdefault(job, self.t)
             self.longest_wait = max(self.longest_wait, waited)
             if waited > ROOM_S:
-                raise Broken(f"waited: {job} beside room since {self.waits[job]:.1f}")
+                raise Broken(f"waited: {job} although free capacity suits it since {self.waits[job]:.1f}")
 
-    def not_forgotten(self) -> None:
-        """While it lasts, faults over: somebody is told something of each job."""
+    def check_jobs_answered(self) -> None:
+        """Checks that each open job got a status within ``KNOWN_S``, counted from the end of the faults."""
         for job in self.accepted:
             since = max(self.answered_at.get(job, self.accepted_at.get(job, self.t)), self.calm_at)
             if job not in self.said and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
     def judged(self) -> None:
-        """On until whatever is judged by time has been: what waits, and the largest, which have to begin in time."""
+        """Runs on until all time limits have been checked: waiting jobs, and the start of the largest jobs."""
         self.run(max(self.t, self.calm_at + ROOM_S + 10.0))
-        while late := self.largest_not_begun():
+        while late := self.largest_not_started():
             self.run(min(self.first_asked[job] for job in late) + BEGIN_S + 0.5)
             if self.late_largest():
                 raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
@@ -158,9 +158,9 @@
             raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
         self.remembered()
 
-    def left(self, part: str, machine: str) -> None:
-        if self.on.get(part) == machine:
-            del self.on[part]
+    def left(self, task_id: str, machine: str) -> None:
+        if self.on.get(task_id) == machine:
+            del self.on[task_id]
 
     def watch(self) -> None:
         for worker in self.machines.values():
@@ -168,21 +168,21 @@
                 worker.tick()
                 if worker.recall_at is not None and self.t >= worker.recall_at:
                     self.remove([worker.name])
-        for part, machine in self.on.items():
-            if self.t > self.cancelled_at.get(wire.split_task_id(part)[0], math.inf) + CANCEL_S:
-                raise Broken(f"ran_cancelled: {part} on {machine}")
+        for task_id, machine in self.on.items():
+            if self.t > self.cancelled_at.get(wire.split_task_id(task_id)[0], math.inf) + CANCEL_S:
+                raise Broken(f"ran_cancelled: {task_id} on {machine}")
         for sim in self.nodes.values():
             if sim.core is not None:
-                self.books(sim.core)
+                self.check_bookkeeping(sim.core)
                 self.served(sim.core)
-        if self.has_concurrent_faults and self.t >= self.looked_at + 1.0:
-            self.looked_at = self.t
-            self.look_for_room()
-            self.not_forgotten()
+        if self.has_concurrent_faults and self.t >= self.liveness_checked_at + 1.0:
+            self.liveness_checked_at = self.t
+            self.check_placeable_jobs()
+            self.check_jobs_answered()
         self.after(0.25, self.watch)
 
     def served(self, core: ControllerCore) -> None:
-        """Who acts serves all jobs that the store says are its own: nobody else will."""
+        """Checks that a controller that may act serves all active jobs that it owns by the store."""
         if not core.may_act():
             return
         for name, (record, _) in core.replica.active.items():
@@ -192,24 +192,24 @@
                 and name not in core.submissions.pending
                 and core.membership.job_owner(record.accepted_by) == core.me
             ):
-                raise Broken(f"unserved: {name} by {core.me}, its home, at {self.t:.2f}")
+                raise Broken(f"unserved: {name} by {core.me}, its owner, at {self.t:.2f}")
 
     def remembered(self) -> None:
-        """At the end, ``KNOWN_S`` after the last fault: each accepted job has ended, or questions are answered."""
+        """Checks at the end of a run that each open job got a status within ``KNOWN_S``."""
         for job in sorted(self.accepted):
             since = self.answered_at.get(job, self.first_asked.get(job, 0.0))
             if job not in self.said and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
     def late_largest(self) -> list[str]:
-        """Of each class the largest tenth by CPUs: those that had not begun within the time that users allow."""
+        """The largest tenth of the jobs of each class, by CPUs, that did not start within ``BEGIN_S``."""
         return [
             job
             for job in self.largest()
             if min(self.began.get(job, math.inf), self.t) > self.first_asked[job] + BEGIN_S
         ]
 
-    def largest_not_begun(self) -> list[str]:
+    def largest_not_started(self) -> list[str]:
         return [job for job in self.largest() if job not in self.began]
 
     def largest(self) -> list[str]:
@@ -224,59 +224,62 @@
         return result
 
     @staticmethod
-    def books(core: ControllerCore) -> None:
-        """What is kept with each change, in place of counting anew for each event, is what a count would give."""
-        home, part = core.job_shard, core.machine_shard
-        kept, there = dict(home.tally.teams), home.jobs_by_machine
-        used = home.usage.used()
-        for team in {*kept, *used}:
-            if any(abs(a - b) > 1e-6 for a, b in zip(kept.get(team, (0, 0)), used.get(team, (0, 0)), strict=True)):
-                raise Broken(f"books: {team} uses {used.get(team)}, kept was {kept.get(team)}")
-        for name, job in home.jobs.items():
+    def check_bookkeeping(core: ControllerCore) -> None:
+        """Checks that incrementally updated counts and indexes match a full recount."""
+        job_shard, machine_shard = core.job_shard, core.machine_shard
+        cached, jobs_by_machine = dict(job_shard.tally.teams), job_shard.jobs_by_machine
+        used = job_shard.usage.used()
+        for team in {*cached, *used}:
+            if any(abs(a - b) > 1e-6 for a, b in zip(cached.get(team, (0, 0)), used.get(team, (0, 0)), strict=True)):
+                raise Broken(f"books: {team} uses {used.get(team)}, cached was {cached.get(team)}")
+        for name, job in job_shard.jobs.items():
             counted = job.done.count + len(job.runs) + len(job.unknown) + job.waiting
             if job.state is JobState.ACTIVE and counted != job.spec.tasks:
                 raise Broken(f"books: {name} accounts for {counted} of {job.spec.tasks} tasks")
-            if any(name not in there.get(machine, ()) for machine in job.tasks_by_machine):
-                raise Broken(f"books: {name} has a task where the index does not know")
-            lags = job.dirty_since is not None or (job.has_full_record and job.stored_state is not JobState.ACTIVE)
-            if lags and home.tally.lagging.get(name) is not job:
-                raise Broken(f"books: {name} has a record to be written, and the index does not know")
+            if any(name not in jobs_by_machine.get(machine, ()) for machine in job.tasks_by_machine):
+                raise Broken(f"books: {name} has a task on a machine that is not in the index")
+            is_lagging = job.dirty_since is not None or (
+                job.has_full_record and job.stored_state is not JobState.ACTIVE
+            )
+            if is_lagging and job_shard.tally.lagging.get(name) is not job:
+                raise Broken(f"books: {name} has a record to write that is not in the index")
         view = core.membership.view.members
         for machine, owner in core.membership.machine_owners.items():
             if owner != (rendezvous_owner(machine, sorted(view)) if view else ""):
-                raise Broken(f"books: {machine} belongs to {owner} no more")
-        for machine in part.machines.values():
-            heard = (
+                raise Broken(f"books: {machine} does not belong to {owner}")
+        for machine in machine_shard.machines.values():
+            last_contact_at = (
                 machine.last_heartbeat_at
                 if machine.acknowledged
                 else max(machine.last_heartbeat_at, machine.lease.exclusive_since or math.inf)
             )
             if machine.lease.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
-                if heard < part.leases.oldest_start:
-                    raise Broken(f"books: {machine.name} was silent since {heard}, no look is due")
-        for machine in part.machines.values():
-            kept, machine.free = machine.free, None
-            free = part.capacity.free(machine)
-            known, machine.free = machine.free is not None, kept  # a job that is over is counted no longer
-            if kept is not None and known and any(abs(a - b) > 1e-6 for a, b in zip(kept, free, strict=True)):
-                raise Broken(f"books: {machine.name} has {free} free, kept was {kept}")
+                if last_contact_at < machine_shard.leases.oldest_start:
+                    raise Broken(f"books: {machine.name} was silent since {last_contact_at}, no expiry check is due")
+        for machine in machine_shard.machines.values():
+            cached, machine.free = machine.free, None
+            free = machine_shard.capacity.free(machine)
+            # The recount is not cached where a job of the machine is unknown: then nothing is compared.
+            is_known, machine.free = machine.free is not None, cached
+            if cached is not None and is_known and any(abs(a - b) > 1e-6 for a, b in zip(cached, free, strict=True)):
+                raise Broken(f"books: {machine.name} has {free} free, cached was {cached}")
 
-    def view_began(self) -> None:
-        """Copies of old reports reach all controllers just as it begins there, or a moment after."""
+    def on_view_change(self) -> None:
+        """Records the leader, and resends kept heartbeats to all controllers as the new view takes effect."""
         leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader
         if leader != (self.leaders[-1] if self.leaders else ""):
             self.leaders.append(leader)
         kept, self.kept = self.kept, []
-        for raw in kept:
-            late = self.rng.choice([0.005, 0.3, 2.0, 8.0]) * self.rng.random()
+        for heartbeat in kept:
+            delay = self.rng.choice([0.005, 0.3, 2.0, 8.0]) * self.rng.random()
             for sim in self.nodes.values():
-                self.after(late + 0.01 * self.rng.random(), sim.heartbeat, raw, lambda status, body: None)
+                self.after(delay + 0.01 * self.rng.random(), sim.heartbeat, heartbeat, lambda status, body: None)
 
-    def task_done(self, part: str) -> None:
-        job = wire.split_task_id(part)[0]
+    def on_task_done(self, task_id: str) -> None:
+        job = wire.split_task_id(task_id)[0]
         if (
-            self.t < self.at_end_until
-            and self.rng.random() < self.at_end_share
+            self.t < self.cancel_at_end_until
+            and self.rng.random() < self.cancel_at_end_share
             and job in self.accepted
             and job not in self.said
             and job not in self.cancelled_at
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,4 @@
-"""The simulated users: they submit, ask, repeat and cancel, also what is flawed."""
+"""The simulated users: they submit, query, resubmit and cancel jobs, also with invalid requests."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from simulation.controller import SimController
 
-NOT_FOUND = "404"  # told to a user, or 400 or 422, in place of a state
-STREAM_S, STREAM_CANCELLED = 0.25, 0.25  # s between one-task jobs; the share of them that users cancel
-LEADERS, LEADERS_S = 10, 120.0
-# What a submission says though a record leaves it out where it has its default.
-GIVEN = {
+NOT_FOUND = "404"  # stands for a 404, 400 or 422 response where a job state is expected
+STREAM_INTERVAL_S, STREAM_CANCELLED_SHARE = 0.25, 0.25  # s between one-task jobs; share of them that users cancel
+LEADERS, REPLACED_LEADERS_S = 10, 120.0
+# Defaults that a submission has to state, but a record omits.
+EXPLICIT_DEFAULTS = {
     "accelerators": 0.0,
     "snapshot_every_s": 0.0,
     "snapshot_s": 0.0,
@@ -30,8 +30,8 @@
     "apart": False,
     "standby": False,
 }
-# What is put in a submission's place of a field, None: left out. No field: all of these.
-FLAWS = [
+# Invalid values: (field, value); None removes the field; without a field, the value is a dict of fields.
+INVALID_FIELDS = [
     (name, None)
     for name in (
         "id",
@@ -45,10 +45,10 @@
         "bundle",
         "image_gb",
         "expected_s",
-        *GIVEN,
+        *EXPLICIT_DEFAULTS,
     )
 ]
-FLAWS += [
+INVALID_FIELDS += [
     ("parts", 0),
     ("parts", 100_001),
     ("parts", 1.5),
@@ -73,12 +73,12 @@
 
 
 def submission_of(spec: wire.JobSpec) -> dict:
-    """The body that a user sends for it."""
-    return GIVEN | json.loads(msgspec.json.encode(spec))
+    """The body of the request that submits the job."""
+    return EXPLICIT_DEFAULTS | json.loads(msgspec.json.encode(spec))
 
 
 class Users:
-    """What the simulated users do; a part of ``World``."""
+    """The simulated users; a mixin of ``World``."""
 
     def make_job(self, number: int) -> wire.JobSpec:
         rng = self.rng
@@ -102,7 +102,7 @@
             spot=rng.random() < 0.7,
         )
 
-    def make_rush(self, number: int) -> wire.JobSpec:
+    def make_large_job(self, number: int) -> wire.JobSpec:
         return msgspec.structs.replace(
             self.make_job(number),
             kind="sweep",
@@ -113,7 +113,7 @@
             estimate_s=self.rng.uniform(10.0, 30.0),
         )
 
-    def make_long(self, number: int) -> wire.JobSpec:
+    def make_long_job(self, number: int) -> wire.JobSpec:
         return msgspec.structs.replace(
             self.make_job(number),
             kind="sweep",
@@ -124,7 +124,7 @@
         )
 
     def make_unbound_pair(self, number: int) -> wire.JobSpec:
-        """Two long tasks, without a team's limit, that any machine can run."""
+        """Two long tasks without a team limit that any machine can run."""
         return msgspec.structs.replace(
             self.make_job(number),
             kind="sweep",
@@ -138,11 +138,11 @@
             spread=False,
         )
 
-    def pipeline(self, number: int) -> None:
-        """Steps as users send them, each as soon as those that it needs are accepted; some hang on an earlier job."""
+    def submit_pipeline(self, number: int) -> None:
+        """Submits each step once its dependencies are accepted; some pipelines depend on an earlier job."""
         rng = self.rng
         if any(sim.old for sim in self.nodes.values()):
-            self.after(1.0, self.pipeline, number)
+            self.after(1.0, self.submit_pipeline, number)
             return
 
         def step(index: int, needs: list[str], **more) -> str:
@@ -160,7 +160,7 @@
                 **more,
             )
             self.specs[spec.id] = spec
-            self.when_accepted(needs, spec)
+            self.submit_when_accepted(needs, spec)
             return spec.id
 
         earlier = sorted(job for job in self.accepted if not self.specs[job].service)
@@ -172,20 +172,20 @@
             victim = rng.choice([first, *middle, other])
             self.after(rng.uniform(3.0, 25.0), self.withdraw, victim)
 
-    def when_accepted(self, needs: list[str], spec: wire.JobSpec) -> None:
+    def submit_when_accepted(self, needs: list[str], spec: wire.JobSpec) -> None:
         if all(need in self.accepted for need in needs):
             self.submit(spec)
         else:
-            self.after(0.1, self.when_accepted, needs, spec)
+            self.after(0.1, self.submit_when_accepted, needs, spec)
 
     def before(self, job: str) -> set[str]:
-        """All jobs that it needs, directly or through others."""
-        result, todo = set(), [job]
-        while todo:
-            for need in self.specs[todo.pop()].needs or ():
+        """All jobs that ``job`` depends on, directly or transitively."""
+        result, pending = set(), [job]
+        while pending:
+            for need in self.specs[pending.pop()].needs or ():
                 if need not in result:
                     result.add(need)
-                    todo.append(need)
+                    pending.append(need)
         return result
 
     def submit(self, spec: wire.JobSpec) -> None:
@@ -211,7 +211,7 @@
             if ready and not core.directory.knows_job(spec.id):
                 core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
             elif core.directory.knows_job(spec.id) and self.question(sim, spec.id) is not None:
-                self.accept(spec.id)  # an earlier try was carried out: 200
+                self.accept(spec.id)  # an earlier attempt was applied: 200
         self.after(1.5, self.submit, spec)
 
     def accept(self, job: str) -> None:
@@ -220,18 +220,18 @@
         self.accepted.add(job)
         if job not in self.accepted_at:
             self.accepted_at[job] = self.t
-            self.read_closely(job)
+            self.query_concurrently(job)
 
     def answer(self, job: str, state: str, asked: float | None = None) -> None:
-        """``asked``: when, for an answer that has taken time; another may have been told in the meantime."""
+        """Checks a reported state; ``asked``: when it was requested, if another response may have arrived since."""
         before, ends = self.said.get(job), state in ("done", "aborted")
         if before is not None and state != before:
-            if asked is None or ends or asked >= self.told_at[job]:
+            if asked is None or ends or asked >= self.end_reported_at[job]:
                 raise Broken(f"went_back: {job} {before} -> {state}")
-            return  # true when it was asked
+            return  # outdated, but correct when requested
         if ends and before is None:
-            self.told_at[job] = self.t
-            self.read_closely(job)
+            self.end_reported_at[job] = self.t
+            self.query_concurrently(job)
         if state == "done":
             missing = [i for i in range(self.specs[job].tasks) if f"{job}/{i}" not in self.completed]
             if missing:
@@ -241,16 +241,16 @@
             if job not in self.cancelled_at and not any(one in self.cancelled_at for one in self.before(job)):
                 raise Broken(f"went_back: {job} was never cancelled")
             self.said[job] = state
-            if job in self.cancelled_at:  # whoever says so first, a question's answer included
+            if job in self.cancelled_at:  # the first response counts, also one to a status request
                 self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
         elif any(
             (self.t if asked is None else asked) > self.cancelled_at.get(one, math.inf) + CANCEL_S
             for one in self.before(job)
         ):
-            raise Broken(f"orphaned: {job} is called {state}")
+            raise Broken(f"orphaned: {job} is reported as {state}")
 
     def poll(self, job: str) -> None:
-        """Round robin, as users ask."""
+        """Requests the status of a job at intervals, from each controller in turn."""
         sim = self.nodes[self.labels[next(self.turn) % len(self.labels)]]
         if self.has_concurrent_faults:
             self.ask(sim, job)
@@ -262,7 +262,7 @@
         self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
 
     def ask(self, sim: SimController, job: str) -> None:
-        """By the program's way, which takes time: what counts is what had been told when it was asked."""
+        """Requests a status with simulated latency; the response is checked against what was known at the request."""
         if sim.core is not None:
             sim.status(job, lambda state, asked=self.t: self.told(job, state, asked))
 
@@ -275,17 +275,17 @@
             self.answer(job, state, asked)
 
     def repeat(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
-        """The submission once more, maybe with another body."""
+        """Submits a job again, with ``flaw`` as changed fields of the body."""
         if sim.core is not None:
             body = submission_of(self.specs[job]) | (flaw or {})
-            sim.send_job(json.dumps(body).encode(), lambda state, asked=self.t: self.told(job, state, asked))
+            sim.submit_body(json.dumps(body).encode(), lambda state, asked=self.t: self.told(job, state, asked))
 
-    def read_closely(self, job: str) -> None:
-        """Users ask at all nodes within milliseconds, by question, repeated submission and withdraw."""
+    def query_concurrently(self, job: str) -> None:
+        """Sends status requests, repeated submissions and cancellations to all controllers within milliseconds."""
         if self.t >= self.looks_until:
             return
         rng = self.rng
-        asks_end = rng.random() < (0.5 if job in self.said else 0.1)
+        withdraws_often = rng.random() < (0.5 if job in self.said else 0.1)
         for label in self.labels:
             for _ in range(rng.randint(1, 3)):
                 self.after(
@@ -293,7 +293,7 @@
                     self.look,
                     self.nodes[label],
                     job,
-                    rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if asks_end else "ask"]),
+                    rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if withdraws_often else "ask"]),
                 )
 
     def look(self, sim: SimController, job: str, kind: str) -> None:
@@ -306,54 +306,54 @@
             self.repeat(sim, job, {"owner": "nobody"} if kind == "other body" else None)
 
     def odd_request(self) -> None:
-        """A repeated submission, a withdraw of a job that is over, or a job that can't run or lacks a field."""
+        """Sends a repeated submission, a cancellation of an ended job, or an invalid job."""
         rng = self.rng
         sim = self.nodes[rng.choice(self.labels)]
         kind = rng.choice(["repeat", "withdraw", "flawed", "flawed"])
-        over, going = sorted(self.said), sorted(self.accepted - self.said.keys())
-        if kind == "repeat" and going:
-            self.repeat(sim, rng.choice(going))
-        elif kind == "withdraw" and over:
-            self.withdraw_through(sim, rng.choice(over), again=False)
+        ended_jobs, open_jobs = sorted(self.said), sorted(self.accepted - self.said.keys())
+        if kind == "repeat" and open_jobs:
+            self.repeat(sim, rng.choice(open_jobs))
+        elif kind == "withdraw" and ended_jobs:
+            self.withdraw_through(sim, rng.choice(ended_jobs), again=False)
         elif kind == "flawed" and sim.core is not None:
-            body = submission_of(self.make_job(next(self.numbers)))
-            field, value = rng.choice(FLAWS)
+            body = submission_of(self.make_job(next(self.job_numbers)))
+            field, value = rng.choice(INVALID_FIELDS)
             if value is None:
                 del body[field]
             else:
                 body |= {field: value} if field else value
             self.flawed.add(body.get("id", ""))
-            sim.send_job(json.dumps(body).encode(), lambda state: self.refused_flawed(body, state))
+            sim.submit_body(json.dumps(body).encode(), lambda state: self.check_rejected(body, state))
 
-    def refused_flawed(self, body: dict, state: str | None) -> None:
+    def check_rejected(self, body: dict, state: str | None) -> None:
         if state not in (None, NOT_FOUND):
             raise Broken(f"took_flawed: {body} is {state}")
 
     def question(self, sim: SimController, job: str) -> str | None:
-        """As ``StatusHandler.status``: from memory, by the job's home, or from the store; None: 503, or nobody."""
+        """As ``StatusHandler.status``: from memory, the job owner or the store; None: 503 or controller down."""
         if sim.core is None:
             return None
         state = sim.core.local_jobs.local_job_state(job, self.t)
         if state is not None:
             return state[0]
-        home = self.nodes.get(sim.core.directory.job_owner(job))
+        owner = self.nodes.get(sim.core.directory.job_owner(job))
         if (
-            home is not None
-            and home is not sim
-            and home.core is not None
-            and home.label not in sim.dead_links
-            and home.core.membership.fencing_token == sim.core.membership.fencing_token
-            and self.t >= max(sim.cut_mesh_until, home.cut_mesh_until)
+            owner is not None
+            and owner is not sim
+            and owner.core is not None
+            and owner.label not in sim.half_open_links
+            and owner.core.membership.fencing_token == sim.core.membership.fencing_token
+            and self.t >= max(sim.cut_mesh_until, owner.cut_mesh_until)
         ):
-            state = home.core.local_jobs.local_job_state(job, self.t)
+            state = owner.core.local_jobs.local_job_state(job, self.t)
             if state is not None:
                 return state[0]
         if self.t < max(sim.cut_store_until, sim.refused_until, self.store.down_until):
             return None
-        found = self.store.data.get(JOBS + job)
-        if found is None:
+        row = self.store.data.get(JOBS + job)
+        if row is None:
             raise Broken(f"forgotten: {job}")
-        record = msgspec.json.decode(found[0], type=Record)
+        record = msgspec.json.decode(row[0], type=Record)
         waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
@@ -378,7 +378,7 @@
         self.after(1.0, self.withdraw, job)
 
     def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
-        """As ``CancellationHandler.cancel``: decided here, or asked of the job's home by message; again if need be."""
+        """As ``CancellationHandler.cancel``: by this controller or a message to the job owner; retried if ``again``."""
         core, asked = sim.core, self.t
         if job not in self.said:
             self.cancelled_at.setdefault(job, math.inf)
@@ -386,27 +386,27 @@
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
         if core is None or not core.state.loaded:
             return
-        home, told = core.directory.job_owner(job), self.withdrawn
-        if home == sim.label or job in core.replica.ended:
+        owner, told = core.directory.job_owner(job), self.withdrawn
+        if owner == sim.label or job in core.replica.ended:
             sim.withdraw(job, lambda state: state and told(job, state))
-        elif home:
-            number = next(self.ask_numbers)
-            self.asking[number] = (
+        elif owner:
+            query_id = next(self.query_ids)
+            self.pending_queries[query_id] = (
                 sim.label,
                 sim.life,
                 self.t + constants.SUBMIT_WAIT_S,
                 lambda state: state and told(job, state),
             )
-            core.messenger.send_unreliable(home, messages.JobQuery(number, "withdraw", job))
+            core.messenger.send_unreliable(owner, messages.JobQuery(query_id, "withdraw", job))
             sim.flush()
         else:
-            sim.status_stored(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
+            sim.answer_from_store(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
 
     def withdrawn(self, job: str, state: str) -> None:
         self.answer(job, state)
 
-    def cancel_now(self, count: int, hang_s: float) -> None:
-        """Jobs that run, within a fifth of a second; with ``hang_s`` up to eight of their machines hang so long."""
+    def cancel_running_jobs(self, count: int, hang_s: float) -> None:
+        """Cancels running jobs within 0.2 s; with ``hang_s``, up to eight of their machines hang for that time."""
         rng = self.rng
         running = sorted({wire.split_task_id(part)[0] for part in self.on})
         running = [job for job in running if job not in self.said and job not in self.cancelled_at]
@@ -417,12 +417,12 @@
         for job in jobs:
             self.after(rng.uniform(0.0, 0.2), self.withdraw, job)
 
-    def fill_team(self, length: float) -> None:
-        """More of the limited team's work than its limit, long tasks; some of it is cancelled while that lasts."""
+    def exceed_team_quota(self, length: float) -> None:
+        """Submits more long tasks of the limited team than its limit allows, and cancels some of them."""
         rng = self.rng
         for _ in range(6):
             spec = msgspec.structs.replace(
-                self.make_long(next(self.numbers)),
+                self.make_long_job(next(self.job_numbers)),
                 team="bound",
                 tasks=rng.randint(2, 4),
                 cpus=rng.choice([1.0, 2.0]),
@@ -434,9 +434,9 @@
             if rng.random() < 0.5:
                 self.after(rng.uniform(15.0, length), self.withdraw_accepted, spec.id)
 
-    def send_one(self) -> None:
+    def submit_stream_job(self) -> None:
         spec = msgspec.structs.replace(
-            self.make_job(next(self.numbers)),
+            self.make_job(next(self.job_numbers)),
             kind="sweep",
             job_class="stream",
             tasks=1,
@@ -450,7 +450,7 @@
             spot=True,
         )
         self.submit(spec)
-        if self.rng.random() < STREAM_CANCELLED:
+        if self.rng.random() < STREAM_CANCELLED_SHARE:
             self.after(self.rng.uniform(0.0, 8.0), self.withdraw_accepted, spec.id)
 
     def withdraw_accepted(self, job: str) -> None:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -23,21 +23,21 @@
         self.world, self.name, self.kind = world, name, kind
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[str, SimTask] = {}
-        self.answered_at = world.t  # when the last answered report was sent
+        self.answered_at = world.t  # when the last heartbeat that got a response was sent; start of the lease
         self.core = world.rng.choice(world.labels)
         self.alive = self.up = True
         self.hangs_until = self.cut_until = 0.0
-        self.deaf_until = 0.0  # its reports arrive; answers and commands to it are lost
-        self.held_up_until = 0.0  # answers and commands, either way, are held up for seconds
-        self.mute_until = 0.0  # it can connect to no controller; direct commands reach it, and are answered
+        self.deaf_until = 0.0  # inbound blocked: heartbeats arrive; responses and commands to it are lost
+        self.held_up_until = 0.0  # responses and commands are delayed by up to 8 s in both directions
+        self.mute_until = 0.0  # outbound blocked: no heartbeat arrives; commands arrive and get responses
         self.in_flight = 0
         self.faulty = False
         self.recall_at: float | None = None
         self.send_heartbeat()
 
     def kill(self) -> None:
-        for part in self.tasks:
-            self.world.left(part, self.name)
+        for task_id in self.tasks:
+            self.world.left(task_id, self.name)
         self.tasks.clear()
 
     def die(self) -> None:
@@ -45,30 +45,30 @@
         self.alive = False
 
     def tick(self) -> None:
-        """Lease and progress of tasks."""
+        """Advances the tasks; stops all of them once the lease has expired."""
         world = self.world
         if not self.alive:
             return
-        if world.t - self.answered_at > LEASE_S:  # holds on a hanging machine too
+        if world.t - self.answered_at > LEASE_S:  # also on a hung machine
             self.kill()
             self.incarnation += 1
             self.sequence = 0
             self.answered_at = world.t
         if world.t < self.hangs_until:
             return
-        for part, task in self.tasks.items():
+        for task_id, task in self.tasks.items():
             if task.status == "fetching" and world.t >= task.ends:
-                world.entered(part, self)
-                task.status, task.ends = "running", world.t + world.run_time(part)
+                world.entered(task_id, self)
+                task.status, task.ends = "running", world.t + world.run_time(task_id)
             elif task.status == "running" and world.t >= task.ends:
                 task.status, task.cause = "ended", "error" if self.faulty else "done"
-                world.left(part, self.name)
+                world.left(task_id, self.name)
                 if task.cause == "done":
-                    world.completed.add(part)
-                    world.task_done(part)
+                    world.completed.add(task_id)
+                    world.on_task_done(task_id)
             elif task.status == "saving" and world.t >= task.ends:
                 task.status, task.cause = "ended", "halted"
-                world.left(part, self.name)
+                world.left(task_id, self.name)
 
     def send_heartbeat(self) -> None:
         world = self.world
@@ -80,36 +80,36 @@
         self.tick()
         self.sequence += 1
         self.in_flight += 1
-        number, incarnation, sent, to = self.in_flight, self.incarnation, world.t, self.core
+        request, incarnation, sent_at, controller = self.in_flight, self.incarnation, world.t, self.core
         if world.t < self.mute_until:
-            world.after(4.0, self.timeout, number)
+            world.after(4.0, self.timeout, request)
             return
         raw = self.report()
         if world.t < world.kept_until and len(world.kept) < 300 and world.rng.random() < world.kept_share:
             world.kept.append(raw)
 
         def reply(status: int, body: bytes) -> None:
-            if world.t >= max(self.cut_until, self.deaf_until) and world.reaches(self, to):
-                world.after(self.way(), self.answered, number, incarnation, sent, status, body)
+            if world.t >= max(self.cut_until, self.deaf_until) and world.reaches(self, controller):
+                world.after(self.way(), self.answered, request, incarnation, sent_at, status, body)
 
         def arrive() -> None:
             world.nodes[self.core].heartbeat(raw, reply)
 
-        if world.t < world.copies_until and world.rng.random() < world.copied_share:
-            late = world.rng.uniform(2.0, 2 * LEASE_S)
-            world.after(late, world.nodes[self.core].heartbeat, raw, lambda status, body: None)
-        if world.t >= self.cut_until and world.reaches(self, to):
+        if world.t < world.duplicates_until and world.rng.random() < world.duplicate_share:
+            delay = world.rng.uniform(2.0, 2 * LEASE_S)
+            world.after(delay, world.nodes[self.core].heartbeat, raw, lambda status, body: None)
+        if world.t >= self.cut_until and world.reaches(self, controller):
             world.after(world.rng.uniform(0.001, 0.01), arrive)
-            if world.rng.random() < 0.02:  # again, and nobody listens to the answer any more
+            if world.rng.random() < 0.02:  # a duplicate whose response is dropped
                 world.after(
                     world.rng.uniform(0.1, 60.0), world.nodes[self.core].heartbeat, raw, lambda status, body: None
                 )
         elif world.rng.random() < 0.3:
-            world.after(world.rng.uniform(1.0, 40.0), arrive)  # held back, and delivered late
-        world.after(4.0, self.timeout, number)
+            world.after(world.rng.uniform(1.0, 40.0), arrive)  # delayed rather than lost
+        world.after(4.0, self.timeout, request)
 
     def way(self) -> float:
-        """How long an answer or a command takes."""
+        """Draws the latency of a response or command, in s."""
         rng = self.world.rng
         return rng.uniform(0.001, 0.01) if self.world.t >= self.held_up_until else rng.uniform(0.3, 8.0)
 
@@ -126,13 +126,14 @@
             "mandate": self.fencing_token,
             "recall_s": None if self.recall_at is None else max(0.0, self.recall_at - world.t),
             "parts": [
-                {"part": p, "try": k.attempt, "status": k.status, "cause": k.cause} for p, k in self.tasks.items()
+                {"part": task_id, "try": task.attempt, "status": task.status, "cause": task.cause}
+                for task_id, task in self.tasks.items()
             ],
         }
         return json.dumps(heartbeat).encode()
 
     def command(self, fencing_token: int, incarnation: int, reply) -> None:
-        """An empty ``/commands``: carried out late where the machine hangs; it does not renew the lease."""
+        """Handles an empty ``/commands`` request, after a hang or cut has ended; it does not renew the lease."""
         world = self.world
         if world.t < self.deaf_until:
             return
@@ -148,9 +149,9 @@
         self.sequence += 1
         world.after(self.way() if world.rng.random() < 0.8 else world.rng.uniform(0.1, 5.0), reply, self.report())
 
-    def timeout(self, number: int) -> None:
-        if number == self.in_flight:
-            self.in_flight += 1  # whatever comes now is dropped
+    def timeout(self, request: int) -> None:
+        if request == self.in_flight:
+            self.in_flight += 1  # a response that arrives from now on is ignored
             self.next_node()
 
     def next_node(self) -> None:
@@ -158,12 +159,12 @@
         self.core = labels[(labels.index(self.core) + 1) % len(labels)]
         self.world.after(1.0, self.send_heartbeat)
 
-    def answered(self, number: int, incarnation: int, sent: float, status: int, body: bytes) -> None:
+    def answered(self, request: int, incarnation: int, sent_at: float, status: int, body: bytes) -> None:
         world = self.world
-        if number != self.in_flight or not self.alive:
+        if request != self.in_flight or not self.alive:
             return
-        if world.t < self.hangs_until:  # read when it goes on, unless that is too late
-            world.after(self.hangs_until - world.t + 0.001, self.answered, number, incarnation, sent, status, body)
+        if world.t < self.hangs_until:  # processed when the hang ends, unless it has timed out by that time
+            world.after(self.hangs_until - world.t + 0.001, self.answered, request, incarnation, sent_at, status, body)
             return
         self.in_flight += 1
         if status == 421 and body.decode() in world.labels:
@@ -175,38 +176,38 @@
             return
         self.tick()
         answer = json.loads(body)
-        higher = answer["mandate"] > self.fencing_token
+        is_newer_token = answer["mandate"] > self.fencing_token
         if incarnation == self.incarnation and answer["mandate"] >= self.fencing_token:
             self.fencing_token = answer["mandate"]
-            self.answered_at = sent
+            self.answered_at = sent_at
             for order in answer["orders"]:
                 self.carry_out(order)
         world.after(
-            0.5 if higher or answer["orders"] else REPORT_S * world.rng.uniform(0.75, 1.25), self.send_heartbeat
+            0.5 if is_newer_token or answer["orders"] else REPORT_S * world.rng.uniform(0.75, 1.25), self.send_heartbeat
         )
 
     def carry_out(self, order: dict) -> None:
-        part, held = order["part"], self.tasks.get(order["part"])
+        task_id, task = order["part"], self.tasks.get(order["part"])
         if order["verb"] == "run":
-            if held is None:
-                self.world.ordered(part)
-                status = SimTask(order["try"], "fetching", self.world.t + self.world.rng.uniform(0.1, 3.0))
-                self.tasks[part] = status
-            elif held.attempt != order["try"]:
-                raise Broken(f"busy: {part} on {self.name}")
-        elif held is not None and held.attempt == order["try"]:
-            if order["verb"] == "halt" and held.status != "ended":
-                job = wire.split_task_id(part)[0]
+            if task is None:
+                self.world.ordered(task_id)
+                new_task = SimTask(order["try"], "fetching", self.world.t + self.world.rng.uniform(0.1, 3.0))
+                self.tasks[task_id] = new_task
+            elif task.attempt != order["try"]:
+                raise Broken(f"busy: {task_id} on {self.name}")
+        elif task is not None and task.attempt == order["try"]:
+            if order["verb"] == "halt" and task.status != "ended":
+                job = wire.split_task_id(task_id)[0]
                 if job not in self.world.cancelled_at:
-                    self.world.halted_needed.append(part)
-                    self.world.halted(part, held, self)
+                    self.world.halted_needed.append(task_id)
+                    self.world.halted(task_id, task, self)
                 spec, wind_down = self.world.specs[job], order["wind_down_s"]
-                if spec.checkpoint_s > 0 and wind_down >= spec.save_s and held.status in ("running", "saving"):
-                    if held.status == "running":
-                        self.world.saved(part, held.ends - self.world.t)
-                        held.status, held.ends = "saving", self.world.t + spec.save_s
+                if spec.checkpoint_s > 0 and wind_down >= spec.save_s and task.status in ("running", "saving"):
+                    if task.status == "running":
+                        self.world.saved(task_id, task.ends - self.world.t)
+                        task.status, task.ends = "saving", self.world.t + spec.save_s
                 else:
-                    held.status, held.cause = "ended", "halted"
-                    self.world.left(part, self.name)
-            elif order["verb"] == "clear" and held.status == "ended":
-                del self.tasks[part]
+                    task.status, task.cause = "ended", "halted"
+                    self.world.left(task_id, self.name)
+            elif order["verb"] == "clear" and task.status == "ended":
+                del self.tasks[task_id]
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -1,4 +1,4 @@
-"""Store, cloud, workers, users and a bad network around three or five pure controllers, drawn from one seed."""
+"""The event loop and state of the simulation; all randomness is drawn from one seed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class World(Users, Faults, Cloud, Invariants):
-    """All of it; time goes from event to event."""
+    """A whole simulated deployment; ``t`` is the simulated time in s since the start."""
 
     process = SimController
 
@@ -45,82 +45,90 @@
         slow: bool = False,
         concurrent_faults: int = 0,
     ) -> None:
-        """``falls``: how often all controllers fall together, and much of the fleet with them; see ``fall``.
+        """``falls``: number of times that all controllers and much of the fleet fail together; see ``fall``.
 
-        ``machines``: that the cloud has at most. ``rush``: jobs of many tasks that want them all at once.
+        ``machines``: maximum that the cloud rents out. ``rush``: submits jobs of 30 to 90 tasks in place of small ones.
 
-        ``slow``: processes return after a second or more; that is when most is to be inherited.
+        ``slow``: crashed controllers restart after a second or more, so that their successors inherit more work.
 
-        ``concurrent_faults``: how often two or three faults overlap; see ``schedule_concurrent_faults``. Then every
-        other job has two or three long tasks that end far apart, and users cancel much and through any controller.
+        ``concurrent_faults``: number of times that two or three faults overlap; see ``schedule_concurrent_faults``.
+        Every other job then has two or three long tasks, and users cancel many jobs, through any controller.
 
-        ``groups``: machines die, hang and are cut off many at once, some while all controllers are down.
+        ``groups``: many machines crash, hang or are cut off at once, some while all controllers are down.
 
-        ``upgrade``: all start as the old version, and are killed one by one to come back as the new one.
+        ``upgrade``: all controllers start as the old version and are restarted one by one as the new one.
 
-        ``coming``: limits of the store that the settings name. ``tight_at``: when the store has tight ones.
+        ``coming``: future store limits that the settings announce. ``tight_at``: when the store enforces lower limits.
         """
         self.rng = random.Random(seed)
         self.slow, self.has_concurrent_faults = slow, concurrent_faults > 0
-        self.copied_share, self.copies_until = 0.0, 0.0  # of workers' reports, of which a copy arrives late
-        self.reloads = False  # failure to follow has a controller read everything anew
-        self.calm_at = 0.0  # when the last of the concurrent faults is over
-        self.kept_share, self.kept_until = 0.0, 0.0  # of workers' reports, of which copies wait for the next view
+        self.duplicate_share, self.duplicates_until = 0.0, 0.0  # share of heartbeats that are delivered again later
+        self.reload_on_failure = False  # a failed watch makes a controller read the whole store again
+        self.calm_at = 0.0  # when the last of the concurrent faults ends
+        self.kept_share, self.kept_until = 0.0, 0.0  # share of heartbeats resent at the next view
         self.kept: list[bytes] = []
-        self.leaders: list[str] = []  # one after the other
-        self.quick_until = 0.0  # machines are up within two seconds, before the rental is answered
-        self.zone_away = ("", "", 0.0)  # zone, the controller in it, until when they reach nobody else but users
-        self.looks_until = 0.0  # users ask at all nodes within milliseconds
-        self.at_end_share, self.at_end_until = 0.0, 0.0  # of the jobs that end: cancelled at that moment
-        self.flawed: set[str] = set()  # jobs that were sent though they can't run, or lack something
-        self.accepted_at: dict[str, float] = {}  # when the user was told so first
-        self.told_at: dict[str, float] = {}  # when an end was told first
-        self.looked_at = 0.0
-        self.waits: dict[str, float] = {}  # job -> since when it waits beside room
+        self.leaders: list[str] = []  # in order of their views
+        self.quick_until = 0.0  # until then machines boot within 2 s, before the rental response
+        self.zone_away = ("", "", 0.0)  # partitioned zone, the controller in it, end of the partition
+        self.looks_until = 0.0  # until then users query all controllers within milliseconds
+        self.cancel_at_end_share, self.cancel_at_end_until = 0.0, 0.0  # share of jobs cancelled as their last task ends
+        self.flawed: set[str] = set()  # jobs submitted with an invalid body
+        self.accepted_at: dict[str, float] = {}  # when the acceptance was first acknowledged to the user
+        self.end_reported_at: dict[str, float] = {}  # when the end of the job was first reported to the user
+        self.liveness_checked_at = 0.0
+        self.waits: dict[str, float] = {}  # job -> since when it waits although free capacity suits it
         self.longest_wait = 0.0
-        self.starts_after: list[tuple[str, float]] = []  # after a confirmed cancellation, and how long after
-        self.looks = 0  # close ones that were answered
-        self.numbers = itertools.count(1000)  # of the jobs that concurrent faults bring
-        self.ask_numbers, self.asking = itertools.count(1), {}  # question to a job's home -> who gets the answer
-        self.upgrade, self.coming, self.most_machines, self.rush = upgrade, coming, machines, rush
+        self.starts_after: list[tuple[str, float]] = []  # task started after a confirmed cancellation, delay in s
+        self.looks = 0  # requests sent by ``look``
+        self.job_numbers = itertools.count(1000)  # of the jobs that faults submit
+        self.query_ids, self.pending_queries = itertools.count(1), {}  # query to a job owner -> who gets the reply
+        self.upgrade, self.coming, self.max_machines, self.rush = upgrade, coming, machines, rush
         self.t = 0.0
-        self.late_share = 0.001  # of the messages between controllers
+        self.late_share = 0.001  # share of messages between controllers that are delayed by up to 5 s
         self.events: list = []
-        self.order = itertools.count()
+        self.event_numbers = itertools.count()
         self.store = SimStore(self)
-        self.store.view_began, self.store.ended = self.view_began, self.read_closely
+        self.store.on_view_change, self.store.ended = self.on_view_change, self.query_concurrently
         self.machines: dict[str, SimWorker | None] = {}
         self.kinds: dict[str, tuple] = {}
-        self.lagging: deque = deque()
+        self.delayed_listings: deque = deque()
         self.specs: dict[str, wire.JobSpec] = {}
-        self.on: dict[str, str] = {}  # task -> the machine it is on
+        self.on: dict[str, str] = {}  # task -> machine that runs it
         self.accepted: set[str] = set()
         self.first_asked: dict[str, float] = {}  # job -> when its user first submitted it
-        self.began: dict[str, float] = {}  # job -> when its first task was on a machine
-        self.answered_at: dict[str, float] = {}  # job -> when its user was last told anything of it
-        self.turn = itertools.count()  # users go round all controllers
+        self.began: dict[str, float] = {}  # job -> when its first task started
+        self.answered_at: dict[str, float] = {}  # job -> when its user last got a status
+        self.turn = itertools.count()  # round robin over the controllers
         self.completed: set[str] = set()
         self.starts = 0
-        self.halted_needed: list[str] = []  # tasks that were stopped though nobody had cancelled their jobs
-        self.said: dict[str, str] = {}  # ends told to users
+        self.halted_needed: list[str] = []  # tasks halted although their jobs were not cancelled
+        self.said: dict[str, str] = {}  # job -> final state reported to its user
         self.cancelled_at: dict[str, float] = {}
         self.labels = LABELS[:nodes]
         self.nodes: dict[str, SimController] = {}
         for label in self.labels:
             self.nodes[label] = self.process(self, label)
         for number in range(jobs):
-            make = self.make_rush if rush else self.make_long if concurrent_faults and number % 2 else self.make_job
+            make = (
+                self.make_large_job
+                if rush
+                else self.make_long_job
+                if concurrent_faults and number % 2
+                else self.make_job
+            )
             self.after(self.rng.uniform(1.0, 90.0), self.submit, make(number))
-        begin = 1.0
+        pipelines_from_s = 1.0
         if upgrade:
             order = self.rng.sample(self.labels, len(self.labels))
             for number, label in enumerate(order):
                 self.after(20.0 + number * self.rng.uniform(8.0, 15.0), self.renew, label)
-            begin = 20.0 + len(order) * 15.0
+            pipelines_from_s = 20.0 + len(order) * 15.0
         for number in range(pipelines):
-            self.after(self.rng.uniform(begin, begin + 80.0), self.pipeline, 50 + 10 * number)
+            self.after(
+                self.rng.uniform(pipelines_from_s, pipelines_from_s + 80.0), self.submit_pipeline, 50 + 10 * number
+            )
         if tight_at < math.inf:
-            self.after(tight_at, self.tighten)
+            self.after(tight_at, self.lower_store_limits)
         if random_faults:
             for _ in range(self.rng.randint(3, 7)):
                 self.after(self.rng.uniform(10.0, 130.0), self.inject_fault)
@@ -133,16 +141,16 @@
             self.schedule_concurrent_faults(self.rng.uniform(25.0, 60.0) + 45.0 * number)
         self.after(1.0, self.watch)
 
-    def after(self, delay: float, call, *args) -> None:
-        heapq.heappush(self.events, (self.t + delay, next(self.order), call, args))
+    def after(self, delay: float, callback, *args) -> None:
+        heapq.heappush(self.events, (self.t + delay, next(self.event_numbers), callback, args))
 
     def run(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
-            self.t, _, call, args = heapq.heappop(self.events)
-            call(*args)
+            self.t, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
 
     def files(self, label: str) -> dict:
-        """What the operators' files at this controller declare when it starts, by kind."""
+        """The declarations in the operator files of this controller when it starts, by kind."""
         return {}
 
     def renew(self, label: str) -> None:
@@ -151,8 +159,8 @@
         sim.crash()
         self.after(self.rng.uniform(1.0, 6.0), self.restart, sim)
 
-    def tighten(self) -> None:
+    def lower_store_limits(self) -> None:
         self.store.max_changes, self.store.value_bytes = (4, 700) if self.coming else (1, 450)
 
     def prepare(self, core: ControllerCore) -> None:
-        """A controller's node, before anything is told to it."""
+        """Hook for subclasses: called with each new controller core before its first event."""
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Seeded random runs of three and five nodes in a bad world; the rules are checked after each step."""
+"""Seeded random simulations of three and five controllers under faults; invariants are checked after each step."""
 
 import msgspec
 import pytest
@@ -20,68 +20,70 @@
 from alderbridge.settings import NextStateLimits
 
 
-def play(seed, until=200.0, **more):
-    world = World(seed, **more)
+def play(seed, until=200.0, **options):
+    world = World(seed, **options)
     world.run(until)
     world.remembered()
     return world
 
 
 @pytest.mark.parametrize("seed", [*range(28), 816, 1319])
-def test_rules_hold_whatever_fails(seed):
+def test_invariants_hold_under_random_faults(seed):
     world = play(seed)
     assert world.starts > 0
 
 
 @pytest.mark.parametrize("seed", range(2000, 2008))
-def test_rules_hold_with_five_controllers(seed):
+def test_invariants_hold_with_five_controllers(seed):
     assert play(seed, nodes=5).starts > 0
 
 
 @pytest.mark.parametrize("seed", range(7000, 7009))
-def test_rules_hold_when_many_machines_fall_together(seed):
-    """A third to nine tenths of the machines die, hang or are cut off at once, often with all controllers."""
+def test_invariants_hold_when_many_machines_fail_together(seed):
+    """30 to 90 % of the machines crash, hang or are cut off at once, often with all controllers."""
     assert play(seed, until=260.0, nodes=5, groups=True).starts > 0
 
 
 @pytest.mark.parametrize("seed", (100, 101))
-def test_quiet_world_completes_every_job(seed):
+def test_every_job_completes_without_faults(seed):
     world = play(seed, until=260.0, random_faults=False)
     assert len(world.accepted) == 14
-    lacking = [job for job in world.accepted if job not in world.said]
-    assert not lacking
+    unfinished = [job for job in world.accepted if job not in world.said]
+    assert not unfinished
 
 
-COMING = NextStateLimits(write_rps=30.0, value_kb=700 / 1024, txn_ops=4)
+NEXT_LIMITS = NextStateLimits(write_rps=30.0, value_kb=700 / 1024, txn_ops=4)
 
 
 @pytest.mark.parametrize("seed", range(3000, 3008))
-def test_rules_hold_for_pipelines(seed):
+def test_invariants_hold_for_pipelines(seed):
     world = play(seed, until=220.0, pipelines=5)
     assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.needs)
 
 
-# In 4002 and 4008 users cancel all that is needed.
+# Seeds 4002 and 4008 are left out: users cancel all dependencies there.
 @pytest.mark.parametrize("seed", [4000, 4001, *range(4003, 4008), 4009, 4010])
-def test_rules_hold_while_the_version_changes(seed):
-    """All start as the version in production, are killed one by one, and come back new; some come back old before."""
-    world = play(seed, until=260.0, nodes=3 + 2 * (seed % 2), pipelines=4, upgrade=True, coming=COMING, tight_at=110.0)
+def test_invariants_hold_during_a_rolling_upgrade(seed):
+    """All controllers start as the previous version and restart one by one as the new; some crash before that."""
+    world = play(
+        seed, until=260.0, nodes=3 + 2 * (seed % 2), pipelines=4, upgrade=True, coming=NEXT_LIMITS, tight_at=110.0
+    )
     assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.needs)
     assert world.store.too_large == 0
 
 
 @pytest.mark.parametrize("seed", (5000, 5001))
-def test_a_store_that_takes_less_than_it_said_costs_no_store_lease_and_no_job(seed):
+def test_lower_store_limits_than_announced_cost_no_store_lease_and_no_job(seed):
     world = play(seed, until=300.0, random_faults=False, pipelines=3, tight_at=60.0)
     assert world.store.too_large > 0
     fencing_tokens = {sim.core.membership.fencing_token for sim in world.nodes.values()}
-    lacking = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
-    assert len(fencing_tokens) == 1 and not lacking
+    unfinished = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    assert len(fencing_tokens) == 1 and not unfinished
 
 
-def test_a_job_may_wait_for_more_than_its_record_holds():
-    """What has no room in one value is kept beside it, in values of their own."""
-    world = play(7, until=30.0, jobs=40, random_faults=False, coming=COMING)
+def test_a_job_may_have_more_dependencies_than_its_record_holds():
+    """Dependencies that exceed the size limit of a record are stored under separate keys."""
+    world = play(7, until=30.0, jobs=40, random_faults=False, coming=NEXT_LIMITS)
     needs = [f"wk-{number:018d}" for number in range(150)]
     for need in needs[:-1]:
         record = Record(JobState.DONE)
@@ -95,7 +97,7 @@
     core = world.nodes["host-1"].core
     world.submit(tail)
     world.run(33.0)
-    core.replica.ended.clear()  # as if none of them were over yet: the list is long
+    core.replica.ended.clear()  # as if no dependency had ended, so that the list is long
     submission = core.submissions.submit(after, world.t, world.t)
     assert len(submission.lists) > 3 and submission.job.spec.needs is None
     world.run(60.0)
@@ -105,58 +107,58 @@
         world.after(2.0, world.restart, sim)
     world.accepted.add(after.id)
     world.poll(after.id)
-    world.run(260.0)  # its team is at its limit for most of the time
+    world.run(260.0)  # its team is at its limit most of the time
     assert world.said[after.id] == "done"
     assert not [key for key in world.store.data if key.startswith(LISTS)]
 
 
 @pytest.mark.parametrize("seed", (6000, 6001, 6002))
-def test_a_connection_that_only_seems_open_is_renewed(seed):
-    """After a cut the other end had closed unheard: for the rest of a recorded day nothing was granted (inc-ac9f)."""
+def test_a_half_open_connection_is_renewed(seed):
+    """Guards against a peer that closes unnoticed during a cut, after which no grant arrives any more."""
     world = World(seed, random_faults=False)
-    for at in (20.0, 45.0):
+    for closes_at in (20.0, 45.0):
         one, other = world.rng.sample(world.labels, 2)
-        world.after(at, world.nodes[one].dead_links.add, other)
+        world.after(closes_at, world.nodes[one].half_open_links.add, other)
     world.run(260.0)
-    assert not any(sim.dead_links for sim in world.nodes.values())
+    assert not any(sim.half_open_links for sim in world.nodes.values())
     assert len(world.accepted) == 14
     assert not [job for job in world.accepted if job not in world.said]
 
 
-def test_a_doom_is_told_only_when_no_member_that_acts_can_deny_it():
-    """The job's home, cut off from the store, answers "pending" until its view is stale (seen with this check away)."""
+def test_a_cascaded_abort_is_reported_only_once_no_active_member_can_contradict_it():
+    """The job owner, cut off from the store, may still report "pending" until its view is stale."""
     world = play(1, until=5.0, jobs=0, random_faults=False)
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
     after = msgspec.structs.replace(after, needs=[first.id])
-    near, far = world.nodes["host-0"], world.nodes["host-1"]
-    near.core.submissions.submit(first, world.t, world.t)
+    owner, cut_off = world.nodes["host-0"], world.nodes["host-1"]
+    owner.core.submissions.submit(first, world.t, world.t)
     world.run(6.0)
-    far.core.submissions.submit(after, world.t, world.t)
+    cut_off.core.submissions.submit(after, world.t, world.t)
     world.run(7.0)
-    far.cut_store_until = 60.0  # longer than it may act
-    near.core.local_jobs.cancel(first.id, world.t)
+    cut_off.cut_store_until = 60.0  # longer than it may act without the store
+    owner.core.local_jobs.cancel(first.id, world.t)
     world.run(8.0)
     assert (
-        near.core.local_jobs.local_job_state(first.id, world.t)[0] == "aborted"
-        and after.id in near.core.replica.graph.cascade_aborted
+        owner.core.local_jobs.local_job_state(first.id, world.t)[0] == "aborted"
+        and after.id in owner.core.replica.graph.cascade_aborted
     )
     answers = []
     while world.t < 33.0:
         world.run(world.t + 0.5)
         answers.append(
             (
-                near.core.local_jobs.local_job_state(after.id, world.t),
-                far.core.local_jobs.local_job_state(after.id, world.t),
+                owner.core.local_jobs.local_job_state(after.id, world.t),
+                cut_off.core.local_jobs.local_job_state(after.id, world.t),
             )
         )
-    told = [(ours or ("",))[0] for ours, _ in answers]
-    assert told[0] == "" and told[-1] == "aborted"
-    assert all(theirs is None for ours, theirs in answers if ours is not None)
-    assert any(theirs is not None for _, theirs in answers)
+    owner_states = [(owner_state or ("",))[0] for owner_state, _ in answers]
+    assert owner_states[0] == "" and owner_states[-1] == "aborted"
+    assert all(cut_off_state is None for owner_state, cut_off_state in answers if owner_state is not None)
+    assert any(cut_off_state is not None for _, cut_off_state in answers)
 
 
-def test_an_end_on_its_way_to_the_store_is_not_denied_from_memory():
-    """Its write may have had no answer and yet have told the others (seed 816, store cut off)."""
+def test_an_end_being_stored_is_not_contradicted_from_memory():
+    """Guards against reporting "pending" from memory after others have read an end whose write got no response."""
     world = play(1, until=5.0, jobs=0, random_faults=False)
     core = world.nodes["host-0"].core
     spec = world.make_job(1)
@@ -166,15 +168,15 @@
     assert core.local_jobs.local_job_state(spec.id, 5.0) is None
 
 
-PIPELINE_RULES = ("too_early", "orphaned")
+PIPELINE_INVARIANTS = ("too_early", "orphaned")
 
 
-def no_barrier(monkeypatch):
+def disable_barrier(monkeypatch):
     monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
 
 
-def absence_without_proof(monkeypatch):
-    """A part tells homes of machines that have not acknowledged the mandate."""
+def report_unproven_machines(monkeypatch):
+    """Machine owners report machines that have not acknowledged the fencing token to job owners."""
     monkeypatch.setattr(Machine, "is_proven", property(lambda self: True))
     real = WorkerLeases.settle
 
@@ -186,7 +188,7 @@
     monkeypatch.setattr(WorkerLeases, "settle", settle)
 
 
-def lease_cut_short(monkeypatch):
+def shorten_lease(monkeypatch):
     real = WorkerLeases.check
 
     def check(self, now):
@@ -197,16 +199,16 @@
     monkeypatch.setattr(WorkerLeases, "check", check)
 
 
-def no_allowance(monkeypatch):
+def ignore_quota(monkeypatch):
     monkeypatch.setattr(QuotaUsage, "room", lambda self, team, used, spec: spec.tasks)
 
 
-def anywhere(monkeypatch):
+def ignore_constraints(monkeypatch):
     monkeypatch.setattr(Job, "room_in", lambda self, zone: self.spec.tasks)
     monkeypatch.setattr(placement, "allowed", lambda *args: True)
 
 
-def told_before_stored(monkeypatch):
+def report_done_before_stored(monkeypatch):
     monkeypatch.setattr(
         LocalJobs,
         "local_job_state",
@@ -218,7 +220,7 @@
     )
 
 
-def done_too_early(monkeypatch):
+def finish_one_task_early(monkeypatch):
     real = Job.finish_task
 
     def finish(self, index, now):
@@ -229,22 +231,22 @@
     monkeypatch.setattr(Job, "finish_task", finish)
 
 
-def never_stopped(monkeypatch):
+def never_stop_tasks(monkeypatch):
     monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
     monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
-    # The part stops what it knows to be cancelled, the home's word or not: that is lost as well here.
+    # The machine owner also stops tasks of jobs that it has read as cancelled, without a request of the job owner.
     monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
 
 
-def nobody_waits(monkeypatch):
+def ignore_dependencies(monkeypatch):
     monkeypatch.setattr(Graph, "waiting", lambda self, job: False)
 
 
-def nobody_is_doomed(monkeypatch):
+def never_cascade_aborts(monkeypatch):
     monkeypatch.setattr(Graph, "_cascade_abort", lambda self, jobs: None)
 
 
-def uncounted_grants(monkeypatch):
+def skip_grant_tally(monkeypatch):
     real = Job.grant
 
     def grant(self, index, run):
@@ -255,7 +257,7 @@
     monkeypatch.setattr(Job, "grant", grant)
 
 
-def free_room_not_forgotten(monkeypatch):
+def keep_cached_free_capacity(monkeypatch):
     real = MachineShard.on_task_grant
 
     def on_task_grant(self, label, grant, now):
@@ -269,7 +271,7 @@
     monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
 
 
-def machines_not_indexed(monkeypatch):
+def drop_machine_index(monkeypatch):
     real = TaskReportHandler.on_task_report
 
     def on_task_report(self, label, seen, now):
@@ -280,29 +282,29 @@
 
 
 @pytest.mark.parametrize(
-    "fault, rule",
+    "fault, invariant",
     [
-        (uncounted_grants, "books"),
-        (free_room_not_forgotten, "books"),
-        (machines_not_indexed, "books"),
-        (no_barrier, "ran_twice"),
-        (absence_without_proof, "ran_twice"),
-        (lease_cut_short, "ran_twice"),
-        (no_allowance, "quota"),
-        (anywhere, "wrong_place"),
-        (told_before_stored, "went_back"),
-        (done_too_early, "not_done"),
-        (never_stopped, "ran_cancelled"),
-        (nobody_waits, "too_early"),
-        (nobody_is_doomed, "orphaned"),
+        (skip_grant_tally, "books"),
+        (keep_cached_free_capacity, "books"),
+        (drop_machine_index, "books"),
+        (disable_barrier, "ran_twice"),
+        (report_unproven_machines, "ran_twice"),
+        (shorten_lease, "ran_twice"),
+        (ignore_quota, "quota"),
+        (ignore_constraints, "wrong_place"),
+        (report_done_before_stored, "went_back"),
+        (finish_one_task_early, "not_done"),
+        (never_stop_tasks, "ran_cancelled"),
+        (ignore_dependencies, "too_early"),
+        (never_cascade_aborts, "orphaned"),
     ],
 )
-def test_each_rule_is_seen_to_fail_when_the_code_is_broken(monkeypatch, fault, rule):
+def test_each_invariant_detects_broken_code(monkeypatch, fault, invariant):
     fault(monkeypatch)
     for seed in range(200):
         try:
-            play(seed, until=180.0, pipelines=6 if rule in PIPELINE_RULES else 0)
-        except Broken as broken:
-            if str(broken).startswith(rule):
+            play(seed, until=180.0, pipelines=6 if invariant in PIPELINE_INVARIANTS else 0)
+        except Broken as error:
+            if str(error).startswith(invariant):
                 return
-    pytest.fail(f"no run showed {rule}")
+    pytest.fail(f"no run violated {invariant}")
