--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from simulation.controller import SimController
-from simulation.deployment import CANCEL_S, LABELS, LEASE_S, OBJECTIVES, REPORT_S, TEAMS, TYPES, ZONES, platform
+from simulation.deployment import CANCEL_S, HEARTBEAT_S, LABELS, LEASE_S, OBJECTIVES, TEAMS, TYPES, ZONES, platform
 from simulation.errors import Broken, StoreRefusedError, TransactionTooLargeError
 from simulation.invariants import BEGIN_S, KNOWN_S, ROOM_S
 from simulation.store import STORE_S, SimStore
@@ -23,7 +23,7 @@
     "LEASE_S",
     "NOT_FOUND",
     "OBJECTIVES",
-    "REPORT_S",
+    "HEARTBEAT_S",
     "ROOM_S",
     "STORE_S",
     "SimController",
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -44,7 +44,9 @@
         self.ahead_s = 0.0  # its wall clock minus simulated time
         # Peers that closed the connection unnoticed: frames to them are lost until the connection is renewed.
         self.half_open_links: set[str] = set()
-        self.links = dict.fromkeys(world.labels, 0.0)  # peer -> arrival time of the last frame, to keep frames in order
+        self.last_frame_arrivals = dict.fromkeys(
+            world.labels, 0.0
+        )  # peer -> arrival time of the last frame, to keep frames in order
         self.life = 0
         self.core: ControllerCore | None = None
         self.start()
@@ -64,7 +66,9 @@
         self.busy = self.is_registering = False
         self.writer_idle_until = 0.0
         self.follow_busy = self.needs_full_read = False
-        self.links = dict.fromkeys(self.links, 0.0)  # new connections: frames from before the crash may arrive later
+        self.last_frame_arrivals = dict.fromkeys(
+            self.last_frame_arrivals, 0.0
+        )  # new connections: frames from before the crash may arrive later
         self.half_open_links = set()
         for other in world.nodes.values():
             other.half_open_links.discard(self.label)
@@ -126,7 +130,7 @@
             if not cut or rng.random() < 0.5:
                 world.after(rng.uniform(0.5, 30.0), carry_out, False)  # applied after the client has timed out
             world.after(STORE_S, settle, None)
-        elif not reads and world.t < store.late_until and rng.random() < store.late_share:
+        elif not reads and world.t < store.delayed_writes_until and rng.random() < store.late_share:
             world.after(rng.uniform(2.0, 12.0), carry_out, False)  # maybe after newer writes
             world.after(STORE_S, settle, None)
         elif not reads and world.t < store.lost_until and rng.random() < store.lost_share:
@@ -174,9 +178,9 @@
         def on_member_read(rows) -> None:
             nonlocal previous, sent
             previous, sent = rows[0], world.t
-            self.call(on_lease_granted, failed, grant_lease)
+            self.call(on_lease_granted, failed, take)
 
-        def grant_lease() -> int:
+        def take() -> int:
             store.check()
             lease_id = next(store.lease_ids)
             store.holds[lease_id] = world.t + core.membership.store_lease.ttl_s
@@ -321,9 +325,9 @@
 
     def round(self) -> None:
         self.core.round(self.world.t)
-        self.ask()
+        self.probe_machines()
 
-    def ask(self) -> None:
+    def probe_machines(self) -> None:
         """Sends empty ``/commands`` requests to the machines of a new view; some are delayed."""
         core, world, generation = self.core, self.world, self.life
         while core.may_act() and (machine := core.machine_shard.next_to_probe(world.t)) is not None:
@@ -339,7 +343,7 @@
                 name: str = name, fencing_token: int = fencing_token, incarnation: int = incarnation, reply=answered
             ) -> None:
                 worker = world.machines.get(name)
-                if worker is not None and worker.alive and world.reaches(worker, self.label):
+                if worker is not None and worker.alive and world.can_reach(worker, self.label):
                     if world.t < worker.held_up_until:
                         world.after(worker.way(), worker.command, fencing_token, incarnation, reply)
                     else:
@@ -380,7 +384,7 @@
 
     # User requests, as ``UsersApi`` serves them. The callback gets a state, ``NOT_FOUND``, or None for 503.
 
-    def status(self, job: str, callback) -> None:
+    def query_status(self, job: str, callback) -> None:
         """As ``StatusHandler.poll_status``: from memory, else from the job owner by message, else from the store."""
         core, world, generation = self.core, self.world, self.life
         state = core.local_jobs.local_job_state(job, world.t)
@@ -438,13 +442,13 @@
         except wire.MalformedBodyError:
             job = wire.job_id_in(body)
             if job:
-                self.status(job, callback)
+                self.query_status(job, callback)
             else:
                 callback(NOT_FOUND)
             return
 
         def answer_known_job() -> None:
-            self.status(spec.id, lambda state: callback(None if state == NOT_FOUND else state))
+            self.query_status(spec.id, lambda state: callback(None if state == NOT_FOUND else state))
 
         def wait(submission: Submission, until: float) -> None:
             if generation != self.life:
@@ -457,7 +461,7 @@
             elif submission.outcome == "known":
                 answer_known_job()
             elif submission.outcome == "too long":
-                self.status(spec.id, callback)
+                self.query_status(spec.id, callback)
             else:
                 callback(None)
 
@@ -466,13 +470,13 @@
         elif not core.state.loaded or not core.machine_shard.capacity.types:
             callback(None)
         elif admission.rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values()):
-            self.status(spec.id, callback)
+            self.query_status(spec.id, callback)
         elif not core.membership.may_act(world.t) or spec.needs:
             callback(None)
         else:
             submission = core.submissions.submit(spec, world.t, world.t + self.ahead_s)
             if submission is None:
-                self.status(spec.id, callback)
+                self.query_status(spec.id, callback)
             else:
                 wait(submission, world.t + constants.SUBMIT_WAIT_S)
 
@@ -527,8 +531,8 @@
                 continue
             is_late = world.rng.random() < world.late_share
             delay = 5.0 * world.rng.random() if is_late else world.rng.uniform(0.0005, 0.003)
-            arrives_at = max(self.links[label] + 1e-6, (cut if held_back else world.t) + delay)
-            self.links[label] = arrives_at
+            arrives_at = max(self.last_frame_arrivals[label] + 1e-6, (cut if held_back else world.t) + delay)
+            self.last_frame_arrivals[label] = arrives_at
             data = msgspec.msgpack.encode(frame)
             data = production.frame(data) if self.old else data
             world.after(arrives_at - world.t, other.frame, data)
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -18,7 +18,7 @@
 )
 
 LABELS = ["host-0", "host-1", "host-2", "host-3", "host-4"]
-LEASE_S, CANCEL_S, REPORT_S = 17.0, 42.0, 3.0
+LEASE_S, CANCEL_S, HEARTBEAT_S = 17.0, 42.0, 3.0
 ZONES = ["a", "b"]
 TYPES = {
     "small": wire.MachineType(
@@ -41,7 +41,7 @@
     shared = Shared(
         ZONES,
         TEAMS,
-        Workers(REPORT_S, LEASE_S, CANCEL_S),
+        Workers(HEARTBEAT_S, LEASE_S, CANCEL_S),
         StateLimits(100.0, 60.0, 4.0, 12, next_limits),
         CloudSettings(6.0, 4.0),
         Limits(0.75, 186.0, 1000),
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -11,7 +11,7 @@
 from alderbridge.membership.records import View
 from alderbridge.protocol.keys import VIEW
 from simulation.deployment import CANCEL_S, LEASE_S, ZONES
-from simulation.users import LEADERS, REPLACED_LEADERS_S, STREAM_INTERVAL_S
+from simulation.users import REPLACED_LEADERS, REPLACED_LEADERS_S, STREAM_INTERVAL_S
 
 if TYPE_CHECKING:
     from simulation.controller import SimController
@@ -91,7 +91,7 @@
         elif kind == "late_reports":
             self.duplicate_share, self.duplicates_until = rng.uniform(0.1, 0.9), self.t + length
         elif kind == "late_writes":
-            self.store.late_share, self.store.late_until = rng.uniform(0.1, 0.6), self.t + length
+            self.store.late_share, self.store.delayed_writes_until = rng.uniform(0.1, 0.6), self.t + length
         elif kind == "slow_store":
             self.store.slow_by, self.store.slow_until = rng.choice([25.0, 100.0, 400.0]), self.t + length
         elif kind == "lost_responses":
@@ -118,8 +118,8 @@
             for index in range(int(length / STREAM_INTERVAL_S)):
                 self.after(index * STREAM_INTERVAL_S, self.submit_stream_job)
         elif kind == "ten_leaders":
-            for index in range(LEADERS):
-                self.after((index + 0.5 * rng.random()) * REPLACED_LEADERS_S / LEADERS, self.replace_leader)
+            for index in range(REPLACED_LEADERS):
+                self.after((index + 0.5 * rng.random()) * REPLACED_LEADERS_S / REPLACED_LEADERS, self.replace_leader)
         elif kind == "zone_away":
             self.cut_zone(rng.choice(ZONES), sim, length)
         elif kind == "cut_from_store_and_peers":  # workers and users still reach it
@@ -128,7 +128,7 @@
                 sim.mesh_delayed_until = self.t + constants.MESH_STALL_S
         elif kind == "refused":
             if rng.random() < 0.5:  # writes are applied without a response before the refusals begin
-                self.store.late_share, self.store.late_until = 0.8, self.t + 3.0
+                self.store.late_share, self.store.delayed_writes_until = 0.8, self.t + 3.0
             self.after(rng.uniform(0.0, 3.0), self.refuse_store_calls, sim, length)
         elif kind.startswith("cut") and kind != "cut_machine":
             if kind in ("cut", "cut_store"):
@@ -189,12 +189,12 @@
                 length = min(length, 25.0)
             elif kind == "limits":
                 length += 20.0
-            self.after(begins_at, self.meet, kind, length)
+            self.after(begins_at, self.inject_concurrent, kind, length)
             self.calm_at = max(self.calm_at, begins_at + length + 60.0 * (kind == "refused"))
         for _ in range(rng.randint(2, 5)):
             self.after(starts_at + rng.uniform(-3.0, 30.0), self.cancel_any)
 
-    def meet(self, kind: str, length: float) -> None:
+    def inject_concurrent(self, kind: str, length: float) -> None:
         """Injects a fault into the leader (mostly) or another controller, or into one to eight machines."""
         rng = self.rng
         leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader if VIEW in self.store.data else ""
@@ -205,7 +205,7 @@
         for _ in range(rng.choice([1, 2, 4, 8]) if kind in MACHINE_FAULTS else 1):
             self.bring(kind, sim, length)
 
-    def reaches(self, worker: SimWorker, label: str) -> bool:
+    def can_reach(self, worker: SimWorker, label: str) -> bool:
         """Whether no zone partition separates the worker from the controller."""
         zone, inside, until = self.zone_away
         return self.t >= until or (worker.kind.zone == zone) == (label == inside)
@@ -244,7 +244,7 @@
         if rng.random() < 0.3:
             self.store.outage(rng.uniform(2.0, 25.0))
 
-    def fall(self) -> None:
+    def fail_everything(self) -> None:
         """Crashes all controllers within 5 s; they restart within a minute in any order, some crash again soon.
 
         33 to 90 % of the machines crash, hang, are cut off, are cut off for longer than their lease (their incarnation
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -205,14 +205,14 @@
         """The largest tenth of the jobs of each class, by CPUs, that did not start within ``BEGIN_S``."""
         return [
             job
-            for job in self.largest()
+            for job in self.largest_jobs()
             if min(self.began.get(job, math.inf), self.t) > self.first_asked[job] + BEGIN_S
         ]
 
     def largest_not_started(self) -> list[str]:
-        return [job for job in self.largest() if job not in self.began]
+        return [job for job in self.largest_jobs() if job not in self.began]
 
-    def largest(self) -> list[str]:
+    def largest_jobs(self) -> list[str]:
         classes: dict[str, list[wire.JobSpec]] = {}
         for job in self.accepted:
             if job not in self.cancelled_at and not self.specs[job].needs:
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -31,7 +31,7 @@
         self.lease_ids = itertools.count(1)
         self.down_until = self.slow_until = 0.0
         self.slow_by = 25.0  # factor on the latency until ``slow_until``
-        self.late_share, self.late_until = 0.0, 0.0  # share of writes applied late, without a response
+        self.late_share, self.delayed_writes_until = 0.0, 0.0  # share of writes applied late, without a response
         self.lost_share, self.lost_until = 0.0, 0.0  # share of writes applied at once, without a response
         self.max_changes, self.value_bytes = 12, 4 * 1024
         self.on_view_change = lambda: None  # called after each new view is stored
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -20,7 +20,7 @@
 
 NOT_FOUND = "404"  # stands for a 404, 400 or 422 response where a job state is expected
 STREAM_INTERVAL_S, STREAM_CANCELLED_SHARE = 0.25, 0.25  # s between one-task jobs; share of them that users cancel
-LEADERS, REPLACED_LEADERS_S = 10, 120.0
+REPLACED_LEADERS, REPLACED_LEADERS_S = 10, 120.0
 # Defaults that a submission has to state, but a record omits.
 EXPLICIT_DEFAULTS = {
     "accelerators": 0.0,
@@ -178,7 +178,7 @@
         else:
             self.after(0.1, self.submit_when_accepted, needs, spec)
 
-    def before(self, job: str) -> set[str]:
+    def transitive_dependencies(self, job: str) -> set[str]:
         """All jobs that ``job`` depends on, directly or transitively."""
         result, pending = set(), [job]
         while pending:
@@ -238,14 +238,16 @@
                 raise Broken(f"not_done: {job} lacks {missing}")
             self.said[job] = state
         elif state == "aborted":
-            if job not in self.cancelled_at and not any(one in self.cancelled_at for one in self.before(job)):
+            if job not in self.cancelled_at and not any(
+                one in self.cancelled_at for one in self.transitive_dependencies(job)
+            ):
                 raise Broken(f"went_back: {job} was never cancelled")
             self.said[job] = state
             if job in self.cancelled_at:  # the first response counts, also one to a status request
                 self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
         elif any(
             (self.t if asked is None else asked) > self.cancelled_at.get(one, math.inf) + CANCEL_S
-            for one in self.before(job)
+            for one in self.transitive_dependencies(job)
         ):
             raise Broken(f"orphaned: {job} is reported as {state}")
 
@@ -253,7 +255,7 @@
         """Requests the status of a job at intervals, from each controller in turn."""
         sim = self.nodes[self.labels[next(self.turn) % len(self.labels)]]
         if self.has_concurrent_faults:
-            self.ask(sim, job)
+            self.request_status(sim, job)
         else:
             state = self.question(sim, job)
             if state is not None:
@@ -261,12 +263,12 @@
                 self.answer(job, state)
         self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
 
-    def ask(self, sim: SimController, job: str) -> None:
+    def request_status(self, sim: SimController, job: str) -> None:
         """Requests a status with simulated latency; the response is checked against what was known at the request."""
         if sim.core is not None:
-            sim.status(job, lambda state, asked=self.t: self.told(job, state, asked))
+            sim.query_status(job, lambda state, asked=self.t: self.on_status(job, state, asked))
 
-    def told(self, job: str, state: str | None, asked: float) -> None:
+    def on_status(self, job: str, state: str | None, asked: float) -> None:
         if state == NOT_FOUND:
             if self.accepted_at.get(job, math.inf) <= asked:
                 raise Broken(f"forgotten: {job} at {self.t:.2f}, accepted at {self.accepted_at[job]:.2f}")
@@ -274,11 +276,11 @@
             self.answered_at[job] = self.t
             self.answer(job, state, asked)
 
-    def repeat(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
+    def resubmit(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
         """Submits a job again, with ``flaw`` as changed fields of the body."""
         if sim.core is not None:
             body = submission_of(self.specs[job]) | (flaw or {})
-            sim.submit_body(json.dumps(body).encode(), lambda state, asked=self.t: self.told(job, state, asked))
+            sim.submit_body(json.dumps(body).encode(), lambda state, asked=self.t: self.on_status(job, state, asked))
 
     def query_concurrently(self, job: str) -> None:
         """Sends status requests, repeated submissions and cancellations to all controllers within milliseconds."""
@@ -290,20 +292,20 @@
             for _ in range(rng.randint(1, 3)):
                 self.after(
                     rng.uniform(0.0001, rng.choice([0.004, 0.04, 0.4])),
-                    self.look,
+                    self.send_concurrent_request,
                     self.nodes[label],
                     job,
                     rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if withdraws_often else "ask"]),
                 )
 
-    def look(self, sim: SimController, job: str, kind: str) -> None:
+    def send_concurrent_request(self, sim: SimController, job: str, kind: str) -> None:
         self.looks += 1
         if kind == "ask":
-            self.ask(sim, job)
+            self.request_status(sim, job)
         elif kind == "withdraw":
             self.withdraw_through(sim, job, again=False)
         else:
-            self.repeat(sim, job, {"owner": "nobody"} if kind == "other body" else None)
+            self.resubmit(sim, job, {"owner": "nobody"} if kind == "other body" else None)
 
     def odd_request(self) -> None:
         """Sends a repeated submission, a cancellation of an ended job, or an invalid job."""
@@ -312,7 +314,7 @@
         kind = rng.choice(["repeat", "withdraw", "flawed", "flawed"])
         ended_jobs, open_jobs = sorted(self.said), sorted(self.accepted - self.said.keys())
         if kind == "repeat" and open_jobs:
-            self.repeat(sim, rng.choice(open_jobs))
+            self.resubmit(sim, rng.choice(open_jobs))
         elif kind == "withdraw" and ended_jobs:
             self.withdraw_through(sim, rng.choice(ended_jobs), again=False)
         elif kind == "flawed" and sim.core is not None:
@@ -386,23 +388,23 @@
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
         if core is None or not core.state.loaded:
             return
-        owner, told = core.directory.job_owner(job), self.withdrawn
+        owner, on_cancelled = core.directory.job_owner(job), self.on_cancelled
         if owner == sim.label or job in core.replica.ended:
-            sim.withdraw(job, lambda state: state and told(job, state))
+            sim.withdraw(job, lambda state: state and on_cancelled(job, state))
         elif owner:
             query_id = next(self.query_ids)
             self.pending_queries[query_id] = (
                 sim.label,
                 sim.life,
                 self.t + constants.SUBMIT_WAIT_S,
-                lambda state: state and told(job, state),
+                lambda state: state and on_cancelled(job, state),
             )
             core.messenger.send_unreliable(owner, messages.JobQuery(query_id, "withdraw", job))
             sim.flush()
         else:
-            sim.answer_from_store(job, lambda state: state == NOT_FOUND and self.told(job, state, asked))
+            sim.answer_from_store(job, lambda state: state == NOT_FOUND and self.on_status(job, state, asked))
 
-    def withdrawn(self, job: str, state: str) -> None:
+    def on_cancelled(self, job: str, state: str) -> None:
         self.answer(job, state)
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from alderbridge.protocol import wire
-from simulation.deployment import LEASE_S, REPORT_S
+from simulation.deployment import HEARTBEAT_S, LEASE_S
 from simulation.errors import Broken
 
 if TYPE_CHECKING:
@@ -35,13 +35,13 @@
         self.recall_at: float | None = None
         self.send_heartbeat()
 
-    def kill(self) -> None:
+    def stop_all_tasks(self) -> None:
         for task_id in self.tasks:
             self.world.left(task_id, self.name)
         self.tasks.clear()
 
     def die(self) -> None:
-        self.kill()
+        self.stop_all_tasks()
         self.alive = False
 
     def tick(self) -> None:
@@ -50,7 +50,7 @@
         if not self.alive:
             return
         if world.t - self.answered_at > LEASE_S:  # also on a hung machine
-            self.kill()
+            self.stop_all_tasks()
             self.incarnation += 1
             self.sequence = 0
             self.answered_at = world.t
@@ -84,12 +84,12 @@
         if world.t < self.mute_until:
             world.after(4.0, self.timeout, request)
             return
-        raw = self.report()
+        raw = self.heartbeat_body()
         if world.t < world.kept_until and len(world.kept) < 300 and world.rng.random() < world.kept_share:
             world.kept.append(raw)
 
         def reply(status: int, body: bytes) -> None:
-            if world.t >= max(self.cut_until, self.deaf_until) and world.reaches(self, controller):
+            if world.t >= max(self.cut_until, self.deaf_until) and world.can_reach(self, controller):
                 world.after(self.way(), self.answered, request, incarnation, sent_at, status, body)
 
         def arrive() -> None:
@@ -98,7 +98,7 @@
         if world.t < world.duplicates_until and world.rng.random() < world.duplicate_share:
             delay = world.rng.uniform(2.0, 2 * LEASE_S)
             world.after(delay, world.nodes[self.core].heartbeat, raw, lambda status, body: None)
-        if world.t >= self.cut_until and world.reaches(self, controller):
+        if world.t >= self.cut_until and world.can_reach(self, controller):
             world.after(world.rng.uniform(0.001, 0.01), arrive)
             if world.rng.random() < 0.02:  # a duplicate whose response is dropped
                 world.after(
@@ -113,7 +113,7 @@
         rng = self.world.rng
         return rng.uniform(0.001, 0.01) if self.world.t >= self.held_up_until else rng.uniform(0.3, 8.0)
 
-    def report(self) -> bytes:
+    def heartbeat_body(self) -> bytes:
         world = self.world
         heartbeat = {
             "host": self.name,
@@ -147,7 +147,9 @@
             return
         self.fencing_token = fencing_token
         self.sequence += 1
-        world.after(self.way() if world.rng.random() < 0.8 else world.rng.uniform(0.1, 5.0), reply, self.report())
+        world.after(
+            self.way() if world.rng.random() < 0.8 else world.rng.uniform(0.1, 5.0), reply, self.heartbeat_body()
+        )
 
     def timeout(self, request: int) -> None:
         if request == self.in_flight:
@@ -183,7 +185,8 @@
             for order in answer["orders"]:
                 self.carry_out(order)
         world.after(
-            0.5 if is_newer_token or answer["orders"] else REPORT_S * world.rng.uniform(0.75, 1.25), self.send_heartbeat
+            0.5 if is_newer_token or answer["orders"] else HEARTBEAT_S * world.rng.uniform(0.75, 1.25),
+            self.send_heartbeat,
         )
 
     def carry_out(self, order: dict) -> None:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -45,7 +45,7 @@
         slow: bool = False,
         concurrent_faults: int = 0,
     ) -> None:
-        """``falls``: number of times that all controllers and much of the fleet fail together; see ``fall``.
+        """``falls``: number of times that all controllers and much of the fleet fail together; see ``fail_everything``.
 
         ``machines``: maximum that the cloud rents out. ``rush``: submits jobs of 30 to 90 tasks in place of small ones.
 
@@ -79,7 +79,7 @@
         self.waits: dict[str, float] = {}  # job -> since when it waits although free capacity suits it
         self.longest_wait = 0.0
         self.starts_after: list[tuple[str, float]] = []  # task started after a confirmed cancellation, delay in s
-        self.looks = 0  # requests sent by ``look``
+        self.looks = 0  # requests sent by ``send_concurrent_request``
         self.job_numbers = itertools.count(1000)  # of the jobs that faults submit
         self.query_ids, self.pending_queries = itertools.count(1), {}  # query to a job owner -> who gets the reply
         self.upgrade, self.coming, self.max_machines, self.rush = upgrade, coming, machines, rush
@@ -121,7 +121,7 @@
         if upgrade:
             order = self.rng.sample(self.labels, len(self.labels))
             for number, label in enumerate(order):
-                self.after(20.0 + number * self.rng.uniform(8.0, 15.0), self.renew, label)
+                self.after(20.0 + number * self.rng.uniform(8.0, 15.0), self.upgrade_controller, label)
             pipelines_from_s = 20.0 + len(order) * 15.0
         for number in range(pipelines):
             self.after(
@@ -136,7 +136,7 @@
             for _ in range(self.rng.randint(2, 4)):
                 self.after(self.rng.uniform(20.0, 120.0), self.inject_group_fault)
         for number in range(falls):
-            self.after(self.rng.uniform(30.0, 60.0) + 60.0 * number, self.fall)
+            self.after(self.rng.uniform(30.0, 60.0) + 60.0 * number, self.fail_everything)
         for number in range(concurrent_faults):
             self.schedule_concurrent_faults(self.rng.uniform(25.0, 60.0) + 45.0 * number)
         self.after(1.0, self.watch)
@@ -153,7 +153,7 @@
         """The declarations in the operator files of this controller when it starts, by kind."""
         return {}
 
-    def renew(self, label: str) -> None:
+    def upgrade_controller(self, label: str) -> None:
         sim = self.nodes[label]
         sim.old = False
         sim.crash()
