--- a/alderbridge/calendars/configuration.py
+++ b/alderbridge/calendars/configuration.py
@@ -35,7 +35,7 @@
 from alderbridge.settings import ConfigError
 
 T = TypeVar("T")
-_RUN_FACTOR = NumberSetting(constants.RUN_SAFETY, 0.1, 100.0)
+_RUN_FACTOR = NumberSetting(constants.RUN_TIME_SAFETY_FACTOR, 0.1, 100.0)
 _WARM_UP_S = NumberSetting(0.0, 0.0, 3600.0)
 _SPREAD_S = NumberSetting(constants.OPENING_SPREAD_S, 0.0, 3600.0)
 
@@ -215,7 +215,7 @@
         zone = calendar.zone or "UTC"
         periods = timetable.periods(calendar.name, wall, 3)
         openings = ", ".join(f"{_format_time(begin, zone)} to {_format_time(end, zone)}" for begin, end in periods)
-        never = f"never in the next {constants.CALENDAR_AHEAD_DAYS} days"
+        never = f"never in the next {constants.CALENDAR_LOOKAHEAD_DAYS} days"
         line = f"calendar {calendar.name}: open {openings or never} ({zone})"
         if calendar.holidays:
             last = EPOCH + timedelta(calendar.holidays[-1])
--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -46,7 +46,7 @@
     def reopen(self) -> None:
         """Mark the job as open."""
 
-    def schedule_after_opening(self, opened_at: float, since: float) -> None:
+    def set_waiting_since_opening(self, opened_at: float, since: float) -> None:
         """Count its waiting time from ``since``, at or after the opening at ``opened_at``, a time of day."""
 
 
@@ -73,7 +73,7 @@
         for configuration in self.configurations:
             for calendar in configuration.calendars:
                 remaining_days = calendar.holidays[-1] - self.clock() / DAY if calendar.holidays else NEVER
-                if remaining_days < constants.HOLIDAYS_SHORT_DAYS:
+                if remaining_days < constants.HOLIDAYS_ENDING_WARNING_DAYS:
                     log.warning(
                         "calendar=%s state=running out cause=its last holiday is in %d days",
                         calendar.name,
@@ -121,7 +121,7 @@
                 if opening == job.opened_at or (not was_closed and eligibility.opened_at == 0.0):
                     continue
                 if opening <= wall - now + job.ready_since:
-                    job.schedule_after_opening(opening, job.ready_since)  # the job became ready after the opening
+                    job.set_waiting_since_opening(opening, job.ready_since)  # the job became ready after the opening
                     continue
             spread = eligibility.rule.spread_s if eligibility.rule is not None else constants.OPENING_SPREAD_S
             jobs_to_spread.setdefault((opening, spread), []).append(job)
@@ -146,10 +146,10 @@
             )
 
         total = sum(job.waiting for job in group)
-        pace = max(total / spread_s, constants.OPENING_PACE) if spread_s else math.inf
+        pace = max(total / spread_s, constants.MIN_OPENING_STARTS_PER_S) if spread_s else math.inf
         tasks_ahead = 0
         for job in sorted(group, key=start_order):
-            job.schedule_after_opening(opening, max(since, job.ready_since) + tasks_ahead / pace)
+            job.set_waiting_since_opening(opening, max(since, job.ready_since) + tasks_ahead / pace)
             tasks_ahead += job.waiting
 
     @staticmethod
@@ -168,7 +168,7 @@
                 spec.team,
                 spec.job_class,
                 rule.calendar,
-                constants.CALENDAR_AHEAD_DAYS,
+                constants.CALENDAR_LOOKAHEAD_DAYS,
                 spec.estimate_s,
             )
         else:
--- a/alderbridge/calendars/model.py
+++ b/alderbridge/calendars/model.py
@@ -33,7 +33,7 @@
     workload: str  # pattern; * matches any text
     calendar: str
     ends: bool = False  # a task starts only if it is expected to end before closing
-    run_factor: float = constants.RUN_SAFETY  # multiplies a task's estimated run time
+    run_factor: float = constants.RUN_TIME_SAFETY_FACTOR  # multiplies a task's estimated run time
     stops: bool = False  # tasks still running at closing are stopped
     warm_up_s: float = 0.0  # how long before an opening machines may be rented
     spread_s: float = constants.OPENING_SPREAD_S  # how long after an opening the starts of waiting jobs are spread
--- a/alderbridge/calendars/timetable.py
+++ b/alderbridge/calendars/timetable.py
@@ -31,7 +31,7 @@
     """What a calendar allows for a job at one moment. Times are by this controller's clock, in seconds since 1970."""
 
     may_start: bool
-    opens_at: float  # when a task may start next, if not now; ``NEVER``: not within ``CALENDAR_AHEAD_DAYS``
+    opens_at: float  # when a task may start next, if not now; ``NEVER``: not within ``CALENDAR_LOOKAHEAD_DAYS``
     closes_at: float  # end of the open period that contains the moment; 0: closed
     warm: bool  # closed, but machines may be rented for it already
     stop_at: float  # when running tasks are stopped; ``NEVER``: they run on
@@ -60,7 +60,7 @@
         """Return the open periods within a UTC day, given in days since 1970."""
         periods = self.cached_days.get(number)
         if periods is None:
-            if len(self.cached_days) > 2 * constants.CALENDAR_AHEAD_DAYS:
+            if len(self.cached_days) > 2 * constants.CALENDAR_LOOKAHEAD_DAYS:
                 self.cached_days.clear()
             of = self.calendar.of
             periods = self.cached_days[number] = (
@@ -111,13 +111,13 @@
         return int(offset.total_seconds())
 
     def periods(self, wall: float) -> Iterator[tuple[float, float]]:
-        """Yield the open periods that end after ``wall``, within ``CALENDAR_AHEAD_DAYS``.
+        """Yield the open periods that end after ``wall``, within ``CALENDAR_LOOKAHEAD_DAYS``.
 
-        A period that reaches beyond that ends at ``NEVER``; one that began more than ``CALENDAR_BACK_DAYS`` ago
+        A period that reaches beyond that ends at ``NEVER``; one that began more than ``CALENDAR_LOOKBACK_DAYS`` ago
         begins at 0.
         """
         today = math.floor(wall / DAY)
-        first_day, end_day = today - constants.CALENDAR_BACK_DAYS, today + constants.CALENDAR_AHEAD_DAYS
+        first_day, end_day = today - constants.CALENDAR_LOOKBACK_DAYS, today + constants.CALENDAR_LOOKAHEAD_DAYS
         since, until = 0.0, None
         for number in range(first_day, end_day):
             for begin, end in self.periods_of_day(number):
@@ -187,14 +187,16 @@
         if rule is None:
             return OPEN
         run_s = (
-            (spec.estimate_s or constants.UNKNOWN_RUN_S) * rule.run_factor if rule.ends and not spec.service else 0.0
+            (spec.estimate_s or constants.DEFAULT_RUN_TIME_S) * rule.run_factor
+            if rule.ends and not spec.service
+            else 0.0
         )
         # Tasks of a service have no expected end: where tasks must end before closing, they are stopped.
         stops = rule.stops or (rule.ends and spec.service)
         key = (id(rule), run_s, spec.save_s if stops else -1.0, skew_s)
         entry = self.cached.get(key)
         if entry is None or not entry[0] <= wall < entry[1]:
-            if len(self.cached) > constants.QUEUE_ROWS * 10:
+            if len(self.cached) > constants.MAX_QUEUE_ROWS * 10:
                 self.cached.clear()
             entry = self.cached[key] = self._compute(rule, run_s, spec.save_s if stops else None, wall, skew_s)
         return entry[2]
@@ -207,13 +209,13 @@
         ``save_s``: how long a task takes to save its progress when it is stopped; None: tasks are not stopped.
         """
         closes_at, stop_at = 0.0, NEVER if save_s is None else 0.0
-        valid_until = wall + DAY  # not longer: the range of ``CALENDAR_AHEAD_DAYS`` moves on
+        valid_until = wall + DAY  # not longer: the range of ``CALENDAR_LOOKAHEAD_DAYS`` moves on
         for begin, end in self.hours[rule.calendar].periods(wall - skew_s):
             # The clock may be off by ``skew_s`` either way: the period counts as open only where it surely is.
             since, until = (begin + skew_s if begin else 0.0), end - skew_s
             stop = NEVER if save_s is None else until - save_s
             # No start is ordered from this time on.
-            start_limit = min(until - constants.ORDER_DELIVERY_S - run_s, stop - constants.LEAST_BEFORE_STOP_S)
+            start_limit = min(until - constants.MAX_ORDER_DELIVERY_S - run_s, stop - constants.MIN_RUN_BEFORE_STOP_S)
             if not closes_at and since <= wall < until:
                 closes_at, stop_at, valid_until = until, stop, min(valid_until, until)
             if start_limit <= since or start_limit <= wall:
@@ -258,10 +260,10 @@
     def _next_opening(self, spec: JobSpec, wall: float, skew_s: float) -> float:
         """Return when all are open next: advance to the latest opening until no timetable is closed."""
         candidate = wall
-        for _ in range(constants.CALENDAR_AHEAD_DAYS):
+        for _ in range(constants.CALENDAR_LOOKAHEAD_DAYS):
             answers = [timetable.eligibility(spec, candidate, skew_s) for timetable in self.timetables]
             later = max((answer.opens_at for answer in answers if not answer.may_start), default=candidate)
-            if later <= candidate or later > wall + constants.CALENDAR_AHEAD_DAYS * DAY:
+            if later <= candidate or later > wall + constants.CALENDAR_LOOKAHEAD_DAYS * DAY:
                 return NEVER if later > candidate else candidate
             candidate = later
         return NEVER
--- a/alderbridge/calendars/values.py
+++ b/alderbridge/calendars/values.py
@@ -47,8 +47,8 @@
     """Parse the range of years for which holidays are expanded to dates."""
     match = re.fullmatch(r"(\d{4})-(\d{4})", text)
     years = range(int(match[1]), int(match[2]) + 1) if match else range(0)
-    if not years or len(years) > constants.HOLIDAY_YEARS:
-        raise ExpectationError(f"expected at most {constants.HOLIDAY_YEARS} years, such as 2026-2030")
+    if not years or len(years) > constants.MAX_HOLIDAY_YEARS:
+        raise ExpectationError(f"expected at most {constants.MAX_HOLIDAY_YEARS} years, such as 2026-2030")
     return years
 
 
--- a/alderbridge/claims/ledger.py
+++ b/alderbridge/claims/ledger.py
@@ -23,12 +23,12 @@
 import msgspec
 
 from alderbridge import constants
-from alderbridge.claims.records import ClaimGroup, JobPreemptions, PreemptionClaim, PreemptionsSpent, budget_key
-from alderbridge.protocol.keys import BUDGETS, CLAIMS, STOPS
+from alderbridge.claims.records import ClaimGroup, JobPreemptions, PreemptionClaim, PreemptionUsage, budget_key
+from alderbridge.protocol.keys import CLAIMS, JOB_PREEMPTIONS, PREEMPTION_BUDGETS
 
 log = logging.getLogger("preemption")
 _claim_decoder = msgspec.json.Decoder(PreemptionClaim)
-_spent_decoder = msgspec.json.Decoder(PreemptionsSpent)
+_spent_decoder = msgspec.json.Decoder(PreemptionUsage)
 _stops_decoder = msgspec.json.Decoder(JobPreemptions)
 
 
@@ -67,7 +67,7 @@
     def can_add(
         self,
         group: ClaimGroup,
-        spent: PreemptionsSpent,
+        spent: PreemptionUsage,
         stops: Mapping[str, JobPreemptions],
         max_changes: int,
         value_bytes: int,
@@ -81,7 +81,7 @@
         count = sum(map(len, self.groups)) + len(group) + len(stops) + 1
         # At most half of the protocol's limit on a transaction.
         size = sum(len(msgspec.json.encode(value)) for value in self.puts.values())
-        return values_fit and count <= max_changes and size <= constants.MAX_BODY // 2
+        return values_fit and count <= max_changes and size <= constants.MAX_BODY_BYTES // 2
 
 
 class Ledger:
@@ -91,7 +91,7 @@
         """Create an empty ledger; ``apply`` fills it from the store."""
         self.entries: dict[str, ClaimEntry] = {}  # machine -> its stored claim
         self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its preemptions, revision of the record
-        self.spent, self.spent_revision = PreemptionsSpent(), 0
+        self.spent, self.usage_revision = PreemptionUsage(), 0
         self.planned: list[ClaimGroup] = []
         self.dropping: dict[str, int] = {}  # machine -> revision of the claim to delete
         self.ended_jobs: dict[str, int] = {}  # ended job -> revision of its record, which is to be deleted
@@ -107,12 +107,12 @@
         """Return the stored claims by machine."""
         return {machine: entry.claim for machine, entry in self.entries.items()}
 
-    def stops_of(self, job: str, index: int) -> int:
+    def preemption_count(self, job: str, index: int) -> int:
         """Return how often the task was preempted."""
         record = self.stops.get(job)
         return record[0].tasks.get(index, 0) if record is not None else 0
 
-    def stopped_since(self, job: str, wall: float) -> float:
+    def seconds_since_first_preemption(self, job: str, wall: float) -> float:
         """Return the seconds since a task of the job was first preempted; 0: none was."""
         record = self.stops.get(job)
         return max(1e-9, wall - record[0].first) if record is not None else 0.0
@@ -131,15 +131,15 @@
         """Discard what was stored up to ``revision``, before the store is read again as it was at that revision.
 
         Records with a newer revision stay, and so do transactions in flight or unconfirmed: without them, jobs that
-        were preempted could preempt others. A newer view resets the transactions (``enter``).
+        were preempted could preempt others. A newer view resets the transactions (``enter_view``).
         """
         self.entries = {machine: entry for machine, entry in self.entries.items() if entry.revision > revision}
         self.stops = {job: record for job, record in self.stops.items() if record[1] > revision}
-        if self.spent_revision <= revision:
-            self.spent, self.spent_revision = PreemptionsSpent(), 0
+        if self.usage_revision <= revision:
+            self.spent, self.usage_revision = PreemptionUsage(), 0
         self.planned, self.dropping, self.ended_jobs = [], {}, {}
 
-    def enter(self) -> None:
+    def enter_view(self) -> None:
         """Enter a new view: a transaction of the previous one is either already in the replica or can't commit."""
         self.planned, self.dropping, self.ended_jobs, self.in_flight, self.unconfirmed = [], {}, {}, None, None
         for entry in self.entries.values():
@@ -147,12 +147,12 @@
 
     def apply(self, key: str, data: bytes | msgspec.Raw | None, revision: int, now: float = 0.0) -> None:
         """Apply one change from the replica; other keys are ignored. ``data`` None: the key was deleted."""
-        if key == BUDGETS:
-            if revision > self.spent_revision:
-                self.spent = PreemptionsSpent() if data is None else _spent_decoder.decode(data)
-                self.spent_revision = revision
-        elif key.startswith(STOPS):
-            self._apply_stops(key[len(STOPS) :], data, revision)
+        if key == PREEMPTION_BUDGETS:
+            if revision > self.usage_revision:
+                self.spent = PreemptionUsage() if data is None else _spent_decoder.decode(data)
+                self.usage_revision = revision
+        elif key.startswith(JOB_PREEMPTIONS):
+            self._apply_stops(key[len(JOB_PREEMPTIONS) :], data, revision)
         elif key.startswith(CLAIMS):
             self._apply_claim(key[len(CLAIMS) :], data, revision)
 
@@ -205,14 +205,14 @@
         """
         if self.in_flight is not None:
             return None
-        if self.unconfirmed is not None and self.unconfirmed.conditions[BUDGETS] != self.spent_revision:
+        if self.unconfirmed is not None and self.unconfirmed.conditions[PREEMPTION_BUDGETS] != self.usage_revision:
             self.unconfirmed = None  # it has committed, or its condition can't hold any more
         tx = ClaimTransaction()
         if self.unconfirmed is not None:
-            tx.conditions[BUDGETS], tx.puts[BUDGETS] = self.spent_revision, self.spent
+            tx.conditions[PREEMPTION_BUDGETS], tx.puts[PREEMPTION_BUDGETS] = self.usage_revision, self.spent
         elif self.dropping or self.ended_jobs:
             keys = [(CLAIMS + machine, revision) for machine, revision in self.dropping.items()]
-            keys += [(STOPS + job, revision) for job, revision in self.ended_jobs.items()]
+            keys += [(JOB_PREEMPTIONS + job, revision) for job, revision in self.ended_jobs.items()]
             tx.conditions = dict(keys[:max_changes])
             tx.drops = list(tx.conditions)
         else:
@@ -241,10 +241,10 @@
             tx.puts |= {CLAIMS + machine: claim for machine, claim in group.items()}
             tx.conditions |= dict.fromkeys((CLAIMS + machine for machine in group), 0)
         if tx.groups:
-            tx.puts[BUDGETS], tx.conditions[BUDGETS] = spent, self.spent_revision
+            tx.puts[PREEMPTION_BUDGETS], tx.conditions[PREEMPTION_BUDGETS] = spent, self.usage_revision
             for job, stopped in stops.items():
-                tx.puts[STOPS + job] = stopped
-                tx.conditions[STOPS + job] = self.stops[job][1] if job in self.stops else 0
+                tx.puts[JOB_PREEMPTIONS + job] = stopped
+                tx.conditions[JOB_PREEMPTIONS + job] = self.stops[job][1] if job in self.stops else 0
 
     def done(self, tx: ClaimTransaction, revision: int, now: float = 0.0) -> None:
         """Apply a transaction that has committed; the replica may already have applied it.
@@ -275,17 +275,17 @@
         if self.in_flight is not tx:
             return
         self.in_flight, self.planned = None, []
-        if BUDGETS in tx.conditions:
+        if PREEMPTION_BUDGETS in tx.conditions:
             self.unconfirmed = tx
 
 
 def _with_group(
     group: ClaimGroup,
-    spent: PreemptionsSpent,
+    spent: PreemptionUsage,
     stops: Mapping[str, JobPreemptions],
     stored: Mapping[str, tuple[JobPreemptions, int]],
     wall: float,
-) -> tuple[PreemptionsSpent, dict[str, JobPreemptions]]:
+) -> tuple[PreemptionUsage, dict[str, JobPreemptions]]:
     """Return the records of budgets and jobs with the preemptions of one more group added.
 
     ``stops``: job records already in the transaction; ``stored``: those in the store. ``wall``: Unix time in s.
--- a/alderbridge/claims/records.py
+++ b/alderbridge/claims/records.py
@@ -32,27 +32,27 @@
     first: float  # Unix time in s of the first preemption
 
 
-class PreemptionsSpent(msgspec.Struct, frozen=True):
+class PreemptionUsage(msgspec.Struct, frozen=True):
     """Preemptions of the last minute, by budget, as (Unix time in s when the time step began, count); key ``ab/b``."""
 
     stops: dict[str, list[tuple[int, int]]] = {}
 
     def in_last_minute(self, budget: str, wall: float) -> int:
         """Return the preemptions in the minute before ``wall``: never too few, but some may be up to one step older."""
-        cutoff = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
+        cutoff = wall - constants.PREEMPTION_WINDOW_S - constants.PREEMPTION_BUCKET_S
         return sum(count for step_start, count in self.stops.get(budget, ()) if step_start > cutoff)
 
-    def add(self, budget: str, count: int, wall: float) -> PreemptionsSpent:
+    def add(self, budget: str, count: int, wall: float) -> PreemptionUsage:
         """Return a record with ``count`` more preemptions at ``wall``, without steps older than the last minute."""
-        cutoff = wall - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
-        step = int(wall // constants.PREEMPTION_STEP_S * constants.PREEMPTION_STEP_S)
+        cutoff = wall - constants.PREEMPTION_WINDOW_S - constants.PREEMPTION_BUCKET_S
+        step = int(wall // constants.PREEMPTION_BUCKET_S * constants.PREEMPTION_BUCKET_S)
         stops = {
             name: recent for name, entries in self.stops.items() if (recent := [e for e in entries if e[0] > cutoff])
         }
         entries = dict(stops.get(budget, ()))
         entries[step] = entries.get(step, 0) + count
         stops[budget] = sorted(entries.items())
-        return PreemptionsSpent(stops)
+        return PreemptionUsage(stops)
 
 
 def budget_key(team: str, reason: str) -> str:
--- a/alderbridge/cli.py
+++ b/alderbridge/cli.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from alderbridge import __version__, constants
-from alderbridge.settings import DEFAULT_INI, ConfigError, Platform, Tuning, load_platform, load_tuning
+from alderbridge.settings import DEFAULT_INI, ConfigError, PlatformSettings, Tuning, load_platform_settings, load_tuning
 
 if TYPE_CHECKING:
     from alderbridge.configuration import ConfigurationRevision
@@ -22,7 +22,7 @@
 class Startup(NamedTuple):
     """Validated contents of the settings files and the environment."""
 
-    platform: Platform
+    platform: PlatformSettings
     tuning: Tuning
     declared: dict[str, ConfigurationRevision]  # by kind, from the files in section [declared]
     log_level: int
@@ -54,7 +54,7 @@
 
 def _load(args: argparse.Namespace) -> Startup:
     """Read and validate the files and the environment; raises ``ConfigError``."""
-    platform = load_platform(args.config)
+    platform = load_platform_settings(args.config)
     tuning = load_tuning(args.settings)
     declared = {}
     if tuning.declared:
@@ -89,12 +89,12 @@
     import curio  # imported late, as --help and --check do not need it
 
     from alderbridge.controller.process import Controller
-    from alderbridge.transport.selector import Poll
+    from alderbridge.transport.selector import EpollSelector
 
     gc.freeze()  # excludes modules and classes, which are never freed, from collection
     gc.set_threshold(*constants.GC_THRESHOLDS)
     logging.basicConfig(stream=sys.stderr, level=startup.log_level, format=startup.tuning.log_format)
-    poll = Poll(constants.POLL_INTERVAL_S)
+    poll = EpollSelector(constants.POLL_INTERVAL_S)
     controller = Controller(startup.platform, startup.tuning, poll, startup.declared)
     curio.run(controller.run, selector=poll)
     return 0
--- a/alderbridge/configuration/compiler.py
+++ b/alderbridge/configuration/compiler.py
@@ -76,9 +76,9 @@
     if parser.sections() != [SECTION]:
         text = msgspec.json.encode(reader(kind).parse(parser, path))
         compiled(kind, text)  # a text that can't be decoded must never be proposed
-    if len(text) > constants.CONFIGURATION_MAX_BYTES:
+    if len(text) > constants.MAX_CONFIGURATION_BYTES:
         raise ConfigError(
-            f"{path}: expected no more than {constants.CONFIGURATION_MAX_BYTES} bytes when compiled, got {len(text)}"
+            f"{path}: expected no more than {constants.MAX_CONFIGURATION_BYTES} bytes when compiled, got {len(text)}"
         )
     return ConfigurationRevision(kind, revision, digest_of(text), text)
 
--- a/alderbridge/configuration/operator_configuration.py
+++ b/alderbridge/configuration/operator_configuration.py
@@ -12,7 +12,7 @@
 from alderbridge.configuration.compiler import ConfigurationRevision, compiled, digest_of
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, parts_of, piece_keys, pieces
 from alderbridge.membership.membership import Membership
-from alderbridge.protocol.keys import DECLARED
+from alderbridge.protocol.keys import CONFIGURATIONS
 from alderbridge.settings import KINDS
 
 log = logging.getLogger("configuration")
@@ -228,7 +228,7 @@
         # Texts are dropped only together with a change of the head: while the head has this store revision, the texts
         # in the replica exist in the store.
         proposal = ConfigurationProposal(self.kind, {head_key(self.kind): self.store_revision})
-        max_texts = min(room, max(1, constants.MAX_BODY * 3 // 4 // value_bytes))
+        max_texts = min(room, max(1, constants.MAX_BODY_BYTES * 3 // 4 // value_bytes))
         missing = [
             (key, piece)
             for key, piece in zip(keys, pieces(own.text, last.parts), strict=True)
@@ -267,7 +267,7 @@
         ``ttl_s``: how long a member may act after it last synchronized with the store.
         """
         self.kinds = {kind: _KindConfiguration(kind, declared) for kind, declared in (own or {}).items()}
-        self.wait_s = ttl_s + constants.PROOF_MARGIN_S
+        self.wait_s = ttl_s + constants.LEASE_EXPIRY_MARGIN_S
         self.labels = labels
         self.changed = False  # changes were applied since the last ``refresh``
         self.unreadable = False  # a revision to apply can't be read, so this controller must not act
@@ -275,7 +275,7 @@
 
     def apply(self, key: str, data: bytes | None, store_revision: int) -> None:
         """Record a change of the store, in order; ``data`` None: dropped. Call ``refresh`` after the last change."""
-        kind, _, piece = key[len(DECLARED) :].partition("/")
+        kind, _, piece = key[len(CONFIGURATIONS) :].partition("/")
         if kind not in KINDS:
             return  # declared by a later version
         entry = self.kinds.get(kind)
@@ -363,4 +363,4 @@
     def failed(self, proposal: ConfigurationProposal, now: float) -> None:
         """Retry after a delay: in a conflict, a refusal or a missing answer the replica is updated first."""
         self.kinds[proposal.kind]._revert_proposal()
-        self.retry_at = now + constants.CONFIGURATION_RETRY_S
+        self.retry_at = now + constants.CONFIGURATION_RETRY_DELAY_S
--- a/alderbridge/configuration/records.py
+++ b/alderbridge/configuration/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from alderbridge.protocol.keys import DECLARED
+from alderbridge.protocol.keys import CONFIGURATIONS
 
 
 class StoredRevision(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -40,7 +40,7 @@
 
 def head_key(kind: str) -> str:
     """Return the key under which the head of a kind is stored."""
-    return DECLARED + kind
+    return CONFIGURATIONS + kind
 
 
 def parts_of(text: bytes, value_bytes: int) -> int:
@@ -53,7 +53,7 @@
 
     The value of a key never changes: the key contains the digest of the text and the number of parts.
     """
-    return [f"{DECLARED}{kind}/{revision.digest}-{revision.parts}/{number}" for number in range(revision.parts)]
+    return [f"{CONFIGURATIONS}{kind}/{revision.digest}-{revision.parts}/{number}" for number in range(revision.parts)]
 
 
 def pieces(text: bytes, parts: int) -> list[bytes]:
--- a/alderbridge/controller/admission.py
+++ b/alderbridge/controller/admission.py
@@ -42,7 +42,7 @@
         return AdmissionDecision(Admission.REJECTED, reason)
     if not core.membership.may_act(now) or store_failing:
         return AdmissionDecision(Admission.UNAVAILABLE, responses.STORE_UNREACHABLE)
-    if not core.record_writer.can_take_submission(now) and spec.id not in core.submissions.pending:
+    if not core.record_writer.can_accept_submission(now) and spec.id not in core.submissions.pending:
         return AdmissionDecision(Admission.UNAVAILABLE, responses.STORE_BUSY)
     return AdmissionDecision(Admission.ADMITTED)
 
--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -19,7 +19,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import JOBS, MACHINES, list_keys
+from alderbridge.protocol.keys import JOBS, MACHINES, dependency_list_keys
 from alderbridge.state.replica import Replica, decode_or_none
 
 log = logging.getLogger("core")
@@ -103,7 +103,7 @@
             self.replica.lists[key] = submission.lists.pop(key, [])
         for submission, record in batch.submissions:
             self._submission_stored(submission, record, revision, current)
-        self.dependencies.process_events()
+        self.dependencies.apply_graph_changes()
         self.messenger.pump()
 
     def _machines_written(self, batch: WriteBatch, revision: int, current: bool) -> None:
@@ -119,7 +119,7 @@
         if record.state is not JobState.ACTIVE:
             self.effects.notifications.append(JobEndStored(job.spec.id))
         if job.dependency_digest and not record.dependency_digest:  # the stored record no longer refers to the lists
-            self.record_writer.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
+            self.record_writer.lists_to_drop += dependency_list_keys(job.spec.id, job.dependency_digest)
             job.dependency_digest = ""
         if job.is_complete and self.job_shard.jobs.get(job.spec.id) is job:
             self.job_shard.remove(job)
@@ -158,7 +158,7 @@
         for job, _, _ in batch.jobs:
             if job.spec.id == name and self.job_shard.jobs.get(name) is job:
                 self._resolve_job(job, record, row.revision)
-        self.dependencies.process_events()
+        self.dependencies.apply_graph_changes()
         self.messenger.pump()
 
     def _resolve_machine(self, batch: WriteBatch, name: str, row: wire.KeyValue | None, current: bool) -> None:
--- a/alderbridge/controller/calendar_control.py
+++ b/alderbridge/controller/calendar_control.py
@@ -52,7 +52,7 @@
         if configurations != (self.gate.configurations if self.gate is not None else []):
             # While this member may act, its clock offset is at most one store lease TTL old, so the clocks can have
             # drifted for that long.
-            skew = self.skew_ms / 1000 + constants.CLOCK_DRIFT * self.state.membership.store_lease.ttl_s
+            skew = self.skew_ms / 1000 + constants.MAX_CLOCK_DRIFT * self.state.membership.store_lease.ttl_s
             self.gate = CalendarGate(configurations, self.state.wall, skew, self.rank)
             self.job_shard.job_calendars.gate = self.machine_shard.order_builder.calendars = self.gate
             log.info(
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -40,7 +40,7 @@
 from alderbridge.membership.membership import Membership, MemberStatus
 from alderbridge.protocol import messages, wire
 from alderbridge.queues import OfferBook
-from alderbridge.settings import Platform, Tuning
+from alderbridge.settings import PlatformSettings, Tuning
 from alderbridge.state.replica import Replica
 from alderbridge.state.write_rate_limit import WriteRateLimit
 
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        platform: Platform,
+        platform: PlatformSettings,
         tuning: Tuning,
         now: float,
         rng: Random | None = None,
@@ -91,8 +91,8 @@
         Both leases have to expire, one after the other, within the time limit ``cancel_s``.
         """
         lease_s = self.shared.workers.lease_s
-        max_ttl_s = self.shared.workers.cancel_s - lease_s - constants.CANCEL_SLACK_S
-        ttl_s = min(max(constants.STORE_LEASE_TTL_S, constants.TOTAL_LEASE_S - lease_s), max_ttl_s)
+        max_ttl_s = self.shared.workers.cancel_s - lease_s - constants.CANCEL_MARGIN_S
+        ttl_s = min(max(constants.STORE_LEASE_TTL_S, constants.COMBINED_LEASE_S - lease_s), max_ttl_s)
         return Membership(self.me, ttl_s, min(constants.STORE_LEASE_TTL_S, max_ttl_s))
 
     def _construct_shards(self, rng: Random) -> None:
@@ -132,7 +132,9 @@
     def _construct_records(self, controllers: int) -> None:
         """The write rate of the store is divided by ``controllers`` until a view gives the number of members."""
         limits = self.shared.state.effective
-        self.write_rate_limit = WriteRateLimit(limits.write_rps * constants.RATE_SHARE, controllers, self.state.now)
+        self.write_rate_limit = WriteRateLimit(
+            limits.write_rps * constants.RATE_LIMIT_SHARE, controllers, self.state.now
+        )
         self.record_writer = RecordWriter(
             self.state,
             self.replica,
@@ -254,17 +256,17 @@
                 # (docs/incidents/former-life.md).
                 channel.observe_view(frame)
             if frame.fencing_token == membership.fencing_token:
-                self.observe_frame(frame, channel.acked_at, now)
+                self.observe_frame(frame, channel.newest_acked_sent_at, now)
         if body is not None:
             self.messenger.dispatch(frame.sender, body)
             self.messenger.pump()
 
-    def observe_frame(self, frame: messages.Frame, acked_at: float, now: float) -> None:
+    def observe_frame(self, frame: messages.Frame, newest_acked_sent_at: float, now: float) -> None:
         """Update the failure detector from a frame with the current fencing token; its sender may have restarted."""
         failure_detector = self.membership.failure_detector
         failure_detector.excluded.discard(frame.sender)
         if frame.sender_lease_id and frame.sender_lease_id == self.membership.view.members.get(frame.sender):
-            failure_detector.record_frame(frame.sender, acked_at, now)
+            failure_detector.record_frame(frame.sender, newest_acked_sent_at, now)
             if isinstance(frame.body, messages.QueueSnapshot | messages.PeerStatus):
                 failure_detector.record_peer_report(frame.sender, frame.body.suspected, frame.body.failed)
 
@@ -286,7 +288,7 @@
             self.messenger.pump()
 
     def round(self, now: float) -> None:
-        """Periodic work, once every ``constants.ROUND_S``."""
+        """Periodic work, once every ``constants.ROUND_INTERVAL_S``."""
         self.state.now = now
         self.machine_shard.view.set_answering(now, self.may_act())
         self.calendars.refresh()
@@ -314,7 +316,7 @@
         if self.may_act():
             self.machine_shard.leases.check(now)
         self.placement_round.busy = None
-        self.queue_inbox.offer_book.resolve_unknown_jobs()
+        self.queue_inbox.offer_book.add_pending_rows()
 
     def on_terminated(self, names: list[str], now: float) -> None:
         """The cloud has confirmed that these machines are terminated: notify all members."""
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -7,7 +7,7 @@
 from alderbridge.jobs.job import Job
 from alderbridge.jobs.record import JobState
 from alderbridge.jobs.shard import JobShard
-from alderbridge.protocol.keys import list_keys
+from alderbridge.protocol.keys import dependency_list_keys
 from alderbridge.state.replica import Replica
 
 
@@ -33,7 +33,7 @@
         ready_at = max(job.ready_at, self.graph.ready_at(name))
         job.unblock(min(self.state.now, ready_at - self.state.wall_offset_s) if ready_at else job.submitted, ready_at)
 
-    def process_events(self) -> None:
+    def apply_graph_changes(self) -> None:
         """Update the jobs that the last changes of the graph made ready or aborted in a cascade."""
         graph = self.graph
         ready, graph.newly_ready = graph.newly_ready, []
@@ -49,10 +49,10 @@
                 name: seen_at for name, seen_at in self.cascade_aborted_at.items() if name in graph.cascade_aborted
             }
 
-    def needs_of(self, job: Job) -> list[str]:
+    def dependencies_of(self, job: Job) -> list[str]:
         """The jobs that this job depends on, from its record and its dependency lists."""
         result = list(job.spec.needs or ())
-        for key in list_keys(job.spec.id, job.dependency_digest):
+        for key in dependency_list_keys(job.spec.id, job.dependency_digest):
             result += self.replica.lists.get(key, ())
         return result
 
@@ -60,7 +60,7 @@
         """Whether the job or one of its direct or indirect dependencies is aborted."""
         return self.replica.ended.get(job) is JobState.ABORTED or job in self.graph.cascade_aborted
 
-    def cascade_abort_is_settled(self, job: str) -> bool:
+    def is_cascade_abort_settled(self, job: str) -> bool:
         """Whether every member that may act has received the abort of the dependency, too.
 
         Members may act only while their view and records are at most one store lease TTL old. Reported before that time
@@ -69,5 +69,5 @@
         seen_at = self.cascade_aborted_at.get(job)
         return (
             seen_at is not None
-            and self.state.now - seen_at > self.state.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S
+            and self.state.now - seen_at > self.state.membership.store_lease.ttl_s + constants.LEASE_EXPIRY_MARGIN_S
         )
--- a/alderbridge/controller/job_queries.py
+++ b/alderbridge/controller/job_queries.py
@@ -55,7 +55,7 @@
         self.pending_queries[query_id] = pending
         self.core.messenger.send_unreliable(label, messages.JobQuery(query_id, kind, job))
         await self.dispatch_effects()
-        timeout_s = constants.QUERY_TIMEOUT_S if kind == STATUS else constants.SUBMIT_WAIT_S
+        timeout_s = constants.QUERY_TIMEOUT_S if kind == STATUS else constants.SUBMIT_TIMEOUT_S
         try:
             await curio.timeout_after(timeout_s, pending.answered.wait)
         except curio.TaskTimeout:
--- a/alderbridge/controller/leader_messages.py
+++ b/alderbridge/controller/leader_messages.py
@@ -34,12 +34,12 @@
         self._last_report_at = 0.0  # when the machine summaries were last sent
 
     def report_machines(self, now: float) -> None:
-        """Send summaries of this member's machines to the leader, every ``LEADER_ROUND_S``."""
-        if now - self._last_report_at < constants.LEADER_ROUND_S:
+        """Send summaries of this member's machines to the leader, every ``LEADER_ROUND_INTERVAL_S``."""
+        if now - self._last_report_at < constants.LEADER_ROUND_INTERVAL_S:
             return
         self._last_report_at = now
         leader = self.membership.view.leader
-        self.machine_shard.check_silence(now)
+        self.machine_shard.update_reconciliation(now)
         self.messenger.send_unreliable(
             leader, messages.MachineSummaries(self.machine_shard.capacity.summaries(now, self.run_time))
         )
--- a/alderbridge/controller/local_jobs.py
+++ b/alderbridge/controller/local_jobs.py
@@ -36,7 +36,7 @@
         if ended is not None:
             return ended.value, 0, 0
         if job in self.graph.cascade_aborted:
-            return (JobState.ABORTED.value, 0, 0) if self.dependencies.cascade_abort_is_settled(job) else None
+            return (JobState.ABORTED.value, 0, 0) if self.dependencies.is_cascade_abort_settled(job) else None
         local_job = self.job_shard.jobs.get(job)
         if local_job is None or not self.state.may_act():
             return None
--- a/alderbridge/controller/loops/machine_types.py
+++ b/alderbridge/controller/loops/machine_types.py
@@ -12,7 +12,7 @@
 from alderbridge.cloud import Cloud, CloudError
 from alderbridge.controller.core import ControllerCore
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import TYPES, VIEW
+from alderbridge.protocol.keys import MACHINE_TYPES, VIEW
 from alderbridge.state.errors import LeaseExpiredError, StoreRefusedError, TransactionTooLargeError
 from alderbridge.state.store import Store
 from alderbridge.transport.errors import UnansweredError
@@ -51,14 +51,16 @@
                     msgspec.DecodeError,
                 ) as error:
                     log.info("cloud state=failed cause=%s", error)
-            await curio.sleep(constants.MACHINE_TYPES_REFRESH_S if loaded else constants.LEADER_ROUND_S)
+            await curio.sleep(
+                constants.MACHINE_TYPES_REFRESH_INTERVAL_S if loaded else constants.LEADER_ROUND_INTERVAL_S
+            )
 
     async def store_types(self) -> None:
         """Store the types for controllers that start while the cloud is unavailable."""
-        machine_types = self.core.machine_types.to_store()
+        machine_types = self.core.machine_types.types_to_store()
         if machine_types is not None:
-            conditions = {VIEW: self.membership.fencing_token, TYPES: self.core.replica.types_revision}
+            conditions = {VIEW: self.membership.fencing_token, MACHINE_TYPES: self.core.replica.types_revision}
             try:
-                await self.store.commit(conditions, {TYPES: machine_types})
+                await self.store.commit(conditions, {MACHINE_TYPES: machine_types})
             except TransactionTooLargeError:
                 self.core.batch_results.reduce_value_limit(len(wire.encode(machine_types)))
--- a/alderbridge/controller/loops/records.py
+++ b/alderbridge/controller/loops/records.py
@@ -43,20 +43,20 @@
     async def keep_records(self) -> None:
         """Write due records for the lifetime of the process."""
         while True:
-            await curio.sleep(constants.WRITER_PAUSE_S)
+            await curio.sleep(constants.WRITE_BATCH_DELAY_S)
             batch = self.core.record_writer.next_batch(now())
             if batch is None:
-                await self.wait_for_work()
+                await self.wait_for_due_records()
             else:
                 await self._write(batch)
 
-    async def wait_for_work(self) -> None:
+    async def wait_for_due_records(self) -> None:
         """Wait until a record may be due; polling in each iteration would cost more CPU time than the writes."""
-        pause = self.core.record_writer.next_write_in(now())
-        if pause > constants.WRITER_PAUSE_S and self.core.record_writer.nothing_to_write():
+        pause = self.core.record_writer.next_write_delay_s(now())
+        if pause > constants.WRITE_BATCH_DELAY_S and self.core.record_writer.nothing_to_write():
             self.is_waiting = True
             try:
-                await curio.timeout_after(pause - constants.WRITER_PAUSE_S, self.work.wait)
+                await curio.timeout_after(pause - constants.WRITE_BATCH_DELAY_S, self.work.wait)
             except curio.TaskTimeout:
                 pass
             self.is_waiting = False
@@ -75,18 +75,18 @@
             self.core.batch_results.on_too_large(batch, now())
             await self.dispatch_effects()
             log.error("records state=too_large changes=%d cause=%s", batch.changes, error)
-            await curio.sleep(constants.ROUND_S)
+            await curio.sleep(constants.ROUND_INTERVAL_S)
         except (StoreRefusedError, LeaseExpiredError, UnansweredError, msgspec.DecodeError) as error:
             await self._on_failure(batch, error)
             log.info("records state=unconfirmed cause=%s", error)
-            await curio.sleep(constants.ROUND_S)
+            await curio.sleep(constants.ROUND_INTERVAL_S)
 
     async def _resolve_conflicts(self, batch: WriteBatch, failed: list[str]) -> None:
         """Read the keys whose conditions failed, and resolve the conflict with what the store holds."""
         log.info("records state=conflict failed=%s", failed)
         self.core.batch_results.on_failed(batch, now())
         if VIEW in failed:
-            await curio.sleep(constants.WATCH_PAUSE_S)
+            await curio.sleep(constants.WATCH_DELAY_S)
             return
         for key in failed:
             self.core.batch_results.resolve_conflict(batch, key, await self.store.get(key), now())
@@ -96,7 +96,7 @@
         self.core.batch_results.on_failed(batch, now())
         if isinstance(error, RateLimitedError):
             budget = self.core.write_rate_limit.budget
-            budget.spend(now(), max(0.0, budget.available(now())))
+            budget.consume(now(), max(0.0, budget.available(now())))
             return
         self.store_backoff.record_failure()
         if isinstance(error, StoreRefusedError):
--- a/alderbridge/controller/loops/replica.py
+++ b/alderbridge/controller/loops/replica.py
@@ -35,7 +35,10 @@
             requested_at = now()
             try:
                 # Well within the lease's time to live: an answer confirms that no newer view was missed.
-                wait_s = min(constants.WATCH_WAIT_S, self.membership.store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
+                wait_s = min(
+                    constants.WATCH_POLL_TIMEOUT_S,
+                    self.membership.store_lease.ttl_s / constants.STORE_LEASE_RENEWALS_PER_TTL,
+                )
                 changes = await self.store.watch(self.core.replica.revision, wait_s)
             except WatchCompactedError:
                 await self.load_replica()
@@ -44,7 +47,7 @@
             self.core.store_follower.apply_events(changes.events, now(), time.time())
             self.core.replica.revision = max(self.core.replica.revision, changes.revision)
             await self.prober.probe_workers()
-            await curio.sleep(constants.WATCH_PAUSE_S)
+            await curio.sleep(constants.WATCH_DELAY_S)
 
     async def load_replica(self) -> None:
         """Read all pages, and then the changes since the first page's revision, as pages may differ in revision."""
@@ -61,13 +64,13 @@
     def record_watch_answer(self, requested_at: float) -> None:
         """Record that the store has answered a request sent at ``requested_at``.
 
-        A prompt answer that is the first one in ``STORE_REACHABLE_S`` ends an outage. Jobs whose queries went
+        A prompt answer that is the first one in ``STORE_REACHABLE_WINDOW_S`` ends an outage. Jobs whose queries went
         unanswered only during that outage are cleared, so that it is not added to the next outage.
         """
         previous_sync_at = self.membership.synced_at
         self.membership.record_sync(requested_at)
         if (
-            requested_at - previous_sync_at >= constants.STORE_REACHABLE_S
-            and now() - requested_at < constants.STATE_TIMEOUT_S
+            requested_at - previous_sync_at >= constants.STORE_REACHABLE_WINDOW_S
+            and now() - requested_at < constants.STORE_TIMEOUT_S
         ):
             self.unanswered.forget_since(previous_sync_at)
--- a/alderbridge/controller/loops/rounds.py
+++ b/alderbridge/controller/loops/rounds.py
@@ -22,8 +22,8 @@
         self.prober = prober
 
     async def keep_rounds(self) -> None:
-        """Run one round every ``ROUND_S``."""
+        """Run one round every ``ROUND_INTERVAL_S``."""
         while True:
-            await curio.sleep(constants.ROUND_S)
+            await curio.sleep(constants.ROUND_INTERVAL_S)
             self.core.round(now())
             await self.prober.probe_workers()
--- a/alderbridge/controller/loops/scaling.py
+++ b/alderbridge/controller/loops/scaling.py
@@ -48,7 +48,7 @@
         """Scale the fleet while this controller is the leader; failures of the cloud are logged."""
         self._listed_at, self._listing_fencing_token = float("-inf"), 0
         while True:
-            await curio.sleep(constants.LEADER_ROUND_S)
+            await curio.sleep(constants.LEADER_ROUND_INTERVAL_S)
             if not self.membership.is_leader(now()) or not self.core.machine_shard.capacity.types:
                 continue
             try:
@@ -61,7 +61,7 @@
     async def _run_round(self) -> None:
         if self._listing_fencing_token != self.membership.fencing_token:
             self._listing_fencing_token, self._listed_at = self.membership.fencing_token, float("-inf")
-        if now() - self._listed_at >= constants.MACHINE_LIST_S and self.rate_limit.try_take(now()):
+        if now() - self._listed_at >= constants.MACHINE_LIST_INTERVAL_S and self.rate_limit.try_take(now()):
             self._listed_at = now()
             await self.list_machines()
         # After a partial rental, decide again at once: another machine type or zone may have capacity.
--- a/alderbridge/controller/loops/store_lease.py
+++ b/alderbridge/controller/loops/store_lease.py
@@ -38,7 +38,7 @@
         if not store_lease.lease_id:
             await self.acquire_store_lease()
         while store_lease.lease_id:
-            await curio.sleep(store_lease.ttl_s / constants.STORE_LEASE_RENEWALS)
+            await curio.sleep(store_lease.ttl_s / constants.STORE_LEASE_RENEWALS_PER_TTL)
             if self.membership.is_removed():
                 log.info("store_lease=%d state=expired cause=removed from the view by a quorum", store_lease.lease_id)
                 store_lease.mark_expired()
--- a/alderbridge/controller/loops/supervisor.py
+++ b/alderbridge/controller/loops/supervisor.py
@@ -16,7 +16,7 @@
 
 
 async def run_forever(loop: Callable[[], Awaitable[None]]) -> None:
-    """Run ``loop`` repeatedly, ``ROUND_S`` apart; exceptions are logged and do not end the process."""
+    """Run ``loop`` repeatedly, ``ROUND_INTERVAL_S`` apart; exceptions are logged and do not end the process."""
     name = loop.__name__
     while True:
         try:
@@ -30,4 +30,4 @@
             raise
         except Exception:
             log.exception("loop=%s state=failed", name)
-        await curio.sleep(constants.ROUND_S)
+        await curio.sleep(constants.ROUND_INTERVAL_S)
--- a/alderbridge/controller/loops/view.py
+++ b/alderbridge/controller/loops/view.py
@@ -27,7 +27,7 @@
     async def keep_view(self) -> None:
         """Check for a change each round; after a conflict wait one more round for the other member's view."""
         while True:
-            await curio.sleep(constants.ROUND_S)
+            await curio.sleep(constants.ROUND_INTERVAL_S)
             change = self.core.view_entry.next_view(now())
             if change is None:
                 continue
@@ -35,4 +35,4 @@
             result = await self.store.commit(conditions, {VIEW: view}, drops)
             if result.failed:
                 log.info("view state=conflict failed=%s", result.failed)
-                await curio.sleep(constants.ROUND_S)
+                await curio.sleep(constants.ROUND_INTERVAL_S)
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -18,7 +18,7 @@
         self.to_drop: list[str] = []  # machines whose records are to be deleted
         self.drops_in_flight: set[str] = set()  # machines whose deletion was sent, without a newer put since
 
-    def enter(self) -> None:
+    def enter_view(self) -> None:
         """Enter a new view: keep pending deletions only of machines that are confirmed as terminated.
 
         Transactions are conditional on the view, so one of an older view has committed already or never will.
--- a/alderbridge/controller/machine_types.py
+++ b/alderbridge/controller/machine_types.py
@@ -36,7 +36,7 @@
         self.machine_shard.capacity.types = types
         self.leader.on_types(types)
 
-    def to_store(self) -> wire.MachineTypes | None:
+    def types_to_store(self) -> wire.MachineTypes | None:
         """The machine types to store, if the stored ones differ in more than their spot prices; otherwise None."""
         current = [
             msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.capacity.types.values()
--- a/alderbridge/controller/message_handlers.py
+++ b/alderbridge/controller/message_handlers.py
@@ -113,10 +113,10 @@
         self.messenger.send_unreliable(label, messages.MachineTaskList(tasks, True))
 
     def _on_gpu_reservation(self, label: str, reservation: messages.GpuReservation) -> None:
-        self.preemption.reserve_gpus(reservation)
+        self.preemption.on_gpu_reservation(reservation)
 
     def _on_machine_task_list(self, label: str, tasks: messages.MachineTaskList) -> None:
-        self.preemption.planner.on_tasks(label, tasks, self.state.now)
+        self.preemption.planner.on_task_list(label, tasks, self.state.now)
 
     def _on_job_query(self, label: str, query: messages.JobQuery) -> None:
         self.effects.queries.append((label, query))
--- a/alderbridge/controller/messenger.py
+++ b/alderbridge/controller/messenger.py
@@ -29,7 +29,7 @@
         self.deferred: dict[str, list[messages.Message]] = {}
         self.local_seq = self.local_processed_seq = 0
 
-    def enter(self, fencing_token: int, lease_id: int, now: float) -> None:
+    def enter_view(self, fencing_token: int, lease_id: int, now: float) -> None:
         """Reset for a new view: undelivered messages of the previous one are dropped."""
         for channel in self.channels.values():
             channel.reset(fencing_token, now, lease_id)
@@ -97,8 +97,8 @@
     def maintain_channels(self, now: float) -> None:
         """Send keepalives on idle channels, resend unacknowledged frames, and reconnect stalled channels."""
         for label, channel in self.channels.items():
-            if label in self.state.membership.view.members and channel.is_quiet(now):
+            if label in self.state.membership.view.members and channel.needs_keep_alive(now):
                 self.send(label, messages.KeepAlive())
-            if channel.is_stalled(now):
+            if channel.check_stalled(now):
                 self.effects.channel_renewals.append(label)
             self.effects.outgoing_frames += [(label, frame) for frame in channel.resend(now)]
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -59,7 +59,7 @@
 
         def capacity_on_busy_machines(offer: Offer) -> int:
             """The number of recently queued tasks that an idle machine leaves to busy machines with free capacity."""
-            if not idle or now >= offer.young_until:
+            if not idle or now >= offer.packing_until:
                 return 0
             if self.busy is None:
                 self.busy = self.machine_shard.capacity.busy(now)
@@ -93,7 +93,7 @@
         reserved_name, reserved_at = self.reserved_machine
         machine_type, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
         if (
-            (reserved_name != machine.name and now - reserved_at < constants.RESERVE_IDLE_S)
+            (reserved_name != machine.name and now - reserved_at < constants.RESERVATION_TTL_S)
             or machine_type is None
             or (zone is not None and zone != machine.zone)
             or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
@@ -112,7 +112,7 @@
         revision, requested = self.claim_requests.get(machine.name, (0, 0))
         if revision != entry.revision:
             requested = 0
-            if len(self.claim_requests) > 2 * len(self.ledger.entries) + constants.QUEUE_ROWS:
+            if len(self.claim_requests) > 2 * len(self.ledger.entries) + constants.MAX_QUEUE_ROWS:
                 self.claim_requests.clear()
         if spec is None or requested >= claim.count:
             return candidate
--- a/alderbridge/controller/preemption_round.py
+++ b/alderbridge/controller/preemption_round.py
@@ -11,7 +11,7 @@
 from alderbridge.controller.state import ControllerState
 from alderbridge.leader.leader import Leader
 from alderbridge.machines.shard import MachineShard
-from alderbridge.preemption import Teams
+from alderbridge.preemption import GuaranteeUsage
 from alderbridge.preemption.planner import PreemptionPlanner, PreemptionPolicy
 from alderbridge.priorities import PriorityPolicy
 from alderbridge.protocol import messages, wire
@@ -44,7 +44,7 @@
         self.teams = teams
         self.planner = PreemptionPlanner(leader, leader.replica.ledger)
         self.priorities: Callable[[float], list[Any]] = lambda now: self.declared.in_force("priorities", now)
-        self.lendings: Callable[[float], list[Any]] = lambda now: self.declared.in_force("lending", now)
+        self.lending_configurations: Callable[[float], list[Any]] = lambda now: self.declared.in_force("lending", now)
         self.rules = PriorityPolicy([])
         self.priorities_refreshed_at = float("-inf")
         self.lender: CapacityLender | None = None
@@ -54,18 +54,18 @@
         self.reserved_gpus_until = float("-inf")
         self.reservation_sent_at = float("-inf")  # when the leader last sent a reservation
 
-    def reserve_gpus(self, reservation: messages.GpuReservation) -> None:
+    def on_gpu_reservation(self, reservation: messages.GpuReservation) -> None:
         """Record the GPUs that lending must leave free, as sent by the leader; expires after a TTL."""
         self.reserved_gpus = reservation.gpus
         self.reserved_gpus_until = self.state.now + constants.GPU_RESERVATION_TTL_S
 
     def tasks_served_by_lending(self, row: messages.QueueRow, spec: wire.JobSpec) -> int:
         """The number of a job's waiting tasks that lending frees capacity for: no machine is rented for these."""
-        return self.lender.serves_soon(row, spec) if self.lender is not None else 0
+        return self.lender.unrented_tasks(row, spec) if self.lender is not None else 0
 
     def may_preempt(self, spec: wire.JobSpec) -> bool:
         """Whether the priorities in force let this job preempt; they are refreshed once a round."""
-        if self.state.now - self.priorities_refreshed_at >= constants.ROUND_S:
+        if self.state.now - self.priorities_refreshed_at >= constants.ROUND_INTERVAL_S:
             self._refresh_priorities()
         return bool(self.rules.configurations) and self.rules.may_preempt(spec)
 
@@ -81,15 +81,19 @@
         """The policies that may preempt now; none while a member runs a version without support for claims."""
         self._refresh_priorities()
         result: list[PreemptionPolicy] = [self.rules] if self.rules.configurations else []
-        lendings = (
-            self.lendings(self.state.now) if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION) else []
+        lending_configurations = (
+            self.lending_configurations(self.state.now)
+            if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION)
+            else []
         )
-        if not lendings:
+        if not lending_configurations:
             self.lender = None
-        elif self.lender is None or self.lender.configurations != lendings:
+        elif self.lender is None or self.lender.configurations != lending_configurations:
             from alderbridge.lending import CapacityLender  # imported only if lending is declared: shortens start-up
 
-            self.lender = CapacityLender(lendings, self.teams, self.machine_shard.capacity.types, self.lender)
+            self.lender = CapacityLender(
+                lending_configurations, self.teams, self.machine_shard.capacity.types, self.lender
+            )
         if self.lender is not None:
             self.lender.types = self.machine_shard.capacity.types
             result.append(self.lender)
@@ -98,13 +102,13 @@
     def plan(self, now: float) -> None:
         """The leader's round: drop finished claims, collect the demands for capacity and choose victims."""
 
-        def teams() -> Teams:
+        def teams() -> GuaranteeUsage:
             used: dict[str, tuple[float, float]] = {}
             for queue in self.leader.queues.values():
                 for team, (cpus, gpus) in queue.used.items():
                     team_used = used.get(team, (0.0, 0.0))
                     used[team] = (team_used[0] + cpus, team_used[1] + gpus)
-            return Teams(self.teams, used)
+            return GuaranteeUsage(self.teams, used)
 
         policies = self.policies()
         if self.planner.plan(now, now + self.state.wall_offset_s, policies, teams, self.record_writer.max_changes):
@@ -112,7 +116,7 @@
                 self.messenger.send_unreliable(label, messages.ListMachineTasks())
         if (
             self.lender is not None
-            and now - self.reservation_sent_at >= constants.LEADER_ROUND_S
+            and now - self.reservation_sent_at >= constants.LEADER_ROUND_INTERVAL_S
             and self.leader.ready(now)
         ):
             self.reservation_sent_at = now
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -33,11 +33,11 @@
 from alderbridge.controller.workers_api import WorkersApi
 from alderbridge.machines.machine import Machine
 from alderbridge.protocol import messages
-from alderbridge.settings import Platform, Tuning, address
+from alderbridge.settings import PlatformSettings, Tuning, address
 from alderbridge.state.store import Store
 from alderbridge.transport import mesh
 from alderbridge.transport.http_server import Server
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 from alderbridge.transport.token_bucket import TokenBucket
 
 log = logging.getLogger("controller")
@@ -53,9 +53,9 @@
 
     def __init__(
         self,
-        platform: Platform,
+        platform: PlatformSettings,
         tuning: Tuning,
-        poll: Poll,
+        poll: EpollSelector,
         own: dict[str, ConfigurationRevision] | None = None,
         store: Store | None = None,
     ) -> None:
@@ -75,7 +75,7 @@
         self.workers_api = WorkersApi(self.core)
         self.health = HealthCheck(self.core)
         self.router = self._make_router()
-        max_connections = int(platform.settings.limits.max_sockets * constants.SOCKET_RESERVE)
+        max_connections = int(platform.settings.limits.max_sockets * constants.ACCEPTED_SOCKET_SHARE)
         self.server = Server(self.router.handle, max_connections, poll)
         prober = WorkerProber(self.core, poll, self.dispatch_effects)
         self.store_lease_loop = StoreLeaseLoop(self.core, self.store, self.store_backoff)
@@ -108,7 +108,7 @@
         """The background loops, in the order in which they are started."""
         core, store = self.core, self.store
         cloud = Cloud(self.platform.endpoints.cloud)
-        rate = self.platform.settings.cloud.rps * constants.RATE_SHARE
+        rate = self.platform.settings.cloud.rps * constants.RATE_LIMIT_SHARE
         rate_limit = TokenBucket(rate, rate, now())
         return [
             self.store_lease_loop.keep_store_lease,
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -52,7 +52,7 @@
     def snapshot(self, now: float) -> QueueState:
         """This job shard's current queue, and its used, reserved and demanded resources."""
         used = self.job_shard.usage.used(now)
-        if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
+        if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_INTERVAL_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
         rows = self.job_shard.queue.rows(
             now, self.queue_times.due_in, self.queue_times.run_time, self.queue_times.rank, self.guaranteed_jobs, used
@@ -89,7 +89,7 @@
     def _subscribers(self) -> list[str]:
         """The other members; once deltas are published, without those whose version does not support deltas."""
         others = [label for label in self.messenger.channels if label in self.membership.view.members]
-        if self.publisher.form is QueueFormat.WHOLE_QUEUES:
+        if self.publisher.form is QueueFormat.SNAPSHOTS:
             return others
         return [
             label
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -83,7 +83,7 @@
     def nothing_to_write(self) -> bool:
         """Whether nothing became due since ``next_batch`` last found nothing that it could write."""
         return not (
-            self.submissions.has_new
+            self.submissions.has_new_submissions
             or self.job_shard.tally.changed
             or self.machine_shard.records.to_write
             or self.machine_shard.records.due_drops(self.state.now)
@@ -92,27 +92,27 @@
             or not self.ledger.idle
         )
 
-    def next_write_in(self, now: float) -> float:
+    def next_write_delay_s(self, now: float) -> float:
         """Seconds until the next call of ``next_batch`` is needed if nothing else becomes due."""
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        with_overdraft = available + constants.WRITE_AHEAD_SHARE * budget.burst
-        pause = min(constants.ROUND_S, self.job_shard.record_writes.due_at - now)
+        with_overdraft = available + constants.WRITE_OVERDRAFT_SHARE * budget.burst
+        pause = min(constants.ROUND_INTERVAL_S, self.job_shard.record_writes.due_at - now)
         if with_overdraft < 1:
-            pause = min(constants.ROUND_S, (1 - with_overdraft) / budget.rate)
+            pause = min(constants.ROUND_INTERVAL_S, (1 - with_overdraft) / budget.rate)
         elif available < 1:
             pause = min(pause, (1 - available) / budget.rate)
-        return max(constants.WRITER_PAUSE_S, pause)
+        return max(constants.WRITE_BATCH_DELAY_S, pause)
 
-    def can_take_submission(self, now: float) -> bool:
-        """Whether one more submission could be stored within ``SUBMIT_WAIT_S``.
+    def can_accept_submission(self, now: float) -> bool:
+        """Whether one more submission could be stored within ``SUBMIT_TIMEOUT_S``.
 
         If not, it is refused at once, because another controller may have write capacity.
         """
         rate_limit = self.write_rate_limit
         assured = ASSURED_SHARES[WriteClass.SUBMISSION] * rate_limit.budget.rate
-        overdraft = constants.WRITE_AHEAD_SHARE * rate_limit.budget.burst
-        storable = overdraft + assured * constants.SUBMIT_WAIT_S
+        overdraft = constants.WRITE_OVERDRAFT_SHARE * rate_limit.budget.burst
+        storable = overdraft + assured * constants.SUBMIT_TIMEOUT_S
         return len(self.submissions.pending) < max(storable, MIN_QUEUED_SUBMISSIONS)
 
     def next_batch(self, now: float) -> WriteBatch | None:
@@ -121,13 +121,13 @@
         if not self.state.may_act():
             return None
         limits = self._batch_limits(now)
-        self.submissions.has_new = False
+        self.submissions.has_new_submissions = False
         if limits.max_changes < 1:
             return None
         batch = WriteBatch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
         if not self._fill(batch, limits):
             return None
-        self.write_rate_limit.spend(batch.changes, now)
+        self.write_rate_limit.consume(batch.changes, now)
         self._spend_assured(batch, now)
         return batch
 
@@ -137,11 +137,11 @@
         is_urgent = [
             record.state is not JobState.ACTIVE or record.start_limit > job.start_limit for job, record, _ in batch.jobs
         ]
-        assured.spend(WriteClass.MACHINE_RECORD, now, len(batch.machines))
-        assured.spend(WriteClass.MACHINE_DROP, now, len(batch.dropped_machines))
-        assured.spend(WriteClass.JOB_END, now, sum(is_urgent))
-        assured.spend(WriteClass.PROGRESS, now, len(is_urgent) - sum(is_urgent))
-        assured.spend(WriteClass.SUBMISSION, now, len(batch.submissions) + len(batch.lists))
+        assured.consume(WriteClass.MACHINE_RECORD, now, len(batch.machines))
+        assured.consume(WriteClass.MACHINE_DROP, now, len(batch.dropped_machines))
+        assured.consume(WriteClass.JOB_END, now, sum(is_urgent))
+        assured.consume(WriteClass.PROGRESS, now, len(is_urgent) - sum(is_urgent))
+        assured.consume(WriteClass.SUBMISSION, now, len(batch.submissions) + len(batch.lists))
 
     def _fill(self, batch: WriteBatch, limits: BatchLimits) -> bool:
         """Add due records to the batch; returns False if there are none."""
@@ -163,7 +163,7 @@
         """
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        max_changes = min(self.max_changes, int(available + constants.WRITE_AHEAD_SHARE * budget.burst))
+        max_changes = min(self.max_changes, int(available + constants.WRITE_OVERDRAFT_SHARE * budget.burst))
         return BatchLimits(max_changes, min(max_changes, int(max(0.0, available))))
 
     def _add_claims(self, batch: WriteBatch, limits: BatchLimits) -> bool:
@@ -191,7 +191,7 @@
         pending = self.submissions.pending
         if len(ends) + len(pending) <= limits.max_changes:
             return [*ends, *pending.values()]
-        self.write_rate_limit.is_short = True
+        self.write_rate_limit.users_waited = True
         now = self.state.now
         self.submissions.expire(now)
         by_waiting_since: list[tuple[float, Job | Submission]] = [
@@ -309,7 +309,9 @@
         self._add_lists(batch, limits, submission)
         if submission.lists:
             return True  # the record is written in a later batch, after the lists
-        if any(self.dependencies.is_cascade_aborted(dependency) for dependency in self.dependencies.needs_of(job)):
+        if any(
+            self.dependencies.is_cascade_aborted(dependency) for dependency in self.dependencies.dependencies_of(job)
+        ):
             job.abort(self.state.now, "it needs an aborted job")
         record = self._put_record(batch, job)
         if record is None:
@@ -319,9 +321,9 @@
 
     def _add_lists(self, batch: WriteBatch, limits: BatchLimits, submission: Submission) -> None:
         """Add as many of the submission's dependency lists as the batch can hold."""
-        self.submissions.drop_known_lists(submission)
+        self.submissions.drop_stored_lists(submission)
         for key, names in submission.lists.items():
-            if batch.changes >= limits.max_changes or batch.size > constants.MAX_BODY // 2:
+            if batch.changes >= limits.max_changes or batch.size > constants.MAX_BODY_BYTES // 2:
                 break
             batch.lists.append((submission, key))
             batch.puts[key] = names
@@ -342,7 +344,7 @@
         """Add the job's record to the batch and return it; None if it exceeds the remaining size."""
         record = job.to_record(self.job_shard.value_bytes, self.job_shard.may_end(job))
         batch.size += len(msgspec.json.encode(record)) + RECORD_OVERHEAD_BYTES
-        if batch.size > constants.MAX_BODY * 3 // 4 and batch.puts:
+        if batch.size > constants.MAX_BODY_BYTES * 3 // 4 and batch.puts:
             return None
         batch.conditions[JOBS + job.spec.id] = job.revision
         batch.puts[JOBS + job.spec.id] = record
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -15,7 +15,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.machines.shard import MachineShard
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import JOBS, LISTS, MACHINES
+from alderbridge.protocol.keys import DEPENDENCY_LISTS, JOBS, MACHINES
 from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
@@ -55,13 +55,13 @@
         machine_names: list[str] = []
         for change in changes:
             if self.replica.apply(change):
-                self.view_entry.enter(now, wall)
+                self.view_entry.enter_view(now, wall)
             elif change.put is not None and change.put.startswith(JOBS):
                 self.submissions.adopt_late_record(change.put[len(JOBS) :])
             elif change.put is not None and change.put.startswith(MACHINES):
                 machine_names.append(change.put[len(MACHINES) :])
         self._observe_recorded_machines(machine_names)
-        self.dependencies.process_events()
+        self.dependencies.apply_graph_changes()
         self._process_configuration()
 
     def load(
@@ -78,7 +78,9 @@
         self.membership.registered.clear()
         self.declared.reload()
         self.replica.ledger.clear(revision)
-        for row in sorted(rows, key=lambda row: not row.key.startswith(LISTS)):  # before the records that refer to them
+        for row in sorted(
+            rows, key=lambda row: not row.key.startswith(DEPENDENCY_LISTS)
+        ):  # before the records that refer to them
             view_changed = (
                 self.replica.apply(wire.WatchEvent(put=row.key, data=row.data, revision=row.revision)) or view_changed
             )
@@ -86,12 +88,12 @@
             view_changed = self.replica.apply(change) or view_changed
         self.replica.revision = revision
         if view_changed:
-            self.view_entry.enter(now, wall)
+            self.view_entry.enter_view(now, wall)
         # After a reload, transactions that committed late appear among the rows and not among the changes.
         for name in list(self.replica.active):
             self.submissions.adopt_late_record(name)
         self._observe_recorded_machines(self.replica.machines)
-        self.dependencies.process_events()
+        self.dependencies.apply_graph_changes()
         self._process_configuration()
         if not self.machine_shard.capacity.types:
             self.machine_types.update(self.replica.types)
@@ -107,7 +109,7 @@
         """
         if record.state is not JobState.ACTIVE and not self.directory.knows_job(name):
             self.replica.observe_job(name, Record(record.state, done_at=record.done_at), revision)
-            self.dependencies.process_events()
+            self.dependencies.apply_graph_changes()
 
     def _observe_recorded_machines(self, names: Iterable[str]) -> None:
         """Notify the machine shard of its machines' new records, except those already deleted again."""
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -16,7 +16,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import list_keys
+from alderbridge.protocol.keys import dependency_list_keys
 from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
@@ -33,7 +33,7 @@
     spec = msgspec.structs.replace(record.spec, needs=None)
     return (
         msgspec.structs.replace(record, spec=spec, dependency_digest=digest),
-        dict(zip(list_keys(spec.id, digest), lists, strict=True)),
+        dict(zip(dependency_list_keys(spec.id, digest), lists, strict=True)),
     )
 
 
@@ -65,7 +65,7 @@
         self.dependencies = dependencies
         self.on_decided = on_decided
         self.pending: dict[str, Submission] = {}
-        self.has_new = False  # a submission has been added since the last write batch was built
+        self.has_new_submissions = False  # a submission has been added since the last write batch was built
 
     def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
         """Queue a job for the store; None if its record is too long even with its dependencies in separate lists."""
@@ -75,7 +75,9 @@
         ended = self.replica.ended
         needs = [need for need in dict.fromkeys(spec.needs or ()) if ended.get(need) is not JobState.DONE]
         spec = msgspec.structs.replace(spec, needs=needs or None)
-        record = Record(JobState.ACTIVE, self.state.me, wall, min(spec.tasks, constants.START_LIMIT_AHEAD), [], spec)
+        record = Record(
+            JobState.ACTIVE, self.state.me, wall, min(spec.tasks, constants.START_LIMIT_HEADROOM_TASKS), [], spec
+        )
         lists: dict[str, list[str]] = {}
         max_record_bytes = self.job_shard.value_bytes - 64
         if needs and len(msgspec.json.encode(record)) > max_record_bytes:
@@ -84,7 +86,7 @@
             return None
         submission = Submission(Job(record, 0, now, 0.0, never_started=True), lists=lists)
         self.pending[spec.id] = submission
-        self.has_new = True
+        self.has_new_submissions = True
         return submission
 
     def refuse_all(self) -> None:
@@ -118,7 +120,7 @@
         self.adopt_late_record(spec.id)
         self.on_decided(submission)
 
-    def drop_known_lists(self, submission: Submission) -> None:
+    def drop_stored_lists(self, submission: Submission) -> None:
         """Skip the lists that an earlier attempt has stored: the value of a list key never changes."""
         for key in [key for key in submission.lists if key in self.replica.lists]:
             del submission.lists[key]
--- a/alderbridge/controller/unanswered_jobs.py
+++ b/alderbridge/controller/unanswered_jobs.py
@@ -20,7 +20,7 @@
 
 
 class UnansweredJobs:
-    """Tracks for each job the time since its first 503 and logs it at intervals of ``UNANSWERED_S``."""
+    """Tracks for each job the time since its first 503 and logs it at intervals of ``UNANSWERED_LOG_INTERVAL_S``."""
 
     def __init__(self) -> None:
         """Start without any unanswered job."""
@@ -33,10 +33,10 @@
 
     def record_no_answer(self, job: str) -> None:
         """Record that a user got a 503."""
-        if len(self.times) > constants.UNANSWERED_JOBS:
+        if len(self.times) > constants.MAX_UNANSWERED_JOBS:
             self.times.clear()
         since, logged_at = self.times.setdefault(job, UnansweredTimes(now(), now()))
-        if now() - logged_at >= constants.UNANSWERED_S:
+        if now() - logged_at >= constants.UNANSWERED_LOG_INTERVAL_S:
             self.times[job] = UnansweredTimes(since, now())
             log.info("job=%s state=unanswered cause=no answer here for %.1f s", job, now() - since)
 
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -224,7 +224,7 @@
         if submission is None:
             return await self.refuse_unless_accepted(spec.id, TOO_LONG, 400)
         await self.dispatch_effects()
-        if not submission.outcome and not await self.waiters.wait_for(submission, constants.SUBMIT_WAIT_S):
+        if not submission.outcome and not await self.waiters.wait_for(submission, constants.SUBMIT_TIMEOUT_S):
             return responses.unavailable(responses.STORE_SLOW)
         if submission.outcome == "refused":
             return responses.unavailable(responses.STORE_UNREACHABLE)
@@ -276,7 +276,7 @@
             return responses.unavailable("this controller cannot act on the job now")
         if not state:
             await self.dispatch_effects()
-            if not await self.waiters.wait_for(job, constants.SUBMIT_WAIT_S):
+            if not await self.waiters.wait_for(job, constants.SUBMIT_TIMEOUT_S):
                 return responses.unavailable(responses.STORE_SLOW)
             state = self.core.replica.ended[job].value
         return responses.ok(wire.accepted_body(job, state))
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -65,15 +65,15 @@
         self.entered_lease_id = 0  # the store lease under which the shards were last built
         self.entered_at = state.now  # when this controller applied the view, monotonic seconds
 
-    def enter(self, now: float, wall: float) -> None:
+    def enter_view(self, now: float, wall: float) -> None:
         """Rebuild job shard, machine shard and channels for the view that was just applied."""
         view, fencing_token = self.membership.view, self.membership.fencing_token
         members = sorted(view.members)
         log.info("view fencing_token=%d leader=%s members=%s", fencing_token, view.leader, members)
         self.entered_at = now
         is_member = self.membership.status(now) is not MemberStatus.OUTSIDE
-        self.messenger.enter(fencing_token, self.membership.store_lease.lease_id if is_member else 0, now)
-        self.queue_round.publisher.enter()
+        self.messenger.enter_view(fencing_token, self.membership.store_lease.lease_id if is_member else 0, now)
+        self.queue_round.publisher.enter_view()
         self.queue_inbox.clear()
         continued = is_member and self.state.loaded and self.entered_lease_id == self.membership.store_lease.lease_id
         previous_jobs = self.job_shard.jobs if continued else {}
@@ -81,11 +81,11 @@
         self.state.is_member = is_member
         jobs = self._owned_jobs(previous_jobs, now, wall) if is_member else {}
         recorded = {name: self.replica.record(name) for name in self.replica.machines} if is_member else {}
-        self.job_shard.enter(fencing_token, jobs, recorded)
+        self.job_shard.enter_view(fencing_token, jobs, recorded)
         owned_records = {
             name: record for name, record in recorded.items() if self.membership.machine_owner(name) == self.state.me
         }
-        self.machine_shard.enter(
+        self.machine_shard.enter_view(
             fencing_token,
             members if is_member else [],
             owned_records,
@@ -93,11 +93,11 @@
             continued,
             continued and self.membership.all_support(constants.VERSION_WITH_CARRY_OVER),
         )
-        self.leader.enter(members, now)
-        self.write_rate_limit.enter(len(members), now)
-        self.replica.ledger.enter()
-        self.preemption.planner.enter(members)
-        self.machine_records.enter()
+        self.leader.enter_view(members, now)
+        self.write_rate_limit.enter_view(len(members), now)
+        self.replica.ledger.enter_view()
+        self.preemption.planner.enter_view(members)
+        self.machine_records.enter_view()
         self.messenger.pump()
 
     def _owned_jobs(self, previous_jobs: dict[str, Job], now: float, wall: float) -> dict[str, Job]:
@@ -141,7 +141,7 @@
         self.state.now = now
         self.membership.store_lease.record_renewal(lease_id, sent_at, now)
         if not self.state.is_member and self.membership.status(now) is not MemberStatus.OUTSIDE:
-            self.enter(now, now + self.state.wall_offset_s)
+            self.enter_view(now, now + self.state.wall_offset_s)
 
     def refresh_settlement(self, now: float) -> None:
         """Settle the view once no member can act under an earlier one.
@@ -152,7 +152,7 @@
         fencing_token = self.membership.fencing_token
         others = [label for label in self.membership.view.members if label != self.state.me]
         all_entered = all(self.messenger.channels[label].peer_fencing_token >= fencing_token for label in others)
-        if all_entered or now > self.entered_at + self.membership.store_lease.ttl_s + constants.PROOF_MARGIN_S:
+        if all_entered or now > self.entered_at + self.membership.store_lease.ttl_s + constants.LEASE_EXPIRY_MARGIN_S:
             self.machine_shard.leases.settle(now)
             if not self.job_shard.settled:
                 self.job_shard.settle()
--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -18,7 +18,7 @@
 from alderbridge.settings import address
 from alderbridge.transport.http_client import Exchange
 from alderbridge.transport.http_response import ResponseReader
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 log = logging.getLogger("controller")
 now = time.monotonic
@@ -35,9 +35,11 @@
 
 
 class WorkerProber:
-    """Sends the probes that the machine shard requests, at most ``PROBES_AT_ONCE`` concurrently."""
+    """Sends the probes that the machine shard requests, at most ``MAX_CONCURRENT_PROBES`` concurrently."""
 
-    def __init__(self, core: ControllerCore, poll: Poll, dispatch_effects: Callable[[], Awaitable[None]]) -> None:
+    def __init__(
+        self, core: ControllerCore, poll: EpollSelector, dispatch_effects: Callable[[], Awaitable[None]]
+    ) -> None:
         """``core``: requests probes and handles the answers; ``poll``: polls their sockets."""
         self.core = core
         self.membership = core.membership
@@ -54,7 +56,7 @@
 
     def _start_probes(self) -> None:
         while (
-            len(self.exchanges) < constants.PROBES_AT_ONCE
+            len(self.exchanges) < constants.MAX_CONCURRENT_PROBES
             and self.membership.may_act(now())
             and (target := self.core.machine_shard.next_to_probe(now())) is not None
         ):
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -38,7 +38,7 @@
         core = self.core
         if not core.state.loaded or not self.membership.may_act(now()):
             return responses.unavailable("not entitled")
-        owner = self.membership.report_to(heartbeat.machine)
+        owner = self.membership.heartbeat_target(heartbeat.machine)
         if heartbeat.fencing_token > self.membership.fencing_token:
             # The worker would discard a 200, yet keep reporting here until its lease expires.
             return responses.unavailable("the worker has a newer fencing token")
@@ -50,7 +50,7 @@
             return responses.unavailable("stale heartbeat or terminated machine")
         if machine.reserved:  # waits for the task grants that were requested from other controllers
             self.pending_heartbeats.setdefault(machine, []).append((fencing_token, reply))
-            self.grant_deadlines.append((now() + constants.GRANT_WAIT_S, machine))
+            self.grant_deadlines.append((now() + constants.GRANT_TIMEOUT_S, machine))
             return None
         return self.heartbeat_response(machine, fencing_token)
 
--- a/alderbridge/jobs/dependencies.py
+++ b/alderbridge/jobs/dependencies.py
@@ -170,7 +170,7 @@
         queue = [job]
         while queue:
             node = self.nodes[queue.pop()]
-            rank, run_s = max(node.rank, node.dependents_rank), node.run_s + constants.DEPENDENCY_STEP_S
+            rank, run_s = max(node.rank, node.dependents_rank), node.run_s + constants.START_OVERHEAD_S
             required_due = tuple(
                 min(own, due) - run_s for own, due in zip(node.own_due, node.dependents_due, strict=True)
             )
--- a/alderbridge/jobs/grants.py
+++ b/alderbridge/jobs/grants.py
@@ -36,7 +36,7 @@
         self.fencing_token = 0
         self.attempts = 0  # attempt numbers issued under this fencing token
 
-    def enter(self, fencing_token: int) -> None:
+    def enter_view(self, fencing_token: int) -> None:
         """Start a new view: its attempt numbers are higher than those of all earlier views."""
         self.fencing_token = fencing_token
         self.attempts = 0
@@ -51,7 +51,7 @@
             self.send(label, TaskGrant(request.request_id, request.job, request.machine, tasks))
             return
         runs = []
-        count = min(request.count, job.room_in(request.zone), self.quota_room(job))
+        count = min(request.count, job.remaining_in_zone(request.zone), self.remaining_quota_tasks(job))
         while len(tasks) < count:
             index = job.next_task(now)
             if index is None:
@@ -76,7 +76,7 @@
         self.attempts += 1
         return (self.fencing_token << ATTEMPT_COUNTER_BITS) + self.attempts
 
-    def quota_room(self, job: Job) -> int:
+    def remaining_quota_tasks(self, job: Job) -> int:
         """How many more tasks of the job the team's quota on this shard allows."""
         if not self.usage.limited(job.spec.team):
             return job.spec.tasks
--- a/alderbridge/jobs/inherited_tasks.py
+++ b/alderbridge/jobs/inherited_tasks.py
@@ -21,7 +21,7 @@
         self.barrier = Barrier({})  # machines that may still run inherited tasks
         self.fencing_token = 0
 
-    def enter(self, fencing_token: int, machines: Mapping[str, MachineRecord]) -> None:
+    def enter_view(self, fencing_token: int, machines: Mapping[str, MachineRecord]) -> None:
         """Start a new view, under which no recorded machine is reconciled yet."""
         self.fencing_token = fencing_token
         self.barrier = Barrier(machines)
@@ -36,6 +36,6 @@
     def release(self) -> None:
         """Requeue the inherited tasks that no machine of the barrier may still run."""
         for job in self.jobs.values():
-            if job.unknown and not self.barrier.may_hold(job.spec):
+            if job.unknown and not self.barrier.may_run_tasks_of(job.spec):
                 for index in list(job.unknown):
                     job.requeue(index)
--- a/alderbridge/jobs/job.py
+++ b/alderbridge/jobs/job.py
@@ -56,7 +56,7 @@
         self.start_limit = record.start_limit  # as stored
         self.requested_start_limit = record.start_limit
         self.has_full_record = True  # the stored record still holds the spec
-        self.last_write = now
+        self.last_written_at = now
         self.dirty_since: float | None = None  # since when the stored record has been out of date; None: it is current
         self.ended_at = now
         self.end_awaited = False  # a client waits for the end of the job
@@ -108,9 +108,11 @@
         """The task ended with an error: requeue it and, after repeated errors, pause the job with backoff."""
         self.requeue(index)
         doublings = min(MAX_BACKOFF_DOUBLINGS, self.errors // max(1, self.spec.tasks))
-        pause = min(constants.ERROR_PAUSE_MAX_S, constants.ERROR_PAUSE_S * 2**doublings)
+        pause = min(constants.ERROR_BACKOFF_MAX_S, constants.ERROR_BACKOFF_S * 2**doublings)
         self.errors += 1
-        self.paused_until = max(self.paused_until, now + pause) if self.errors > constants.QUARANTINE_ERRORS else 0.0
+        self.paused_until = (
+            max(self.paused_until, now + pause) if self.errors > constants.QUARANTINE_ERROR_COUNT else 0.0
+        )
 
     def complete(self, now: float, cause: str) -> None:
         """All tasks are done."""
@@ -141,8 +143,8 @@
             self.tally.lagging[self.spec.id] = self
 
     def raise_start_limit(self, count: int, now: float) -> None:
-        """Request a stored start limit that allows ``count`` more tasks and ``START_LIMIT_AHEAD`` beyond."""
-        limit = min(self.spec.tasks, self.next_index + count + constants.START_LIMIT_AHEAD)
+        """Request a stored start limit that allows ``count`` more tasks and ``START_LIMIT_HEADROOM_TASKS`` beyond."""
+        limit = min(self.spec.tasks, self.next_index + count + constants.START_LIMIT_HEADROOM_TASKS)
         if limit > self.requested_start_limit:
             self.requested_start_limit = limit
             self.mark_dirty(now)
--- a/alderbridge/jobs/job_queue.py
+++ b/alderbridge/jobs/job_queue.py
@@ -36,7 +36,7 @@
         guaranteed_jobs: Container[str],
         used: dict[str, tuple[float, float]],
     ) -> list[QueueRow]:
-        """Rows of the jobs with waiting or inherited tasks, the most urgent first, at most ``QUEUE_ROWS``.
+        """Rows of the jobs with waiting or inherited tasks, the most urgent first, at most ``MAX_QUEUE_ROWS``.
 
         ``due_in``: seconds until a job breaches its maximum queue time, and whether it has missed all of them.
         ``run_time``: expected run time in seconds. ``rank``: highest rank of a job's dependents.
@@ -79,7 +79,7 @@
                 )
             )
         rows.sort(key=lambda row: row.due_in_s)
-        return rows[: constants.QUEUE_ROWS]
+        return rows[: constants.MAX_QUEUE_ROWS]
 
     @staticmethod
     def _priority_boost(job: Job, now: float, offer: int, late: bool) -> tuple[int, int]:
@@ -92,11 +92,11 @@
             offer
             and not job.has_started
             and job.waiting == job.spec.tasks
-            and now - job.waiting_since >= constants.STARVED_JOB_S
+            and now - job.waiting_since >= constants.STARVATION_TIMEOUT_S
         ):
             return offer if job.spec.gang else 1, BOOST_STARVED
-        if offer and late and now - job.last_grant_at >= constants.LATE_BOOST_S and not job.boosted_grants_left:
-            job.boosted_grants_left = max(1, job.spec.tasks // constants.LATE_BOOST_SHARE)
+        if offer and late and now - job.last_grant_at >= constants.LATE_BOOST_AFTER_S and not job.boosted_grants_left:
+            job.boosted_grants_left = max(1, job.spec.tasks // constants.LATE_BOOST_DIVISOR)
         if offer and job.boosted_grants_left:
             return min(offer, job.boosted_grants_left), BOOST_IN_PRIORITY
         return offer, NO_BOOST
--- a/alderbridge/jobs/job_tasks.py
+++ b/alderbridge/jobs/job_tasks.py
@@ -81,7 +81,7 @@
         zones = {run.zone for run in self.runs.values()}
         return True, next(iter(zones), None)
 
-    def room_in(self, zone: str) -> int:
+    def remaining_in_zone(self, zone: str) -> int:
         """How many more tasks the placement rules of the job allow in the zone now."""
         may_grant, only_zone = self.allowed_zone()
         if not may_grant or (only_zone is not None and only_zone != zone):
--- a/alderbridge/jobs/job_timing.py
+++ b/alderbridge/jobs/job_timing.py
@@ -55,6 +55,6 @@
         """The calendar is open."""
         self.opens_at = 0.0
 
-    def schedule_after_opening(self, opened_at: float, since: float) -> None:
+    def set_waiting_since_opening(self, opened_at: float, since: float) -> None:
         """The waiting time counts from ``since``, at or after the opening at the time of day ``opened_at``."""
         self.opened_at, self.waiting_since = opened_at, since
--- a/alderbridge/jobs/quota_usage.py
+++ b/alderbridge/jobs/quota_usage.py
@@ -65,7 +65,7 @@
 
     def used(self, now: float = math.inf) -> dict[str, tuple[float, float]]:
         """Per team, what its tasks on machines use: counted once per leader round, else from the running tally."""
-        if now - self.counted_at < constants.LEADER_ROUND_S:
+        if now - self.counted_at < constants.LEADER_ROUND_INTERVAL_S:
             return dict(self.tally.teams)
         self.counted_at = now
         counted = UsageTally()
--- a/alderbridge/jobs/record_writes.py
+++ b/alderbridge/jobs/record_writes.py
@@ -55,10 +55,10 @@
                     yield (PROGRESS_RANK if job.is_blocked and not job.end_awaited else END_RANK, job)
                 elif job.requested_start_limit > job.start_limit:
                     yield (START_LIMIT_RANK, job)
-                elif now - job.last_write >= constants.PROGRESS_WRITE_S:
-                    yield (PROGRESS_RANK + job.last_write * PROGRESS_AGE_WEIGHT, job)
+                elif now - job.last_written_at >= constants.PROGRESS_WRITE_INTERVAL_S:
+                    yield (PROGRESS_RANK + job.last_written_at * PROGRESS_AGE_WEIGHT, job)
                 else:
-                    self.due_at = min(self.due_at, job.last_write + constants.PROGRESS_WRITE_S)
+                    self.due_at = min(self.due_at, job.last_written_at + constants.PROGRESS_WRITE_INTERVAL_S)
             elif not job.has_full_record or job.stored_state is JobState.ACTIVE:
                 del lagging[job.spec.id]  # the next change adds it again
 
@@ -67,12 +67,12 @@
     ) -> None:
         """``record`` is stored and includes ``results``: (machine, index, attempt) of finished tasks."""
         job.revision = revision
-        job.last_write = now
+        job.last_written_at = now
         job.start_limit = max(job.start_limit, record.start_limit)
         if record.state is not JobState.ACTIVE and job.stored_state is JobState.ACTIVE:
             job.stored_state = record.state
             if record.state is JobState.ABORTED:
-                self.stop_all(job)
+                self.stop_aborted_job(job)
         job.has_full_record = record.spec is not None
         self._acknowledge(job, results)
         job.dirty_since = now if job.unacknowledged_results or job.state is not job.stored_state else None
@@ -88,7 +88,7 @@
             job.unacknowledged_results.pop(key, None)
             self.send_deferred(self.machine_owner(machine), AcknowledgeFinished(machine, job.spec.id, index, attempt))
 
-    def stop_all(self, job: Job) -> None:
+    def stop_aborted_job(self, job: Job) -> None:
         """Stop all tasks of a job that is stored as aborted."""
         for index, run in job.runs.items():
             self.send(self.machine_owner(run.machine), StopTask(run.machine, job.spec.id, index, run.attempt, 0.0))
--- a/alderbridge/jobs/shard.py
+++ b/alderbridge/jobs/shard.py
@@ -59,7 +59,7 @@
         self.task_reports = TaskReportHandler(self.jobs, self.jobs_by_machine, self.inherited, send)
         self.record_writes = RecordWrites(self.tally, send, send_deferred or send, machine_owner, self.may_end)
 
-    def enter(self, fencing_token: int, jobs: dict[str, Job], machines: Mapping[str, MachineRecord]) -> None:
+    def enter_view(self, fencing_token: int, jobs: dict[str, Job], machines: Mapping[str, MachineRecord]) -> None:
         """Start a new view: ``jobs`` are all jobs of this shard, ``machines`` all machines that the store has.
 
         Runs are kept. Changes that their machine's owner may have lost are reconciled when the machine acknowledges
@@ -67,8 +67,8 @@
         """
         self.settled = False
         self._replace_jobs(jobs)
-        self.grants.enter(fencing_token)
-        self.inherited.enter(fencing_token, machines)
+        self.grants.enter_view(fencing_token)
+        self.inherited.enter_view(fencing_token, machines)
         self.usage.reset_allocations()
         self.job_calendars.reset()
         self._requeue_unrecorded(machines)
--- a/alderbridge/jobs/task_reports.py
+++ b/alderbridge/jobs/task_reports.py
@@ -80,7 +80,7 @@
             job = self.jobs.get(name)
             if job is not None and index not in job.runs:  # granted under an earlier view; the machine kept its owner
                 task = TaskStatusReport(name, index, attempt, "granted", None)
-                self._reconcile(label, report, task, ObservedState.ORDERED, now)
+                self._reconcile(label, report, task, ObservedState.PENDING, now)
 
     def _requeue_absent_tasks(self, report: MachineTaskReport, present: set[tuple[str, int]]) -> None:
         """Requeue tasks that are not on the machine, unless their grant is newer than the report."""
--- a/alderbridge/leader/demand.py
+++ b/alderbridge/leader/demand.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from alderbridge.leader.reachable_order import PlacementOrder
+from alderbridge.leader.placement_order import PlacementOrder
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import ShardQueue
--- a/alderbridge/leader/fleet_monitor.py
+++ b/alderbridge/leader/fleet_monitor.py
@@ -33,12 +33,13 @@
             for name, (row, received_at) in rows.items()
             if row.state == ReportedState.EXPECTED
         ]
-        silent = sum(silent_s > constants.SILENT_S for _, silent_s in unreported)
+        silent = sum(silent_s > constants.MACHINE_SILENCE_TIMEOUT_S for _, silent_s in unreported)
         inherited = sum(row.inherited for queue in queues.values() for row in queue.rows)
         knowledge = self.guard.refresh(len(unreported) - silent, len(rows), inherited, now)
         self.to_prove_empty = set(self.guard.machines_to_prove_empty(unreported, len(rows), inherited))
         if knowledge is not before or (
-            knowledge is not FleetKnowledge.RECONCILED and now - self.last_logged_at >= constants.LEADER_ROUND_S
+            knowledge is not FleetKnowledge.RECONCILED
+            and now - self.last_logged_at >= constants.LEADER_ROUND_INTERVAL_S
         ):
             self.last_logged_at = now
             log.info(
@@ -48,5 +49,5 @@
                 len(rows),
                 silent,
                 inherited,
-                self.guard.postponed_returns,
+                self.guard.postponed_scale_ins,
             )
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -13,8 +13,8 @@
 from alderbridge import constants
 from alderbridge.leader.demand import DemandCollector, TasksServedByLending, no_lending
 from alderbridge.leader.fleet_monitor import FleetMonitor, SummaryRows
+from alderbridge.leader.placement_order import PlacementOrder
 from alderbridge.leader.quota import QuotaAllocator
-from alderbridge.leader.reachable_order import PlacementOrder
 from alderbridge.leader.rented_machines import RentedMachines
 from alderbridge.leader.scaling import Autoscaler, ScalingDecision
 from alderbridge.protocol.messages import MachineSummaries, QueueDelta, QueueSnapshot, TeamUsageDelta
@@ -61,9 +61,9 @@
             settings.tuning, settings.list_lag_s, self.market, self.rented_machines, self.fleet_monitor
         )
         self.quota_allocator = QuotaAllocator(self.teams, replica.spec)
-        self.enter([], 0.0)
+        self.enter_view([], 0.0)
 
-    def enter(self, members: list[str], now: float) -> None:
+    def enter_view(self, members: list[str], now: float) -> None:
         """Start a new view, in which all members publish their state again."""
         self.members = members
         self.entered_at = now
@@ -76,21 +76,21 @@
     def on_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """Apply the whole queue of a job shard, from a member that sends no deltas."""
         if label in self.members and self.queues.of(label).apply_snapshot(queue, now):
-            self.queues.promote(label)
+            self.queues.promote_if_complete(label)
             self.quota_allocator.changed_teams.update(self.quota_allocator.teams)
 
     def on_queue_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """Apply changed rows of a job shard's queue."""
         if label in self.members:
             self.queues.of(label).apply_row_delta(changes, now)
-            self.queues.promote(label)
+            self.queues.promote_if_complete(label)
             self.quota_allocator.on_rows_changed([*(row.job for row in changes.rows), *changes.gone])
 
     def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
         """Apply changed usage of teams at a job shard."""
         if label in self.members:
             self.queues.of(label).apply_usage_delta(changes)
-            self.queues.promote(label)
+            self.queues.promote_if_complete(label)
             self.quota_allocator.on_usage_changed(changes.teams)
 
     def on_machine_summaries(self, label: str, summaries: MachineSummaries, now: float) -> None:
@@ -106,8 +106,8 @@
         self.rented_machines.on_scaled_out(kind, names, now)
 
     def on_refused(self, kind: MachineKind, now: float) -> None:
-        """The cloud has no capacity of this kind: it is not requested again for ``REFUSED_PAUSE_S``."""
-        self.market.refused_until[kind] = now + constants.REFUSED_PAUSE_S
+        """The cloud has no capacity of this kind: it is not requested again for ``NO_CAPACITY_BACKOFF_S``."""
+        self.market.refused_until[kind] = now + constants.NO_CAPACITY_BACKOFF_S
 
     def on_listing(self, hosts: list[ListedMachine], now: float) -> None:
         """Apply the cloud's listing of all rented machines."""
--- a/alderbridge/leader/quota.py
+++ b/alderbridge/leader/quota.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from alderbridge import constants
-from alderbridge.leader.reachable_order import PlacementOrder, RowKeyFunction
+from alderbridge.leader.placement_order import PlacementOrder, RowKeyFunction
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import ShardQueue
@@ -61,7 +61,7 @@
         """Changed quotas by job shard and team; none while a job shard has not confirmed its last quota."""
         if not self.teams or not self._all_confirmed(queues):
             return {}
-        if now - self.last_full_division_at >= constants.LEADER_ROUND_S:
+        if now - self.last_full_division_at >= constants.LEADER_ROUND_INTERVAL_S:
             self.last_full_division_at, self.changed_teams = now, set(self.teams)
         if not self.changed_teams:
             return {}
@@ -94,8 +94,8 @@
     def _demands(self, now: float, queues: Mapping[str, ShardQueue], row_key: RowKeyFunction) -> dict[str, TeamDemand]:
         """The waiting tasks of each changed team by job shard, in placement order.
 
-        A job is starved if none of its tasks has started for ``STARVED_JOB_S``. Quota is then reserved for it until it
-        suffices for one task: smaller jobs would otherwise use all of it.
+        A job is starved if none of its tasks has started for ``STARVATION_TIMEOUT_S``. Quota is then reserved for it
+        until it suffices for one task: smaller jobs would otherwise use all of it.
         """
         waiting = []
         for label in self.members:
@@ -103,7 +103,7 @@
                 spec = self.spec_of(row.job)
                 # A negative ``waited_s``: the job's delayed start after a calendar opening is still ahead.
                 if spec is not None and row.waited_s >= 0:
-                    starved = row.waited_s >= constants.STARVED_JOB_S and row.waiting == spec.tasks
+                    starved = row.waited_s >= constants.STARVATION_TIMEOUT_S and row.waiting == spec.tasks
                     waiting.append((row_key(row, spec), label, row.waiting, spec, starved))
         demands = {team: TeamDemand([], []) for team in self.changed_teams}
         for _, label, count, spec, starved in sorted(waiting, key=lambda entry: entry[:2]):
--- a/alderbridge/leader/scaling.py
+++ b/alderbridge/leader/scaling.py
@@ -85,7 +85,7 @@
     def _consider_reported(
         self, scaling: ScalingRound, name: str, rented: RentedMachine, row: MachineSummary, received_at: float
     ) -> None:
-        fresh = scaling.now - received_at < 3 * constants.LEADER_ROUND_S
+        fresh = scaling.now - received_at < 3 * constants.LEADER_ROUND_INTERVAL_S
         empty = fresh and row.idle_s > 0 and not row.ends
         cause = self._cause_of_termination(name, rented, row, row.silent_s + (scaling.now - received_at))
         if cause:
@@ -116,9 +116,9 @@
             return "failed"
         if name in self.monitor.to_prove_empty:
             return "inherited tasks wait"
-        expired = row.state == ReportedState.EXPIRED and silent_s > constants.LOST_MACHINE_S
-        suspect = rented.missed_listings >= constants.LIST_MISSES or row.state == ReportedState.DRAINING
-        return "lost" if expired or (suspect and silent_s > constants.SILENT_S) else ""
+        expired = row.state == ReportedState.EXPIRED and silent_s > constants.LOST_MACHINE_TIMEOUT_S
+        suspect = rented.missed_listings >= constants.MIN_MISSED_LISTINGS or row.state == ReportedState.DRAINING
+        return "lost" if expired or (suspect and silent_s > constants.MACHINE_SILENCE_TIMEOUT_S) else ""
 
     def _consider_unreported(self, scaling: ScalingRound, name: str, rented: RentedMachine) -> None:
         machine_type = self.market.types.get(rented.kind.type)
@@ -126,7 +126,7 @@
             return
         age_s = scaling.now - rented.rented_at
         if rented.state is RentedMachineState.TERMINATING:
-            if scaling.now - rented.terminating_since > constants.LEADER_ROUND_S:
+            if scaling.now - rented.terminating_since > constants.LEADER_ROUND_INTERVAL_S:
                 scaling.decision.terminate.append(name)
         elif rented.failed or age_s > self._boot_timeout_s(machine_type.boot_s, scaling.now):
             self._begin_termination(scaling, name, "failed" if rented.failed else "did not come up")
@@ -138,7 +138,7 @@
 
     def _boot_timeout_s(self, boot_s: float, now: float) -> float:
         """Age at which an unreported machine is returned; at least twice the listing's lag once the view has begun."""
-        return max(constants.BOOT_PATIENCE * boot_s, now - self.entered_at and 2 * self.list_lag_s)
+        return max(constants.BOOT_TIMEOUT_FACTOR * boot_s, now - self.entered_at and 2 * self.list_lag_s)
 
     def _begin_termination(self, scaling: ScalingRound, name: str, cause: str) -> None:
         self.machines.begin_termination(name, scaling.now, cause)
@@ -146,21 +146,24 @@
 
     def _terminate_unlisted(self, scaling: ScalingRound) -> None:
         """Terminate machines that are recorded, silent and not listed: the cloud has most likely reclaimed them."""
-        if self.machines.listings < constants.LIST_MISSES:
+        if self.machines.listings < constants.MIN_MISSED_LISTINGS:
             return
         for name, (row, received_at) in scaling.rows.items():
-            if name not in self.machines and row.silent_s + scaling.now - received_at > constants.SILENT_S:
+            if (
+                name not in self.machines
+                and row.silent_s + scaling.now - received_at > constants.MACHINE_SILENCE_TIMEOUT_S
+            ):
                 scaling.decision.terminate.append(name)
 
     def _return_idle(self, scaling: ScalingRound, walk: Walk) -> None:
         """Return idle machines at the end of their paid block, unless that predicts a breach."""
         for resource, name in scaling.idle:
             age_s = scaling.now - self.machines[name].rented_at
-            if not policy.block_ends(age_s, 2 * constants.LEADER_ROUND_S):
+            if not policy.paid_block_ends_within(age_s, 2 * constants.LEADER_ROUND_INTERVAL_S):
                 continue
-            if not self.monitor.guard.may_return:
-                self.monitor.guard.count_postponed_return()
-            elif not policy.keep_idle(walk, resource):
+            if not self.monitor.guard.may_scale_in:
+                self.monitor.guard.count_postponed_scale_in()
+            elif not policy.must_keep_idle(walk, resource):
                 self._begin_termination(scaling, name, "idle at the end of its block")
 
     def _scale_out(self, scaling: ScalingRound, walk: Walk, demands: Sequence[Demand]) -> None:
@@ -169,12 +172,12 @@
         max_new_machines = max(0, self.tuning.max_machines - scaling.alive)
         machine_counts = Counter(resource.kind for resource in scaling.resources)
         kinds = policy.machines_to_rent(walk, self.market, now, max_new_machines, machine_counts)
-        if now - self.last_hard_check_at >= constants.HARD_CHECK_S:
+        if now - self.last_hard_check_at >= constants.HARD_CHECK_INTERVAL_S:
             self.last_hard_check_at = now
             hard = policy.hard_check(demands, self.market, now, scaling.booting, max_new_machines)
             kinds += hard[len(kinds) :]
         scaling.decision.scale_out = [
-            (kind, min(count, constants.RENT_BATCH)) for kind, count in Counter(kinds).items()
+            (kind, min(count, constants.MAX_MACHINES_PER_RENTAL)) for kind, count in Counter(kinds).items()
         ]
 
     def outlook(self, rows: SummaryRows, without: Container[str], now: float) -> list[MachineResource]:
--- a/alderbridge/lending/configuration.py
+++ b/alderbridge/lending/configuration.py
@@ -44,9 +44,11 @@
 
     owner: str
     workload: str
-    least_run_s: float  # a task is not preempted before it has run for this long
-    most_stops: int  # limit on the preemptions of one task; 0: never preempted
-    waits_at_most_s: float  # a job is no longer preempted when its first preemption is longer ago than this
+    min_run_s: float = msgspec.field(name="least_run_s")  # a task is not preempted before it has run for this long
+    # limit on the preemptions of one task; 0: never preempted
+    max_preemptions_per_task: int = msgspec.field(name="most_stops")
+    # a job is no longer preempted when its first preemption is longer ago than this
+    preemptible_for_s: float = msgspec.field(name="waits_at_most_s")
 
     def matches(self, spec: JobSpec) -> bool:
         """Whether the job belongs to the class."""
@@ -59,9 +61,12 @@
     serve: list[ServingClass] = []
     lend: list[LendingClass] = []
     reserve: dict[str, float] = {}  # team -> free GPUs reserved for its replicas beyond those in use
-    gpus_a_minute: int = 0  # limit on the GPUs reclaimed for one team's replicas in a minute
-    gpus_at_once: int = 0  # limit on the GPUs of one team's reclaims whose victims have not all stopped
-    keep_s: float = 0.0  # GPUs that replicas used within this time are not lent again
+    # limit on the GPUs reclaimed for one team's replicas in a minute
+    gpus_per_minute: int = msgspec.field(name="gpus_a_minute", default=0)
+    # limit on the GPUs of one team's reclaims whose victims have not all stopped
+    max_stopping_gpus: int = msgspec.field(name="gpus_at_once", default=0)
+    # GPUs that replicas used within this time are not lent again
+    retention_s: float = msgspec.field(name="keep_s", default=0.0)
 
     def serves(self, spec: JobSpec) -> bool:
         """Whether the job is a service that lent GPUs are reclaimed for."""
@@ -131,17 +136,17 @@
     ]
     for one in lending.lend:
         conditions = (
-            f"after {one.least_run_s:g} s, {one.most_stops} times a task, until {one.waits_at_most_s:g} s after "
-            f"its job's first preemption"
-            if one.most_stops
+            f"after {one.min_run_s:g} s, {one.max_preemptions_per_task} times a task, until "
+            f"{one.preemptible_for_s:g} s after its job's first preemption"
+            if one.max_preemptions_per_task
             else "never"
         )
         lines.append(f"lend {one.owner}/{one.workload}: preempted for replicas {conditions}")
     lines += [f"reserve {team}: {gpus:g} free GPUs are not lent" for team, gpus in lending.reserve.items()]
     if lending.serve:
         lines.append(
-            f"pace: at most {lending.gpus_a_minute} GPUs a minute and {lending.gpus_at_once} at once are reclaimed for "
-            f"a team; GPUs that replicas used are not lent again for {lending.keep_s:g} s"
+            f"pace: at most {lending.gpus_per_minute} GPUs a minute and {lending.max_stopping_gpus} at once are "
+            f"reclaimed for a team; GPUs that replicas used are not lent again for {lending.retention_s:g} s"
         )
     return lines
 
--- a/alderbridge/lending/demands.py
+++ b/alderbridge/lending/demands.py
@@ -77,12 +77,12 @@
         services: Iterable[ServingJob],
         resources: Iterable[MachineResource],
         used: Mapping[str, tuple[float, float]],
-        promised: Mapping[str, int],
+        claimed_tasks: Mapping[str, int],
     ) -> list[PreemptionDemand]:
         """Return the replicas that need preemption to start in time, in placement order.
 
         ``resources``: machines without a claim; booting ones as capacity that is free later. ``used``: cpus and GPUs
-        of each team's tasks. ``promised``: job -> tasks that existing claims make capacity for.
+        of each team's tasks. ``claimed_tasks``: job -> tasks that existing claims make capacity for.
         """
         services = sorted(services, key=lambda service: service.order)
         remaining = {team: self.rules.guarantee(team) - gpus for team, gpus in gpus_in_use(services).items()}
@@ -93,7 +93,7 @@
             spec, team = service.spec, service.spec.team
             count = min(service.waiting, max(0, math.floor(remaining[team] / spec.gpus + 1e-9)))
             remaining[team] -= count * spec.gpus
-            claimed = min(count, promised.get(spec.id, 0))
+            claimed = min(count, claimed_tasks.get(spec.id, 0))
             unserved = self._unserved(service, count - claimed, claimed, machines, used)
             if unserved > 0:
                 result.append(
@@ -130,7 +130,7 @@
         Capacity counts if it becomes free before the replicas' deadline, or before reclaimed GPUs would be free.
         """
         spec, assigned = service.spec, 0
-        horizon_s = max(service.due_in_s, spec.save_s + constants.LEND_S)
+        horizon_s = max(service.due_in_s, spec.save_s + constants.LENDING_DELAY_S)
         by_zone = self.fleet.zones_of(spec)
         for machine in machines:
             kind = machine.kind
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -21,7 +21,7 @@
 from alderbridge.lending.reserve import FreeGpus, GpuReserve, allocate_reserve
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionDemand, PreemptionLimit, Teams
+from alderbridge.preemption import CandidateMachine, GuaranteeUsage, PreemptionBudget, PreemptionDemand, PreemptionLimit
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
@@ -47,7 +47,7 @@
         """``configurations``: all that are in force. ``previous``: the lender that this one replaces."""
         self.configurations = list(configurations)
         self.types = types
-        self.teams = Teams([], {})  # set by the planner before victims are chosen
+        self.teams = GuaranteeUsage([], {})  # set by the planner before victims are chosen
         self.rules = LendingRules(configurations, teams)
         self.fleet: ServingFleet = ServingFleet(previous.fleet if previous is not None else None)
         self.pace: ReclaimPace = ReclaimPace(self.rules, previous.pace if previous is not None else None)
@@ -63,24 +63,28 @@
     def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
         """Return replicas that need preemption, and update ``tasks_served_by_lending``.
 
-        The latter holds the replicas of claims and of demands younger than ``LEND_FIRST_S``.
+        The latter holds the replicas of claims and of demands younger than ``LENDING_HEAD_START_S``.
         """
-        promised = planner.promised()
+        claimed_tasks = planner.claimed_tasks()
         self._observe_claims(planner)
         services = self.services(planner, now)
         self.used = gpus_in_use(services)
         self.gpu_reserve.record_use(self.gpu_demand(services), now)
         self.tasks_served_by_lending = Counter(
-            {job: count for job, count in promised.items() if any(claim.job == job for claim in self.claims.values())}
+            {
+                job: count
+                for job, count in claimed_tasks.items()
+                if any(claim.job == job for claim in self.claims.values())
+            }
         )
         if not any(service.waiting for service in services):
             self.unserved_since = {}
             return []
         resources = [one for one in planner.leader.outlook(now, planner.ledger.entries) if self._has_gpus(one.kind)]
-        demands = self.demands(services, resources, _used_by_teams(planner), promised)
+        demands = self.demands(services, resources, _used_by_teams(planner), claimed_tasks)
         self.unserved_since = {demand.spec.id: self.unserved_since.get(demand.spec.id, now) for demand in demands}
         for demand in demands:
-            if now - self.unserved_since[demand.spec.id] < constants.LEND_FIRST_S:
+            if now - self.unserved_since[demand.spec.id] < constants.LENDING_HEAD_START_S:
                 self.tasks_served_by_lending[demand.spec.id] += demand.count
         return demands
 
@@ -89,10 +93,10 @@
         services: Iterable[ServingJob],
         resources: Iterable[MachineResource],
         used: Mapping[str, tuple[float, float]],
-        promised: Mapping[str, int],
+        claimed_tasks: Mapping[str, int],
     ) -> list[PreemptionDemand]:
         """Return replicas that need preemption to start in time; see ``ServingDemands.find``."""
-        return self.serving_demands.find(services, resources, used, promised)
+        return self.serving_demands.find(services, resources, used, claimed_tasks)
 
     def _observe_claims(self, planner: PreemptionPlanner) -> None:
         """Update the lending claims, and the GPUs of their victims that may still run."""
@@ -101,7 +105,7 @@
         self.specs = {job: replica.spec(job) for claim in self.claims.values() for job, _, _ in claim.victims}
         self.pace.stopping = Counter()
         for machine, claim in self.claims.items():
-            stopped = len(claim.victims) - planner.victims_left(machine, claim)
+            stopped = len(claim.victims) - planner.remaining_victims(machine, claim)
             self.pace.stopping[claim.team] += sum(  # type: ignore[assignment]
                 spec.gpus for job, _, _ in claim.victims[stopped:] if (spec := self.specs[job]) is not None
             )
@@ -132,14 +136,16 @@
         with_waiting = gpus_in_use(service._replace(placed=service.placed + service.waiting) for service in services)
         return {team: min(gpus, max(self.rules.guarantee(team), used[team])) for team, gpus in with_waiting.items()}
 
-    def serves_soon(self, row: QueueRow, spec: JobSpec) -> int:
+    def unrented_tasks(self, row: QueueRow, spec: JobSpec) -> int:
         """Return how many waiting tasks no machine is rented for now.
 
         All tasks of a job that has just arrived count, as lending has not planned for it yet.
         """
         if not self.rules.serves(spec):
             return 0
-        return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < constants.LEND_FIRST_S else 0)
+        return self.tasks_served_by_lending.get(
+            row.job, row.waiting if row.waited_s < constants.LENDING_HEAD_START_S else 0
+        )
 
     def _has_gpus(self, kind: MachineKind) -> bool:
         machine_type = self.types.get(kind.type)
--- a/alderbridge/lending/pace.py
+++ b/alderbridge/lending/pace.py
@@ -41,7 +41,7 @@
             self.counted.add((machine, claim.at))
             gpus = sum(spec.gpus for job, _, _ in claim.victims if (spec := specs.get(job)) is not None)
             self.reclaimed.append(ReclaimedGpus(claim.at, claim.team, gpus))
-        oldest = wall_time - constants.PREEMPTION_MINUTE_S - constants.PREEMPTION_STEP_S
+        oldest = wall_time - constants.PREEMPTION_WINDOW_S - constants.PREEMPTION_BUCKET_S
         self.reclaimed = deque(entry for entry in self.reclaimed if entry[0] > oldest)
         self.counted = {key for key in self.counted if key[1] > oldest or key[0] in claims}
 
--- a/alderbridge/lending/reserve.py
+++ b/alderbridge/lending/reserve.py
@@ -8,7 +8,7 @@
 
 
 class GpuReserve:
-    """Peak GPU use of each team's replicas within the retention time (``keep_s`` of the configuration).
+    """Peak GPU use of each team's replicas within the retention time (``retention_s`` of the configuration).
 
     Peak GPUs stay reserved, so that a load that rises and falls repeatedly within that time is served by one reclaim.
     Held in memory only: a new leader starts from the current use, which costs at most one more reclaim.
--- a/alderbridge/lending/rules.py
+++ b/alderbridge/lending/rules.py
@@ -48,22 +48,22 @@
     def preemptible(self, spec: JobSpec) -> bool:
         """Whether the job's tasks may be preempted at all."""
         lends = self.lends(spec)
-        return lends is not None and all(one.most_stops for one in lends)
+        return lends is not None and all(one.max_preemptions_per_task for one in lends)
 
     @property
     def gpus_per_minute(self) -> int:
         """Return how many GPUs may be reclaimed for one team in a minute."""
-        return min((each.gpus_a_minute for each in self.configurations), default=0)
+        return min((each.gpus_per_minute for each in self.configurations), default=0)
 
     @property
     def max_stopping_gpus(self) -> int:
         """Return how many GPUs of victims that have not stopped yet one team's claims may have."""
-        return min((each.gpus_at_once for each in self.configurations), default=0)
+        return min((each.max_stopping_gpus for each in self.configurations), default=0)
 
     @property
     def retention_s(self) -> float:
         """Return for how long GPUs that replicas used are not lent again, in s."""
-        return max((each.keep_s for each in self.configurations), default=0.0)
+        return max((each.retention_s for each in self.configurations), default=0.0)
 
     def reserve(self, team: str) -> float:
         """Return the free GPUs that the configurations reserve for a team's replicas."""
--- a/alderbridge/lending/selection.py
+++ b/alderbridge/lending/selection.py
@@ -11,10 +11,10 @@
 from alderbridge.lending.pace import ReclaimPace
 from alderbridge.preemption import (
     CandidateMachine,
+    GuaranteeUsage,
     PreemptionBudget,
     PreemptionDemand,
     SelectionRules,
-    Teams,
     Victim,
     lost_seconds,
 )
@@ -29,7 +29,7 @@
         demands: ServingDemands,
         pace: ReclaimPace,
         types: Mapping[str, MachineType],
-        teams: Teams,
+        teams: GuaranteeUsage,
         machines: Sequence[CandidateMachine],
     ) -> None:
         """``teams``: current usage, reduced as victims are chosen. ``machines``: those without a claim."""
@@ -112,9 +112,9 @@
         if not preemption.allowed(demand.spec, demand.guaranteed, spec, keeps_guarantee):
             return False
         return all(
-            victim.ran_s >= one.least_run_s
-            and victim.stops < one.most_stops
-            and victim.since_stop_s <= one.waits_at_most_s
+            victim.ran_s >= one.min_run_s
+            and victim.stops < one.max_preemptions_per_task
+            and victim.since_first_preemption_s <= one.preemptible_for_s
             for one in lends
         )
 
@@ -134,10 +134,10 @@
     def victim_cost(self, victim: Victim) -> float:
         """Return the GPU-seconds lost by preempting the task.
 
-        A share of the unsaved work (``LEND_RISK``) counts as lost, since it is at risk until it is saved. Each earlier
-        preemption adds the same cost again, so that one task is not preempted repeatedly.
+        A share of the unsaved work (``UNSAVED_WORK_LOSS_SHARE``) counts as lost, since it is at risk until it is saved.
+        Each earlier preemption adds the same cost again, so that one task is not preempted repeatedly.
         """
-        lost_s = lost_seconds(victim) + constants.LEND_RISK * (victim.saved_s_ago or 0.0)
+        lost_s = lost_seconds(victim) + constants.UNSAVED_WORK_LOSS_SHARE * (victim.since_checkpoint_s or 0.0)
         return victim.spec.gpus * (1 + victim.stops) * lost_s
 
     def placement_cost(self, demand: PreemptionDemand, machine: CandidateMachine) -> float:
@@ -145,16 +145,16 @@
         spec, name = demand.spec, machine.machine
         if self.victims_on[name] > 0:
             return 0.0
-        cost = constants.LEND_OPEN_S * spec.gpus
+        cost = constants.ADDITIONAL_MACHINE_COST_S * spec.gpus
         if spec.image not in self.fleet.contents_of(name).images:
             kind = self.types.get(machine.kind.type)
             fetch_s = spec.image_gb / kind.fetch_gb_per_s if kind is not None and kind.fetch_gb_per_s > 0 else 0.0
             cost += fetch_s * spec.gpus
-            if fetch_s >= constants.LEND_HEAVY_S and self._image_elsewhere(spec, machine):
-                cost += constants.LEND_AVOID_S
+            if fetch_s >= constants.SLOW_IMAGE_FETCH_S and self._image_elsewhere(spec, machine):
+                cost += constants.AVOIDED_MACHINE_COST_S
         if name in self.clearable and spec.gpus < self._gpus(machine):
             last = sum(not self.victims_on[clearable] for clearable in self.clearable) <= 1
-            cost += 2 * constants.LEND_AVOID_S if last else constants.LEND_OPEN_S * spec.gpus
+            cost += 2 * constants.AVOIDED_MACHINE_COST_S if last else constants.ADDITIONAL_MACHINE_COST_S * spec.gpus
         return cost
 
     def _image_elsewhere(self, spec: JobSpec, machine: CandidateMachine) -> bool:
--- a/alderbridge/machines/context.py
+++ b/alderbridge/machines/context.py
@@ -64,7 +64,7 @@
         self.reconciliation = ReconciliationProgress(0.0)
         self.answering_since: float | None = None  # None: heartbeats are not answered at present
 
-    def enter(self, fencing_token: int, members: list[str], now: float) -> None:
+    def enter_view(self, fencing_token: int, members: list[str], now: float) -> None:
         """Start a new view, which has not settled yet."""
         self.fencing_token, self.members, self.settled_at = fencing_token, members, None
         self.reconciliation = ReconciliationProgress(now)
--- a/alderbridge/machines/leases.py
+++ b/alderbridge/machines/leases.py
@@ -41,11 +41,11 @@
         self.records = records
         self.owner_reports = owner_reports
         self.no_newer_view_until = math.inf  # no newer view, whose members would renew leases too, began before this
-        self.oldest_start = -math.inf  # lower bound of the times that leases are counted from
+        self.oldest_lease_start = -math.inf  # lower bound of the times that leases are counted from
 
-    def enter(self) -> None:
+    def enter_view(self) -> None:
         """Enter a new view: the next ``check`` examines all machines."""
-        self.oldest_start = -math.inf
+        self.oldest_lease_start = -math.inf
 
     def settle(self, now: float) -> None:
         """Mark the view as settled: all members act under it, so no older view's response is sent after ``now``."""
@@ -53,7 +53,7 @@
         if view.settled_at is not None:
             return
         view.settled_at = now
-        self.oldest_start = -math.inf
+        self.oldest_lease_start = -math.inf
         for machine in self.machines.values():
             if machine.lease.exclusive_since is None:
                 machine.lease.exclusive_since = now
@@ -64,13 +64,13 @@
     def check(self, now: float) -> None:
         """Expire silent machines.
 
-        ``oldest_start`` lets calls return early until the oldest lease may have expired, so that not every call
+        ``oldest_lease_start`` lets calls return early until the oldest lease may have expired, so that not every call
         iterates over all machines.
         """
-        proof_s = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
-        if now - self.oldest_start <= proof_s:
+        proof_s = self.lease_s * (1 + 2 * constants.MAX_CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
+        if now - self.oldest_lease_start <= proof_s:
             return
-        self.oldest_start = now  # machines added later start later; a new view and its settling reset it
+        self.oldest_lease_start = now  # machines added later start later; a new view and its settling reset it
         for machine in self.machines.values():
             if machine.state is MachineState.EXPIRED or machine.state is MachineState.TERMINATED:
                 continue
@@ -82,7 +82,7 @@
                 else max(machine.last_heartbeat_at, machine.lease.exclusive_since)
             )
             if not self._has_expired(since, now):
-                self.oldest_start = min(self.oldest_start, since)
+                self.oldest_lease_start = min(self.oldest_lease_start, since)
             else:
                 self._expire(machine, f"silent for {now - machine.last_heartbeat_at:.1f} s")
 
@@ -112,8 +112,8 @@
         A newer view may exist without this process knowing it, and its members may have renewed the lease: so it must
         be certain that no newer view began before the lease's end.
         """
-        lease_s = self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
-        return now - since > lease_s + constants.PROOF_MARGIN_S and self.no_newer_view_until - since > lease_s
+        lease_s = self.lease_s * (1 + 2 * constants.MAX_CLOCK_DRIFT)
+        return now - since > lease_s + constants.LEASE_EXPIRY_MARGIN_S and self.no_newer_view_until - since > lease_s
 
     def _expire(self, machine: Machine, cause: str) -> None:
         log.info("machine=%s state=expired cause=%s", machine.name, cause)
--- a/alderbridge/machines/machine.py
+++ b/alderbridge/machines/machine.py
@@ -228,7 +228,7 @@
         self.invalidate_cached_load()
 
     @property
-    def is_proven(self) -> bool:
+    def has_complete_tasks(self) -> bool:
         """Whether every task that may be on the machine under this view is known."""
         return (
             self.acknowledged
--- a/alderbridge/machines/orders.py
+++ b/alderbridge/machines/orders.py
@@ -34,8 +34,8 @@
         if (
             not unsent.stops
             and not unsent.pending
-            and len(unsent.acknowledgements) < constants.ACKNOWLEDGE_MAX
-            and machine.last_heartbeat_at - unsent.acknowledgements_since < constants.ACKNOWLEDGE_WAIT_S
+            and len(unsent.acknowledgements) < constants.MAX_DELAYED_ACKNOWLEDGEMENTS
+            and machine.last_heartbeat_at - unsent.acknowledgements_since < constants.ACKNOWLEDGE_DELAY_S
         ):
             return []
         orders = [acknowledge_order(job, index, attempt) for job, index, attempt in sorted(unsent.acknowledgements)]
--- a/alderbridge/machines/owner_reports.py
+++ b/alderbridge/machines/owner_reports.py
@@ -24,7 +24,7 @@
         Members that were last sent the same report and have granted no task since are skipped. ``urgent``: send at
         once instead of deferring to the next message. Nothing is sent until the machine's tasks are fully known.
         """
-        if not machine.is_proven:
+        if not machine.has_complete_tasks:
             return
         by_owner: dict[str, JobTaskReports] = {label: ([], []) for label in self.view.members}
         job_owner = self.jobs.job_owner
--- a/alderbridge/machines/records.py
+++ b/alderbridge/machines/records.py
@@ -15,16 +15,16 @@
 class MachineRecords:
     """Records due to be written or dropped; the controller adds them to its write batches."""
 
-    def __init__(self, table: MachineTable, view: ShardView, keep_record: Callable[[str], bool]) -> None:
-        """``keep_record``: cancels the drop of a record if it has not been sent, and returns whether it has done so."""
+    def __init__(self, table: MachineTable, view: ShardView, cancel_drop: Callable[[str], bool]) -> None:
+        """``cancel_drop``: cancels the drop of a record if it has not been sent, and returns whether it has done so."""
         self.machines = table.machines
         self.terminated = table.terminated
         self.view = view
-        self.keep_record = keep_record
+        self.cancel_drop = cancel_drop
         self.to_write: list[str] = []
         self.to_drop: list[str] = []  # no task is on these machines: new views need not wait for them
 
-    def enter(self) -> None:
+    def enter_view(self) -> None:
         """Enter a new view: discard the writes and drops of the previous one."""
         self.to_write, self.to_drop = [], []
 
@@ -33,7 +33,7 @@
         if not machine.recorded and machine.name not in self.to_write:
             # After a store outage longer than a lease, all machines expire and return before their records are
             # dropped. Dropping and rewriting every record would use up the store's write rate and block task starts.
-            machine.recorded = self.keep_record(machine.name)
+            machine.recorded = self.cancel_drop(machine.name)
             if not machine.recorded:
                 self.to_write.append(machine.name)
 
@@ -54,7 +54,7 @@
     def due_drops(self, now: float) -> list[str]:
         """Records to drop now; those of expired machines only after they had time to send a heartbeat here."""
         answering_since = self.view.answering_since
-        if answering_since is not None and now - answering_since >= constants.SILENT_S:
+        if answering_since is not None and now - answering_since >= constants.MACHINE_SILENCE_TIMEOUT_S:
             return self.to_drop
         return [name for name in self.to_drop if name in self.terminated]
 
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -53,10 +53,10 @@
         lease_s: float,
         jobs: JobLookups,
         outbox: Outbox,
-        keep_record: Callable[[str], bool],
+        cancel_drop: Callable[[str], bool],
         rng: Random,
     ) -> None:
-        """``lease_s``: worker lease; ``keep_record``: see ``MachineRecords``; ``rng``: for the jitter of probes."""
+        """``lease_s``: worker lease; ``cancel_drop``: see ``MachineRecords``; ``rng``: for the jitter of probes."""
         self.outbox = outbox
         self.jobs = jobs
         table = MachineTable()  # shared by the components
@@ -65,7 +65,7 @@
         self.view = ShardView()
         self.prober = HeartbeatProber(rng)
         self.owner_reports = OwnerReports(jobs, outbox, self.view)
-        self.records = MachineRecords(table, self.view, keep_record)
+        self.records = MachineRecords(table, self.view, cancel_drop)
         self.leases = WorkerLeases(lease_s, self.machines, self.view, self.records, self.owner_reports)
         self.order_builder = OrderBuilder(jobs)
         self.capacity = MachineCapacity(self.machines, jobs, self.view)
@@ -80,7 +80,7 @@
             TaskOutcomes(jobs, self.capacity),
         )
 
-    def enter(
+    def enter_view(
         self,
         fencing_token: int,
         members: list[str],
@@ -98,9 +98,9 @@
         """
         previous = dict(self.machines)
         self.machines.clear()
-        self.view.enter(fencing_token, members, now)
-        self.records.enter()
-        self.leases.enter()
+        self.view.enter_view(fencing_token, members, now)
+        self.records.enter_view()
+        self.leases.enter_view()
         for name, record in recorded.items():
             machine = self.machines[name] = Machine.from_record(name, record, fencing_token, now)
             self.view.reconciliation.add_recorded(name)
@@ -114,7 +114,7 @@
     def _enter_prober(self, previous: Mapping[str, Machine], now: float) -> None:
         """Queue probes of the new view's machines, those with the most recent heartbeat first."""
         last_heartbeats = {name: previous[name].last_heartbeat_at for name in self.machines if name in previous}
-        self.prober.enter(
+        self.prober.enter_view(
             sorted(
                 (name for name, machine in self.machines.items() if machine.address),
                 key=lambda name: (-last_heartbeats.get(name, 0.0), name),
@@ -136,12 +136,12 @@
             machine is None or machine.acknowledged or machine.state in (MachineState.EXPIRED, MachineState.TERMINATED)
         )
 
-    def check_silence(self, now: float) -> None:
+    def update_reconciliation(self, now: float) -> None:
         """Mark silent machines and log the reconciliation progress until no machine is in a transient state."""
         reconciliation = self.view.reconciliation
         is_unsettled = not reconciliation.over
         for machine in self.machines.values():
-            if not machine.acknowledged and now - machine.last_heartbeat_at > constants.SILENT_S:
+            if not machine.acknowledged and now - machine.last_heartbeat_at > constants.MACHINE_SILENCE_TIMEOUT_S:
                 reconciliation.mark_silent(machine.name)
         if is_unsettled:
             log.info("machine_shard fencing_token=%d %s", self.view.fencing_token, reconciliation.line(now))
@@ -233,9 +233,9 @@
 
 
 def _inherit(machine: Machine, previous: Machine, continued: bool, inherit_tasks: bool) -> None:
-    """Inherit the still valid state of the machine; for the parameters see ``MachineShard.enter``."""
+    """Inherit the still valid state of the machine; for the parameters see ``MachineShard.enter_view``."""
     machine.inherit(previous)
     if continued:
         machine.inherit_exclusivity(previous)
-    if inherit_tasks and previous.is_proven:
+    if inherit_tasks and previous.has_complete_tasks:
         machine.inherit_tasks(previous)
--- a/alderbridge/machines/task_outcomes.py
+++ b/alderbridge/machines/task_outcomes.py
@@ -41,9 +41,9 @@
         health = machine.health
         health.consecutive_error_jobs.append(job)
         if (
-            len(health.consecutive_error_jobs) >= constants.QUARANTINE_ERRORS
+            len(health.consecutive_error_jobs) >= constants.QUARANTINE_ERROR_COUNT
             and len(set(health.consecutive_error_jobs)) > 1
         ):
-            health.quarantined_until = now + constants.QUARANTINE_S
+            health.quarantined_until = now + constants.QUARANTINE_DURATION_S
             health.consecutive_error_jobs.clear()
             log.info("machine=%s state=quarantined cause=errors in a row", machine.name)
--- a/alderbridge/membership/election.py
+++ b/alderbridge/membership/election.py
@@ -105,15 +105,15 @@
             self.prospective_since = self.prospective_since if self.prospective_members else now
             self.prospective_members, self.prospective_changed_at = alive, now
         return (
-            now - self.prospective_changed_at >= constants.JOIN_QUIET_S
-            or now - self.prospective_since >= constants.JOIN_MAX_S
+            now - self.prospective_changed_at >= constants.JOIN_DEBOUNCE_S
+            or now - self.prospective_since >= constants.JOIN_DEBOUNCE_MAX_S
         )
 
     def _next_leader(self, alive: dict[str, int], has_failed: bool, now: float) -> str | None:
         """The leader of the view that this process should propose; None: it should not propose one yet.
 
         The leader proposes membership changes. When there is no leader, or a member has failed, any member may propose;
-        they take precedence in the order of their labels, ``LEADER_PRECEDENCE_S`` apart.
+        they take precedence in the order of their labels, ``ELECTION_STAGGER_S`` apart.
         """
         me, view = self.membership.me, self.membership.view
         leaderless = view.members.get(view.leader) != alive.get(view.leader, -1)
@@ -125,7 +125,7 @@
         if self.leaderless_since is None:
             self.leaderless_since = now
         position = sorted(alive).index(me) + (not leaderless)
-        if now - self.leaderless_since < position * constants.LEADER_PRECEDENCE_S:
+        if now - self.leaderless_since < position * constants.ELECTION_STAGGER_S:
             return None
         return me if leaderless else view.leader
 
@@ -135,7 +135,7 @@
         if membership.view.members.get(membership.me) != membership.store_lease.lease_id:
             return None
         ending_since = membership.failure_detector.contact_ending_since
-        if ending_since is not None and now - membership.synced_at < constants.STORE_REACHABLE_S:
+        if ending_since is not None and now - membership.synced_at < constants.STORE_REACHABLE_WINDOW_S:
             return self._view_waiving_contact(alive, ending_since, now)
         return self._view_restoring_contact(alive, now)
 
@@ -146,7 +146,7 @@
         """
         membership, view = self.membership, self.membership.view
         position = sorted(alive).index(membership.me)
-        if now - ending_since < constants.CONTACT_WAIVER_PATIENCE_S + position * constants.LEADER_PRECEDENCE_S:
+        if now - ending_since < constants.CONTACT_WAIVER_DELAY_S + position * constants.ELECTION_STAGGER_S:
             return None
         leader = view.leader if view.leader in alive else membership.me
         contact_timeout_s = NO_CONTACT_TIMEOUT_S if alive == view.members else membership.contact_timeout_for(alive)
@@ -162,11 +162,11 @@
             return None
         contact_timeout_s = membership.contact_timeout_for(alive)
         disputed_since, all_alive_since = failure_detector.disputed_since, failure_detector.all_alive_since
-        is_disputed = disputed_since is not None and now - disputed_since >= constants.DISPUTED_FAILURE_S
+        is_disputed = disputed_since is not None and now - disputed_since >= constants.DISPUTED_FAILURE_TIMEOUT_S
         resumes = (
             not view.contact_timeout_s
             and contact_timeout_s > 0
             and all_alive_since is not None
-            and now - all_alive_since >= constants.CONTACT_RESUME_S
+            and now - all_alive_since >= constants.CONTACT_RESUME_DELAY_S
         )
         return View(membership.me, alive, contact_timeout_s) if is_disputed or resumes else None
--- a/alderbridge/membership/failure_detector.py
+++ b/alderbridge/membership/failure_detector.py
@@ -81,9 +81,9 @@
         self.excluded: set[str] = set()  # removed as failed, with no frame under a newer view yet
         # s; shortest silence before a peer that may not have this view is declared failed: it may act under the older
         self.older_view_grace_s = 0.0
-        self.enter((), 0.0, 0.0)
+        self.enter_view((), 0.0, 0.0)
 
-    def enter(self, members: Collection[str], contact_timeout_s: float, written_after: float) -> None:
+    def enter_view(self, members: Collection[str], contact_timeout_s: float, written_after: float) -> None:
         """Start over under a view that was written later than ``written_after``.
 
         ``contact_timeout_s`` 0: the view does not require contact. No member declares this one failed sooner than
@@ -106,7 +106,7 @@
             acknowledgement_times = sorted((peer.acknowledged_at for peer in self.peers.values()), reverse=True)
             self.contact_until = (
                 acknowledgement_times[self.quorum_size - 2]
-                + self.contact_timeout_s * (1 - constants.CLOCK_DRIFT)
+                + self.contact_timeout_s * (1 - constants.MAX_CLOCK_DRIFT)
                 - constants.STORE_LEASE_MARGIN_S
             )
 
@@ -144,7 +144,7 @@
         disputed = any(0 < len(by) < self.quorum_size for by in self.failed_by.values())
         self.disputed_since = _holds_since(disputed, self.disputed_since, now)
         all_alive = all(
-            peer.last_frame_at is not None and now - peer.last_frame_at < constants.MESH_SILENCE_S
+            peer.last_frame_at is not None and now - peer.last_frame_at < constants.MESH_SILENCE_TIMEOUT_S
             for peer in self.peers.values()
         )
         self.all_alive_since = _holds_since(all_alive, self.all_alive_since, now)
@@ -155,7 +155,7 @@
         silence_s = now - peer.last_frame_at
         if not self.contact_timeout_s:
             return
-        if peer.state is PeerState.ALIVE and silence_s > self.contact_timeout_s - constants.SUSPICION_NOTICE_S:
+        if peer.state is PeerState.ALIVE and silence_s > self.contact_timeout_s - constants.SUSPICION_LEAD_S:
             peer.suspect()
         # A peer from which no frame has arrived may not know this view, and may act under the older one.
         failure_timeout_s = (
@@ -163,7 +163,7 @@
         )
         if (
             peer.state is PeerState.SUSPECTED
-            and silence_s > failure_timeout_s * (1 + constants.CLOCK_DRIFT)
+            and silence_s > failure_timeout_s * (1 + constants.MAX_CLOCK_DRIFT)
             and self._count_suspecting(peer.label) >= self.quorum_size
         ):
             peer.mark_failed()
@@ -176,7 +176,7 @@
         elif self.contact_lost_at is not None and not is_lost:
             log.info("contact state=restored after=%.1f s", now - self.contact_lost_at)
         self.contact_lost_at = _holds_since(is_lost, self.contact_lost_at, now)
-        is_ending = now >= self.contact_until - constants.CONTACT_WAIVER_AHEAD_S
+        is_ending = now >= self.contact_until - constants.CONTACT_WAIVER_LEAD_S
         self.contact_ending_since = _holds_since(is_ending, self.contact_ending_since, now)
 
     def _count_suspecting(self, label: str) -> int:
--- a/alderbridge/membership/membership.py
+++ b/alderbridge/membership/membership.py
@@ -53,7 +53,7 @@
         """
         self.previous_synced_at, self.synced_at = self.synced_at, sent_at
         self.fresh_until = (
-            sent_at + self.store_lease.ttl_s * (1 - constants.CLOCK_DRIFT) - constants.STORE_LEASE_MARGIN_S
+            sent_at + self.store_lease.ttl_s * (1 - constants.MAX_CLOCK_DRIFT) - constants.STORE_LEASE_MARGIN_S
         )
 
     def mark_unreadable(self) -> None:
@@ -68,11 +68,11 @@
         # The view was written after the previous sync, and after the store granted the lease id that it contains.
         is_member = view.members.get(self.me) == self.store_lease.lease_id
         lease_requested_at = self.store_lease.requested_at if is_member else float("-inf")
-        self.failure_detector.enter(
+        self.failure_detector.enter_view(
             view.members, view.contact_timeout_s, max(self.previous_synced_at, lease_requested_at)
         )
         self.failure_detector.older_view_grace_s = (
-            self.store_lease.ttl_s + constants.PROOF_MARGIN_S if view.quorum_may_not_overlap else 0.0
+            self.store_lease.ttl_s + constants.LEASE_EXPIRY_MARGIN_S if view.quorum_may_not_overlap else 0.0
         )
         self.job_owners, self.machine_owners = {}, {}
         self.all_support_carry_over = self.all_support(constants.VERSION_WITH_CARRY_OVER)
@@ -138,7 +138,7 @@
             owner = self.machine_owners[machine] = rendezvous_owner(machine, sorted(members)) if members else ""
         return owner
 
-    def report_to(self, machine: str) -> str:
+    def heartbeat_target(self, machine: str) -> str:
         """The member to which the machine's worker is redirected.
 
         That is its owner, unless the owner is suspected. A worker waits 4 s for a member that is cut off; if it were
--- a/alderbridge/membership/store_lease.py
+++ b/alderbridge/membership/store_lease.py
@@ -24,7 +24,7 @@
         if lease_id != self.lease_id:
             self.requested_at, self.key_attached_at = sent_at, key_attached_at
         self.lease_id = lease_id
-        self.valid_until = sent_at + self.ttl_s * (1 - constants.CLOCK_DRIFT) - constants.STORE_LEASE_MARGIN_S
+        self.valid_until = sent_at + self.ttl_s * (1 - constants.MAX_CLOCK_DRIFT) - constants.STORE_LEASE_MARGIN_S
 
     def mark_expired(self) -> None:
         """The store no longer has this lease."""
--- a/alderbridge/preemption/budget.py
+++ b/alderbridge/preemption/budget.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from alderbridge.claims.records import PreemptionsSpent, budget_key
+from alderbridge.claims.records import PreemptionUsage, budget_key
 from alderbridge.preemption.model import PreemptionDemand
 
 
 class PreemptionLimit(NamedTuple):
     """Limits on the preemptions that one priority class or one lending rule may cause."""
 
-    a_minute: int  # preemptions per minute
+    max_per_minute: int  # preemptions per minute
     at_once: int  # victims that are stopping at one time
     share: float = 1.0  # of all running tasks, stopping at one time; rounded down, but at least one task
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        used: PreemptionsSpent,
+        used: PreemptionUsage,
         wall: float,
         stopping: Mapping[str, int],
         running: int,
@@ -44,7 +44,7 @@
         """Return how many more tasks may be preempted for the demand."""
         name, limit = budget_key(demand.spec.team, demand.reason), self.limit(demand)
         at_once = min(limit.at_once, max(1, int(limit.share * self.running)))
-        remaining_in_minute = limit.a_minute - self.used.in_last_minute(name, self.wall)
+        remaining_in_minute = limit.max_per_minute - self.used.in_last_minute(name, self.wall)
         return max(0, min(remaining_in_minute, at_once - self.stopping[name]) - self.selected[name])
 
     def use(self, demand: PreemptionDemand, count: int) -> None:
--- a/alderbridge/preemption/eligibility.py
+++ b/alderbridge/preemption/eligibility.py
@@ -18,7 +18,7 @@
     return demand.rank > victim.rank or (guaranteed and beyond and demand.team != victim.team)
 
 
-class Teams:
+class GuaranteeUsage:
     """Usage and guarantees of the teams during victim selection."""
 
     def __init__(self, teams: Iterable[Team], used: Mapping[str, tuple[float, float]]) -> None:
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -1,9 +1,9 @@
 """Plans preemption claims on the leader and drops claims that are finished. Does no I/O.
 
-Each planning round (``constants.LEADER_ROUND_S``) drops finished claims and collects the demands of each policy
-(priorities, lending). If there are any, the machine shards are asked for their tasks; once all have answered, victims
-are selected and the claims are passed to the ledger. Nothing is planned while earlier claims are being written, nor
-before the fleet is reconciled after a failover.
+Each planning round (``constants.LEADER_ROUND_INTERVAL_S``) drops finished claims and collects the demands of each
+policy (priorities, lending). If there are any, the machine shards are asked for their tasks; once all have answered,
+victims are selected and the claims are passed to the ledger. Nothing is planned while earlier claims are being written,
+nor before the fleet is reconciled after a failover.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from alderbridge.claims.records import ClaimGroup, PreemptionClaim, budget_key
 from alderbridge.leader.leader import Leader
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
-from alderbridge.preemption.eligibility import Teams
+from alderbridge.preemption.eligibility import GuaranteeUsage
 from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.protocol.messages import MachineSummary, MachineTaskList, MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec
@@ -33,7 +33,7 @@
     """A source of preemption demands and its rules. The planner sets ``teams`` before victims are selected."""
 
     reason: str
-    teams: Teams
+    teams: GuaranteeUsage
 
     def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
         """Return tasks that cannot start in time without preemption, the most urgent first."""
@@ -68,9 +68,9 @@
     def __init__(self, leader: Leader, ledger: Ledger) -> None:
         """Read queues and machines from ``leader`` and pass claims to ``ledger``."""
         self.leader, self.ledger = leader, ledger
-        self.enter([])
+        self.enter_view([])
 
-    def enter(self, members: list[str]) -> None:
+    def enter_view(self, members: list[str]) -> None:
         """Enter a new view: discard all that was reported or requested in the previous one."""
         self.members = members
         self.task_lists: dict[str, tuple[MachineTaskList, float]] = {}  # label -> its answer, when it arrived
@@ -79,7 +79,7 @@
         self.pending: list[tuple[PreemptionPolicy, list[PreemptionDemand]]] = []  # until all shards have answered
         self.unused_since: dict[str, float] = {}  # machine -> since when its claim has been unused
 
-    def on_tasks(self, label: str, tasks: MachineTaskList, now: float) -> None:
+    def on_task_list(self, label: str, tasks: MachineTaskList, now: float) -> None:
         """Process a shard's report of its machines' tasks; ignored unless the sender is a member of the view."""
         if label not in self.members:
             return
@@ -93,7 +93,7 @@
         """Return the rows of all job shards' queues, by job, with their times advanced to ``now``."""
         return {row.job: row for queue in self.leader.queues.values() for row in queue.aged_rows(now)}
 
-    def promised(self) -> Counter[str]:
+    def claimed_tasks(self) -> Counter[str]:
         """Return, by job, the tasks that claims free capacity for.
 
         This may briefly count too many: tasks that already run there are counted until their claim is dropped.
@@ -103,7 +103,7 @@
             result[claim.job] += claim.count
         return result
 
-    def victims_left(self, machine: str, claim: PreemptionClaim) -> int:
+    def remaining_victims(self, machine: str, claim: PreemptionClaim) -> int:
         """Return how many victims of the claim may still be on the machine."""
         row = self.claimed_machines.get(machine)
         if row is None:
@@ -115,7 +115,7 @@
         """Return how many victims may still be on machines, by budget."""
         result: Counter[str] = Counter()
         for machine, claim in self.ledger.all().items():
-            result[budget_key(claim.team, claim.reason)] += self.victims_left(machine, claim)
+            result[budget_key(claim.team, claim.reason)] += self.remaining_victims(machine, claim)
         return result
 
     def plan(
@@ -123,7 +123,7 @@
         now: float,
         wall: float,
         policies: Sequence[PreemptionPolicy],
-        teams: Callable[[], Teams],
+        teams: Callable[[], GuaranteeUsage],
         max_changes: int,
     ) -> bool:
         """Advance planning by one step; returns whether the caller must ask all machine shards for their tasks.
@@ -133,7 +133,7 @@
         """
         if not self.leader.ready(now):
             return False
-        if now - self.last_round_at >= constants.LEADER_ROUND_S:
+        if now - self.last_round_at >= constants.LEADER_ROUND_INTERVAL_S:
             self._begin_round(now, wall, policies)
             if self.pending:
                 self.tasks_requested_at = now
@@ -168,7 +168,7 @@
             confirmed.append((policy, [demand._replace(count=count) for demand, count in counts if count > 0]))
         self.pending = confirmed
 
-    def _select(self, wall: float, teams: Teams, max_changes: int) -> None:
+    def _select(self, wall: float, teams: GuaranteeUsage, max_changes: int) -> None:
         """Select victims for the pending demands; each machine is used by at most one policy."""
         kinds = self._machine_kinds()
         rows = [row for tasks, _ in self.task_lists.values() for row in tasks.rows]
@@ -203,10 +203,10 @@
             if row.state == "up"
         }
 
-    def _count_stopping(self, teams: Teams) -> None:
+    def _count_stopping(self, teams: GuaranteeUsage) -> None:
         """Subtract the remaining victims of stored claims from their teams' usage."""
         for machine, claim in self.ledger.all().items():
-            for job, _, _ in claim.victims[: self.victims_left(machine, claim)]:
+            for job, _, _ in claim.victims[: self.remaining_victims(machine, claim)]:
                 spec = self.leader.replica.spec(job)
                 if spec is not None:
                     teams.count_victim(spec, 1)
@@ -222,10 +222,10 @@
                     attempt=attempt,
                     spec=spec,
                     ran_s=ran_s,
-                    saved_s_ago=ran_s % spec.checkpoint_s if spec.checkpoint_s > 0 else None,
-                    stops=ledger.stops_of(job, index),
+                    since_checkpoint_s=ran_s % spec.checkpoint_s if spec.checkpoint_s > 0 else None,
+                    stops=ledger.preemption_count(job, index),
                     sure=sure,
-                    since_stop_s=ledger.stopped_since(job, wall),
+                    since_first_preemption_s=ledger.seconds_since_first_preemption(job, wall),
                 )
                 result.append(victim)
         return result
@@ -236,7 +236,7 @@
         waiting = Counter({job: row.waiting + row.inherited for job, row in self.queue_rows(now).items()})
         reasons = {policy.reason for policy in policies}
         for machine, claim in ledger.all().items():
-            remaining = self.victims_left(machine, claim)
+            remaining = self.remaining_victims(machine, claim)
             if remaining == 0 and machine in self.claimed_machines:
                 ledger.entries[machine].mark_cleared()
             summary = summaries.get(machine)
@@ -247,7 +247,7 @@
             cause = self._cause_unused(machine, claim, summary, waiting[claim.job], remaining)
             if not cause:
                 self.unused_since.pop(machine, None)
-            elif now - self.unused_since.setdefault(machine, now) >= constants.CLAIM_UNUSED_S:
+            elif now - self.unused_since.setdefault(machine, now) >= constants.UNUSED_CLAIM_TTL_S:
                 ledger.drop(machine, cause)
         self.claimed_machines = {
             machine: row for machine, row in self.claimed_machines.items() if ledger.claim_of(machine) is not None
@@ -276,7 +276,7 @@
     ) -> str:
         """Return why the claim is unused now, or "".
 
-        A claim is dropped only after ``constants.CLAIM_UNUSED_S`` without use, because queues and machines are
+        A claim is dropped only after ``constants.UNUSED_CLAIM_TTL_S`` without use, because queues and machines are
         reported at different times.
         """
         if summary is None:
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -20,8 +20,8 @@
 def lost_seconds(victim: Victim) -> float:
     """Return the seconds lost by preempting the victim: its run, or else its final checkpoint, and the restart."""
     if victim.spec.checkpoint_s > 0:
-        return victim.spec.save_s + constants.DEPENDENCY_STEP_S
-    return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.DEPENDENCY_STEP_S
+        return victim.spec.save_s + constants.START_OVERHEAD_S
+    return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.START_OVERHEAD_S
 
 
 def lost_cpu_seconds(victim: Victim) -> float:
@@ -34,9 +34,9 @@
     spec = victim.spec
     if spec.service or not spec.estimate_s:
         return False
-    if spec.estimate_s - victim.ran_s <= constants.SPARED_REMAINING_S and victim.sure:
+    if spec.estimate_s - victim.ran_s <= constants.MIN_VICTIM_REMAINING_S and victim.sure:
         return True
-    return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * constants.SPARED_RUN_SHARE
+    return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * constants.MAX_VICTIM_RUN_SHARE
 
 
 def _count_nothing(victim: Victim, sign: int) -> None:
@@ -165,7 +165,7 @@
 
     def _cost(self, victims: list[_PlacedVictim]) -> float:
         return sum(
-            self.rules.victim_cost(victim) * (1 + constants.VICTIM_SPREAD * self.victims_of[victim.job])
+            self.rules.victim_cost(victim) * (1 + constants.SAME_JOB_VICTIM_COST_SHARE * self.victims_of[victim.job])
             for _, victim in victims
         )
 
--- a/alderbridge/priorities/configuration.py
+++ b/alderbridge/priorities/configuration.py
@@ -30,12 +30,16 @@
     urgency: list[str]  # priorities of the jobs; empty: any
     may_preempt: list[str]  # patterns of CLASS or OWNER/CLASS; empty: preempts nothing
     preemptible: bool
-    stops_a_minute: int  # maximum preemptions per minute caused by this class
-    stops_at_once: int  # maximum victims of this class stopping at one time
+    # maximum preemptions per minute caused by this class
+    max_preemptions_per_minute: int = msgspec.field(name="stops_a_minute")
+    # maximum victims of this class stopping at one time
+    max_concurrent_preemptions: int = msgspec.field(name="stops_at_once")
     share: float  # of all running tasks, the maximum stopping at one time for this class
-    least_run_s: float  # minimum run time before a task of this class may be preempted
-    most_stops: int  # maximum preemptions of one task of this class
-    waits_at_most_s: float  # since its first preemption; after it a job of this class is no longer preempted
+    # minimum run time before a task of this class may be preempted
+    min_run_s: float = msgspec.field(name="least_run_s")
+    max_preemptions_per_task: int = msgspec.field(name="most_stops")  # maximum preemptions of one task of this class
+    # since its first preemption; after it a job of this class is no longer preempted
+    preemptible_for_s: float = msgspec.field(name="waits_at_most_s")
 
     @property
     def title(self) -> str:
@@ -112,15 +116,16 @@
             f"class {declared.title} ({', '.join(declared.workloads)}; {', '.join(declared.urgency) or 'any urgency'})"
         )
         allowed = (
-            f"may stop {', '.join(preemptible)} where the protocol allows it: {declared.stops_a_minute} a minute, "
-            f"{declared.stops_at_once} at once, {declared.share:g} of what runs"
+            f"may stop {', '.join(preemptible)} where the protocol allows it: "
+            f"{declared.max_preemptions_per_minute} a minute, {declared.max_concurrent_preemptions} at once, "
+            f"{declared.share:g} of what runs"
             if preemptible
             else "stops nobody"
         )
         stopped = (
-            f"may be stopped after {declared.least_run_s:g} s, {declared.most_stops} times a task, until "
-            f"{declared.waits_at_most_s:g} s after the first"
-            if declared.preemptible and declared.most_stops
+            f"may be stopped after {declared.min_run_s:g} s, {declared.max_preemptions_per_task} times a task, until "
+            f"{declared.preemptible_for_s:g} s after the first"
+            if declared.preemptible and declared.max_preemptions_per_task
             else "is never stopped"
         )
         lines.append(f"{subject}: {allowed}; {stopped}")
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -33,13 +33,13 @@
     demands: Iterable[Demand],
     rows: Mapping[str, QueueRow],
     resources: Iterable[MachineResource],
-    promised: Counter[str],
+    claimed_tasks: Counter[str],
     preempted_jobs: Container[str],
 ) -> list[PreemptionDemand]:
     """Return tasks of jobs that may preempt and that neither free nor soon-to-be-free nor booting capacity can serve.
 
     ``demands``: all waiting tasks within the teams' limits. ``resources``: machines without a claim, because claimed
-    capacity is reserved. ``promised``: tasks by job that claims free capacity for. ``preempted_jobs``: jobs with
+    capacity is reserved. ``claimed_tasks``: tasks by job that claims free capacity for. ``preempted_jobs``: jobs with
     preempted tasks, which must not preempt others. Jobs are considered in the order of placement, which assigns the
     capacity.
     """
@@ -53,10 +53,16 @@
     if not preempting:
         return []
     waiting = [
-        Demand(demand.spec, max(0, demand.count - promised[demand.spec.id]), demand.due_in_s, demand.run_s, demand.zone)
+        Demand(
+            demand.spec,
+            max(0, demand.count - claimed_tasks[demand.spec.id]),
+            demand.due_in_s,
+            demand.run_s,
+            demand.zone,
+        )
         for demand in queue[: preempting[-1] + 1]
     ]
-    offered = [max(0, rows[demand.spec.id].offer - promised[demand.spec.id]) for demand in waiting]
+    offered = [max(0, rows[demand.spec.id].offer - claimed_tasks[demand.spec.id]) for demand in waiting]
     remaining, placed = place_on_free_capacity(waiting, offered, resources)
     shortfall = Walk(
         remaining, [reduce_count(demand, count) for demand, count in zip(waiting, placed, strict=True)]
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -10,7 +10,7 @@
 
 from alderbridge.claims.records import ClaimGroup
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
-from alderbridge.preemption.eligibility import Teams, allowed
+from alderbridge.preemption.eligibility import GuaranteeUsage, allowed
 from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, select_victims
 from alderbridge.priorities.configuration import PriorityClass, PriorityConfiguration
@@ -33,7 +33,7 @@
     def __init__(self, configurations: Sequence[PriorityConfiguration]) -> None:
         """``configurations``: all that are in force."""
         self.configurations = list(configurations)
-        self.teams = Teams([], {})  # set by the planner before victims are selected
+        self.teams = GuaranteeUsage([], {})  # set by the planner before victims are selected
         self._classes_cache: dict[tuple[str, str, str], list[PriorityClass] | None] = {}
 
     def classes(self, spec: JobSpec) -> list[PriorityClass] | None:
@@ -54,15 +54,15 @@
         """Whether tasks of such a job may be preempted at all; machine shards report these to the leader."""
         classes = self.classes(spec)
         return classes is not None and all(
-            priority_class.preemptible and priority_class.most_stops for priority_class in classes
+            priority_class.preemptible and priority_class.max_preemptions_per_task for priority_class in classes
         )
 
     def limit(self, demand: PreemptionDemand) -> PreemptionLimit:
         """Return the limits on preemptions caused by the demand's class."""
         classes = self.classes(demand.spec) or []
         return PreemptionLimit(
-            min((priority_class.stops_a_minute for priority_class in classes), default=0),
-            min((priority_class.stops_at_once for priority_class in classes), default=0),
+            min((priority_class.max_preemptions_per_minute for priority_class in classes), default=0),
+            min((priority_class.max_concurrent_preemptions for priority_class in classes), default=0),
             min((priority_class.share for priority_class in classes), default=0.0),
         )
 
@@ -76,9 +76,9 @@
         return all(
             demand_class.names(victim_class)
             and victim_class.preemptible
-            and victim.ran_s >= victim_class.least_run_s
-            and victim.stops < victim_class.most_stops
-            and victim.since_stop_s <= victim_class.waits_at_most_s
+            and victim.ran_s >= victim_class.min_run_s
+            and victim.stops < victim_class.max_preemptions_per_task
+            and victim.since_first_preemption_s <= victim_class.preemptible_for_s
             for demand_class, victim_class in zip(demand_classes, victim_classes, strict=True)
         )
 
@@ -89,7 +89,7 @@
         if not any(self.may_preempt(spec) for job in rows if (spec := leader.replica.spec(job)) is not None):
             return []
         return unserved_demands(
-            self, leader.demands(now), rows, leader.outlook(now, ledger.entries), planner.promised(), ledger.stops
+            self, leader.demands(now), rows, leader.outlook(now, ledger.entries), planner.claimed_tasks(), ledger.stops
         )
 
     is_reported = preemptible
--- a/alderbridge/protocol/jobs.py
+++ b/alderbridge/protocol/jobs.py
@@ -27,7 +27,7 @@
     team: Name = field(name="owner")
     kind: Literal["sweep", "standing", "group"] = field(name="shape")
     priority: Literal["production", "high", "standard", "best_effort"] = field(name="urgency")
-    tasks: Annotated[int, Meta(ge=1, le=constants.MAX_TASKS)] = field(name="parts")
+    tasks: Annotated[int, Meta(ge=1, le=constants.MAX_TASKS_PER_JOB)] = field(name="parts")
     cpus: Positive = field(name="vcpus")
     memory_gb: Amount = field(name="mem_gb")
     image: Name = field(name="bundle")
--- a/alderbridge/protocol/keys.py
+++ b/alderbridge/protocol/keys.py
@@ -5,14 +5,14 @@
 ROOT = "ab/"  # common prefix
 VIEW = "ab/view"  # membership view
 MEMBERS = "ab/m/"  # member records, by label
-TYPES = "ab/types"  # machine types, as last read from the cloud
+MACHINE_TYPES = "ab/types"  # machine types, as last read from the cloud
 JOBS = "ab/j/"  # job records, by id
 MACHINES = "ab/n/"  # machine records, by name
-LISTS = "ab/w/"  # lists of dependencies that are too long for the job record
-DECLARED = "ab/d/"  # operator configuration
+DEPENDENCY_LISTS = "ab/w/"  # lists of dependencies that are too long for the job record
+CONFIGURATIONS = "ab/d/"  # operator configuration
 CLAIMS = "ab/c/"  # preemption claims, by machine
-BUDGETS = "ab/b"  # preemptions of the last minute, by budget
-STOPS = "ab/s/"  # numbers of preemptions by task, by job id
+PREEMPTION_BUDGETS = "ab/b"  # preemptions of the last minute, by budget
+JOB_PREEMPTIONS = "ab/s/"  # numbers of preemptions by task, by job id
 
 
 def prefix_of(key: str) -> str:
@@ -20,11 +20,11 @@
     return key[: key.find("/", len(ROOT)) + 1] or key
 
 
-def list_keys(job: str, dependency_digest: str) -> list[str]:
+def dependency_list_keys(job: str, dependency_digest: str) -> list[str]:
     """Keys of a job's lists of dependencies.
 
     ``dependency_digest`` is DIGEST/COUNT, or "" if there are none. The value of a key never changes, as the digest of
     the dependencies is part of the key.
     """
     digest, _, count = dependency_digest.partition("/")
-    return [f"{LISTS}{job}/{digest}/{number}" for number in range(int(count or 0))]
+    return [f"{DEPENDENCY_LISTS}{job}/{digest}/{number}" for number in range(int(count or 0))]
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -35,10 +35,12 @@
 
 
 def _count_changed(sent: int, count: int) -> bool:
-    """Whether a count has changed enough to be sent at once: small counts by any change, others by ``QUEUE_SHARE``."""
-    if sent <= constants.QUEUE_EXACT or count <= constants.QUEUE_EXACT:
+    """Whether a count has changed enough to be sent at once: small counts by any change, others by
+    ``QUEUE_COUNT_CHANGE_DIVISOR``.
+    """
+    if sent <= constants.MAX_EXACT_QUEUE_COUNT or count <= constants.MAX_EXACT_QUEUE_COUNT:
         return sent != count
-    return abs(sent - count) * constants.QUEUE_SHARE > sent
+    return abs(sent - count) * constants.QUEUE_COUNT_CHANGE_DIVISOR > sent
 
 
 def _row_changed(published: _Published, row: QueueRow, now: float) -> bool:
@@ -55,14 +57,14 @@
     if _count_changed(sent.offer, row.offer) or _count_changed(sent.waiting, row.waiting):
         return True
     if (
-        abs(row.due_in_s + age_s - sent.due_in_s) > constants.QUEUE_TIME_S
-        or abs(row.run_s - sent.run_s) > constants.QUEUE_TIME_S
+        abs(row.due_in_s + age_s - sent.due_in_s) > constants.QUEUE_TIME_TOLERANCE_S
+        or abs(row.run_s - sent.run_s) > constants.QUEUE_TIME_TOLERANCE_S
     ):
         return True
-    if age_s < constants.LEADER_ROUND_S:
+    if age_s < constants.LEADER_ROUND_INTERVAL_S:
         return False
     return (row.waiting, row.offer, row.inherited) != (sent.waiting, sent.offer, sent.inherited) or (
-        age_s >= constants.QUEUE_REFRESH_S
+        age_s >= constants.QUEUE_ROW_REFRESH_INTERVAL_S
     )
 
 
@@ -102,7 +104,7 @@
 
     def _prune_removed(self) -> None:
         """Drop removals that every member was sent; a member that is far behind is sent the full queue next."""
-        if len(self.removed) > constants.QUEUE_ENDED_JOBS:
+        if len(self.removed) > constants.MAX_REMOVED_QUEUE_JOBS:
             newest = max(self.sent_versions.values(), default=0)
             self.sent_versions = {label: version for label, version in self.sent_versions.items() if version == newest}
         oldest = min(self.sent_versions.values(), default=self.version)
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -10,16 +10,20 @@
 from alderbridge import constants
 from alderbridge.protocol.messages import QueueDelta, QueueRow, QueueSnapshot
 from alderbridge.protocol.wire import JobSpec
-from alderbridge.scheduling.offers import KeepsTurn, Offer, Offers, keep_no_turn
+from alderbridge.scheduling.offers import IgnoresLateness, Offer, Offers, never_ignores_lateness
 
 
 class OfferBook:
     """The offers of all job shards under one view."""
 
-    def __init__(self, spec_of: Callable[[str], JobSpec | None], keeps_turn: KeepsTurn = keep_no_turn) -> None:
-        """``spec_of``: returns a job's spec, None before its record arrives; ``keeps_turn``: see ``offers.order``."""
+    def __init__(
+        self, spec_of: Callable[[str], JobSpec | None], ignores_lateness: IgnoresLateness = never_ignores_lateness
+    ) -> None:
+        """``spec_of``: returns a job's spec, None before its record arrives; ``ignores_lateness``: see
+        ``offers.order``.
+        """
         self.spec_of = spec_of
-        self.keeps_turn = keeps_turn
+        self.ignores_lateness = ignores_lateness
         self.offers = Offers()
         self.delta_senders: set[str] = set()  # members whose snapshots are ignored as late frames
         self.pending_rows: dict[str, dict[str, tuple[QueueRow, float]]] = {}  # member -> job -> (row, when it was sent)
@@ -53,7 +57,7 @@
         removed = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
         self.offers.update(label, offers, removed)
 
-    def resolve_unknown_jobs(self) -> None:
+    def add_pending_rows(self) -> None:
         """Add the offers of pending rows whose job records have arrived."""
         for label, rows in self.pending_rows.items():
             resolved = [
@@ -70,4 +74,4 @@
         return [self._offer(label, row, spec, sent_at) for row, spec in specs if spec is not None]
 
     def _offer(self, label: str, row: QueueRow, spec: JobSpec, sent_at: float) -> Offer:
-        return Offer(label, row, spec, sent_at, constants.PACKING_WAIT_S, self.keeps_turn)
+        return Offer(label, row, spec, sent_at, constants.PACKING_DELAY_S, self.ignores_lateness)
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -2,11 +2,11 @@
 
 States, for one view::
 
-    WHOLE_QUEUES ---> CHANGES
+    SNAPSHOTS ---> CHANGES
 
-* WHOLE_QUEUES: a current or joining member runs an older version; the full queue is sent in each round.
+* SNAPSHOTS: a current or joining member runs an older version; the full queue is sent in each round.
 * CHANGES: all members have published a protocol version with deltas; changes are sent in numbered messages. The state
-  does not return to WHOLE_QUEUES within a view, so receivers drop a full queue from a sender of deltas as a late frame.
+  does not return to SNAPSHOTS within a view, so receivers drop a full queue from a sender of deltas as a late frame.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class QueueFormat(Enum):
     """The format in which members are sent the queue."""
 
-    WHOLE_QUEUES = "whole queues"
+    SNAPSHOTS = "whole queues"
     CHANGES = "changes"
 
 
@@ -74,11 +74,11 @@
         """``own_label``: the label of this controller."""
         self.own_label = own_label
         self.delta_tracker = DeltaTracker()
-        self.enter()
+        self.enter_view()
 
-    def enter(self) -> None:
+    def enter_view(self) -> None:
         """Begin a new view: every member is sent the full state again."""
-        self.form = QueueFormat.WHOLE_QUEUES
+        self.form = QueueFormat.SNAPSHOTS
         self.delta_tracker.clear()
         self.last_sent: dict[str, LastSent] = {}  # by member
 
@@ -103,7 +103,7 @@
         ready = [
             label
             for label, link in round_.links.items()
-            if link.peer_fencing_token >= round_.fencing_token and link.backlog() < constants.QUEUE_BACKLOG
+            if link.peer_fencing_token >= round_.fencing_token and link.backlog() < constants.MAX_QUEUE_BACKLOG_MESSAGES
         ]
         for label in (self.own_label, *ready):
             numbered = label != self.own_label
@@ -120,13 +120,15 @@
             self.last_sent[label] = LastSent(message, sent_at, round_.links[label].received)
 
     def _broadcast(self, round_: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
-        """Yield the message for each member; an unchanged one only to acknowledge, or every ``MESH_PROBE_S``."""
+        """Yield the message for each member; an unchanged one only to acknowledge, or every
+        ``MESH_KEEP_ALIVE_INTERVAL_S``.
+        """
         for label, link in round_.links.items():
             last, sent_at, acknowledged = self.last_sent.get(label, _NEVER_SENT)
             if (
                 last != message
                 or acknowledged != link.received
-                or round_.now - sent_at >= constants.MESH_PROBE_S
+                or round_.now - sent_at >= constants.MESH_KEEP_ALIVE_INTERVAL_S
                 or (isinstance(message, QueueSnapshot) and message.rows)
             ):
                 self.last_sent[label] = LastSent(message, round_.now, link.received)
--- a/alderbridge/queues/sender_clock.py
+++ b/alderbridge/queues/sender_clock.py
@@ -20,8 +20,8 @@
         self.offset = math.inf  # local minus sender clock, plus the shortest delay of a message, in s
         self.updated_at = 0.0
 
-    def local_time(self, sent_at: float, now: float) -> float:
+    def to_local_time(self, sent_at: float, now: float) -> float:
         """Return the local time at which a message that arrives now was sent; never later than ``now``."""
-        max_offset = self.offset + 2 * constants.CLOCK_DRIFT * (now - self.updated_at)
+        max_offset = self.offset + 2 * constants.MAX_CLOCK_DRIFT * (now - self.updated_at)
         self.offset, self.updated_at = min(now - sent_at, max_offset), now
         return sent_at + self.offset
--- a/alderbridge/queues/shard_queue.py
+++ b/alderbridge/queues/shard_queue.py
@@ -111,7 +111,7 @@
         queue = self.get(label)
         return queue if queue is not None else self.incomplete.setdefault(label, ShardQueue())
 
-    def promote(self, label: str) -> None:
+    def promote_if_complete(self, label: str) -> None:
         """Move the job shard's queue out of ``incomplete`` once all of its parts have arrived."""
         queue = self.incomplete.get(label)
         if queue is not None and queue.received is Received.COMPLETE:
--- a/alderbridge/reconciliation/barrier.py
+++ b/alderbridge/reconciliation/barrier.py
@@ -45,6 +45,6 @@
         del self.machines_by_kind[kind]
         return True
 
-    def may_hold(self, spec: JobSpec) -> bool:
+    def may_run_tasks_of(self, spec: JobSpec) -> bool:
         """Whether any of the machines may still run a task of the job."""
         return any(not kind.type or allowed(spec, kind.type, kind.zone, kind.spot) for kind in self.machines_by_kind)
--- a/alderbridge/reconciliation/prober.py
+++ b/alderbridge/reconciliation/prober.py
@@ -10,7 +10,8 @@
 
 
 class HeartbeatProber:
-    """Probes each machine immediately in a given order, and retries with full jitter up to ``PROBE_TRIES`` times.
+    """Probes each machine immediately in a given order, and retries with full jitter up to ``MAX_PROBE_ATTEMPTS``
+    times.
 
     A machine that answers no probe hangs, is unreachable or dead. It is reconciled by its next heartbeat, the expiry
     of its lease, or its termination.
@@ -22,7 +23,7 @@
         self.queue: list[tuple[float, int, str]] = []  # heap of (due time, order, machine)
         self.tries: dict[str, int] = {}  # machine -> number of probes
 
-    def enter(self, machines: Iterable[str], now: float) -> None:
+    def enter_view(self, machines: Iterable[str], now: float) -> None:
         """Start a new view: replace the queue by these machines, in this order, due immediately."""
         self.queue = [(now, number, name) for number, name in enumerate(machines)]
         self.tries = {}
@@ -43,6 +44,8 @@
     def unanswered(self, name: str, now: float) -> None:
         """A probe failed: queue the machine again after a backoff, unless its tries are used up."""
         tries = self.tries.get(name, 0)
-        if 0 < tries < constants.PROBE_TRIES:
-            pause_s = self.rng.uniform(0.0, min(constants.PROBE_BACKOFF_MAX_S, constants.PROBE_BACKOFF_S * 2**tries))
+        if 0 < tries < constants.MAX_PROBE_ATTEMPTS:
+            pause_s = self.rng.uniform(
+                0.0, min(constants.PROBE_BACKOFF_MAX_S, constants.PROBE_BACKOFF_BASE_S * 2**tries)
+            )
             heapq.heappush(self.queue, (now + pause_s, len(self.queue), name))
--- a/alderbridge/reconciliation/scale_in_guard.py
+++ b/alderbridge/reconciliation/scale_in_guard.py
@@ -26,15 +26,17 @@
     def __init__(self, lease_s: float) -> None:
         """``lease_s``: lease of the workers. A silent machine has no tasks once it and the settling time are over."""
         self.overdue_after_s = (
-            lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S + constants.VIEW_SETTLE_S
+            lease_s * (1 + 2 * constants.MAX_CLOCK_DRIFT)
+            + constants.LEASE_EXPIRY_MARGIN_S
+            + constants.VIEW_SETTLE_TIMEOUT_S
         )
         self.knowledge = FleetKnowledge.RECONCILED
         self.since = 0.0  # when ``knowledge`` last changed to or from RECONCILED
-        self.postponed_returns = 0  # idle machines not returned during this reconciliation
+        self.postponed_scale_ins = 0  # idle machines not returned during this reconciliation
 
     def refresh(self, unreported: int, machines: int, inherited: int, now: float) -> FleetKnowledge:
         """Update the state; ``unreported``: machines that may still report; ``inherited``: tasks behind barriers."""
-        if unreported <= machines * constants.UNREPORTED_SHARE and not inherited:
+        if unreported <= machines * constants.MAX_UNREPORTED_SHARE and not inherited:
             self._set_reconciled(now)
         elif self.knowledge is FleetKnowledge.RECONCILED:
             self._set_reconciling(now)
@@ -51,12 +53,14 @@
         are many and may come back, so their leases are left to expire.
         """
         unreported = list(unreported)
-        if not inherited or len(unreported) > max(constants.PROOF_LEAST, machines * constants.PROOF_SHARE):
+        if not inherited or len(unreported) > max(
+            constants.EMPTY_PROOF_MIN_MACHINES, machines * constants.EMPTY_PROOF_MAX_SHARE
+        ):
             return []
-        return [name for name, silence_s in unreported if silence_s > constants.PROOF_SILENT_S]
+        return [name for name, silence_s in unreported if silence_s > constants.EMPTY_PROOF_SILENCE_S]
 
     @property
-    def may_return(self) -> bool:
+    def may_scale_in(self) -> bool:
         """Whether a machine may be returned because it is idle."""
         return self.knowledge is not FleetKnowledge.RECONCILING
 
@@ -65,15 +69,15 @@
         """Whether machines are rented for inherited tasks: not while these may still run."""
         return self.knowledge is FleetKnowledge.OVERDUE
 
-    def count_postponed_return(self) -> None:
+    def count_postponed_scale_in(self) -> None:
         """Count an idle machine that was not returned at the end of its paid block."""
-        self.postponed_returns += 1
+        self.postponed_scale_ins += 1
 
     def _set_reconciled(self, now: float) -> None:
-        self.knowledge, self.since, self.postponed_returns = FleetKnowledge.RECONCILED, now, 0
+        self.knowledge, self.since, self.postponed_scale_ins = FleetKnowledge.RECONCILED, now, 0
 
     def _set_reconciling(self, now: float) -> None:
-        self.knowledge, self.since, self.postponed_returns = FleetKnowledge.RECONCILING, now, 0
+        self.knowledge, self.since, self.postponed_scale_ins = FleetKnowledge.RECONCILING, now, 0
 
     def _set_overdue(self) -> None:
         self.knowledge = FleetKnowledge.OVERDUE
--- a/alderbridge/reconciliation/transitions.py
+++ b/alderbridge/reconciliation/transitions.py
@@ -30,7 +30,7 @@
     """State of a task observed by a machine shard on one machine: the columns of ``TRANSITIONS``."""
 
     LIVE = 0  # fetching, running or checkpointing
-    ORDERED = 1  # granted, but in no heartbeat yet: it may be on the machine, so it counts as there
+    PENDING = 1  # granted, but in no heartbeat yet: it may be on the machine, so it counts as there
     DONE = 2  # ended with a result
     ERROR = 3  # ended with an error
     STOPPED = 4  # ended because it was stopped or refused (full, busy, unknown); also an ended service
@@ -59,9 +59,9 @@
 
 # Row of each recorded state; its columns are the observed states in order.
 _BY_RECORDED_STATE: dict[RecordedState, tuple[Action, Action, Action, Action, Action, Action]] = {
-    #                            LIVE, ORDERED, DONE, ERROR, STOPPED, ABSENT
+    #                            LIVE, PENDING, DONE, ERROR, STOPPED, ABSENT
     RecordedState.UNKNOWN_JOB: (_STOP, _NOTHING, _ACKNOWLEDGE, _ACKNOWLEDGE, _ACKNOWLEDGE, _NOTHING),
-    # ORDERED tasks are adopted also if the job is cancelled. Otherwise they would not count towards the team's quota
+    # PENDING tasks are adopted also if the job is cancelled. Otherwise they would not count towards the team's quota
     # once all machines are reconciled.
     RecordedState.JOB_ENDED: (
         Action.ADOPT_AND_STOP,
--- a/alderbridge/scheduling/offers.py
+++ b/alderbridge/scheduling/offers.py
@@ -16,21 +16,21 @@
 BOOST_OFFSET_S = 1e9  # sorts offers with a priority boost before every deadline, in order of their waiting time
 
 
-KeepsTurn = Callable[[JobSpec], bool]
+IgnoresLateness = Callable[[JobSpec], bool]
 
 
-def keep_no_turn(spec: JobSpec) -> bool:
-    """``KeepsTurn`` for a policy under which no job may preempt others."""
+def never_ignores_lateness(spec: JobSpec) -> bool:
+    """``IgnoresLateness`` for a policy under which no job may preempt others."""
     return False
 
 
 def order(
-    row: QueueRow, spec: JobSpec, due_in_s: float, keeps_turn: KeepsTurn = keep_no_turn
+    row: QueueRow, spec: JobSpec, due_in_s: float, ignores_lateness: IgnoresLateness = never_ignores_lateness
 ) -> tuple[bool, int, float]:
     """The sort key of a job: jobs that can still meet a deadline first, then higher priority, then earlier deadline.
 
-    ``keeps_turn``: whether a job that has missed its deadlines still sorts by priority and deadline. Jobs that may
-    preempt do: sorted behind the others, they would see free capacity given away and then preempt tasks for it.
+    ``ignores_lateness``: whether a job that has missed its deadlines still sorts by priority and deadline. Jobs that
+    may preempt do: sorted behind the others, they would see free capacity given away and then preempt tasks for it.
 
     A job within its team's guarantee does not wait for other teams: it ranks above every priority. A job with
     dependents has the highest priority among them.
@@ -44,13 +44,13 @@
     )
     if row.priority_boost:
         return False, -rank, -row.waited_s  # within its rank before every deadline, longest wait first
-    return row.late and not keeps_turn(spec), -rank, due_in_s
+    return row.late and not ignores_lateness(spec), -rank, due_in_s
 
 
 class Offer:
     """Tasks of one job that its shard would grant now; ``left`` decreases as tasks are requested."""
 
-    __slots__ = ("key", "label", "row", "spec", "left", "young_until", "reserve_from")
+    __slots__ = ("key", "label", "row", "spec", "left", "packing_until", "reserve_from")
 
     def __init__(
         self,
@@ -59,15 +59,17 @@
         spec: JobSpec,
         now: float,
         packing_wait_s: float,
-        keeps_turn: KeepsTurn = keep_no_turn,
+        ignores_lateness: IgnoresLateness = never_ignores_lateness,
     ) -> None:
-        """``label``: the job shard; ``now``: when the row was sent, in seconds; ``keeps_turn``: see ``order``."""
+        """``label``: the job shard; ``now``: when the row was sent, in seconds; ``ignores_lateness``: see ``order``."""
         # The key holds absolute times, so that it stays valid as time passes.
-        late, rank, due = order(row, spec, now + row.due_in_s, keeps_turn)
+        late, rank, due = order(row, spec, now + row.due_in_s, ignores_lateness)
         self.key = (late, rank, now + due - BOOST_OFFSET_S) if row.priority_boost else (late, rank, due)
         self.label, self.row, self.spec, self.left = label, row, spec, row.offer
-        self.young_until = now - row.waited_s + packing_wait_s  # until then idle machines leave it to busy ones
-        self.reserve_from = now - row.waited_s + constants.RESERVE_AFTER_S  # no capacity is reserved for it earlier
+        self.packing_until = now - row.waited_s + packing_wait_s  # until then idle machines leave it to busy ones
+        self.reserve_from = (
+            now - row.waited_s + constants.RESERVE_MACHINE_AFTER_S
+        )  # no capacity is reserved for it earlier
 
 
 # Key of the offer, label of the job shard, job ID, offer. Shard and job make each entry unique, so that sorting never
@@ -83,13 +85,13 @@
         self.entries_by_shard: dict[str, dict[str, OfferEntry]] = {}  # label -> job -> entry
         self.sorted_entries: list[OfferEntry] | None = []  # of all shards; None: to be sorted at the next read
         self.offers_by_cpus: Counter[float] = Counter()  # CPUs of a task -> number of offers
-        self.least_cpus = math.inf  # CPUs of the smallest task
+        self.min_cpus = math.inf  # CPUs of the smallest task
 
     def clear(self) -> None:
         """Drop all offers, as for a new view."""
         self.entries_by_shard.clear()
         self.offers_by_cpus.clear()
-        self.least_cpus = math.inf
+        self.min_cpus = math.inf
         self.sorted_entries = None
 
     def replace(self, label: str, offers: Iterable[Offer]) -> None:
@@ -125,7 +127,7 @@
     def _update_min_cpus(self) -> None:
         for cpus in [cpus for cpus, count in self.offers_by_cpus.items() if not count]:
             del self.offers_by_cpus[cpus]
-        self.least_cpus = min(self.offers_by_cpus, default=math.inf)
+        self.min_cpus = min(self.offers_by_cpus, default=math.inf)
 
     def in_order(self) -> list[OfferEntry]:
         """All offers in placement order."""
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -128,7 +128,7 @@
     ``fetch_s``: how long the machine would take to fetch a job's image; 0 if it has the image.
     """
     requests: list[PlacementRequest] = []
-    free, min_cpus = machine.free, offers.least_cpus - 1e-9
+    free, min_cpus = machine.free, offers.min_cpus - 1e-9
     if free[0] < min_cpus:
         return requests
     deferred: list[OfferEntry] = []  # heap of offers whose image must be fetched, by deadline plus fetch time
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -157,7 +157,7 @@
     return kinds
 
 
-def keep_idle(walk: Walk, resource: MachineResource) -> bool:
+def must_keep_idle(walk: Walk, resource: MachineResource) -> bool:
     """Whether an idle rented machine stays because removing it predicts a breach (3.2).
 
     If it need not stay, it has been removed from the walk. Demands that cannot use the machine are ignored: they breach
@@ -175,6 +175,6 @@
     return True
 
 
-def block_ends(age_s: float, within_s: float) -> bool:
+def paid_block_ends_within(age_s: float, within_s: float) -> bool:
     """Whether the machine's paid block ends within ``within_s``; idle machines are returned only then."""
     return constants.PAID_BLOCK_S - age_s % constants.PAID_BLOCK_S <= within_s
--- a/alderbridge/scheduling/queue_times.py
+++ b/alderbridge/scheduling/queue_times.py
@@ -15,13 +15,13 @@
 def expected_run_time(spec: JobSpec, tuning: Tuning) -> float:
     """Expected Run Time of one task, in seconds: the requested time times the Workload Multiplier (3.1)."""
     if spec.service or spec.gang:
-        return constants.SERVICE_RUN_S  # long enough that its tasks are never planned one after another
-    return (spec.estimate_s or constants.UNKNOWN_RUN_S) * tuning.workload_multiplier
+        return constants.SERVICE_RUN_TIME_S  # long enough that its tasks are never planned one after another
+    return (spec.estimate_s or constants.DEFAULT_RUN_TIME_S) * tuning.workload_multiplier
 
 
 def max_queue_time(spec: JobSpec, tuning: Tuning) -> float:
     """Maximum Queue Time in seconds: the requested time times the Target Ratio, with a floor (3.1, Equation 1)."""
-    requested = spec.estimate_s or constants.UNKNOWN_RUN_S
+    requested = spec.estimate_s or constants.DEFAULT_RUN_TIME_S
     return max(tuning.queue_time_floor_s, requested * tuning.target_ratio)
 
 
@@ -47,7 +47,9 @@
         for objective in objectives
         if (time := _objective_time(objective, spec, guaranteed, run_s, waited_s)) is not None
     ]
-    times += [(by - run_s * constants.RUN_SAFETY, by - run_s * constants.RUN_OPTIMISM) for by in needed_s]
+    times += [
+        (by - run_s * constants.RUN_TIME_SAFETY_FACTOR, by - run_s * constants.MIN_RUN_TIME_FACTOR) for by in needed_s
+    ]
     floor = max_queue_time(spec, tuning)
     return sorted(times) or [(floor, floor)]
 
@@ -62,12 +64,12 @@
     if not within:
         return None
     if (objective.kind == "wait" and same_class) or (objective.kind == "guarantee" and guaranteed):
-        return within * constants.WAIT_SHARE, within
+        return within * constants.OBJECTIVE_QUEUE_TIME_SHARE, within
     if objective.kind in ("finished", "deadline") and same_class:
-        minimum_s, elapsed_s = within * constants.LEAST_SHARE, waited_s if deadline else 0.0
+        minimum_s, elapsed_s = within * constants.MIN_QUEUE_TIME_SHARE, waited_s if deadline else 0.0
         return (
-            max(minimum_s, within - run_s * constants.RUN_SAFETY) - elapsed_s,
-            max(minimum_s, within - run_s * constants.RUN_OPTIMISM) - elapsed_s,
+            max(minimum_s, within - run_s * constants.RUN_TIME_SAFETY_FACTOR) - elapsed_s,
+            max(minimum_s, within - run_s * constants.MIN_RUN_TIME_FACTOR) - elapsed_s,
         )
     return None
 
--- a/alderbridge/settings.py
+++ b/alderbridge/settings.py
@@ -57,7 +57,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerTimes(msgspec.Struct, frozen=True):
     """Heartbeat interval, lease duration, and time within which a cancelled job must have ended."""
 
     report_s: float
@@ -109,7 +109,7 @@
     list_lag_s: float
 
 
-class Limits(msgspec.Struct, frozen=True):
+class ProcessLimits(msgspec.Struct, frozen=True):
     """Resource limits of one controller process."""
 
     cpu: float
@@ -117,20 +117,20 @@
     max_sockets: int
 
 
-class Shared(msgspec.Struct, frozen=True):
+class SharedSettings(msgspec.Struct, frozen=True):
     """Settings that are the same for all controllers."""
 
     zones: list[str]
     teams: list[Team]
-    workers: Workers
+    workers: WorkerTimes
     state: StateLimits
     cloud: CloudSettings
-    limits: Limits
+    limits: ProcessLimits
     objectives: list[Objective] = []
     skew_ms: float = 0.0
 
 
-class Platform(msgspec.Struct, frozen=True):
+class PlatformSettings(msgspec.Struct, frozen=True):
     """The platform's settings file of one controller."""
 
     label: str
@@ -139,7 +139,7 @@
     mesh_addr: str
     peers: list[Peer]
     endpoints: Endpoints
-    settings: Shared
+    settings: SharedSettings
 
 
 class Tuning(msgspec.Struct, frozen=True):
@@ -179,14 +179,14 @@
     return host, int(port)
 
 
-def load_platform(path: str) -> Platform:
+def load_platform_settings(path: str) -> PlatformSettings:
     """Read and validate the platform's settings file; raises ``ConfigError`` for the first error."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
         raise ConfigError(f"{path}: cannot be read: {error.strerror}") from None
     try:
-        platform = msgspec.json.decode(raw, type=Platform)
+        platform = msgspec.json.decode(raw, type=PlatformSettings)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{path}: {error}") from None
     _check_addresses(platform, path)
@@ -197,7 +197,7 @@
     return platform
 
 
-def _check_addresses(platform: Platform, path: str) -> None:
+def _check_addresses(platform: PlatformSettings, path: str) -> None:
     addresses = {
         "listen": platform.listen,
         "mesh_addr": platform.mesh_addr,
@@ -212,7 +212,7 @@
             raise ConfigError(f"{path}: {key}: {error}") from None
 
 
-def _check_numbers(shared: Shared, path: str) -> None:
+def _check_numbers(shared: SharedSettings, path: str) -> None:
     """Raise ``ConfigError`` for a number that must be positive and is not."""
     positive: dict[str, float] = {
         "workers.lease_s": shared.workers.lease_s,
