--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -23,17 +23,17 @@
 from alderbridge.protocol.cloud import MachineType, MachineTypes
 from alderbridge.protocol.jobs import JobSpec
 from alderbridge.protocol.keys import (
-    BUDGETS,
     CLAIMS,
-    DECLARED,
+    CONFIGURATIONS,
+    DEPENDENCY_LISTS,
+    JOB_PREEMPTIONS,
     JOBS,
-    LISTS,
+    MACHINE_TYPES,
     MACHINES,
     MEMBERS,
-    STOPS,
-    TYPES,
+    PREEMPTION_BUDGETS,
     VIEW,
-    list_keys,
+    dependency_list_keys,
     prefix_of,
 )
 from alderbridge.protocol.store import MachineRecord, WatchEvent
@@ -83,7 +83,7 @@
         self.ledger = Ledger()  # preemption claims, budgets and preemptions
         self.active: dict[str, tuple[Record, int]] = {}  # job -> record and revision, of jobs that still have a spec
         self.left: dict[str, int] = {}  # of these, the number of tasks not recorded as done
-        self.by_age: list[tuple[float, str]] = []  # submission time and job, ascending; includes ended jobs
+        self.jobs_by_submission: list[tuple[float, str]] = []  # submission time and job, ascending; includes ended jobs
         self.unreadable_jobs: set[str] = set()  # jobs whose records this version can't decode
         self.ended: dict[str, JobState] = {}  # all ended jobs; kept until the process ends
         self.done_at: dict[str, float] = {}  # of jobs whose record has that time
@@ -94,15 +94,15 @@
         self.types_revision = 0
         self.revision = 0
         self._handlers: dict[str, _Handler] = {
-            TYPES: self._apply_types,
+            MACHINE_TYPES: self._apply_types,
             MEMBERS: self._apply_member,
             JOBS: self._apply_job,
-            LISTS: self._apply_list,
+            DEPENDENCY_LISTS: self._apply_list,
             MACHINES: self._apply_machine,
             CLAIMS: self._apply_preemption,
-            STOPS: self._apply_preemption,
-            BUDGETS: self._apply_preemption,
-            DECLARED: self._apply_configuration,
+            JOB_PREEMPTIONS: self._apply_preemption,
+            PREEMPTION_BUDGETS: self._apply_preemption,
+            CONFIGURATIONS: self._apply_configuration,
         }
 
     def apply(self, change: WatchEvent) -> bool:
@@ -121,7 +121,7 @@
         return False
 
     def _apply_types(self, _key: str, data: msgspec.Raw | None, revision: int) -> None:
-        types = None if data is None else decode_or_none(_machine_types_decoder, TYPES, data)
+        types = None if data is None else decode_or_none(_machine_types_decoder, MACHINE_TYPES, data)
         if types is not None:
             self.types = {kind.name: kind for kind in types.types}
             self.types_revision = revision
@@ -181,7 +181,7 @@
             self.left.pop(job, None)
         elif job not in self.ended or record.state is not JobState.ACTIVE:
             if current is None:
-                bisect.insort(self.by_age, (record.at, job))
+                bisect.insort(self.jobs_by_submission, (record.at, job))
             self.active[job] = (record, revision)
             self.left[job] = record.spec.tasks - sum(stop - start for start, stop in record.done)
 
@@ -196,14 +196,14 @@
 
     def oldest_first(self) -> list[tuple[float, str]]:
         """Active jobs in order of submission; ended ones may be among them."""
-        if len(self.by_age) > len(self.active) * 5 // 4 + constants.QUEUE_ROWS // 10:
-            self.by_age = [entry for entry in self.by_age if entry[1] in self.active]
-        return self.by_age
+        if len(self.jobs_by_submission) > len(self.active) * 5 // 4 + constants.MAX_QUEUE_ROWS // 10:
+            self.jobs_by_submission = [entry for entry in self.jobs_by_submission if entry[1] in self.active]
+        return self.jobs_by_submission
 
     def needs(self, job: str, record: Record) -> list[str]:
         """All dependencies of a job, from its record and its dependency lists."""
         result = list(record.spec.needs or ()) if record.spec is not None else []
-        for key in list_keys(job, record.dependency_digest):
+        for key in dependency_list_keys(job, record.dependency_digest):
             # A list is written before the job's record and deleted after the job's end. So if a list is missing, the
             # job has ended, and that has not been read yet. Until then the key stands in for its dependencies: no job
             # has that name, so it is a dependency that is not met.
--- a/alderbridge/state/store.py
+++ b/alderbridge/state/store.py
@@ -62,7 +62,7 @@
         method: str,
         target: str,
         body: Any = None,
-        timeout_s: float = constants.STATE_TIMEOUT_S,
+        timeout_s: float = constants.STORE_TIMEOUT_S,
         client: Client | None = None,
     ) -> tuple[int, bytes]:
         request_body = b"" if body is None else encode(body)
@@ -135,7 +135,7 @@
         status, response = await self._call(
             "GET",
             f"/follow?starts={ROOT}&from={revision}&wait_ms={wait_ms}",
-            timeout_s=constants.WATCH_WAIT_S + constants.STATE_TIMEOUT_S,
+            timeout_s=constants.WATCH_POLL_TIMEOUT_S + constants.STORE_TIMEOUT_S,
             client=self.watch_client,
         )
         if status == 410:
--- a/alderbridge/state/write_classes.py
+++ b/alderbridge/state/write_classes.py
@@ -54,10 +54,10 @@
         """The number of changes assured to the class now; a class with no changes waiting accumulates none."""
         bucket = self._buckets[write_class]
         if not is_waiting:
-            bucket.spend(now, max(0.0, bucket.available(now)))
+            bucket.consume(now, max(0.0, bucket.available(now)))
         return int(bucket.available(now))
 
-    def spend(self, write_class: WriteClass, now: float, changes: int) -> None:
+    def consume(self, write_class: WriteClass, now: float, changes: int) -> None:
         """Account for changes of the class; those beyond its assured rate were borrowed and are not paid back."""
         bucket = self._buckets[write_class]
-        bucket.spend(now, min(float(changes), bucket.available(now)))
+        bucket.consume(now, min(float(changes), bucket.available(now)))
--- a/alderbridge/state/write_rate_limit.py
+++ b/alderbridge/state/write_rate_limit.py
@@ -22,20 +22,20 @@
         self.share = rate / members
         self.budget = TokenBucket(self.share, self.share, now)
         self.assured = AssuredRates(self.share, now)
-        self.is_short = False  # users had to wait for the budget since the last report
+        self.users_waited = False  # users had to wait for the budget since the last report
         self.changes_made, self.counted_at = 0, now  # changes since the last report, and its time
         self.reported_rate = 0  # changes/s
         self.peers: dict[str, tuple[int, float]] = {}  # member -> reported changes/s, time
 
-    def enter(self, members: int, now: float) -> None:
+    def enter_view(self, members: int, now: float) -> None:
         """Apply a view with that many members. Only members write, so controllers outside the view get no share."""
         self.share = self.rate / max(1, members)
         self._change_rate(self.share, now)
         self.peers.clear()
 
-    def spend(self, changes: int, now: float) -> None:
+    def consume(self, changes: int, now: float) -> None:
         """Account for changes that have been sent."""
-        self.budget.spend(now, changes)
+        self.budget.consume(now, changes)
         self.changes_made += changes
 
     def record_peer_rate(self, label: str, changes: int, now: float) -> None:
@@ -45,16 +45,18 @@
     def refresh(self, now: float) -> None:
         """Update the rate reported to the other members, and the rate that this member may use."""
         # If users wait, update at once: from this round on, the member reports that it needs its share, and may borrow.
-        if now - self.counted_at >= constants.LEADER_ROUND_S or (self.is_short and self.reported_rate < self.share):
-            changes_made = math.ceil(self.changes_made / max(constants.ROUND_S, now - self.counted_at))
-            self.reported_rate = max(changes_made, math.ceil(self.share)) if self.is_short else changes_made
-            self.changes_made, self.counted_at, self.is_short = 0, now, False
+        if now - self.counted_at >= constants.LEADER_ROUND_INTERVAL_S or (
+            self.users_waited and self.reported_rate < self.share
+        ):
+            changes_made = math.ceil(self.changes_made / max(constants.ROUND_INTERVAL_S, now - self.counted_at))
+            self.reported_rate = max(changes_made, math.ceil(self.share)) if self.users_waited else changes_made
+            self.changes_made, self.counted_at, self.users_waited = 0, now, False
         if self.reported_rate < self.share:
             self._change_rate(self.share, now)
             return
         unused_rate, borrowers = 0.0, 1
         for changes, reported_at in self.peers.values():
-            if changes >= 0 and now - reported_at < constants.LENT_RATE_TTL_S:
+            if changes >= 0 and now - reported_at < constants.UNUSED_RATE_TTL_S:
                 unused_rate += max(0.0, self.share - changes)
                 borrowers += changes >= self.share
         self._change_rate(self.share + unused_rate / borrowers, now)
--- a/alderbridge/transport/known_head.py
+++ b/alderbridge/transport/cached_head.py
@@ -28,7 +28,7 @@
         """Start and end of the body in ``data``; (0, 0) if the head is different or incomplete."""
         position = 0
         if self.method:
-            position = data.find(b" ", len(self.method), constants.CACHED_HEAD_BYTES)
+            position = data.find(b" ", len(self.method), constants.MAX_CACHED_HEAD_BYTES)
             if (
                 position < 0
                 or not data.startswith(self.method)
@@ -45,7 +45,7 @@
         if end < 0 or not digits.isdigit() or not data.startswith(self.after, end):
             return 0, 0
         length, position = int(digits), end + len(self.after)
-        return (position, position + length) if length <= constants.MAX_BODY else (0, 0)
+        return (position, position + length) if length <= constants.MAX_BODY_BYTES else (0, 0)
 
 
 def cacheable_head(data: bytes, event: h11.Request | h11.Response) -> CachedHead | None:
@@ -71,7 +71,7 @@
     names = [name for name, _ in event.headers]
     line = b"HTTP/1.1 " if isinstance(event, h11.Response) else b"%b %b HTTP/1.1\r\n" % (event.method, event.target)
     return (
-        4 <= len(head) <= constants.CACHED_HEAD_BYTES
+        4 <= len(head) <= constants.MAX_CACHED_HEAD_BYTES
         and head.startswith(line)
         and event.http_version == b"1.1"
         and names.count(b"content-length") <= 1
--- a/alderbridge/transport/channel.py
+++ b/alderbridge/transport/channel.py
@@ -23,10 +23,10 @@
         self.next_seq = 1
         self.received = 0
         self.unacked: deque[tuple[int, Message, float]] = deque()  # sequence, body, when it was first sent
-        self.acked_at = float("-inf")  # when the newest acknowledged message was first sent
+        self.newest_acked_sent_at = float("-inf")  # when the newest acknowledged message was first sent
         self.resend_timer_started_at = now
         self.posted_at = now
-        self.stall_timer_started_at = now  # see ``is_stalled``
+        self.stall_timer_started_at = now  # see ``check_stalled``
 
     def post(self, body: Message, now: float) -> Frame:
         """A new frame for a message that must arrive: it is kept for resending until acknowledged."""
@@ -54,7 +54,7 @@
         if frame.fencing_token != self.fencing_token:
             return None
         while self.unacked and self.unacked[0][0] <= frame.ack:
-            self.acked_at = self.unacked.popleft()[2]
+            self.newest_acked_sent_at = self.unacked.popleft()[2]
             self.resend_timer_started_at = self.stall_timer_started_at = now
         if frame.seq == 0:
             return frame.body
@@ -64,8 +64,8 @@
         return frame.body
 
     def resend(self, now: float) -> list[Frame]:
-        """All unacknowledged frames, if there was no acknowledgement or resend for ``MESH_RESEND_S``."""
-        if not self.unacked or now - self.resend_timer_started_at < constants.MESH_RESEND_S:
+        """All unacknowledged frames, if there was no acknowledgement or resend for ``MESH_RESEND_TIMEOUT_S``."""
+        if not self.unacked or now - self.resend_timer_started_at < constants.MESH_RESEND_TIMEOUT_S:
             return []
         self.resend_timer_started_at = now
         return [self._frame(seq, body) for seq, body, _ in self.unacked]
@@ -74,16 +74,19 @@
         """Number of unacknowledged messages."""
         return len(self.unacked)
 
-    def is_quiet(self, now: float) -> bool:
-        """Whether no reliable message was posted for ``MESH_PROBE_S``: a keep-alive is due, to test the connection."""
-        return now - self.posted_at >= constants.MESH_PROBE_S
+    def needs_keep_alive(self, now: float) -> bool:
+        """Whether no reliable message was posted for ``MESH_KEEP_ALIVE_INTERVAL_S``: a keep-alive is due, to test the
+        connection.
+        """
+        return now - self.posted_at >= constants.MESH_KEEP_ALIVE_INTERVAL_S
 
-    def is_stalled(self, now: float) -> bool:
-        """Whether messages were pending without an acknowledgement for ``MESH_STALL_S``; if so, restart that timer.
+    def check_stalled(self, now: float) -> bool:
+        """Whether messages were pending without an acknowledgement for ``MESH_STALL_TIMEOUT_S``; if so, restart that
+        timer.
 
         The peer may have closed the connection while the network was partitioned, so that it has to be renewed.
         """
-        if not self.unacked or now - self.stall_timer_started_at < constants.MESH_STALL_S:
+        if not self.unacked or now - self.stall_timer_started_at < constants.MESH_STALL_TIMEOUT_S:
             return False
         self.stall_timer_started_at = now  # the next connection gets the full time
         return True
--- a/alderbridge/transport/framing.py
+++ b/alderbridge/transport/framing.py
@@ -60,7 +60,7 @@
         with memoryview(buffer) as view:
             while available - consumed >= _LENGTH_PREFIX.size:
                 (size,) = _LENGTH_PREFIX.unpack_from(view, consumed)
-                if size > constants.MAX_FRAME:
+                if size > constants.MAX_FRAME_BYTES:
                     raise msgspec.DecodeError(f"frame of {size} bytes")
                 if available - consumed - _LENGTH_PREFIX.size < size:
                     return
--- a/alderbridge/transport/http_client.py
+++ b/alderbridge/transport/http_client.py
@@ -13,7 +13,7 @@
 from alderbridge import constants
 from alderbridge.transport.errors import UnansweredError
 from alderbridge.transport.http_response import ResponseReader
-from alderbridge.transport.selector import IN, OUT, Poll
+from alderbridge.transport.selector import IN, OUT, EpollSelector
 from alderbridge.transport.sockets import connect, read
 
 now = time.monotonic
@@ -45,7 +45,7 @@
                 if method != "GET":  # it may have been carried out: the caller decides whether to retry
                     raise
         try:
-            sock = await curio.timeout_after(constants.CONNECT_S, connect, self.host, self.port)
+            sock = await curio.timeout_after(constants.CONNECT_TIMEOUT_S, connect, self.host, self.port)
         except curio.TaskTimeout:
             # The enclosing timeout_after would turn an inner TaskTimeout into an UncaughtTimeoutError.
             raise TimeoutError("connect") from None
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        poll: Poll,
+        poll: EpollSelector,
         host: str,
         port: int,
         reader: ResponseReader,
@@ -112,8 +112,8 @@
             self._end(None)
 
     def overdue(self, now: float, limit_s: float) -> bool:
-        """Whether the response took longer than ``limit_s``, or the connect longer than ``CONNECT_S``."""
-        return now - self.started_at > (limit_s if self.connected else min(limit_s, constants.CONNECT_S))
+        """Whether the response took longer than ``limit_s``, or the connect longer than ``CONNECT_TIMEOUT_S``."""
+        return now - self.started_at > (limit_s if self.connected else min(limit_s, constants.CONNECT_TIMEOUT_S))
 
     def close(self) -> None:
         """Abandon the request; ``on_done`` is called with None."""
--- a/alderbridge/transport/http_response.py
+++ b/alderbridge/transport/http_response.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from alderbridge.transport.known_head import CachedHead, cacheable_head
+from alderbridge.transport.cached_head import CachedHead, cacheable_head
 
 _END = h11.EndOfMessage()
 _DIGITS = re.compile("[0-9]+")
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -1,4 +1,6 @@
-"""HTTP/1.1 server on h11 and ``Poll``: limits, timeouts, and a fast path for heads that h11 has parsed before."""
+"""HTTP/1.1 server on h11 and ``EpollSelector``: limits, timeouts, and a fast path for heads that h11 has parsed
+before.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +15,8 @@
 import h11
 
 from alderbridge import constants
-from alderbridge.transport.known_head import CachedHead, cacheable_head
-from alderbridge.transport.selector import IN, OUT, Listener, Poll, open_listening_socket
+from alderbridge.transport.cached_head import CachedHead, cacheable_head
+from alderbridge.transport.selector import IN, OUT, EpollSelector, Listener, open_listening_socket
 
 log = logging.getLogger("http")
 now = time.monotonic
@@ -84,7 +86,7 @@
         """Start reading from a client; ``sock`` is non-blocking."""
         self.server, self.sock, self.fd = server, sock, sock.fileno()
         self.state = ConnectionState.READING
-        self.set_deadline(constants.IDLE_S)
+        self.set_deadline(constants.KEEP_ALIVE_TIMEOUT_S)
         self.cached_head: CachedHead | None = None  # head of its last cacheable request
         self.data = b""  # received bytes that h11 was not given
         self.head_received = False  # the current request has its head, but not its whole body
@@ -173,7 +175,7 @@
             self.parse_with_h11()  # h11 joins a body of many pieces once, not at each read
         else:
             self.head_received = True
-            self.set_deadline(constants.REQUEST_S)
+            self.set_deadline(constants.REQUEST_TIMEOUT_S)
 
     def parse_with_h11(self) -> None:
         """Pass the received part of a request to h11, which also gets the rest."""
@@ -209,7 +211,7 @@
                 self.begin_request(event)
             elif isinstance(event, h11.Data):
                 self.body_size += len(event.data)
-                if self.body_size > constants.MAX_BODY:
+                if self.body_size > constants.MAX_BODY_BYTES:
                     self.refuse(413, b'{"error":"body too large"}')
                     return
                 self.body_parts.append(bytes(event.data))
@@ -224,7 +226,7 @@
         self.request = request.method.decode(), request.target.decode("latin-1")
         self.body_parts, self.body_size = [], 0
         if not self.head_received:
-            self.set_deadline(constants.REQUEST_S)
+            self.set_deadline(constants.REQUEST_TIMEOUT_S)
 
     def send_continue(self) -> None:
         """Send "100 Continue": the client waits for it before it sends the body."""
@@ -293,7 +295,7 @@
             before, after = _response_head(status, tuple(extra))
             data = b"%b%d%b%b" % (before, len(body), after, body)
         self.state, self.unsent = ConnectionState.WRITING, data
-        self.set_deadline(constants.REQUEST_S)
+        self.set_deadline(constants.REQUEST_TIMEOUT_S)
         self.write()
 
     def write(self) -> None:
@@ -322,7 +324,7 @@
             http.start_next_cycle()
             self.request, self.uses_h11 = None, bool(http.trailing_data[0])
         self.state, self.head_received = ConnectionState.READING, False
-        self.set_deadline(constants.IDLE_S)
+        self.set_deadline(constants.KEEP_ALIVE_TIMEOUT_S)
         self.watch_for(IN)
         if self.uses_h11 or self.data:
             self.server.poll.schedule_ready(self)
@@ -343,7 +345,7 @@
     argument with the answer later.
     """
 
-    def __init__(self, handler: Handler, max_connections: int, poll: Poll) -> None:
+    def __init__(self, handler: Handler, max_connections: int, poll: EpollSelector) -> None:
         """``max_connections``: connections beyond this limit are closed at once."""
         self.handler, self.max_connections, self.poll = handler, max_connections, poll
         self.connections: set[Connection] = set()
@@ -362,7 +364,7 @@
     async def close_overdue(self, listener: Listener) -> None:
         """Close overdue connections. A periodic check costs less than a timer around each step of each request."""
         while True:
-            await curio.sleep(constants.OVERDUE_CHECK_S)
+            await curio.sleep(constants.OVERDUE_CHECK_INTERVAL_S)
             listener.resume()
             for connection in [each for each in self.connections if now() > each.deadline]:
                 connection.close()
--- a/alderbridge/transport/mesh.py
+++ b/alderbridge/transport/mesh.py
@@ -15,7 +15,7 @@
 from alderbridge.protocol.messages import Frame
 from alderbridge.settings import address
 from alderbridge.transport.framing import Encoder, split_frames
-from alderbridge.transport.selector import Listener, Poll, open_listening_socket
+from alderbridge.transport.selector import EpollSelector, Listener, open_listening_socket
 from alderbridge.transport.sockets import connect
 
 log = logging.getLogger("mesh")
@@ -28,7 +28,9 @@
 class Mesh:
     """One outgoing connection to each peer, and the incoming connections of the peers."""
 
-    def __init__(self, listen: str, peers: dict[str, str], deliver: Callable[[list[Frame]], None], poll: Poll) -> None:
+    def __init__(
+        self, listen: str, peers: dict[str, str], deliver: Callable[[list[Frame]], None], poll: EpollSelector
+    ) -> None:
         """``listen`` and ``peers`` (by label) are HOST:PORT; ``deliver`` is called with received frames of any peer."""
         self.listen_address, self.poll = address(listen), poll
         self.peers = {label: address(addr) for label, addr in peers.items()}
@@ -46,7 +48,7 @@
     def put(self, label: str, frame: Frame) -> None:
         """Queue a frame; it is dropped if the peer is not connected or its queue is full."""
         queue = self.queues[label]
-        if label not in self.connected or len(queue) > constants.MESH_BACKLOG:
+        if label not in self.connected or len(queue) > constants.MAX_MESH_QUEUE_FRAMES:
             return
         queue.append(self.encode(frame))
 
@@ -82,9 +84,9 @@
         )
         try:
             while True:  # a periodic check is cheaper than a timer for each read
-                await curio.sleep(constants.OVERDUE_CHECK_S)
+                await curio.sleep(constants.OVERDUE_CHECK_INTERVAL_S)
                 listener.resume()
-                silence_s = constants.MESH_SILENCE_S * 2
+                silence_s = constants.MESH_SILENCE_TIMEOUT_S * 2
                 for connection in [each for each in self.incoming if now() - each.received_at > silence_s]:
                     connection.close()
         finally:
@@ -101,7 +103,7 @@
         while True:
             sock = None
             try:
-                sock = await curio.timeout_after(constants.CONNECT_S, connect, *self.peers[label])
+                sock = await curio.timeout_after(constants.CONNECT_TIMEOUT_S, connect, *self.peers[label])
                 self.queues[label].clear()
                 self.renewing.discard(label)
                 self.connected.add(label)
@@ -115,7 +117,7 @@
                 self.sockets.pop(label, None)
                 if sock is not None:
                     await sock.close()
-            await curio.sleep(constants.MESH_RETRY_S)
+            await curio.sleep(constants.MESH_RECONNECT_DELAY_S)
 
     async def _write_queue(self, label: str, sock: curio.io.Socket) -> None:
         """Write the queue whenever woken, until the connection is to be renewed."""
@@ -132,7 +134,7 @@
             queue.clear()
             self.writing.add(label)
             try:
-                await curio.timeout_after(constants.MESH_SILENCE_S, sock.sendall, data)
+                await curio.timeout_after(constants.MESH_SILENCE_TIMEOUT_S, sock.sendall, data)
             finally:
                 self.writing.discard(label)
 
--- a/alderbridge/transport/selector.py
+++ b/alderbridge/transport/selector.py
@@ -44,7 +44,7 @@
         self.fileobj, self.fd, self.events, self.data = fileobj, fd, events, data
 
 
-class Poll:
+class EpollSelector:
     """A selector for ``curio.run``, and the loop that handles the watched connections."""
 
     def __init__(self, interval_s: float = 0.0) -> None:
@@ -185,7 +185,7 @@
 class Listener:
     """Accepts connections and passes them to a callback."""
 
-    def __init__(self, poll: Poll, sock: socket.socket, on_accept: Callable[[socket.socket], object]) -> None:
+    def __init__(self, poll: EpollSelector, sock: socket.socket, on_accept: Callable[[socket.socket], object]) -> None:
         """``on_accept`` is called with each new connection, a non-blocking socket."""
         self.poll, self.sock, self.on_accept = poll, sock, on_accept
         sock.setblocking(False)
--- a/alderbridge/transport/token_bucket.py
+++ b/alderbridge/transport/token_bucket.py
@@ -16,7 +16,7 @@
         self.at = now
 
     def available(self, now: float) -> float:
-        """Number of tokens; negative after ``spend`` took more than there were."""
+        """Number of tokens; negative after ``consume`` took more than there were."""
         self._refill(now)
         return self.level
 
@@ -33,7 +33,7 @@
         self.level -= amount
         return True
 
-    def spend(self, now: float, amount: float = 1.0) -> None:
+    def consume(self, now: float, amount: float = 1.0) -> None:
         """Take tokens even if there are not enough, for calls that cannot wait."""
         self._refill(now)
         self.level -= amount
--- a/scale/platform_server.py
+++ b/scale/platform_server.py
@@ -21,7 +21,7 @@
 
 WATCH_POLL_S = 0.02
 CUT_LINK_HANG_S = 5.0  # longer than any client's timeout
-MAX_BODY = 256 * 1024
+MAX_BODY_BYTES = 256 * 1024
 
 
 def respond(answer: Answer) -> web.Response:
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -8,7 +8,7 @@
 
 from alderbridge import settings
 from alderbridge.calendars import configuration as hours
-from alderbridge.claims.records import JobPreemptions, PreemptionClaim, PreemptionsSpent
+from alderbridge.claims.records import JobPreemptions, PreemptionClaim, PreemptionUsage
 from alderbridge.configuration.records import ConfigurationHead, StoredRevision, head_key, piece_keys
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.task_states import TaskState
@@ -20,18 +20,18 @@
 from alderbridge.priorities import policy
 from alderbridge.protocol import messages, wire
 from alderbridge.protocol.keys import (
-    BUDGETS,
     CLAIMS,
-    DECLARED,
+    CONFIGURATIONS,
+    DEPENDENCY_LISTS,
+    JOB_PREEMPTIONS,
     JOBS,
-    LISTS,
+    MACHINE_TYPES,
     MACHINES,
     MEMBERS,
+    PREEMPTION_BUDGETS,
     ROOT,
-    STOPS,
-    TYPES,
     VIEW,
-    list_keys,
+    dependency_list_keys,
 )
 
 JOB = wire.JobSpec(
@@ -234,7 +234,7 @@
         at=1700000000.25,
     ),
     "record-stops": JobPreemptions(tasks={4: 2, 6: 1}, first=1700000000.25),
-    "record-spent": PreemptionsSpent(stops={"forecasts/serving": [(1700000000, 3)]}),
+    "record-spent": PreemptionUsage(stops={"forecasts/serving": [(1700000000, 3)]}),
     "record-declaration": ConfigurationHead(
         revision=4,
         digest="d4",
@@ -272,13 +272,13 @@
         serve=[lending.ServingClass(owner="forecasts", workload="llm-*")],
         lend=[
             lending.LendingClass(
-                owner="*", workload="fine-tune", least_run_s=21.5, most_stops=4, waits_at_most_s=901.5
+                owner="*", workload="fine-tune", min_run_s=21.5, max_preemptions_per_task=4, preemptible_for_s=901.5
             ),
         ],
         reserve={"forecasts": 5.5},
-        gpus_a_minute=65,
-        gpus_at_once=33,
-        keep_s=31.5,
+        gpus_per_minute=65,
+        max_stopping_gpus=33,
+        retention_s=31.5,
     ),
     "declared-priorities": priorities.PriorityConfiguration(
         classes=[
@@ -289,12 +289,12 @@
                 urgency=["high", "production"],
                 may_preempt=["urgent"],
                 preemptible=True,
-                stops_a_minute=61,
-                stops_at_once=21,
+                max_preemptions_per_minute=61,
+                max_concurrent_preemptions=21,
                 share=0.25,
-                least_run_s=11.5,
-                most_stops=3,
-                waits_at_most_s=601.5,
+                min_run_s=11.5,
+                max_preemptions_per_task=3,
+                preemptible_for_s=601.5,
             )
         ]
     ),
@@ -310,7 +310,7 @@
     "older-record-presence": MemberRecord(lease_id=7, protocol_version=1),
     "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
     "older-record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE_REQUIRED]),
-    "older-record-spent": PreemptionsSpent(stops={}),
+    "older-record-spent": PreemptionUsage(stops={}),
     "older-record-declaration": ConfigurationHead(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
     "older-record-declaration-first": ConfigurationHead(
         revision=4, digest="d4", parts=2, at=1700000000.25, before=StoredRevision(revision=0, digest="", parts=0)
@@ -322,7 +322,7 @@
         ],
     ),
     "older-declared-lending": lending.LendingConfiguration(
-        serve=[], lend=[], reserve={}, gpus_a_minute=0, gpus_at_once=0, keep_s=0.0
+        serve=[], lend=[], reserve={}, gpus_per_minute=0, max_stopping_gpus=0, retention_s=0.0
     ),
     "older-declared-priorities": priorities.PriorityConfiguration(classes=[]),
 }
@@ -413,18 +413,18 @@
         "all": ROOT,
         "view": VIEW,
         "presence": MEMBERS + "host-1",
-        "machine types": TYPES,
+        "machine types": MACHINE_TYPES,
         "job": JOBS + "wk-000017",
         "machine": MACHINES + "vm-1",
-        "what a job waits for": LISTS,
-        "lists of one job": list_keys("wk-000017", "8a7b6c5d/2"),
-        "no lists": list_keys("wk-000017", ""),
-        "declarations": DECLARED,
+        "what a job waits for": DEPENDENCY_LISTS,
+        "lists of one job": dependency_list_keys("wk-000017", "8a7b6c5d/2"),
+        "no lists": dependency_list_keys("wk-000017", ""),
+        "declarations": CONFIGURATIONS,
         "declaration": head_key("hours"),
         "pieces of a declaration": piece_keys("hours", StoredRevision(revision=4, digest="d4", parts=2)),
         "claim": CLAIMS + "vm-1",
-        "budgets": BUDGETS,
-        "stops": STOPS + "wk-000017",
+        "budgets": PREEMPTION_BUDGETS,
+        "stops": JOB_PREEMPTIONS + "wk-000017",
     },
     "texts": {
         "job: active, done, aborted": [JobState.ACTIVE, JobState.DONE, JobState.ABORTED],
@@ -452,17 +452,17 @@
 
 # The platform's settings, and the operators'.
 PLATFORM = {
-    "settings-platform": settings.Platform(
+    "settings-platform": settings.PlatformSettings(
         label="host-1",
         location="north-1",
         listen="10.0.0.1:8001",
         mesh_addr="10.0.0.1:9001",
         peers=[settings.Peer(label="host-2", location="south-2", addr="10.0.0.2:9001")],
         endpoints=settings.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
-        settings=settings.Shared(
+        settings=settings.SharedSettings(
             zones=["north-1", "south-2"],
             teams=[settings.Team(name="forecasts", cpus=10.5, cpus_max=20.5, gpus=1.5, gpus_max=2.5)],
-            workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
+            workers=settings.WorkerTimes(report_s=1.5, lease_s=12.5, cancel_s=5.5),
             state=settings.StateLimits(
                 rps=50.5,
                 write_rps=20.5,
@@ -471,25 +471,25 @@
                 next=settings.NextStateLimits(rps=40.5, write_rps=10.5, value_kb=16.5, txn_ops=24),
             ),
             cloud=settings.CloudSettings(rps=5.5, list_lag_s=3.5),
-            limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
+            limits=settings.ProcessLimits(cpu=1.5, memory_mb=512.5, max_sockets=256),
             objectives=[settings.Objective(kind="wait", job_class="batch-fit", within_s=60.5, share=0.95, times=1.25)],
             skew_ms=200.5,
         ),
     ),
-    "settings-platform-required": settings.Platform(
+    "settings-platform-required": settings.PlatformSettings(
         label="host-1",
         location="north-1",
         listen="10.0.0.1:8001",
         mesh_addr="10.0.0.1:9001",
         peers=[],
         endpoints=settings.Endpoints(cloud="10.0.1.1:8100", state="10.0.1.2:8200"),
-        settings=settings.Shared(
+        settings=settings.SharedSettings(
             zones=["north-1"],
             teams=[settings.Team(name="forecasts", cpus=0.0, cpus_max=0.0, gpus=0.0, gpus_max=0.0)],
-            workers=settings.Workers(report_s=1.5, lease_s=12.5, cancel_s=5.5),
+            workers=settings.WorkerTimes(report_s=1.5, lease_s=12.5, cancel_s=5.5),
             state=settings.StateLimits(rps=50.5, write_rps=20.5, value_kb=64.5, txn_ops=32, next=None),
             cloud=settings.CloudSettings(rps=5.5, list_lag_s=3.5),
-            limits=settings.Limits(cpu=1.5, memory_mb=512.5, max_sockets=256),
+            limits=settings.ProcessLimits(cpu=1.5, memory_mb=512.5, max_sockets=256),
             objectives=[settings.Objective(kind="wait", job_class=None, within_s=None, share=0.0, times=None)],
             skew_ms=0.0,
         ),
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -77,10 +77,10 @@
         for step, pause in (
             (self.hold, 1.5),
             (self.follow, 0.15),
-            (self.view, constants.ROUND_S),
+            (self.view, constants.ROUND_INTERVAL_S),
             (self.write, 0.05),
-            (self.round, constants.ROUND_S),
-            (self.lead, constants.LEADER_ROUND_S),
+            (self.round, constants.ROUND_INTERVAL_S),
+            (self.lead, constants.LEADER_ROUND_INTERVAL_S),
         ):
             world.after(world.rng.random() * 0.2, self.loop, generation, step, pause)
 
@@ -123,7 +123,7 @@
         if world.t < self.refused_until and not cut:
             # The watch that was open when the refusals began hangs until the client times out.
             hangs, self.follow_hangs = self.follow_hangs and reads, self.follow_hangs and not reads
-            world.after(constants.WATCH_WAIT_S + STORE_S if hangs else 0.01, settle, None)
+            world.after(constants.WATCH_POLL_TIMEOUT_S + STORE_S if hangs else 0.01, settle, None)
             return
         lost = rng.random()
         if cut or lost < 0.01:
@@ -272,7 +272,7 @@
             return  # the program idles until then as well
         batch = core.record_writer.next_batch(world.t)
         if batch is None:
-            self.writer_idle_until = world.t + core.record_writer.next_write_in(world.t)
+            self.writer_idle_until = world.t + core.record_writer.next_write_delay_s(world.t)
             return
         self.busy = True
 
@@ -478,14 +478,14 @@
             if submission is None:
                 self.query_status(spec.id, callback)
             else:
-                wait(submission, world.t + constants.SUBMIT_WAIT_S)
+                wait(submission, world.t + constants.SUBMIT_TIMEOUT_S)
 
     def withdraw(self, job: str, callback, since: float | None = None) -> None:
         """Replies with the final state once it is stored; None: not the job owner, or not stored in time."""
         core, generation, world = self.core, self.life, self.world
         since = world.t if since is None else since
         state = core.local_jobs.cancel(job, world.t)
-        if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
+        if state == "" and world.t - since < constants.SUBMIT_TIMEOUT_S:
             world.after(0.1, lambda: generation == self.life and self.withdraw(job, callback, since))
         else:
             callback(state or None)
@@ -554,7 +554,7 @@
         heartbeat = wire.parse_heartbeat(raw)
         if not core.state.loaded or not core.membership.may_act(world.t):
             return reply(503, b"")
-        owner = core.membership.report_to(heartbeat.machine)
+        owner = core.membership.heartbeat_target(heartbeat.machine)
         if owner != self.label:
             return reply(421, owner.encode())
         fencing_token = core.membership.fencing_token
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -6,15 +6,15 @@
 from alderbridge.settings import (
     CloudSettings,
     Endpoints,
-    Limits,
     NextStateLimits,
     Objective,
     Peer,
-    Platform,
-    Shared,
+    PlatformSettings,
+    ProcessLimits,
+    SharedSettings,
     StateLimits,
     Team,
-    Workers,
+    WorkerTimes,
 )
 
 LABELS = ["host-0", "host-1", "host-2", "host-3", "host-4"]
@@ -36,15 +36,17 @@
 ]
 
 
-def platform(label: str, labels: list[str], next_limits: NextStateLimits | None = None) -> Platform:
+def platform(label: str, labels: list[str], next_limits: NextStateLimits | None = None) -> PlatformSettings:
     peers = [Peer(other, "a", "127.0.0.1:1") for other in labels if other != label]
-    shared = Shared(
+    shared = SharedSettings(
         ZONES,
         TEAMS,
-        Workers(HEARTBEAT_S, LEASE_S, CANCEL_S),
+        WorkerTimes(HEARTBEAT_S, LEASE_S, CANCEL_S),
         StateLimits(100.0, 60.0, 4.0, 12, next_limits),
         CloudSettings(6.0, 4.0),
-        Limits(0.75, 186.0, 1000),
+        ProcessLimits(0.75, 186.0, 1000),
         OBJECTIVES,
     )
-    return Platform(label, "a", "127.0.0.1:1", "127.0.0.1:2", peers, Endpoints("127.0.0.1:3", "127.0.0.1:4"), shared)
+    return PlatformSettings(
+        label, "a", "127.0.0.1:1", "127.0.0.1:2", peers, Endpoints("127.0.0.1:3", "127.0.0.1:4"), shared
+    )
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -125,7 +125,7 @@
         elif kind == "cut_from_store_and_peers":  # workers and users still reach it
             sim.cut_store_until = sim.cut_mesh_until = self.t + max(10.0, length)
             if rng.random() < 0.5:
-                sim.mesh_delayed_until = self.t + constants.MESH_STALL_S
+                sim.mesh_delayed_until = self.t + constants.MESH_STALL_TIMEOUT_S
         elif kind == "refused":
             if rng.random() < 0.5:  # writes are applied without a response before the refusals begin
                 self.store.late_share, self.store.delayed_writes_until = 0.8, self.t + 3.0
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -254,7 +254,7 @@
                 else max(machine.last_heartbeat_at, machine.lease.exclusive_since or math.inf)
             )
             if machine.lease.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
-                if last_contact_at < machine_shard.leases.oldest_start:
+                if last_contact_at < machine_shard.leases.oldest_lease_start:
                     raise Broken(f"books: {machine.name} was silent since {last_contact_at}, no expiry check is due")
         for machine in machine_shard.machines.values():
             cached, machine.free = machine.free, None
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -49,7 +49,7 @@
     def outage(self, duration_s: float) -> None:
         self.down_until = max(self.down_until, self.world.t + duration_s)
         for lease_id in self.holds:
-            self.holds[lease_id] = self.down_until + constants.TOTAL_LEASE_S - LEASE_S
+            self.holds[lease_id] = self.down_until + constants.COMBINED_LEASE_S - LEASE_S
 
     def end(self, lease_id: int) -> None:
         if self.holds.pop(lease_id, None) is None:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -396,7 +396,7 @@
             self.pending_queries[query_id] = (
                 sim.label,
                 sim.life,
-                self.t + constants.SUBMIT_WAIT_S,
+                self.t + constants.SUBMIT_TIMEOUT_S,
                 lambda state: state and on_cancelled(job, state),
             )
             core.messenger.send_unreliable(owner, messages.JobQuery(query_id, "withdraw", job))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,7 +12,7 @@
 from alderbridge.protocol.keys import JOBS
 from alderbridge.settings import Tuning
 from alderbridge.transport.errors import UnansweredError
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 JOB = {
     "id": "wk-000412",
@@ -109,7 +109,7 @@
 @pytest.fixture
 def controller(monkeypatch):
     """A controller that may act; each test replaces ``get`` of its store."""
-    result = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
+    result = Controller(platform("host-0", LABELS[:3]), Tuning(), EpollSelector())
     result.core.state.loaded = True
     wide = msgspec.structs.replace(TYPES["large"], name="wide", cpus=64.0)
     only_a = msgspec.structs.replace(TYPES["large"], name="one_zone", zones=["a"])
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -42,8 +42,8 @@
     return Timetable(parse_text(f"{hours}\n[class desk/*]\ncalendar = {name}\n{job_class}"))
 
 
-def timestamp(*local_time: int, zone: str = "Europe/Oslo", fold: int = 0) -> float:
-    return datetime(*local_time, tzinfo=ZoneInfo(zone), fold=fold).timestamp()
+def timestamp(*to_local_time: int, zone: str = "Europe/Oslo", fold: int = 0) -> float:
+    return datetime(*to_local_time, tzinfo=ZoneInfo(zone), fold=fold).timestamp()
 
 
 def may_start(timetable, wall: float, skew_s: float = 0.0, spec=SPEC) -> bool:
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -16,7 +16,7 @@
 from alderbridge.protocol.messages import TaskRequest
 
 START_TIME = 20752 * DAY - 180.0  # time of day at the start, three minutes before midnight UTC
-SKEW_S, CONFIGURATION_KEY, TTL_S = 2.0, "ab/hours", constants.TOTAL_LEASE_S - simulation.LEASE_S
+SKEW_S, CONFIGURATION_KEY, TTL_S = 2.0, "ab/hours", constants.COMBINED_LEASE_S - simulation.LEASE_S
 STOP_DELAY_S = 5.0  # s; a heartbeat interval and the delivery of the command
 
 
@@ -85,7 +85,7 @@
             if CONFIGURATION_KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
                 sim.core.calendars.apply(self.configurations[number - 1 : number + 1])
-                self.after(TTL_S + constants.PROOF_MARGIN_S, self.enforce, sim, life, number)
+                self.after(TTL_S + constants.LEASE_EXPIRY_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
         is_running = sim.core is not None and sim.life == life and sim.core.calendars.gate is not None
@@ -111,7 +111,9 @@
         return [
             configuration
             for configuration, since, until in zip(self.configurations, self.stored_at, replaced_at, strict=True)
-            if since + TTL_S + constants.ORDER_DELIVERY_S <= self.t < until + TTL_S + constants.PROOF_MARGIN_S
+            if since + TTL_S + constants.MAX_ORDER_DELIVERY_S
+            <= self.t
+            < until + TTL_S + constants.LEASE_EXPIRY_MARGIN_S
         ]
 
     def closing_time(
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -119,7 +119,7 @@
         def answered(answer) -> None:
             if isinstance(answer, wire.TransactionResult) and answer.revision < 0:  # 429, as in ``RecordWriter``
                 budget = self.core.write_rate_limit.budget
-                budget.spend(self.world.t, max(0.0, budget.available(self.world.t)))
+                budget.consume(self.world.t, max(0.0, budget.available(self.world.t)))
                 answer = wire.TransactionResult(0, [VIEW])
             then(answer)
 
@@ -132,7 +132,7 @@
         super().tell_users()
 
 
-class Rooms(World):
+class RateLimitedStoreWorld(World):
     """Simulated users submit, cancel and poll jobs at a store with a write rate limit; all outcomes are recorded."""
 
     process = UserController
@@ -143,7 +143,7 @@
         self.sent_at: dict[str, float] = {}
         self.starts_after_cancel: list[str] = []  # ordered after the confirmed cancellation of their job
         self.open_submissions: dict[Submission, tuple] = {}
-        self.takes_users = list(LABELS)
+        self.submission_controllers = list(LABELS)
         super().__init__(
             seed,
             jobs=0,
@@ -189,7 +189,9 @@
         if spec.id in self.accepted_at:  # already confirmed to the user, possibly because the store had it before
             return
         healthy = [
-            label for label in self.takes_users if (core := self.nodes[label].core) is not None and core.may_act()
+            label
+            for label in self.submission_controllers
+            if (core := self.nodes[label].core) is not None and core.may_act()
         ]
         if not healthy:
             self.after(1.0, self.attempt, spec)
@@ -204,7 +206,7 @@
         submission = sim.core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
         self.open_submissions[submission] = (spec, life)
-        self.after(constants.SUBMIT_WAIT_S, self.on_submission_timeout, submission)
+        self.after(constants.SUBMIT_TIMEOUT_S, self.on_submission_timeout, submission)
 
     def on_submission_outcome(self, submission: Submission) -> None:
         spec, _ = self.open_submissions.pop(submission, (None, None))
@@ -268,7 +270,7 @@
     return msgspec.structs.replace(spec, **overrides)
 
 
-class OneTaskJobStream(Rooms):
+class OneTaskJobStream(RateLimitedStoreWorld):
     """``rate`` jobs per second, of which users cancel every fourth within seconds, some at once."""
 
     def __init__(self, seed, duration_s=130.0, rate=4.0, start_s=20.0, **kwargs) -> None:
@@ -291,7 +293,7 @@
 def run_stream(seed, users=None, alone=False, until=0.0, leader_ends=True, **kwargs):
     """``users``: the controllers that take submissions. ``alone``: all other controllers are down from the start."""
     world = OneTaskJobStream(seed, **kwargs)
-    world.takes_users = users or world.takes_users
+    world.submission_controllers = users or world.submission_controllers
     world.run(15.0)
     for sim in world.nodes.values() if alone else ():
         if sim.label not in users:
@@ -330,7 +332,10 @@
             or core.job_shard.jobs_by_machine
             or core.submissions.pending
         )
-        assert not any(core.job_shard.usage.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
+        assert (
+            not any(core.job_shard.usage.used().values())
+            and len(core.replica.jobs_by_submission) <= constants.MAX_QUEUE_ROWS // 10
+        )
         assert not any(
             machine.orders.stops or machine.orders.pending or machine.reserved
             for machine in core.machine_shard.machines.values()
@@ -348,7 +353,7 @@
 
 
 def test_submissions_and_job_ends_share_the_write_budget_when_both_exceed_it():
-    world = Rooms(3)
+    world = RateLimitedStoreWorld(3)
     world.run(5.0)
     core = world.nodes["host-1"].core
     for number in range(40):
@@ -362,7 +367,7 @@
     written = []
     core.write_rate_limit.budget.available(world.t + 2.0)
     while len(written) < 42:
-        core.write_rate_limit.budget.level = 2.0 - constants.WRITE_AHEAD_SHARE * core.write_rate_limit.budget.burst
+        core.write_rate_limit.budget.level = 2.0 - constants.WRITE_OVERDRAFT_SHARE * core.write_rate_limit.budget.burst
         batch = core.record_writer.next_batch(world.t + 2.0)
         written += [job.spec.id for job, _, _ in batch.jobs] + [
             accepted.job.spec.id for accepted, _ in batch.submissions
@@ -403,7 +408,7 @@
             super().command(fencing_token, incarnation, reply)
 
 
-class IsolatedZoneWorld(Rooms):
+class IsolatedZoneWorld(RateLimitedStoreWorld):
     """Jobs bound to a given zone, to any one zone, or spread over both; then a zone is isolated and machines fail."""
 
     process = IsolatedZoneController
@@ -437,8 +442,8 @@
         self.isolated_controller, self.isolated_until = label, self.t + duration_s
         self.isolated_fencing_token = self.store.data[VIEW][1]
         sim.cut_store_until = sim.cut_mesh_until = self.isolated_until
-        self.takes_users = [other for other in LABELS if other != label]
-        self.after(duration_s, setattr, self, "takes_users", list(LABELS))
+        self.submission_controllers = [other for other in LABELS if other != label]
+        self.after(duration_s, setattr, self, "submission_controllers", list(LABELS))
         for worker in [running for running in self.machines.values() if running is not None and running.alive]:
             if self.rng.random() < failed_share:
                 worker.die()
@@ -474,31 +479,31 @@
         job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 4, [], array(1, tasks=4, **overrides)), 1, 0.0, 0.0)
         job.adopt(0, TaskRun("n-1", "b", 7, 0, TaskState.RUNNING, 0.0))
         job.adopt(1, TaskRun("n-1", "b", 8, 0, TaskState.RUNNING, 0.0))
-        assert (job.room_in("a"), job.room_in("b")) == expected_before
+        assert (job.remaining_in_zone("a"), job.remaining_in_zone("b")) == expected_before
         job.requeue(0)
         job.finish_task(2, 0.0)  # its end was reported
-        assert (job.room_in("a"), job.room_in("b")) == expected_after
+        assert (job.remaining_in_zone("a"), job.remaining_in_zone("b")) == expected_after
         job.requeue(1)
-        assert job.waiting == 2 and (job.room_in("a") > 0) is ("spread" in overrides)
+        assert job.waiting == 2 and (job.remaining_in_zone("a") > 0) is ("spread" in overrides)
         job.requeue(3)
-        assert job.room_in("a") and job.room_in("b")
+        assert job.remaining_in_zone("a") and job.remaining_in_zone("b")
 
 
 def test_without_the_barrier_inherited_tasks_of_an_isolated_zone_run_twice(monkeypatch):
     """Shows that the simulation detects a missing barrier: tasks are restarted while they still run in the zone."""
-    enter = JobShard.enter
+    enter_view = JobShard.enter_view
 
     def no_barrier(self, fencing_token, jobs, machines):
-        enter(self, fencing_token, jobs, machines)
+        enter_view(self, fencing_token, jobs, machines)
         self.inherited.barrier = Barrier({})
         self.inherited.release()
 
-    monkeypatch.setattr(JobShard, "enter", no_barrier)
+    monkeypatch.setattr(JobShard, "enter_view", no_barrier)
     with pytest.raises(Broken, match="ran_twice"):
         run_isolated_zone(2, False, 50.0)
 
 
-class OverloadedWorld(Rooms):
+class OverloadedWorld(RateLimitedStoreWorld):
     """Production and best-effort jobs that exceed the capacity about threefold; a few need whole machines."""
 
     def __init__(self, seed, duration_s=100.0, jobs=44, **kwargs) -> None:
--- a/tests/test_claims_beside_free_room.py
+++ b/tests/test_claims_beside_free_room.py
@@ -44,12 +44,14 @@
     )
 
 
-def count_preempting(rows, free_cpus, promised=()) -> int:
+def count_preempting(rows, free_cpus, claimed_tasks=()) -> int:
     """Return how many tasks of the urgent job need preemption; ``free_cpus``: of each machine."""
     specs = {spec.id: spec for spec in (LARGE, SMALL, URGENT)}
     demands = [Demand(specs[row.job], row.waiting, row.due_in_s, row.run_s) for row in rows]
     machines = [MachineResource(KIND, (cpus, 64.0, 0.0)) for cpus in free_cpus]
-    unserved = unserved_demands(UrgentOnly(), demands, {row.job: row for row in rows}, machines, Counter(promised), ())
+    unserved = unserved_demands(
+        UrgentOnly(), demands, {row.job: row for row in rows}, machines, Counter(claimed_tasks), ()
+    )
     return sum(demand.count for demand in unserved)
 
 
@@ -91,7 +93,7 @@
 def requests(keeps_order_when_late, may_use_reserved, late=False):
     offers = Offers()
     now = 100.0
-    waiting_long = msgspec.structs.replace(queue_row(LARGE, boost=2), waited_s=constants.RESERVE_AFTER_S + 1.0)
+    waiting_long = msgspec.structs.replace(queue_row(LARGE, boost=2), waited_s=constants.RESERVE_MACHINE_AFTER_S + 1.0)
     rows = [(LARGE, waiting_long), (SMALL, queue_row(SMALL)), (URGENT, queue_row(URGENT, late))]
     offers.replace("host-0", [Offer("host-0", row, spec, now, 0.0, keeps_order_when_late) for spec, row in rows])
     machine = Candidate("n-1", "large", "a", True, (2.0, 64.0, 0.0), frozenset("p"))
--- a/tests/test_cloud_refusals.py
+++ b/tests/test_cloud_refusals.py
@@ -57,7 +57,7 @@
     leader = Leader(LeaderSettings([Team("t")], ["a"], Tuning(), 1.0, 17.0), replica)
     large = MachineType(name="large", cpus=16.0, memory_gb=64.0, price=1.0, spot_price=0.3, boot_s=10.0, zones=["a"])
     leader.on_types({"large": large})
-    leader.enter(["host-0"], 90.0)
+    leader.enter_view(["host-0"], 90.0)
     leader.rented_machines.listed = True
     leader.on_queue("host-0", QueueSnapshot([], {}, {}, {}, 0), 100.0)
     # Not empty: it runs a task that is expected to end in 30 s.
@@ -69,4 +69,4 @@
     assert rented.state is RentedMachineState.TERMINATING and rented.terminating_since == 100.0
     leader.on_machine_summaries("host-0", MachineSummaries([]), 100.5)  # its shard no longer reports it
     assert leader.decide(100.5).terminate == []
-    assert leader.decide(100.5 + constants.LEADER_ROUND_S).terminate == ["n-1"]
+    assert leader.decide(100.5 + constants.LEADER_ROUND_INTERVAL_S).terminate == ["n-1"]
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -399,7 +399,7 @@
 
 
 def never_stop_tasks(monkeypatch):
-    monkeypatch.setattr(RecordWrites, "stop_all", lambda self, job: None)
+    monkeypatch.setattr(RecordWrites, "stop_aborted_job", lambda self, job: None)
     # The machine shard also stops cancelled tasks without an order from the job owner, so disable that too.
     monkeypatch.setattr(OrderBuilder, "stop_cancelled", lambda self, machine, reported: None)
 
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -20,7 +20,7 @@
 from alderbridge.protocol.keys import JOBS, VIEW
 
 
-class Dark(PausableController):
+class WatchFaultController(PausableController):
     """Its watch may hang while its store lease is renewed, or its renewals may be lost while it watches."""
 
     watch_hangs_until = renewals_lost_until = pause_s = 0.0
@@ -56,8 +56,8 @@
             self.paused_until, self.pause_s = self.world.t + self.pause_s, 0.0
 
 
-class Terms(ControllerFaultWorld):
-    process = Dark
+class ActConditionsWorld(ControllerFaultWorld):
+    process = WatchFaultController
 
     def __init__(self, seed, nodes):
         super().__init__(seed, nodes=nodes, jobs=0)
@@ -87,7 +87,7 @@
 
     It keeps contact with its peers, and its replica is still fresh.
     """
-    world = Terms(seed, 5)
+    world = ActConditionsWorld(seed, 5)
     world.run(50.0)
     label = world.follower()
     sim = world.nodes[label]
@@ -108,7 +108,7 @@
 
     That one's store lease is renewed, and its view of two does not require contact. It owns the third's jobs there.
     """
-    world = Terms(seed, 3)
+    world = ActConditionsWorld(seed, 3)
     world.run(40.0)
     away = max(world.labels)
     world.nodes[away].crash()
@@ -130,7 +130,7 @@
 
 def contact_is_lost(seed):
     """It loses its peers, and its watch hangs from just before they remove it; its store lease is renewed."""
-    world = Terms(seed, 5)
+    world = ActConditionsWorld(seed, 5)
     world.run(50.0)
     label = world.follower()
     sim = world.nodes[label]
@@ -360,7 +360,7 @@
 
     When it resumes, it gets successful responses to a renewal and a watch request that it sent 25 s before.
     """
-    world = Terms(seed, 3)
+    world = ActConditionsWorld(seed, 3)
     world.run(40.0)
     away = max(world.labels)
     world.nodes[away].crash()
@@ -377,14 +377,14 @@
 def test_store_lease_and_replica_count_from_the_request(monkeypatch):
     """Guards against counting validity from the response: after a pause, a replaced member would act."""
     pause_between_request_and_response(33102)
-    loop, record_renewal, record_sync = Dark.loop, StoreLease.record_renewal, Membership.record_sync
+    loop, record_renewal, record_sync = WatchFaultController.loop, StoreLease.record_renewal, Membership.record_sync
     worlds = []
 
     def loop_noting_world(self, incarnation, step, interval_s):
         worlds[:] = [self.world]
         loop(self, incarnation, step, interval_s)
 
-    monkeypatch.setattr(Dark, "loop", loop_noting_world)
+    monkeypatch.setattr(WatchFaultController, "loop", loop_noting_world)
     monkeypatch.setattr(
         StoreLease,
         "record_renewal",
@@ -397,7 +397,7 @@
 
 def pause_before_end_is_written(seed):
     """A job owner pauses before it writes a cancellation, and is replaced; then all are asked for the job's status."""
-    world = Terms(seed, 5)
+    world = ActConditionsWorld(seed, 5)
     world.run(50.0)
     job, label = next(
         (job, label)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -21,7 +21,7 @@
 from alderbridge.controller.store_follower import StoreFollower
 from alderbridge.membership.membership import Membership
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import DECLARED
+from alderbridge.protocol.keys import CONFIGURATIONS
 from alderbridge.settings import ConfigError, NextStateLimits
 
 
@@ -67,7 +67,7 @@
         ("[declaration]\nrevision = 1\n[wrods]\na = b\n", "[wrods]: no such section"),
         ("revision = 1\n", "not an INI file: "),
         (
-            "[declaration]\nrevision = 1\n[words]\na = " + "x" * constants.CONFIGURATION_MAX_BYTES,
+            "[declaration]\nrevision = 1\n[words]\na = " + "x" * constants.MAX_CONFIGURATION_BYTES,
             "bytes when compiled, got",
         ),
         (None, "cannot be read: No such file or directory"),
@@ -115,7 +115,7 @@
 
 def apply_heads(operator_config, now, revision, **puts):
     for kind, head in puts.items():
-        operator_config.apply(DECLARED + kind, msgspec.json.encode(head), revision)
+        operator_config.apply(CONFIGURATIONS + kind, msgspec.json.encode(head), revision)
     operator_config.refresh(now)
 
 
@@ -184,7 +184,7 @@
         original = self.store.commit
 
         def commit(conditions, puts, drops=(), lease_id=None):
-            is_configuration = any(key.startswith(DECLARED) for key in (*puts, *drops))
+            is_configuration = any(key.startswith(CONFIGURATIONS) for key in (*puts, *drops))
             if is_configuration and self.rng.random() < 0.1:
                 self.after(self.rng.uniform(0.5, 30.0), commit_late, conditions, puts, drops)
             answer = original(conditions, puts, drops, lease_id)
@@ -311,7 +311,7 @@
                 raise Broken(f"not_in_force: {label} applies {applied_revisions}, {expected} is declared")
             if sim.core.replica.declared.kinds and sim.core.replica.declared.kinds["hours"].head is not None:
                 assert sim.core.replica.declared.kinds["hours"].head.digest == self.last_head[1]
-        remaining = {key for key in self.store.data if key.startswith(DECLARED + "hours/")}
+        remaining = {key for key in self.store.data if key.startswith(CONFIGURATIONS + "hours/")}
         assert len(remaining) <= 60, "texts that no head references remain in the store"
 
 
--- a/tests/test_controller_parts.py
+++ b/tests/test_controller_parts.py
@@ -11,13 +11,13 @@
 from alderbridge.controller.process import Controller
 from alderbridge.settings import Tuning
 from alderbridge.transport.errors import UnansweredError
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 from alderbridge.transport.token_bucket import TokenBucket
 
 
 @pytest.fixture
 def controller():
-    return Controller(platform("host-0", LABELS), Tuning(), Poll())
+    return Controller(platform("host-0", LABELS), Tuning(), EpollSelector())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -66,7 +66,7 @@
                     else NO_DEADLINE
                 )
                 rank = max(rank, self.specs[dependent].rank, required[0])
-                due = min(due, min(own, required[1]) - self.specs[dependent].estimate_s - constants.DEPENDENCY_STEP_S)
+                due = min(due, min(own, required[1]) - self.specs[dependent].estimate_s - constants.START_OVERHEAD_S)
         return rank, due
 
 
@@ -146,12 +146,17 @@
     times = queue_times.queue_times(spec("wk-1", due_s=100.0), Tuning(), objectives, False, waited_s=30.0)
     assert times == sorted(
         [
-            (40.0 * constants.WAIT_SHARE, 40.0),
-            (100.0 - 10.0 * constants.RUN_SAFETY - 30.0, 100.0 - 10.0 * constants.RUN_OPTIMISM - 30.0),
+            (40.0 * constants.OBJECTIVE_QUEUE_TIME_SHARE, 40.0),
+            (
+                100.0 - 10.0 * constants.RUN_TIME_SAFETY_FACTOR - 30.0,
+                100.0 - 10.0 * constants.MIN_RUN_TIME_FACTOR - 30.0,
+            ),
         ]
     )
     times_for_dependents = queue_times.queue_times(spec("wk-1"), Tuning(), [], False, needed_s=[60.0])
-    assert times_for_dependents == [(60.0 - 10.0 * constants.RUN_SAFETY, 60.0 - 10.0 * constants.RUN_OPTIMISM)]
+    assert times_for_dependents == [
+        (60.0 - 10.0 * constants.RUN_TIME_SAFETY_FACTOR, 60.0 - 10.0 * constants.MIN_RUN_TIME_FACTOR)
+    ]
 
 
 def test_a_job_is_ordered_by_the_highest_priority_of_its_dependents():
--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("name", examples.PLATFORM)
 def test_platform_settings_are_decoded(name):
-    assert settings.load_platform(str(FOLDER / f"{name}.json")) == examples.PLATFORM[name]
+    assert settings.load_platform_settings(str(FOLDER / f"{name}.json")) == examples.PLATFORM[name]
 
 
 def test_operator_settings_are_decoded():
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -195,10 +195,10 @@
 
 
 def count_contact_from_after_the_view(monkeypatch):
-    original = FailureDetector.enter
+    original = FailureDetector.enter_view
     monkeypatch.setattr(
         FailureDetector,
-        "enter",
+        "enter_view",
         lambda self, members, timeout_s, written_after: original(self, members, timeout_s, written_after + 6.0),
     )
 
@@ -257,9 +257,9 @@
         assert "host-0" not in world.view.members or world.view.contact_timeout_s == 0.0
     original = ControllerCore.observe_frame
 
-    def observe_frame(self, frame, acked_at, now):
+    def observe_frame(self, frame, newest_acked_sent_at, now):
         lease_id = self.membership.view.members.get(frame.sender, 0)
-        original(self, msgspec.structs.replace(frame, sender_lease_id=lease_id), acked_at, now)
+        original(self, msgspec.structs.replace(frame, sender_lease_id=lease_id), newest_acked_sent_at, now)
 
     monkeypatch.setattr(ControllerCore, "observe_frame", observe_frame)
     monkeypatch.setattr(
@@ -293,15 +293,15 @@
     members = {f"host-{number}": number + 1 for number in range(4)}
     membership.observe_view(View("host-0", members, contact_timeout_s=8.0), 10)
     machine = next(f"n-{number}" for number in range(99) if membership.machine_owner(f"n-{number}") == "host-2")
-    assert membership.report_to(machine) == "host-2"
+    assert membership.heartbeat_target(machine) == "host-2"
     membership.failure_detector.peers["host-2"].suspect()
-    assert membership.report_to(machine) == "host-3", "the next alive member"
+    assert membership.heartbeat_target(machine) == "host-3", "the next alive member"
     membership.failure_detector.peers["host-3"].suspect()
-    assert membership.report_to(machine) == "host-0"
+    assert membership.heartbeat_target(machine) == "host-0"
     membership.failure_detector.peers["host-0"].suspect()
-    assert membership.report_to(machine) == "host-2", "no other member is alive: this one may be isolated itself"
+    assert membership.heartbeat_target(machine) == "host-2", "no other member is alive: this one may be isolated itself"
     own = next(f"n-{number}" for number in range(99) if membership.machine_owner(f"n-{number}") == "host-1")
-    assert membership.report_to(own) == "host-1"
+    assert membership.heartbeat_target(own) == "host-1"
 
 
 def test_contact_is_waived_when_all_members_are_isolated_and_restored_later():
@@ -313,7 +313,7 @@
         world.run(world.t + 0.1)
         assert all(sim.core.may_act() for sim in world.nodes.values())
     assert world.view.contact_timeout_s == 0.0 and len(world.view.members) == 5
-    world.run(70.0 + constants.CONTACT_RESUME_S + 5.0)
+    world.run(70.0 + constants.CONTACT_RESUME_DELAY_S + 5.0)
     assert world.view.contact_timeout_s > 0 and world.view_count == 3
 
 
@@ -324,14 +324,14 @@
     failure_detector.peers["host-2"].mark_failed()
     failure_detector.failed_by["host-2"].add("host-1")
     view_count = world.view_count
-    world.run(30.0 + constants.DISPUTED_FAILURE_S + 1.0)
+    world.run(30.0 + constants.DISPUTED_FAILURE_TIMEOUT_S + 1.0)
     assert world.view_count == view_count + 1 and len(world.view.members) == 3 and not world.early_removals
     assert world.nodes["host-1"].core.membership.failure_detector.accepts("host-2")
 
 
 def test_paused_member_declares_nobody_failed():
     failure_detector = FailureDetector("a")
-    failure_detector.enter({"a": 1, "b": 2, "c": 3}, 8.0, 0.0)
+    failure_detector.enter_view({"a": 1, "b": 2, "c": 3}, 8.0, 0.0)
     failure_detector.refresh(0.0)
     failure_detector.refresh(20.0)
     assert (
@@ -385,7 +385,7 @@
     for label in ("host-0", "host-3"):
         sim = world.nodes[label]
         sim.cut_store_until = sim.cut_mesh_until = sim.cut_workers_until = 90.0
-    world.run(60.0 + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_S)
+    world.run(60.0 + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_TIMEOUT_S)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"]
     world.run(89.0)
     assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -19,12 +19,16 @@
 from alderbridge.scheduling.offers import Offer, Offers
 from alderbridge.scheduling.placement import Candidate, fill
 from alderbridge.settings import Tuning
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 # The longest time until a view that lacks a member is followed by another one, while the store answers: joining, the
 # precedence of the four other labels, two rounds and the watch.
 ELECTION_S = (
-    constants.JOIN_MAX_S + 4 * constants.LEADER_PRECEDENCE_S + 2 * constants.ROUND_S + 2 * constants.WATCH_PAUSE_S + 0.3
+    constants.JOIN_DEBOUNCE_MAX_S
+    + 4 * constants.ELECTION_STAGGER_S
+    + 2 * constants.ROUND_INTERVAL_S
+    + 2 * constants.WATCH_DELAY_S
+    + 0.3
 )
 LOST_CALL_S = 2.5  # s; the timeout of a store call, of which the simulation loses some
 
@@ -171,7 +175,7 @@
 
 
 def test_reply_to_an_earlier_incarnation_does_not_answer_another_query():
-    first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()) for _ in range(2))
+    first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector()) for _ in range(2))
     assert second.queries.query_count > first.queries.query_count + 100, (
         "query ids are not reused by later incarnations of a label"
     )
@@ -195,7 +199,7 @@
 
 
 def test_job_without_status_answers_is_logged_periodically(monkeypatch, caplog):
-    controller, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()), [100.0]
+    controller, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector()), [100.0]
     patch_now(monkeypatch, lambda: clock[0])
     caplog.set_level("INFO")
     for status in [503] * 20 + [200] + [503] * 5:
@@ -234,8 +238,10 @@
     offers.replace(
         "host-0",
         [
-            Offer("host-0", row(LARGE, constants.RESERVE_AFTER_S, 5.0), LARGE, 100.0, constants.PACKING_WAIT_S),
-            Offer("host-0", row(SMALL, 5.0, 50.0), SMALL, 100.0, constants.PACKING_WAIT_S),
+            Offer(
+                "host-0", row(LARGE, constants.RESERVE_MACHINE_AFTER_S, 5.0), LARGE, 100.0, constants.PACKING_DELAY_S
+            ),
+            Offer("host-0", row(SMALL, 5.0, 50.0), SMALL, 100.0, constants.PACKING_DELAY_S),
         ],
     )
 
@@ -255,7 +261,7 @@
 def test_large_job_is_boosted_after_waiting():
     """Guards the priority boost: one task of a job that has not started, an eighth of the tasks of a late job."""
     job_shard = JobShard([], lambda label, body: 1, 4096)
-    job_shard.enter(1, {}, {})
+    job_shard.enter_view(1, {}, {})
     job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 400, [], SMALL), 1, 0.0, 0.0, never_started=True)
     job_shard.add(job)
 
@@ -265,10 +271,10 @@
         )[0]
         return row.offer, row.priority_boost
 
-    assert offer_and_boost(10.0) == (400, 0) and offer_and_boost(constants.STARVED_JOB_S) == (1, 2)
+    assert offer_and_boost(10.0) == (400, 0) and offer_and_boost(constants.STARVATION_TIMEOUT_S) == (1, 2)
     job_shard.grants.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.has_started = True
-    assert offer_and_boost(122.0) == (399, 0) and offer_and_boost(121.0 + constants.LATE_BOOST_S) == (50, 1)
+    assert offer_and_boost(122.0) == (399, 0) and offer_and_boost(121.0 + constants.LATE_BOOST_AFTER_S) == (50, 1)
     job_shard.grants.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
     assert offer_and_boost(183.0) == (30, 1), "the boost lasts until its share is granted"
     job_shard.grants.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
@@ -301,7 +307,7 @@
 
 def test_large_job_starts_while_small_jobs_fill_the_fleet(monkeypatch):
     assert large_job_starts(8805)
-    for delay in ("RESERVE_AFTER_S", "STARVED_JOB_S", "LATE_BOOST_S"):
+    for delay in ("RESERVE_MACHINE_AFTER_S", "STARVATION_TIMEOUT_S", "LATE_BOOST_AFTER_S"):
         monkeypatch.setattr(constants, delay, 1e9)
     assert not large_job_starts(8805)
 
@@ -343,7 +349,7 @@
     monkeypatch.setattr(
         Job, "abort", lambda self, now, cause="withdrawn": original(self, now, cause) if cause == "withdrawn" else None
     )
-    monkeypatch.setattr(DependencyTracker, "cascade_abort_is_settled", lambda self, job: False)
+    monkeypatch.setattr(DependencyTracker, "is_cascade_abort_settled", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,7 +11,7 @@
 from alderbridge import constants
 from alderbridge.protocol import messages
 from alderbridge.transport import errors, http_client, http_response, http_server, mesh
-from alderbridge.transport.selector import OUT, Poll
+from alderbridge.transport.selector import OUT, EpollSelector
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 with socket.create_server(("127.0.0.1", 0)) as free_port_socket:
@@ -47,15 +47,15 @@
 
 def test_a_frame_above_the_size_limit_is_rejected():
     with pytest.raises(msgspec.DecodeError):
-        list(mesh.split_frames(bytearray((constants.MAX_FRAME + 1).to_bytes(4, "big"))))
+        list(mesh.split_frames(bytearray((constants.MAX_FRAME_BYTES + 1).to_bytes(4, "big"))))
 
 
 def test_an_overdue_connection_is_closed_and_others_stay_open(monkeypatch):
-    monkeypatch.setattr(constants, "OVERDUE_CHECK_S", 0.0)
+    monkeypatch.setattr(constants, "OVERDUE_CHECK_INTERVAL_S", 0.0)
     clock = [100.0]
     monkeypatch.setattr(http_server, "now", lambda: clock[0])
 
-    poll = Poll()
+    poll = EpollSelector()
     server = http_server.Server(lambda *_request: (200, b"{}", []), 2, poll)
 
     async def run():
@@ -66,7 +66,7 @@
         await clients[0].sendall(b"GET / HT")  # the rest of the request is never sent
         await clients[1].sendall(GET)
         assert b"200" in await clients[1].recv(1000)
-        clock[0] += constants.IDLE_S - 1.0
+        clock[0] += constants.KEEP_ALIVE_TIMEOUT_S - 1.0
         await clients[1].sendall(GET)
         assert b"200" in await clients[1].recv(1000)
         clock[0] += 2.0
@@ -105,7 +105,7 @@
 
 
 class FakePoll:
-    """Stands in for ``Poll``: records the watched events and the scheduled calls."""
+    """Stands in for ``EpollSelector``: records the watched events and the scheduled calls."""
 
     def __init__(self):
         self.events, self.scheduled, self.spawned = 0, [], []
@@ -185,7 +185,7 @@
             target = rng.choice((b"", b"v1/jobs/wk-1", b"v1/jobs/wk-2", b"a\x7f"))
             yield b"GET /%b HTTP/1.1\r\nHost: %b\r\n\r\n" % (target, rng.choice((b"x", b"y")))
         elif rng.random() < 0.02:
-            yield heads[0] % (constants.MAX_BODY + rng.choice((0, 1))) + b"x" * (constants.MAX_BODY + 1)
+            yield heads[0] % (constants.MAX_BODY_BYTES + rng.choice((0, 1))) + b"x" * (constants.MAX_BODY_BYTES + 1)
         else:
             yield (rng.choice(unusual_heads) if rng.random() < 0.06 else rng.choice(heads)) % size + body
 
@@ -278,7 +278,7 @@
 
 def test_a_connect_timeout_is_reported_as_unanswered(monkeypatch):
     """Guards against a connect timeout that escapes as another error: the caller would drop its records."""
-    monkeypatch.setattr(constants, "CONNECT_S", 0.01)
+    monkeypatch.setattr(constants, "CONNECT_TIMEOUT_S", 0.01)
 
     async def hang(*_address):
         await curio.sleep(60.0)
@@ -303,7 +303,7 @@
     """Guards against lost or reordered frames when ``flush`` fills the socket and the task writes the rest."""
     sent = [messages.Frame("v", "host-0", 7, seq, 0, messages.DrainMachines(["n" * 100_000])) for seq in range(1, 60)]
 
-    poll = Poll()
+    poll = EpollSelector()
 
     async def run():
         received = []
@@ -339,7 +339,7 @@
 
 def test_connections_that_are_ready_together_are_handled_in_one_batch():
     """An exception affects only its connection; kernel timers and ``wake_at`` fire without events."""
-    poll, events, batches = Poll(0.02), [], []
+    poll, events, batches = EpollSelector(0.02), [], []
 
     class WatchedSocket:
         def __init__(self, name):
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -34,11 +34,20 @@
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.protocol import messages, wire
-from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, MACHINES, MEMBERS, VIEW
+from alderbridge.protocol.keys import (
+    CLAIMS,
+    CONFIGURATIONS,
+    DEPENDENCY_LISTS,
+    JOBS,
+    MACHINES,
+    MEMBERS,
+    PREEMPTION_BUDGETS,
+    VIEW,
+)
 from alderbridge.settings import Tuning
 from alderbridge.state import store
 from alderbridge.transport.errors import UnansweredError
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 SPEC = wire.JobSpec(
     id="wk-000001",
@@ -54,10 +63,10 @@
     estimate_s=10.0,
 )
 LEASE_S = 17.0
-SETTLED_S = 25.0  # more than the time until a view settles although a member sends nothing
+VIEW_SETTLED_S = 25.0  # more than the time until a view settles although a member sends nothing
 
 
-class Alone:
+class SteppedController:
     """One controller core and a store without loops, stepped by the test; other members only have member keys."""
 
     def __init__(self, *others: str) -> None:
@@ -74,9 +83,9 @@
         self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
         self.view(self.me, *others)
 
-    def other(self, label: str) -> "Alone":
+    def other(self, label: str) -> "SteppedController":
         """The controller core of another member, with the same store."""
-        other = object.__new__(Alone)
+        other = object.__new__(SteppedController)
         other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
         other.core = ControllerCore(platform(label, LABELS[:3]), Tuning(), self.t)
         other.core.machine_types.update(TYPES)
@@ -145,7 +154,7 @@
         batch = self.batch()
         assert batch is not None
         self.core.batch_results.on_failed(batch, self.t)
-        self.t += constants.STATE_TIMEOUT_S
+        self.t += constants.STORE_TIMEOUT_S
         self.follow()
         return batch
 
@@ -187,11 +196,11 @@
     )
 
 
-@pytest.mark.parametrize("how", (Alone.follow, Alone.reload))
+@pytest.mark.parametrize("how", (SteppedController.follow, SteppedController.reload))
 @pytest.mark.parametrize("end", ("expired", "terminated"))
 def test_a_machine_record_that_commits_after_its_deletion_is_deleted_again(end, how):
     """A remaining record of a machine that no longer reports would delay each later view by a lease."""
-    alone = Alone()
+    alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
     first = alone.lost()
@@ -213,7 +222,7 @@
 
 def test_a_put_that_commits_after_its_machine_was_terminated_leaves_no_record():
     """The unanswered put commits after a deletion that found no record."""
-    alone = Alone()
+    alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
     first = alone.lost()
@@ -227,7 +236,7 @@
 
 def test_no_task_is_placed_while_a_deletion_of_the_machine_record_is_unconfirmed():
     """The machine expired and reports again; the record of a late put does not permit tasks either."""
-    alone = Alone()
+    alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
     put = alone.lost()
@@ -252,11 +261,11 @@
 
     If it counted as unrecorded, a later view would start its tasks elsewhere while they still run on it.
     """
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.up(name)
     job = alone.job()
-    alone.go(SETTLED_S + LEASE_S)  # without heartbeats its lease expires
+    alone.go(VIEW_SETTLED_S + LEASE_S)  # without heartbeats its lease expires
     drop = alone.batch()
     assert drop.drops == [MACHINES + name]
     answer = alone.carry_out(drop)
@@ -273,10 +282,10 @@
 
 def test_a_late_read_after_a_conflict_does_not_hide_a_newer_record():
     """The deletion failed with a conflict, and the read of the record is answered after the next view."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.up(name)
-    alone.go(SETTLED_S + LEASE_S)
+    alone.go(VIEW_SETTLED_S + LEASE_S)
     unanswered = alone.lost()
     alone.carry_out(unanswered)
     drop = alone.batch()
@@ -292,7 +301,7 @@
 @pytest.mark.parametrize("how", ("answer", "read"))
 def test_a_late_answer_to_a_put_does_not_restore_a_deleted_record(how):
     """The owner under the next view has deleted the record; kept here only, it would stay in the barrier forever."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
     put = alone.batch()
@@ -312,7 +321,7 @@
 
 def test_a_new_view_does_not_wait_for_a_terminated_machine():
     """A late put has restored its record just before the view."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
     put = alone.lost()
@@ -329,7 +338,7 @@
 
 def test_a_result_is_not_acknowledged_before_it_is_stored():
     """A repeated report while the record is being written must not clear the result on the worker."""
-    alone = Alone()
+    alone = SteppedController()
     job = alone.job()
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
@@ -372,7 +381,7 @@
 @pytest.mark.parametrize("how, state", [("cancelled", "aborted"), ("last task", "done")])
 @pytest.mark.parametrize("late", (False, True))
 def test_an_unanswered_final_state_is_reported_only_once_it_is_stored(how, state, late):
-    alone = Alone()
+    alone = SteppedController()
     job, end = late_end(alone, how)
     core = alone.core
     assert core.local_jobs.local_job_state(SPEC.id, alone.t) is None, (
@@ -400,7 +409,7 @@
 @pytest.mark.parametrize("carried_out", (False, True))
 def test_an_unanswered_final_state_does_not_change_under_the_next_view(carried_out):
     """It committed before the view or never will; the job owner, which continues, keeps it in both cases."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     _, end = late_end(alone, "cancelled")
     if carried_out:
         alone.carry_out(end)
@@ -414,7 +423,7 @@
 
 def test_a_stored_final_state_is_not_overwritten_with_an_active_record():
     """An inherited job may not end before the view settles; until then its owner must keep the stored state."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     job = alone.job()
     alone.runs(job, "n-000001", 0)  # a task is still to be stopped, so the record keeps the job's spec
     job.inherited = True
@@ -435,7 +444,7 @@
 @pytest.mark.parametrize("carried_out", (False, True))
 def test_an_unanswered_final_state_leaves_at_most_one_under_a_new_job_owner(carried_out):
     """The new job owner finds the stored final state, or writes the only one."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     _, end = late_end(alone, "last task")
     successor = alone.other("host-1")
     if carried_out:
@@ -458,7 +467,7 @@
 
 def test_late_progress_does_not_overwrite_newer_progress():
     """Each write is conditional on the record's revision, so only one of two attempts commits."""
-    alone = Alone()
+    alone = SteppedController()
     job = alone.job()
     for index in (0, 1):
         alone.runs(job, "n-000001", index)
@@ -475,7 +484,7 @@
 
 def test_a_refused_submission_that_commits_late_is_adopted_after_a_reload():
     """The record appears among the reloaded rows and not among the watched changes."""
-    alone = Alone()
+    alone = SteppedController()
     alone.core.submissions.submit(SPEC, alone.t, alone.t)
     late = alone.lost()
     alone.core.submissions.refuse_all()
@@ -489,7 +498,7 @@
 
 def test_a_submission_refused_by_two_controllers_has_one_record_and_one_owner():
     """Both transactions arrive late: one fails with a conflict, and the owner of the other adopts the record."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     peer = alone.other("host-1")
     late = []
     for member in (alone, peer):
@@ -510,7 +519,7 @@
 
 def test_a_submission_that_commits_late_ends_if_its_dependency_was_aborted():
     """The first attempt stored an active record; the second, a final state, fails with a conflict."""
-    alone = Alone()
+    alone = SteppedController()
     dependency = msgspec.structs.replace(SPEC, id="wk-000002")
     alone.job(dependency)
     submission = alone.core.submissions.submit(msgspec.structs.replace(SPEC, needs=[dependency.id]), alone.t, alone.t)
@@ -529,8 +538,8 @@
 
 
 def test_an_unanswered_deletion_of_dependency_lists_is_repeated():
-    alone = Alone()
-    keys = [f"{LISTS}wk-000009/x/{number}" for number in range(3)]
+    alone = SteppedController()
+    keys = [f"{DEPENDENCY_LISTS}wk-000009/x/{number}" for number in range(3)]
     alone.store.commit({}, dict.fromkeys(keys, ["wk-000008"]))
     alone.follow()
     alone.core.record_writer.lists_to_drop = list(keys)
@@ -538,31 +547,31 @@
     assert batch.drops == keys
     alone.core.batch_results.on_failed(batch, alone.t)  # called again if the read after a conflict fails
     alone.write()
-    assert not [key for key in alone.store.data if key.startswith(LISTS)]
+    assert not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
     assert not alone.core.record_writer.lists_to_drop
 
 
 def test_a_dependency_list_that_commits_late_is_not_restored_after_its_job():
     """Lists are conditional on the absence of the job's record, so a late or repeated submission writes none."""
-    alone = Alone()
+    alone = SteppedController()
     alone.core.job_shard.value_bytes = 700
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
     spec = msgspec.structs.replace(SPEC, needs=needs)
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     assert len(submission.lists) > 1
     late = alone.lost()
-    assert all(key.startswith(LISTS) for key in late.puts)
+    assert all(key.startswith(DEPENDENCY_LISTS) for key in late.puts)
     alone.write()
     assert submission.outcome == "accepted"
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.write()
-    assert not [key for key in alone.store.data if key.startswith(LISTS)]
+    assert not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
     alone.core.replica.ended.clear()  # as on a controller that has not received the job's record
     alone.core.replica.lists.clear()
     retried = alone.core.submissions.submit(spec, alone.t, alone.t)
     alone.settle(alone.batch())
-    assert retried.outcome == "known" and not [key for key in alone.store.data if key.startswith(LISTS)]
+    assert retried.outcome == "known" and not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
 
 
 @pytest.mark.parametrize("failed", (False, True))
@@ -580,7 +589,9 @@
     if not failed:
         ledger.failed(first)
     retried = ledger.due(2.0, 12, 4096)
-    assert set(retried.puts) == {BUDGETS}, "the new revision of this key prevents the first one from committing"
+    assert set(retried.puts) == {PREEMPTION_BUDGETS}, (
+        "the new revision of this key prevents the first one from committing"
+    )
     for key, value in first.puts.items():  # the first one committed before that
         ledger.apply(key, msgspec.json.encode(value), 9)
     ledger.failed(retried)
@@ -590,7 +601,7 @@
 
 def test_a_claim_survives_a_reload_of_rows_older_than_it():
     """The claim's transaction was answered during a slow reload; its victim must not preempt others."""
-    alone = Alone()
+    alone = SteppedController()
     store, ledger = alone.store, alone.core.replica.ledger
     rows, revision = store.rows(), store.revision
     ledger.plan(
@@ -600,7 +611,7 @@
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
     alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
-    assert ledger.spent_revision == store.data[BUDGETS][1]
+    assert ledger.usage_revision == store.data[PREEMPTION_BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
     alone.reload()
     assert ledger.claim_of("n-000001") is None, "a claim deleted while the watch was interrupted is removed"
@@ -616,14 +627,14 @@
         present={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: False
     )
     head = ConfigurationHead(1, "first", 0, 0.0)
-    configured.apply(DECLARED + "hours", msgspec.json.encode(head), 5)
+    configured.apply(CONFIGURATIONS + "hours", msgspec.json.encode(head), 5)
     configured.refresh(0.0)
     proposal = configured.due(membership, 0.0, 0.0, 1, 512)  # limit of one change: a text, and the head later
     ((key, piece),) = proposal.puts.items()
     assert key in records.piece_keys("hours", StoredRevision(3, own.digest, records.parts_of(raw, 512)))
     configured.apply(key, msgspec.json.encode(piece), 7)  # the watch delivers it, and the other head, before the answer
     configured.apply(key, None, 8)
-    configured.apply(DECLARED + "hours", msgspec.json.encode(ConfigurationHead(2, "other", 0, 0.0, head.last)), 8)
+    configured.apply(CONFIGURATIONS + "hours", msgspec.json.encode(ConfigurationHead(2, "other", 0, 0.0, head.last)), 8)
     configured.refresh(0.0)
     configured.done(proposal, 7, 0.0)
     assert key not in configured.kinds["hours"].pieces
@@ -632,7 +643,7 @@
 
 def controller_with_remote_job(monkeypatch):
     """A controller, and the active record of a job that host-1 owns."""
-    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
+    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector())
     core = controller.core
     record = Record(JobState.ACTIVE, "host-1", 0.0, 3, [], SPEC)
     core.replica.observe_job(SPEC.id, record, 5)
@@ -697,7 +708,7 @@
 @pytest.mark.parametrize("found, status", [(True, 200), (False, 400), (None, 503)])
 def test_a_job_over_the_value_limit_is_refused_only_if_it_is_not_stored(monkeypatch, found, status):
     """The value limit was reduced, and the watch has not delivered the accepted job's record."""
-    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll())
+    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector())
 
     async def get(key):
         if found is None:
@@ -779,7 +790,7 @@
 @pytest.mark.parametrize("lose", ("get", "grant_lease", "commit", "revoke_lease"))
 def test_the_member_key_matches_the_store_lease_if_any_step_of_acquiring_it_is_unanswered(lose, late):
     lossy_store = LossyStore(lose, late)
-    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll(), store=lossy_store)
+    controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector(), store=lossy_store)
     lossy_store.sim.holds[1000] = 1e9
     lossy_store.sim.commit(
         {}, {MEMBERS + "host-0": MemberRecord(1000, constants.PROTOCOL_VERSION)}, (), 1000
@@ -846,7 +857,7 @@
                 method(*args)
 
         world.after(world.rng.uniform(2.0, 12.0), carry_out)
-        world.after(constants.STATE_TIMEOUT_S, self.run_if_same_incarnation, life, fail)
+        world.after(constants.STORE_TIMEOUT_S, self.run_if_same_incarnation, life, fail)
 
     def run_if_same_incarnation(self, life: int, action, *answer) -> None:
         if life == self.life:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,7 +12,7 @@
 from test_preemption import ClaimsWorld
 
 from alderbridge import constants, preemption
-from alderbridge.claims.records import PreemptionsSpent
+from alderbridge.claims.records import PreemptionUsage
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.leader.leader import Leader, LeaderSettings
@@ -32,7 +32,7 @@
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
 from alderbridge.membership.membership import Membership
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, Teams, Victim
+from alderbridge.preemption import CandidateMachine, GuaranteeUsage, PreemptionBudget, Victim
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import (
@@ -191,14 +191,14 @@
         lender.pace.reclaimed.append((990.0, "maps", reclaimed))
         lender.pace.stopping["maps"] = 2.0
         lender.fleet.update(self.contents, {name: kind.zone for name, kind, _, _ in self.machines})
-        lender.teams = Teams(TEAMS, self.used)
+        lender.teams = GuaranteeUsage(TEAMS, self.used)
         resources = [MachineResource(kind, free) for _, kind, free, _ in self.machines]
         demands = lender.demands(self.services, resources, self.used, {})
         candidates = [
             CandidateMachine(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
             for name, kind, free, tasks in self.machines
         ]
-        budget = PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, lender.limit)
+        budget = PreemptionBudget(PreemptionUsage(), 1000.0, {}, 100, lender.limit)
         return demands, lender.select_victims(demands, candidates, budget, 12)
 
 
@@ -228,9 +228,9 @@
             lending_class = next((one for one in CONFIGURATION.lend if one.workload == victim.spec.job_class), None)
             if (
                 lending_class is None
-                or victim.ran_s < lending_class.least_run_s
-                or victim.stops >= lending_class.most_stops
-                or victim.since_stop_s > lending_class.waits_at_most_s
+                or victim.ran_s < lending_class.min_run_s
+                or victim.stops >= lending_class.max_preemptions_per_task
+                or victim.since_first_preemption_s > lending_class.preemptible_for_s
             ):
                 violated.append("victim protected by its class")
             same_team = victim.spec.team == demand.spec.team
@@ -290,7 +290,7 @@
 
 
 DISABLED_GUARDS = {
-    "team below its guarantee for another team": (Teams, "beyond", lambda self, spec: True),
+    "team below its guarantee for another team": (GuaranteeUsage, "beyond", lambda self, spec: True),
     "preemption not allowed by the protocol": (preemption, "allowed", lambda *args: True),
     "reclaim rate exceeded": (LendingSelection, "_remaining_gpus_for", lambda self, team: 1000.0),
     "too many replicas in a zone": (
@@ -316,9 +316,11 @@
     assert any(guard in violations(fleet, *fleet.plan(lender())) for fleet in fleets)
 
 
-def full_machine(name, zone, job, tasks=8, running_s=100.0, saved_s_ago=None):
+def full_machine(name, zone, job, tasks=8, running_s=100.0, since_checkpoint_s=None):
     """Return a machine filled with tasks of one job."""
-    victims = [Victim(job.id, int(name[2:]) * 8 + index, 7, job, running_s, saved_s_ago) for index in range(tasks)]
+    victims = [
+        Victim(job.id, int(name[2:]) * 8 + index, 7, job, running_s, since_checkpoint_s) for index in range(tasks)
+    ]
     return CandidateMachine(
         name,
         MachineKind("g8", zone, False),
@@ -331,10 +333,10 @@
     """Return (demands, claim by machine) for one service."""
     policy = lending_policy or lender()
     policy.fleet.update(contents or {}, {one.machine: one.kind.zone for one in machines})
-    policy.teams = Teams(TEAMS, used)
+    policy.teams = GuaranteeUsage(TEAMS, used)
     demands = policy.demands([service], [MachineResource(one.kind, one.free) for one in machines], used, {})
     groups = policy.select_victims(
-        demands, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, policy.limit), 12
+        demands, machines, PreemptionBudget(PreemptionUsage(), 1000.0, {}, 100, policy.limit), 12
     )
     return demands, {name: claim for group in groups for name, claim in group.items()}
 
@@ -342,7 +344,8 @@
 def test_victims_are_chosen_on_few_machines_and_where_the_image_is_cached():
     tune = spec("wk-1", "data", "tune", checkpoint_s=30.0, save_s=5.0)
     machines = [
-        full_machine(f"n-{i}", "a", tune, saved_s_ago=saved_s_ago) for i, saved_s_ago in ((1, 1.0), (2, 25.0), (3, 1.0))
+        full_machine(f"n-{i}", "a", tune, since_checkpoint_s=since_checkpoint_s)
+        for i, since_checkpoint_s in ((1, 1.0), (2, 25.0), (3, 1.0))
     ]
     used = {"data": (96.0, 24.0)}
     service = ServingJob(replica("wk-9", tasks=4, image_gb=60.0), 0, 4, 4, 5.0)
@@ -401,7 +404,7 @@
     _, new_claims = plan_service(service, remaining, {"data": (32.0, 8.0)}, lending_policy=policy)
     assert list(new_claims) == [remaining[0].machine] and new_claims != claims
     assert policy.demands([], resources, used, {}) == []  # the job was withdrawn
-    policy.pace.count_reclaimed({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
+    policy.pace.count_reclaimed({}, {}, 1000.0 + constants.PREEMPTION_WINDOW_S + constants.PREEMPTION_BUCKET_S + 1.0)
     assert not policy.pace.reclaimed and not policy.pace.counted
 
 
@@ -452,7 +455,7 @@
     assert len(check_lines(configuration)) == 4 and check_lines(LendingConfiguration()) == []
     both = CapacityLender([configuration, CONFIGURATION], TEAMS, TYPES)  # during a change, the stricter rules apply
     assert not both.rules.serves(replica("wk-1", "vision")) and both.rules.lends(spec("wk-1", "maps", "batch")) is None
-    assert (both.rules.reserve("maps"), both.rules.retention_s, both.limit(None).a_minute) == (8.0, 120.0, 24)
+    assert (both.rules.reserve("maps"), both.rules.retention_s, both.limit(None).max_per_minute) == (8.0, 120.0, 24)
 
 
 @pytest.mark.parametrize(
@@ -483,13 +486,13 @@
         self.leader = Leader(
             LeaderSettings(TEAMS, ZONES, Tuning(), 1.0, 17.0),
             replica_state,
-            lambda row, spec: self.lender.serves_soon(row, spec),
+            lambda row, spec: self.lender.unrented_tasks(row, spec),
         )
         self.leader.on_types(TYPES)
-        self.leader.enter(["host-0"], 0.0)
+        self.leader.enter_view(["host-0"], 0.0)
         self.leader.rented_machines.listed = True
         self.planner = PreemptionPlanner(self.leader, replica_state.ledger)
-        self.planner.enter(["host-0"])
+        self.planner.enter_view(["host-0"])
         self.tune, self.serve = spec("wk-1", "data", "tune", tasks=16), replica("wk-9", tasks=4)
         for one in (self.tune, self.serve):
             replica_state.observe_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
@@ -512,7 +515,9 @@
             rented.rented_at = 0.0
 
     def run_round(self, now):
-        listing_tasks = self.planner.plan(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
+        listing_tasks = self.planner.plan(
+            now, now, [self.lender], lambda: GuaranteeUsage(TEAMS, {"data": (64.0, 16.0)}), 12
+        )
         if listing_tasks:
             rows = [
                 MachineTasks(
@@ -523,8 +528,8 @@
                 )
                 for i in range(2)
             ]
-            self.planner.on_tasks("host-0", MachineTaskList(rows, True), now)
-            self.planner.plan(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
+            self.planner.on_task_list("host-0", MachineTaskList(rows, True), now)
+            self.planner.plan(now, now, [self.lender], lambda: GuaranteeUsage(TEAMS, {"data": (64.0, 16.0)}), 12)
         return listing_tasks
 
 
@@ -550,7 +555,7 @@
     harness = LeaderHarness()
     harness.lender = CapacityLender([LendingConfiguration(CONFIGURATION.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
     harness.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
-    for now, demands in ((1.0, 0), (2.0, 0), (1.0 + constants.LEND_FIRST_S, 1)):
+    for now, demands in ((1.0, 0), (2.0, 0), (1.0 + constants.LENDING_HEAD_START_S, 1)):
         harness.report(now, 3)
         harness.run_round(now)
         assert len(harness.leader.demands(now)) == demands
@@ -579,7 +584,7 @@
     """Tuning tasks use all GPUs, services start and stop, and controllers fail while claims are open."""
 
     def prepare(self, core):
-        core.preemption.lendings = lambda now: [LENDING_CONFIGURATION]
+        core.preemption.lending_configurations = lambda now: [LENDING_CONFIGURATION]
 
     def routine(self, number):
         return msgspec.structs.replace(
@@ -626,15 +631,15 @@
             if gpus > simulation.TYPES[kind.type].gpus:
                 raise Broken(f"gpus: {machine} has {gpus} in use")
 
-    def may_claim(self, machine, claim):
+    def check_claim(self, machine, claim):
         service = self.specs[claim.job]
         claimed = sum(
             other.count
             for name, other in self.open.items()
             if other.job == claim.job and (name == machine or self.there(name, other))
         )
-        if not service.service or claimed > self.lately_waiting(claim.job):
-            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {claimed} for {self.lately_waiting(claim.job)}")
+        if not service.service or claimed > self.max_recently_waiting(claim.job):
+            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {claimed} for {self.max_recently_waiting(claim.job)}")
         for job, index, attempt in claim.victims:
             one = self.specs[job]
             self.claimed.add((f"{job}/{index}", attempt))
@@ -657,10 +662,10 @@
         self.spent.append((claim.at, claim.team, len(claim.victims)))
         if (
             sum(count for claimed_at, _, count in self.spent if claimed_at > claim.at - 60.0)
-            > LENDING_CONFIGURATION.gpus_a_minute
+            > LENDING_CONFIGURATION.gpus_per_minute
         ):
             raise Broken(f"pace: limit in a minute exceeded at {self.t:.2f}")
-        if sum(self.there(name, other) for name, other in self.open.items()) > LENDING_CONFIGURATION.gpus_at_once:
+        if sum(self.there(name, other) for name, other in self.open.items()) > LENDING_CONFIGURATION.max_stopping_gpus:
             raise Broken(f"pace: limit at once exceeded at {self.t:.2f}")
 
 
@@ -688,11 +693,11 @@
 
 
 def test_tasks_are_preempted_only_with_a_lending_configuration(gpu_machines, monkeypatch):
-    assert run_world(103, random_faults=False, falls_in_claims=False).made > 0
+    assert run_world(103, random_faults=False, faults_after_claims=False).made > 0
     monkeypatch.setattr(LendingWorld, "prepare", lambda self, core: None)
-    assert run_world(101, random_faults=False, falls_in_claims=False).made == 0
+    assert run_world(101, random_faults=False, faults_after_claims=False).made == 0
 
 
 def test_lending_respects_another_teams_guarantee_without_faults(gpu_machines):
     """A team is not brought below its guarantee for another team's replicas; listed in KNOWN-RED.txt."""
-    assert run_world(107, random_faults=False, falls_in_claims=False).starts > 0
+    assert run_world(107, random_faults=False, faults_after_claims=False).starts > 0
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 from simulation import CANCEL_S, STORE_S, Broken, SimController, StoreRefusedError, TransactionTooLargeError, World
-from test_late_transactions import LEASE_S, SETTLED_S, SPEC, Alone, machine_of
+from test_late_transactions import LEASE_S, SPEC, VIEW_SETTLED_S, SteppedController, machine_of
 
 from alderbridge import configuration, constants
 from alderbridge.claims.records import PreemptionClaim
@@ -24,7 +24,7 @@
 from alderbridge.membership.records import View
 from alderbridge.membership.rendezvous import rendezvous_owner
 from alderbridge.protocol import messages, wire
-from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, MACHINES, TYPES, VIEW
+from alderbridge.protocol.keys import CLAIMS, CONFIGURATIONS, JOBS, MACHINE_TYPES, MACHINES, PREEMPTION_BUDGETS, VIEW
 
 
 def commit_and_lose_answer(alone, event_seen=True):
@@ -33,7 +33,7 @@
     assert batch is not None and not alone.carry_out(batch).failed
     if event_seen:
         alone.follow()
-    alone.t += constants.STATE_TIMEOUT_S
+    alone.t += constants.STORE_TIMEOUT_S
     alone.core.batch_results.on_failed(batch, alone.t)
     return batch
 
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_machine_with_unconfirmed_record_gets_no_tasks_and_others_wait_for_it(event_seen):
     """The next view's barrier includes a stored machine; its owner must not use it before an answer or a read."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     peer = alone.other("host-1")
     alone.heartbeat(name, 1)
@@ -76,10 +76,10 @@
     assert alone.core.machine_shard.machines[name].recorded
 
 
-@pytest.mark.parametrize("refresh", (Alone.follow, Alone.reload))
+@pytest.mark.parametrize("refresh", (SteppedController.follow, SteppedController.reload))
 def test_machine_that_expires_while_its_record_is_unconfirmed_leaves_no_record(refresh):
     """A record that is never dropped would delay reconciliation of each later view by a worker lease."""
-    alone = Alone()
+    alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
     commit_and_lose_answer(alone, event_seen=False)
@@ -96,11 +96,11 @@
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_machine_with_unconfirmed_drop_gets_no_tasks_before_it_is_recorded_again(event_seen):
     """A member that does not see the record restarts the machine's tasks elsewhere."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     peer = alone.other("host-1")
     alone.up(name)
-    alone.go(SETTLED_S + LEASE_S)
+    alone.go(VIEW_SETTLED_S + LEASE_S)
     drop = commit_and_lose_answer(alone, event_seen)
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_no_grant_beyond_unconfirmed_start_limit_and_next_job_shard_assumes_tasks_started(event_seen):
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     job = alone.job(msgspec.structs.replace(SPEC, tasks=1000))
     alone.up("n-000001")
     peer, previous_limit = alone.other("host-1"), job.start_limit
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_result_stays_on_its_machine_and_counts_at_the_next_owner(event_seen):
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     peer = alone.other("host-1")
     job = alone.job()
     alone.runs(job, "n-000001", 0)
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("resolution", ("read", "unread", "same owner", "other owner"))
 def test_unconfirmed_end_is_reported_by_others_and_never_contradicted_by_its_job_shard(state, event_seen, resolution):
     """Queried after the commit, after the call fails, when the conflict can't be read, and under a new view."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     peer = alone.other("host-1")
     prepare_job_end(alone, state)
     answered = []
@@ -203,7 +203,7 @@
     sync_to_same_time(alone, peer)
     query_all()
     assert answered == [event_seen, True]
-    alone.t += constants.STATE_TIMEOUT_S
+    alone.t += constants.STORE_TIMEOUT_S
     alone.core.batch_results.on_failed(batch, alone.t)
     sync_to_same_time(alone, peer)
     query_all()
@@ -221,7 +221,7 @@
         query_all()
         assert (SPEC.id in peer.core.job_shard.jobs) <= (resolution == "other owner")
     owner = peer if resolution == "other owner" else alone
-    owner.t = peer.t = alone.t = alone.t + SETTLED_S
+    owner.t = peer.t = alone.t = alone.t + VIEW_SETTLED_S
     for _ in range(3):
         alone.follow()
         peer.follow()
@@ -239,7 +239,7 @@
 @pytest.mark.parametrize("view", (False, True))
 def test_unconfirmed_compacted_end_ends_once_for_its_job_shard(event_seen, view):
     """The replica has only the end; the job shard keeps the job until it reads the end or enters the next view."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     job = prepare_job_end(alone, "done")
     commit_and_lose_answer(alone, event_seen)
     assert stored_record(alone).spec is None and job.unacknowledged_results and not job.is_complete
@@ -258,7 +258,7 @@
 @pytest.mark.parametrize("then", ("again", "refused", "view"))
 def test_unconfirmed_submission_is_reported_by_others_and_served_once(event_seen, then):
     """A refused submission is retried at the same controller, or a new view gives the job to its owner."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     peer = alone.other("host-1")
     submission = alone.core.submissions.submit(SPEC, alone.t, alone.t)
     commit_and_lose_answer(alone, event_seen)
@@ -284,7 +284,7 @@
 
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_dependency_lists_are_kept_and_their_job_waits_for_all(event_seen):
-    alone = Alone()
+    alone = SteppedController()
     alone.core.job_shard.value_bytes = 700
     need = msgspec.structs.replace(SPEC, id="wk-000100")
     alone.job(need)
@@ -304,7 +304,7 @@
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_view_limits_its_writer_by_conflicts_and_freshness(event_seen):
     """Other members are in the new view; without its watch the writer acts under the old one until that expires."""
-    alone = Alone("host-1", "host-2")
+    alone = SteppedController("host-1", "host-2")
     peer = alone.other("host-1")
     name = machine_of("host-0", "host-0", "host-1", "host-2")
     alone.up(name)
@@ -335,7 +335,7 @@
 
 def test_end_of_inherited_job_waits_for_one_settled_view_only():
     """Guards against a cancellation that each further view change delays again."""
-    alone = Alone("host-1", "host-2")
+    alone = SteppedController("host-1", "host-2")
     removed, remaining = next(
         pair
         for pair in (("host-1", "host-2"), ("host-2", "host-1"))
@@ -351,7 +351,7 @@
     alone.view(remaining, "host-0")
     attempt_writes(alone, 2)
     assert stored_record(alone).state is JobState.ACTIVE, "no view has settled since the job was inherited"
-    alone.go(SETTLED_S)
+    alone.go(VIEW_SETTLED_S)
     attempt_writes(alone, 2)
     assert stored_record(alone).state is JobState.ABORTED
     alone.view("host-0", remaining)
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_claims_block_planning_until_read(event_seen):
-    alone = Alone()
+    alone = SteppedController()
     ledger = alone.core.replica.ledger
     ledger.plan([{"n-000001": claim()}])
     commit_and_lose_answer(alone, event_seen)
@@ -377,13 +377,16 @@
     alone.follow()
     attempt_writes(alone, 2)
     assert not ledger.busy and ledger.claim_of("n-000001") is not None
-    assert ledger.stops_of("wk-000001", 0) == 1 and ledger.spent_revision == alone.store.data[BUDGETS][1]
+    assert (
+        ledger.preemption_count("wk-000001", 0) == 1
+        and ledger.usage_revision == alone.store.data[PREEMPTION_BUDGETS][1]
+    )
 
 
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_ends_are_written_while_a_claim_drop_is_unconfirmed(event_seen):
     """Guards against a drop that conflicts repeatedly while the watch hangs and blocks all other writes."""
-    alone = Alone()
+    alone = SteppedController()
     ledger = alone.core.replica.ledger
     prepare_job_end(alone, "aborted")
     ledger.plan([{"n-000001": claim()}])
@@ -407,7 +410,7 @@
         registered={"host-0": (1, 1)}, all_support=lambda protocol_version: True, is_leader=lambda now: True
     )
     proposal = proposer.due(membership, 0.0, 0.0, 12, 4096)
-    assert DECLARED + "hours" in proposal.puts
+    assert CONFIGURATIONS + "hours" in proposal.puts
 
     def apply_proposal(declarations, now):
         for key, value in proposal.puts.items():
@@ -418,9 +421,9 @@
     assert reader.revisions_in_force("hours", 0.1) == [0, 3]
     if event_seen:
         apply_proposal(proposer, 0.1)
-    proposer.failed(proposal, constants.STATE_TIMEOUT_S)
+    proposer.failed(proposal, constants.STORE_TIMEOUT_S)
     assert proposer.revisions_in_force("hours", 2.0) == ([0, 3] if event_seen else [0])
-    again = proposer.due(membership, 2.0 + constants.CONFIGURATION_RETRY_S, 9.0, 12, 4096)
+    again = proposer.due(membership, 2.0 + constants.CONFIGURATION_RETRY_DELAY_S, 9.0, 12, 4096)
     assert (again is None) is event_seen, "its own head is not proposed again"
     if again is not None:
         assert again.conditions == proposal.conditions, "the store holds revision 7, so this conflicts"
@@ -431,17 +434,19 @@
 
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_machine_types_are_written_once(event_seen):
-    alone = Alone()
-    machine_types = alone.core.machine_types.to_store()
-    conditions = {VIEW: alone.core.membership.fencing_token, TYPES: alone.core.replica.types_revision}
-    revision = alone.store.commit(conditions, {TYPES: machine_types}).revision
+    alone = SteppedController()
+    machine_types = alone.core.machine_types.types_to_store()
+    conditions = {VIEW: alone.core.membership.fencing_token, MACHINE_TYPES: alone.core.replica.types_revision}
+    revision = alone.store.commit(conditions, {MACHINE_TYPES: machine_types}).revision
     if event_seen:
         alone.follow()
-        assert alone.core.machine_types.to_store() is None
+        assert alone.core.machine_types.types_to_store() is None
     else:
         assert alone.core.replica.types_revision == 0, "the next attempt conflicts"
-        assert alone.store.commit(conditions, {TYPES: alone.core.machine_types.to_store()}).failed == [TYPES]
-    assert alone.store.data[TYPES][1] == revision
+        assert alone.store.commit(conditions, {MACHINE_TYPES: alone.core.machine_types.types_to_store()}).failed == [
+            MACHINE_TYPES
+        ]
+    assert alone.store.data[MACHINE_TYPES][1] == revision
 
 
 class AnswerLosingController(SimController):
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 from simulation import Broken, SimWorker, World
-from test_late_transactions import LEASE_S, SETTLED_S, Alone, machine_of
-from test_machine_proofs import OUT_S, RUNNING, DeafMachines, Reports
+from test_late_transactions import LEASE_S, VIEW_SETTLED_S, SteppedController, machine_of
+from test_machine_proofs import LEASE_EXPIRY_PROOF_S, RUNNING, InboundBlockedWorld, MachineShardHarness
 
 from alderbridge import constants
 from alderbridge.jobs.record import JobState
@@ -25,7 +25,7 @@
 
     Counting the machine as recorded then would let it run tasks that no later view waits for.
     """
-    alone, name = Alone(), "n-000001"
+    alone, name = SteppedController(), "n-000001"
     alone.heartbeat(name, 1)
     alone.go(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
     put = alone.batch()
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("write_outcome", ("before the view", "after the view", "before the view, unanswered"))
 def test_the_next_view_waits_for_a_new_machine_that_may_have_run_tasks(write_outcome):
     """The put of its record is in flight and a task is granted when the leader that owns the machine ends."""
-    alone = Alone("host-1")
+    alone = SteppedController("host-1")
     other, name = alone.other("host-1"), machine_of("host-0", "host-0", "host-1")
     alone.job()
     machine = alone.heartbeat(name, 1)
@@ -147,7 +147,7 @@
             world.after(rng.uniform(0.0, 2.5), world.end_if_up, self, life)
 
 
-class FastBootWorld(DeafMachines):
+class FastBootWorld(InboundBlockedWorld):
     """Machines boot within 2 s and some fail within seconds, while store writes are delayed and leaders end."""
 
     process = FastBootController
@@ -214,7 +214,10 @@
     shard_machines = world.shard_machines()
     for name, (_, rented_at) in world.kinds.items():
         worker = world.machines[name]
-        if world.t - rented_at > constants.BOOT_PATIENCE * 10.0 + constants.LOST_MACHINE_S + OUT_S + 20.0:
+        if (
+            world.t - rented_at
+            > constants.BOOT_TIMEOUT_FACTOR * 10.0 + constants.LOST_MACHINE_TIMEOUT_S + LEASE_EXPIRY_PROOF_S + 20.0
+        ):
             assert worker is not None and worker.alive, f"{name} is rented but not running"
             assert shard_machines[name].recorded, f"{name} is running but not recorded"
     assert not [
@@ -239,18 +242,18 @@
 @pytest.mark.parametrize("reported", STALE_TASK_LISTS)
 def test_stale_heartbeats_change_nothing_at_a_controller_that_owns_the_machine_again(reported):
     """The controller owns the machine under tokens 5 and 7, another under 6; delayed heartbeats arrive under 7."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 50)
-    harness.machine_shard.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
+    harness.machine_shard.enter_view(6, ["host-0", "host-1"], {}, 2.0, True, True)
     assert "n-1" not in harness.machine_shard.machines
-    harness.enter(7, 10.0, carry=True)
-    harness.told_home()
+    harness.enter_view(7, 10.0, carry=True)
+    harness.take_owner_reports()
     for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
         harness.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=reported)
         assert (
             not harness.machine.acknowledged
             and not harness.machine.tasks
-            and not harness.told_home()
+            and not harness.take_owner_reports()
             and not harness.orders()
         )
     assert harness.machine.last_sequence == (2, 61), (
@@ -262,32 +265,32 @@
         "probe answers with an older token, or not newer than the last heartbeat, are ignored"
     )
     harness.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
-    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
+    assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
     for fencing_token, sequence in ((6, 60), (6, 61), (7, 62)):
         assert harness.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=reported) is None
-    assert not harness.told_home() and harness.machine.last_heartbeat_at == 11.0
+    assert not harness.take_owner_reports() and harness.machine.last_heartbeat_at == 11.0
 
 
 @pytest.mark.parametrize("reported", STALE_TASK_LISTS)
 def test_a_heartbeat_delayed_until_the_next_view_changes_nothing_of_the_inherited_tasks(reported):
     """A new heartbeat with the previous view's token may show any outcome of the inherited tasks and orders."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, tasks=[RUNNING])
     harness.grant(3, 73)
     assert harness.orders() == [("run", "wk-1/3", 73)]
-    harness.enter(6, 2.0, settle=False, carry=True)
-    harness.told_home()
+    harness.enter_view(6, 2.0, settle=False, carry=True)
+    harness.take_owner_reports()
     harness.heartbeat(2.1, 2, fencing_token=5, tasks=reported)
-    assert not harness.told_home()
+    assert not harness.take_owner_reports()
     harness.machine_shard.leases.settle(3.0)
-    assert harness.told_home() == [([0], [("wk-1", 3, 73)])]
+    assert harness.take_owner_reports() == [([0], [("wk-1", 3, 73)])]
     assert (
         harness.heartbeat(3.1, 2, fencing_token=5, tasks=reported) is None
         and harness.heartbeat(3.2, 1, tasks=[RUNNING]) is None
     )
-    assert not harness.told_home()
+    assert not harness.take_owner_reports()
     harness.heartbeat(4.0, 3, fencing_token=6, tasks=[RUNNING])
-    assert harness.told_home() == [([0], [])], "this heartbeat proves that attempt 73 is not there"
+    assert harness.take_owner_reports() == [([0], [])], "this heartbeat proves that attempt 73 is not there"
 
 
 class OutboundBlockedWorker(SimWorker):
@@ -328,7 +331,7 @@
         super().heartbeat(raw, reply)
 
 
-class OutboundBlockedWorld(DeafMachines):
+class OutboundBlockedWorld(InboundBlockedWorld):
     """Heartbeats of some machines are lost, and captured heartbeats are replayed under the next view."""
 
     process = ReplayingController
@@ -429,31 +432,31 @@
                 assert jobs_after == jobs and {name: machines_after[name] for name in machines} == machines
                 receivers.add(core.me)
     assert len(captured) > 5 and len(receivers) == 4
-    world.run(world.t + OUT_S)
+    world.run(world.t + LEASE_EXPIRY_PROOF_S)
     assert not world.inherited()
 
 
 @pytest.mark.parametrize("is_lost", (True, False))
 def test_a_machine_with_blocked_outbound_traffic_expires_in_time_whatever_it_answers_to_probes(is_lost):
     """Each of three views within a lease probes it; the last probe is unanswered or answered by a new incarnation."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
-    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
-    harness.enter(6, 8.0)
+    assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
+    harness.enter_view(6, 8.0)
     harness.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
-    assert harness.told_home() == [([0], [])]
+    assert harness.take_owner_reports() == [([0], [])]
     assert harness.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and harness.machine.last_heartbeat_at == 9.0
-    harness.enter(7, 16.0)
+    harness.enter_view(7, 16.0)
     if not is_lost:
         harness.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
-        assert harness.machine.state is MachineState.UP and harness.told_home() == [([], [])], (
+        assert harness.machine.state is MachineState.UP and harness.take_owner_reports() == [([], [])], (
             "a new incarnation starts without tasks, as the old one's lease has expired"
         )
         return
-    harness.machine_shard.leases.check(9.0 + OUT_S - 0.1)
-    assert harness.machine.state is MachineState.EXPECTED and not harness.told_home()
-    harness.machine_shard.leases.check(9.0 + OUT_S + 0.1)
-    assert harness.machine.state is MachineState.EXPIRED and harness.told_home() == [([], [])], (
+    harness.machine_shard.leases.check(9.0 + LEASE_EXPIRY_PROOF_S - 0.1)
+    assert harness.machine.state is MachineState.EXPECTED and not harness.take_owner_reports()
+    harness.machine_shard.leases.check(9.0 + LEASE_EXPIRY_PROOF_S + 0.1)
+    assert harness.machine.state is MachineState.EXPIRED and harness.take_owner_reports() == [([], [])], (
         "the lease does not start again with the view at 16 s"
     )
     for incarnation, sequence in ((1, 5), (2, 1)):
@@ -465,7 +468,9 @@
             tasks=[RUNNING] if incarnation == 1 else [],
             asked=True,
         )
-        assert harness.machine.state is MachineState.EXPIRED and not harness.told_home() and not harness.orders()
+        assert (
+            harness.machine.state is MachineState.EXPIRED and not harness.take_owner_reports() and not harness.orders()
+        )
     harness.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
     assert (
         harness.machine.state is MachineState.UP
@@ -477,10 +482,10 @@
 
 def test_a_machine_that_only_answers_probes_gets_no_task():
     """Run orders are sent only in responses to heartbeats: its tasks would wait until its lease expires."""
-    alone, name = Alone(), "n-000001"
+    alone, name = SteppedController(), "n-000001"
     alone.up(name)
     alone.view("host-0")
-    alone.t += SETTLED_S
+    alone.t += VIEW_SETTLED_S
     alone.follow()
     job = alone.job()
     alone.core.round(alone.t)
@@ -546,9 +551,9 @@
     acknowledged = [name for name in blocked if shard_machines[name].acknowledged]
     assert len(acknowledged) > 70, "they acknowledge when probed; some probes are delayed"
     assert world.runs_on(set(acknowledged)), "their tasks stay assigned until the leases have expired"
-    world.run(view_began_at + OUT_S + 4.0)
+    world.run(view_began_at + LEASE_EXPIRY_PROOF_S + 4.0)
     assert not world.inherited()
-    world.run(view_began_at + 2 * OUT_S + 4.0)  # a late acknowledgement, and a lease from then on
+    world.run(view_began_at + 2 * LEASE_EXPIRY_PROOF_S + 4.0)  # a late acknowledgement, and a lease from then on
     assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
     job_owners = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
     assert not [
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -27,12 +27,12 @@
 from alderbridge.reconciliation import MachineProgress
 
 # Time from the last renewal of a worker's lease until its expiry is proven.
-OUT_S = LEASE_S * (1 + 2 * constants.CLOCK_DRIFT) + constants.PROOF_MARGIN_S
+LEASE_EXPIRY_PROOF_S = LEASE_S * (1 + 2 * constants.MAX_CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
 RUNNING = ReportedTask("wk-1/0", 70, "running")
 SAME = object()
 
 
-class Reports:
+class MachineShardHarness:
     """A machine shard with one recorded machine, and the messages that it sends to job owners."""
 
     def __init__(self) -> None:
@@ -44,14 +44,14 @@
             lambda name: False,
             Random(1),
         )
-        self.enter(5, 0.0, continued=False)
+        self.enter_view(5, 0.0, continued=False)
 
     def send(self, label, body):
         self.sent.append((label, body))
         return len(self.sent)
 
-    def enter(self, fencing_token, now, continued=True, settle=True, carry=False):
-        self.machine_shard.enter(
+    def enter_view(self, fencing_token, now, continued=True, settle=True, carry=False):
+        self.machine_shard.enter_view(
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, carry
         )
         if settle:
@@ -80,7 +80,7 @@
             for order in self.machine_shard.order_builder.orders(self.machine)
         ]
 
-    def told_home(self):
+    def take_owner_reports(self):
         """Return and forget the reports sent to the job owner so far: (task indices, pending orders) each."""
         reports, self.sent[:] = [body for label, body in self.sent if label == "host-1"], []
         return [(sorted(task.index for task in body.tasks), body.pending) for body in reports]
@@ -88,25 +88,25 @@
 
 def test_a_machine_that_accepts_no_response_expires_despite_its_heartbeats():
     """Guards against heartbeats that prolong the wait for the lease expiry while no response is accepted."""
-    harness = Reports()
+    harness = MachineShardHarness()
     for sequence, now in enumerate((3.0, 10.0, 17.0), 1):
         assert harness.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING]) is not None, (
             "its response may be the one that the worker receives"
         )
         harness.machine_shard.leases.check(now)
-        assert harness.machine.state is MachineState.EXPECTED and not harness.told_home()
-    assert harness.heartbeat(OUT_S + 0.1, 4, fencing_token=4) is harness.machine, (
+        assert harness.machine.state is MachineState.EXPECTED and not harness.take_owner_reports()
+    assert harness.heartbeat(LEASE_EXPIRY_PROOF_S + 0.1, 4, fencing_token=4) is harness.machine, (
         "without a response it could never acknowledge"
     )
     assert (
         harness.machine.state is MachineState.EXPIRED
         and harness.machine_shard.view.reconciliation.states["n-1"] is MachineProgress.EXPIRED
     )
-    assert harness.told_home() == [([], [])] and harness.machine_shard.records.to_drop == ["n-1"]
+    assert harness.take_owner_reports() == [([], [])] and harness.machine_shard.records.to_drop == ["n-1"]
     assert harness.orders() == []
-    harness.heartbeat(OUT_S + 1.0, 5, fencing_token=4)
-    assert harness.machine_shard.records.to_drop == ["n-1"] and not harness.told_home(), "reported once"
-    harness.heartbeat(OUT_S + 2.0, 1, incarnation=2)
+    harness.heartbeat(LEASE_EXPIRY_PROOF_S + 1.0, 5, fencing_token=4)
+    assert harness.machine_shard.records.to_drop == ["n-1"] and not harness.take_owner_reports(), "reported once"
+    harness.heartbeat(LEASE_EXPIRY_PROOF_S + 2.0, 1, incarnation=2)
     assert (
         harness.machine.state is MachineState.UP
         and harness.machine.acknowledged
@@ -115,125 +115,129 @@
 
 
 def test_heartbeats_with_an_older_token_prove_nothing_until_the_lease_has_provably_expired():
-    harness = Reports()
-    harness.heartbeat(OUT_S - 0.1, 1, fencing_token=4)
+    harness = MachineShardHarness()
+    harness.heartbeat(LEASE_EXPIRY_PROOF_S - 0.1, 1, fencing_token=4)
     assert harness.machine.state is MachineState.EXPECTED
-    harness.heartbeat(OUT_S - 0.05, 2, fencing_token=5, tasks=[RUNNING])  # it has received the last response
-    assert harness.machine.state is MachineState.UP and harness.told_home() == [([0], [])]
-    harness.heartbeat(3 * OUT_S, 3, fencing_token=5, tasks=[RUNNING])  # a long gap without a lease check in between
+    harness.heartbeat(
+        LEASE_EXPIRY_PROOF_S - 0.05, 2, fencing_token=5, tasks=[RUNNING]
+    )  # it has received the last response
+    assert harness.machine.state is MachineState.UP and harness.take_owner_reports() == [([0], [])]
+    harness.heartbeat(
+        3 * LEASE_EXPIRY_PROOF_S, 3, fencing_token=5, tasks=[RUNNING]
+    )  # a long gap without a lease check in between
     assert harness.machine.state is MachineState.UP
 
 
 def test_no_lease_expiry_is_concluded_before_the_view_has_settled():
-    harness = Reports()
-    harness.enter(6, 100.0, continued=False, settle=False)
-    harness.heartbeat(100.0 + 2 * OUT_S, 1, fencing_token=5)
+    harness = MachineShardHarness()
+    harness.enter_view(6, 100.0, continued=False, settle=False)
+    harness.heartbeat(100.0 + 2 * LEASE_EXPIRY_PROOF_S, 1, fencing_token=5)
     assert harness.machine.state is MachineState.EXPECTED, (
         "a member that acts under the older view may have answered it"
     )
-    harness.machine_shard.leases.settle(100.0 + 2 * OUT_S)
-    harness.heartbeat(100.0 + 3 * OUT_S - 0.1, 2, fencing_token=5)
+    harness.machine_shard.leases.settle(100.0 + 2 * LEASE_EXPIRY_PROOF_S)
+    harness.heartbeat(100.0 + 3 * LEASE_EXPIRY_PROOF_S - 0.1, 2, fencing_token=5)
     assert harness.machine.state is MachineState.EXPECTED
-    harness.heartbeat(100.0 + 3 * OUT_S + 0.1, 3, fencing_token=5)
+    harness.heartbeat(100.0 + 3 * LEASE_EXPIRY_PROOF_S + 0.1, 3, fencing_token=5)
     assert harness.machine.state is MachineState.EXPIRED
 
 
 def test_a_lease_counts_from_the_last_response_under_the_previous_view():
     """Responses under token 5 until 30 s may have renewed the lease: a heartbeat with token 5 does not exclude it."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(10.0, 1, tasks=[RUNNING])
     harness.heartbeat(30.0, 2, tasks=[RUNNING])
-    harness.enter(6, 31.0)
-    harness.told_home()
-    harness.heartbeat(30.0 + OUT_S - 0.1, 3, tasks=[RUNNING])
+    harness.enter_view(6, 31.0)
+    harness.take_owner_reports()
+    harness.heartbeat(30.0 + LEASE_EXPIRY_PROOF_S - 0.1, 3, tasks=[RUNNING])
     assert harness.machine.state is MachineState.EXPECTED
-    harness.heartbeat(30.0 + OUT_S + 0.1, 4, tasks=[RUNNING])
-    assert harness.machine.state is MachineState.EXPIRED and harness.told_home() == [([], [])]
+    harness.heartbeat(30.0 + LEASE_EXPIRY_PROOF_S + 0.1, 4, tasks=[RUNNING])
+    assert harness.machine.state is MachineState.EXPIRED and harness.take_owner_reports() == [([], [])]
 
 
 def test_consecutive_view_changes_do_not_restart_a_lease():
     """Guards against a new full lease for each of several views that are shorter than a lease."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1)
     for fencing_token, now in ((6, 8.0), (7, 14.0)):
-        harness.enter(fencing_token, now)
+        harness.enter_view(fencing_token, now)
         harness.heartbeat(now + 1.0, fencing_token, fencing_token=5)
         assert harness.machine.state is MachineState.EXPECTED
-    harness.heartbeat(1.0 + OUT_S + 0.1, 9, fencing_token=5)
+    harness.heartbeat(1.0 + LEASE_EXPIRY_PROOF_S + 0.1, 9, fencing_token=5)
     assert harness.machine.state is MachineState.EXPIRED
 
 
 def test_the_fencing_token_of_an_intermediate_view_shows_a_lease_renewal():
     """A heartbeat with token 6 shows that a response under view 6 was accepted, which renewed the lease."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1)
-    harness.enter(6, 2.0)
+    harness.enter_view(6, 2.0)
     harness.heartbeat(15.0, 2, fencing_token=5)
-    harness.enter(7, 16.0)
-    harness.heartbeat(1.0 + OUT_S + 0.1, 3, fencing_token=6)
+    harness.enter_view(7, 16.0)
+    harness.heartbeat(1.0 + LEASE_EXPIRY_PROOF_S + 0.1, 3, fencing_token=6)
     assert harness.machine.state is MachineState.EXPECTED
-    harness.heartbeat(1.0 + 2 * OUT_S, 4, fencing_token=6)
+    harness.heartbeat(1.0 + 2 * LEASE_EXPIRY_PROOF_S, 4, fencing_token=6)
     assert harness.machine.state is MachineState.EXPECTED, "the lease counts from the arrival of that heartbeat"
-    harness.heartbeat(1.0 + 2 * OUT_S + 0.3, 5, fencing_token=6)
+    harness.heartbeat(1.0 + 2 * LEASE_EXPIRY_PROOF_S + 0.3, 5, fencing_token=6)
     assert harness.machine.state is MachineState.EXPIRED
 
 
 def test_a_late_probe_answer_acknowledges_unless_the_machine_has_expired():
     """A late probe answer proves the tasks of a machine that has not expired; an expired one needs a heartbeat."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(5.0, 1, fencing_token=4, tasks=[RUNNING])
     harness.heartbeat(9.0, 2, fencing_token=5, tasks=[RUNNING], asked=True)
-    assert harness.machine.state is MachineState.UP and harness.told_home() == [([0], [])]
-    other = Reports()
-    other.heartbeat(OUT_S + 1.0, 1, fencing_token=4)
-    other.told_home()
-    other.heartbeat(OUT_S + 2.0, 2, fencing_token=5, asked=True)
+    assert harness.machine.state is MachineState.UP and harness.take_owner_reports() == [([0], [])]
+    other = MachineShardHarness()
+    other.heartbeat(LEASE_EXPIRY_PROOF_S + 1.0, 1, fencing_token=4)
+    other.take_owner_reports()
+    other.heartbeat(LEASE_EXPIRY_PROOF_S + 2.0, 2, fencing_token=5, asked=True)
     assert other.machine.state is MachineState.EXPIRED and not other.machine.acknowledged, (
         "its expiry is reported; only a heartbeat makes it usable again"
     )
 
 
 def test_orders_carried_into_a_new_view_are_released_only_by_lease_expiry():
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1)
     harness.grant(3, 73)
     assert harness.orders() == [("run", "wk-1/3", 73)]
-    harness.enter(6, 2.0, carry=True)
-    assert harness.told_home()[-1] == ([], [("wk-1", 3, 73)])
-    harness.heartbeat(1.0 + OUT_S - 0.1, 2, fencing_token=5)
-    assert not harness.told_home()
-    harness.heartbeat(1.0 + OUT_S + 0.1, 3, fencing_token=5)
-    assert harness.told_home() == [([], [])] and harness.machine.state is MachineState.EXPIRED
+    harness.enter_view(6, 2.0, carry=True)
+    assert harness.take_owner_reports()[-1] == ([], [("wk-1", 3, 73)])
+    harness.heartbeat(1.0 + LEASE_EXPIRY_PROOF_S - 0.1, 2, fencing_token=5)
+    assert not harness.take_owner_reports()
+    harness.heartbeat(1.0 + LEASE_EXPIRY_PROOF_S + 0.1, 3, fencing_token=5)
+    assert harness.take_owner_reports() == [([], [])] and harness.machine.state is MachineState.EXPIRED
 
 
 def test_copies_of_a_dead_machine_s_heartbeats_do_not_delay_its_lease_expiry():
     """Guards against copies, all new to this machine owner, that restart the wait for the lease expiry."""
-    harness = Reports()
+    harness = MachineShardHarness()
     now, sequence = 1.0, 0
-    while harness.machine.state is not MachineState.EXPIRED and now < 3 * OUT_S:
+    while harness.machine.state is not MachineState.EXPIRED and now < 3 * LEASE_EXPIRY_PROOF_S:
         sequence += 1
         harness.heartbeat(now, sequence, fencing_token=4, tasks=[RUNNING])
         harness.machine_shard.leases.check(now)
         now += 2.0
-    assert harness.machine.state is MachineState.EXPIRED and now < OUT_S + 5.0
-    assert harness.told_home() == [([], [])]
+    assert harness.machine.state is MachineState.EXPIRED and now < LEASE_EXPIRY_PROOF_S + 5.0
+    assert harness.take_owner_reports() == [([], [])]
 
 
 def test_a_member_that_may_have_missed_a_newer_view_concludes_no_lease_expiry():
     """Partitioned from the store at 5 s, it still acts, but a newer view's owner may have renewed the lease."""
     for inbound_blocked in (False, True):
-        harness = Reports()
+        harness = MachineShardHarness()
         harness.machine_shard.leases.no_newer_view_until = 5.0
         if not inbound_blocked:
             harness.heartbeat(1.0, 1, tasks=[RUNNING])
         harness.heartbeat(
-            1.0 + OUT_S + 0.2, 2, fencing_token=4
-        ) if inbound_blocked else harness.machine_shard.leases.check(1.0 + OUT_S + 0.2)
+            1.0 + LEASE_EXPIRY_PROOF_S + 0.2, 2, fencing_token=4
+        ) if inbound_blocked else harness.machine_shard.leases.check(1.0 + LEASE_EXPIRY_PROOF_S + 0.2)
         assert harness.machine.state is not MachineState.EXPIRED
-        harness.machine_shard.leases.no_newer_view_until = 1.0 + OUT_S
+        harness.machine_shard.leases.no_newer_view_until = 1.0 + LEASE_EXPIRY_PROOF_S
         harness.heartbeat(
-            1.0 + OUT_S + 0.4, 3, fencing_token=4
-        ) if inbound_blocked else harness.machine_shard.leases.check(1.0 + OUT_S + 0.4)
+            1.0 + LEASE_EXPIRY_PROOF_S + 0.4, 3, fencing_token=4
+        ) if inbound_blocked else harness.machine_shard.leases.check(1.0 + LEASE_EXPIRY_PROOF_S + 0.4)
         assert harness.machine.state is MachineState.EXPIRED, "the expiry is still concluded later"
 
 
@@ -262,7 +266,7 @@
             )
 
 
-class DeafMachines(World):
+class InboundBlockedWorld(World):
     process = CopyingProcess
     copied_heartbeat_share = 0.0
 
@@ -309,7 +313,7 @@
 
     Their heartbeats still arrive: guards against tasks that stay unknown for as long as the fault lasts.
     """
-    world = DeafMachines(seed, jobs=20)
+    world = InboundBlockedWorld(seed, jobs=20)
     world.run(60.0)
     world.copied_heartbeat_share = 0.2
     leader = world.leader()
@@ -321,10 +325,10 @@
     world.run(61.0)
     world.end(leader, 2.0)
     world.run(66.0)
-    assert len({worker.name for worker in blocked}) > constants.PROOF_LEAST and world.inherited(), (
+    assert len({worker.name for worker in blocked}) > constants.EMPTY_PROOF_MIN_MACHINES and world.inherited(), (
         "the combination of faults did not occur"
     )
-    world.run(66.0 + OUT_S + len(world.labels) * 5.0)
+    world.run(66.0 + LEASE_EXPIRY_PROOF_S + len(world.labels) * 5.0)
     assert not world.inherited()
     world.run(300.0)
     world.remembered()
@@ -340,7 +344,7 @@
 
 def test_tasks_do_not_stay_granted_to_an_inbound_blocked_machine():
     """Guards against run orders that are resent with each response for as long as a machine is inbound blocked."""
-    world = DeafMachines(3, jobs=40)
+    world = InboundBlockedWorld(3, jobs=40)
     world.run(45.0)
     for worker in world.rng.sample(world.workers(), len(world.workers()) // 2):
         worker.deaf_until = world.t + 120.0
@@ -359,34 +363,37 @@
 
 
 def test_a_run_order_lost_with_two_responses_is_released_for_another_machine():
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1)
     harness.grant(0, 70)
     assert harness.orders() == [("run", "wk-1/0", 70)]
     harness.heartbeat(6.0, 4)
     assert harness.orders() == [("run", "wk-1/0", 70)], "a response may be lost: the order is sent once more"
     harness.grant(1, 71)
-    harness.told_home()
+    harness.take_owner_reports()
     harness.heartbeat(11.0, 7)
-    assert harness.told_home() == [([], [])] and not harness.orders(), (
+    assert harness.take_owner_reports() == [([], [])] and not harness.orders(), (
         "this heartbeat settles both: neither was started"
     )
     assert harness.machine_shard.capacity.candidate(harness.machine, 11.0) is None, "the machine is quarantined"
     assert harness.machine_shard.capacity.candidate(harness.machine, 11.0 + LEASE_S) is not None
-    other = Reports()
+    other = MachineShardHarness()
     other.heartbeat(1.0, 1)
     other.grant(0, 70)
     other.orders()
     other.heartbeat(6.0, 4)
     other.orders()
     other.heartbeat(7.0, 5, tasks=[RUNNING])
-    assert other.told_home()[-1] == ([0], []) and other.machine_shard.capacity.candidate(other.machine, 7.0) is not None
+    assert (
+        other.take_owner_reports()[-1] == ([0], [])
+        and other.machine_shard.capacity.candidate(other.machine, 7.0) is not None
+    )
 
 
 @pytest.mark.parametrize("incarnation, sequence", ((2, 3), (2, 2), (1, 99)))
 def test_an_outdated_heartbeat_renews_frees_and_acknowledges_nothing(incarnation, sequence):
     """A repeated sequence, a lower one, and a higher one of an earlier incarnation are all outdated."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 3, incarnation=2)
     harness.grant(0, 70)
     harness.machine_shard.reserve(harness.machine, "wk-1", 2)
@@ -395,7 +402,7 @@
     harness.grant(1, 71)
     harness.orders()
     harness.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
-    harness.told_home()
+    harness.take_owner_reports()
     machine = harness.machine
     before = (
         machine.last_heartbeat_at,
@@ -417,56 +424,60 @@
         machine.reserved,
         machine.orders.stops,
     )
-    assert not harness.told_home()
-    harness.machine_shard.leases.check(2.0 + OUT_S + 0.1)
+    assert not harness.take_owner_reports()
+    harness.machine_shard.leases.check(2.0 + LEASE_EXPIRY_PROOF_S + 0.1)
     assert machine.state is MachineState.EXPIRED, "its lease counts from the newest heartbeat"
 
 
 def test_a_first_heartbeat_with_an_older_token_proves_nothing_to_a_new_owner():
     """It may be a late copy: it adds and frees no tasks and gets no orders, whatever has been granted."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
     assert harness.heartbeat(1.0, 50, fencing_token=4, tasks=[RUNNING]) is not None
-    assert not harness.machine.tasks and not harness.told_home() and not harness.orders()
+    assert not harness.machine.tasks and not harness.take_owner_reports() and not harness.orders()
     harness.grant(0, 71)
-    assert harness.told_home() == [] and not harness.machine.orders.pending, (
+    assert harness.take_owner_reports() == [] and not harness.machine.orders.pending, (
         "the machine is not up, so nothing was ordered"
     )
     harness.heartbeat(2.0, 51, tasks=[RUNNING])
-    assert harness.told_home() == [([0], [])]
+    assert harness.take_owner_reports() == [([0], [])]
 
 
 def test_copies_of_a_terminated_machine_s_heartbeats_are_ignored():
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, tasks=[RUNNING])
     harness.machine_shard.on_terminated(["n-1"])
-    harness.told_home()
+    harness.take_owner_reports()
     for fencing_token in (4, 5):
         assert harness.heartbeat(2.0, 9, fencing_token=fencing_token, incarnation=3, tasks=[RUNNING]) is None
-    assert "n-1" not in harness.machine_shard.machines and not harness.told_home()
-    harness.enter(6, 3.0)  # its record is not deleted yet
+    assert "n-1" not in harness.machine_shard.machines and not harness.take_owner_reports()
+    harness.enter_view(6, 3.0)  # its record is not deleted yet
     assert harness.machine_shard.records.to_drop == ["n-1"]
-    assert harness.told_home() == [([], [])], "inherited tasks must not wait for the lease of a terminated machine"
-    assert harness.heartbeat(4.0, 10, fencing_token=5) is None and not harness.told_home()
+    assert harness.take_owner_reports() == [([], [])], (
+        "inherited tasks must not wait for the lease of a terminated machine"
+    )
+    assert harness.heartbeat(4.0, 10, fencing_token=5) is None and not harness.take_owner_reports()
 
 
 def test_an_expired_machine_returns_with_a_new_incarnation_but_not_by_old_heartbeats():
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 8, tasks=[RUNNING])
     harness.grant(3, 73)
     harness.orders()
-    harness.machine_shard.leases.check(1.0 + OUT_S + 0.1)
+    harness.machine_shard.leases.check(1.0 + LEASE_EXPIRY_PROOF_S + 0.1)
     assert harness.machine.state is MachineState.EXPIRED
-    harness.told_home()
+    harness.take_owner_reports()
     harness.heartbeat(20.0, 1, incarnation=2)
-    assert harness.machine.state is MachineState.UP and not harness.told_home(), "the expiry was reported before"
+    assert harness.machine.state is MachineState.UP and not harness.take_owner_reports(), (
+        "the expiry was reported before"
+    )
     assert harness.heartbeat(21.0, 9, tasks=[RUNNING]) is None, "a late heartbeat of the previous incarnation"
-    assert not harness.machine.tasks and not harness.told_home() and not harness.orders()
+    assert not harness.machine.tasks and not harness.take_owner_reports() and not harness.orders()
 
 
 def test_a_machine_report_of_an_older_view_is_rejected_under_the_next():
     """Reports of the old and the new machine owner may reach a job owner in any order."""
-    world = DeafMachines(7, jobs=6)
+    world = InboundBlockedWorld(7, jobs=6)
     world.run(40.0)
     job_owner, machine_owner, name, index, run = next(
         (sim.core, world.nodes[sim.core.membership.machine_owner(run.machine)].core, name, index, run)
@@ -490,31 +501,33 @@
 
 def test_a_late_probe_answer_does_not_settle_orders():
     """The answer to a probe of view 5 is delayed; meanwhile a heartbeat acknowledged and a task was ordered."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 2)
     harness.grant(0, 70)
     assert harness.orders() == [("run", "wk-1/0", 70)]
-    harness.told_home()
+    harness.take_owner_reports()
     harness.heartbeat(5.0, 3, asked=True)  # sent before the worker received the response with the order
     assert (
         ("wk-1", 0) in harness.machine.orders.pending
-        and not harness.told_home()
+        and not harness.take_owner_reports()
         and harness.machine.last_sequence == (1, 2)
     )
-    harness.enter(6, 6.0, carry=True)
-    harness.told_home()
+    harness.enter_view(6, 6.0, carry=True)
+    harness.take_owner_reports()
     harness.heartbeat(7.0, 4, fencing_token=5, asked=True)
-    assert not harness.machine.acknowledged and not harness.told_home(), "it does not acknowledge the next view either"
+    assert not harness.machine.acknowledged and not harness.take_owner_reports(), (
+        "it does not acknowledge the next view either"
+    )
     assert harness.machine.last_sequence == (1, 2) and harness.machine.last_heartbeat_at == 1.0, (
         "only a probe answer that acknowledges the view counts as a heartbeat"
     )
     harness.heartbeat(8.0, 5, fencing_token=6, asked=True, tasks=[RUNNING])
-    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
+    assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
 
 
 def test_a_heartbeat_older_than_the_probe_answer_gets_no_run_order():
     """Heartbeat 1 has an older token; a probe answer acknowledges; then heartbeat 1 is delivered again."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, fencing_token=4)
     harness.heartbeat(1.1, 2, asked=True)
     assert harness.machine.acknowledged and not harness.orders()
@@ -525,7 +538,7 @@
 
 
 def test_a_stop_for_another_attempt_does_not_stop_the_running_one():
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, tasks=[RUNNING])
     harness.machine_shard.on_stop_task(StopTask("n-1", "wk-1", 0, 70, 0.0))
     harness.heartbeat(2.0, 2)
@@ -538,7 +551,7 @@
 
 
 def test_an_acknowledgement_applies_to_one_attempt_and_is_removed_with_it():
-    harness = Reports()
+    harness = MachineShardHarness()
     ended = ReportedTask("wk-1/0", 70, "ended", "halted")
     harness.heartbeat(1.0, 1, tasks=[ended])
     harness.machine_shard.on_acknowledge_finished("n-1", "wk-1", 0, 70)
@@ -549,24 +562,24 @@
     assert harness.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 80)]
     done = ReportedTask("wk-1/0", 80, "ended", "done")
     harness.heartbeat(3.0, 3, tasks=[done])
-    harness.heartbeat(3.0 + constants.ACKNOWLEDGE_WAIT_S + 1, 4, tasks=[done])
+    harness.heartbeat(3.0 + constants.ACKNOWLEDGE_DELAY_S + 1, 4, tasks=[done])
     assert not harness.orders(), "the result of attempt 80 is not stored yet"
 
 
 @pytest.mark.parametrize("between", ("running", None))
 def test_a_gang_task_restarted_under_the_same_attempt_keeps_its_new_result(between):
     """Guards against the acknowledgement of an earlier end that discards the result of the restarted task."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, tasks=[ReportedTask("wk-1/0", 70, "ended", "error")])
     harness.machine_shard.on_acknowledge_finished("n-1", "wk-1", 0, 70)
     harness.grant(0, 70)
     assert harness.orders() == [("clear", "wk-1/0", 70), ("run", "wk-1/0", 70)]
     if between is not None:
         harness.heartbeat(2.0, 2, tasks=[ReportedTask("wk-1/0", 70, between)])
-    harness.told_home()
+    harness.take_owner_reports()
     harness.heartbeat(3.0, 3, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
     assert [(task.cause) for label, body in harness.sent if label == "host-1" for task in body.tasks] == ["done"]
-    harness.heartbeat(4.0 + constants.ACKNOWLEDGE_WAIT_S, 4, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
+    harness.heartbeat(4.0 + constants.ACKNOWLEDGE_DELAY_S, 4, tasks=[ReportedTask("wk-1/0", 70, "ended", "done")])
     assert not harness.orders()
 
 
@@ -589,7 +602,7 @@
         self.job_shard = JobShard([], lambda label, body: self.sent.append(body) or len(self.sent), 4096)
         self.job = Job(self.record, self.revision, 0.0, 0.0, never_started=never_started)
         self.job.inherited = not never_started
-        self.job_shard.enter(self.fencing_token, {"wk-1": self.job}, MACHINES)
+        self.job_shard.enter_view(self.fencing_token, {"wk-1": self.job}, MACHINES)
         self.job_shard.settled = settled
         self.sent.clear()
 
@@ -695,7 +708,7 @@
     assert harness.job.has_started and harness.job.state_of(0) is TaskState.RUNNING
 
 
-class StaggeredEnds(DeafMachines):
+class StaggeredEnds(InboundBlockedWorld):
     """Jobs of two or three tasks, each of which ends harness minute after the previous harness."""
 
     def make_job(self, number):
@@ -731,7 +744,7 @@
 
 def test_a_member_partitioned_from_the_store_concludes_no_lease_expiry():
     """The machine owner of a newer view may renew the lease: an expiry here would start a running task twice."""
-    world = DeafMachines(5, jobs=6)
+    world = InboundBlockedWorld(5, jobs=6)
     world.run(40.0)
 
     def find_recent_heartbeat():
@@ -740,7 +753,11 @@
             acts_until = min(membership.store_lease.valid_until, membership.fresh_until)
             for machine in sim.core.machine_shard.machines.values():
                 worker = world.machines.get(machine.name)
-                if machine.acknowledged and worker is not None and machine.last_heartbeat_at + OUT_S + 0.5 < acts_until:
+                if (
+                    machine.acknowledged
+                    and worker is not None
+                    and machine.last_heartbeat_at + LEASE_EXPIRY_PROOF_S + 0.5 < acts_until
+                ):
                     return sim, machine, worker
         return None
 
@@ -753,7 +770,7 @@
         assert machine.state is not MachineState.EXPIRED
         world.run(world.t + 0.05)
     assert (
-        world.t > machine.last_heartbeat_at + OUT_S
+        world.t > machine.last_heartbeat_at + LEASE_EXPIRY_PROOF_S
         and sim.core.machine_shard is machine_shard
         and machine_shard.machines[machine.name] is machine
     )
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -23,7 +23,7 @@
 )
 
 
-def part_with_machine():
+def machine_shard_with_machine():
     sent = []
 
     def send(label, body):
@@ -37,7 +37,7 @@
         lambda name: False,
         Random(1),
     )
-    shard.enter(5, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 0.0)
+    shard.enter_view(5, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 0.0)
     shard.leases.settle(0.0)
     return shard, sent
 
@@ -47,7 +47,7 @@
 
 
 def test_job_owners_get_one_report_on_a_machine_and_then_only_changes():
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     heartbeat(shard, 1)
     assert [label for label, _ in sent] == ["host-0", "host-1"]  # both learn that no task is there
     heartbeat(shard, 2)
@@ -57,7 +57,7 @@
 
 
 def test_a_grant_that_is_not_carried_out_is_reported_though_the_machine_has_not_changed():
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     heartbeat(shard, 1)
     shard.on_task_grant("host-1", TaskGrant(1, "wk-1", "n-1", [(0, 1)]), 1.5)
     shard.drain(["n-1"])  # the run order is unsent: the grant is dropped
@@ -65,7 +65,7 @@
 
 
 def test_a_grant_for_a_terminated_machine_is_answered():
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     heartbeat(shard, 1)
     shard.on_terminated(["n-1"])
     sent_before = len(sent)
@@ -75,7 +75,7 @@
 
 def test_a_probe_answer_is_proof_only_before_any_order_of_this_view():
     """A later one may have been sent before the worker read the response that starts a task."""
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     shard.heartbeats.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 1, 4, "a"), 1.0)
     assert not sent, "it has an older fencing token"
     shard.heartbeats.on_probe_answer(Heartbeat("n-1", "x", "c4", 1, 2, 5, "a"), 1.0)
@@ -89,8 +89,8 @@
 
 
 def test_machines_are_probed_once_per_view_and_only_if_their_address_is_recorded():
-    shard, _ = part_with_machine()
-    shard.enter(
+    shard, _ = machine_shard_with_machine()
+    shard.enter_view(
         6,
         ["host-0", "host-1"],
         {
@@ -106,7 +106,7 @@
 
 def test_finished_tasks_are_acknowledged_along_with_other_orders_or_after_a_bound():
     """An acknowledgement sent alone makes the worker send an extra heartbeat."""
-    shard, _ = part_with_machine()
+    shard, _ = machine_shard_with_machine()
     ended = ReportedTask("wk-1/0", 70, "ended", "done")
     heartbeat(shard, 1, [ended])
     machine = shard.machines["n-1"]
@@ -118,12 +118,12 @@
     )
     heartbeat(shard, 2, [ended, ReportedTask("wk-1/1", 71, "running")])
     assert shard.order_builder.orders(machine) == []
-    heartbeat(shard, 2 + int(constants.ACKNOWLEDGE_WAIT_S), [ended, ReportedTask("wk-1/1", 71, "running")])
+    heartbeat(shard, 2 + int(constants.ACKNOWLEDGE_DELAY_S), [ended, ReportedTask("wk-1/1", 71, "running")])
     assert [order["verb"] for order in shard.order_builder.orders(machine)] == ["clear"]
 
 
 def test_lost_and_failed_tasks_are_reported_at_once_and_progress_with_the_next_message():
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     deferred = []
     shard.outbox.send_deferred = lambda label, body: deferred.append(body.tasks) or 0
     heartbeat(shard, 1)
--- a/tests/test_monotonic_reads.py
+++ b/tests/test_monotonic_reads.py
@@ -27,7 +27,7 @@
 from alderbridge.settings import Tuning
 from alderbridge.state.errors import StoreRefusedError
 from alderbridge.transport.errors import UnansweredError
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 BODY = {
     "workload": "x",
@@ -151,9 +151,9 @@
         self.response_statuses: list[int] = []
         patch_now(monkeypatch, lambda: self.t)
         monkeypatch.setattr(time, "time", lambda: self.t)
-        monkeypatch.setattr(constants, "WRITER_PAUSE_S", 0.0)
-        monkeypatch.setattr(constants, "ROUND_S", 0.0)
-        monkeypatch.setattr(constants, "WATCH_PAUSE_S", 0.0)
+        monkeypatch.setattr(constants, "WRITE_BATCH_DELAY_S", 0.0)
+        monkeypatch.setattr(constants, "ROUND_INTERVAL_S", 0.0)
+        monkeypatch.setattr(constants, "WATCH_DELAY_S", 0.0)
 
     async def start(self, slow: bool = False) -> "Cluster":
         for label in LABELS:
@@ -180,9 +180,11 @@
             await self.writers[label].cancel()
         store = ControlledStore(self, label)
         store.slow = slow
-        controller = self.controllers[label] = Controller(platform(label, LABELS), Tuning(), Poll(), store=store)
+        controller = self.controllers[label] = Controller(
+            platform(label, LABELS), Tuning(), EpollSelector(), store=store
+        )
         controller.mesh = QueuedMesh(self, label)
-        controller.record_writer.wait_for_work = store.wait_for_wakeup
+        controller.record_writer.wait_for_due_records = store.wait_for_wakeup
         controller.core.machine_types.update(TYPES)
         controller.core.view_entry.lease_acquired(self.lease_ids[label], self.t, self.t)
         self.pending_polls.pop(label, None)
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -19,7 +19,7 @@
 from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Tuning
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 
 def isolate(world, labels, duration_s):
@@ -307,7 +307,7 @@
     """One controller of three, with a clock that the test sets: ``clock[0]``."""
     clock = [100.0]
     patch_now(monkeypatch, lambda: clock[0])
-    controller = Controller(platform("host-0", LABELS), Tuning(), Poll())
+    controller = Controller(platform("host-0", LABELS), Tuning(), EpollSelector())
     core = controller.core
     core.membership.store_lease.record_renewal(1, 100.0, 100.0)
     core.membership.record_sync(100.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -106,7 +106,7 @@
             return 0.0 if job.image in images else 1.0 + 7.0 * int(job.image[-1])
 
         def capacity_elsewhere(offer):
-            return 2 if offer.young_until > 100.0 else 0
+            return 2 if offer.packing_until > 100.0 else 0
 
         expected = reference_fill(machine, rows, fetch_s, capacity_elsewhere)
         requests = fill(machine, offers, fetch_s, capacity_elsewhere, now=100.0)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -197,8 +197,8 @@
 
 def test_idle_machine_is_kept_only_if_its_removal_predicts_a_breach():
     fleet = [big_machine(), big_machine()]
-    assert policy.keep_idle(policy.Walk(fleet, [demand(8)]), fleet[0])
-    assert not policy.keep_idle(policy.Walk(fleet, [demand(4)]), fleet[0])
+    assert policy.must_keep_idle(policy.Walk(fleet, [demand(8)]), fleet[0])
+    assert not policy.must_keep_idle(policy.Walk(fleet, [demand(4)]), fleet[0])
 
 
 def test_idle_machine_is_not_kept_for_a_demand_that_cannot_use_it():
@@ -207,9 +207,9 @@
     for unsuitable in (other_zone, too_large):
         waiting = [Demand(unsuitable, 1, 5.0, 100.0)]
         assert predicted_breach([big_machine()], waiting) is waiting[0]
-        assert not policy.keep_idle(policy.Walk([big_machine()], waiting), big_machine())
+        assert not policy.must_keep_idle(policy.Walk([big_machine()], waiting), big_machine())
     mixed = [Demand(other_zone, 1, 5.0, 100.0), demand(8)]
-    assert policy.keep_idle(policy.Walk([big_machine(), big_machine()], mixed), big_machine()), (
+    assert policy.must_keep_idle(policy.Walk([big_machine(), big_machine()], mixed), big_machine()), (
         "the other demand needs both"
     )
 
@@ -253,7 +253,7 @@
             )
         }
     )
-    leader.enter(["host-0", "host-1"], 0.0)
+    leader.enter_view(["host-0", "host-1"], 0.0)
     leader.rented_machines.listed = True
     first = spec(tasks=6, cpus=4.0, spot=False)
     other = msgspec.structs.replace(first, id="wk-2", priority="best_effort", tasks=13, cpus=2.0, spot=True)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -11,7 +11,7 @@
 
 from alderbridge import preemption
 from alderbridge.claims.ledger import Ledger
-from alderbridge.claims.records import PreemptionClaim, PreemptionsSpent
+from alderbridge.claims.records import PreemptionClaim, PreemptionUsage
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.preemption import (
     CandidateMachine,
@@ -25,7 +25,7 @@
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.priorities import PriorityConfiguration, check_lines, demands, parse, policy
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import BUDGETS, CLAIMS, JOBS
+from alderbridge.protocol.keys import CLAIMS, JOBS, PREEMPTION_BUDGETS
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.placement import allowed
 from alderbridge.scheduling.resources import fits, minus
@@ -61,7 +61,7 @@
     Checks each stored claim against the contents of the store and the tasks on machines.
     """
 
-    def __init__(self, seed: int, falls_in_claims: bool = True, **more) -> None:
+    def __init__(self, seed: int, faults_after_claims: bool = True, **more) -> None:
         self.configuration = parse_priorities()
         self.open: dict[str, PreemptionClaim] = {}  # machine -> its stored claim
         self.victims: Counter[tuple[str, int]] = Counter()
@@ -71,7 +71,7 @@
         # of the last 4 s: time, tasks by job that were on no machine, free capacity by machine
         self.samples: deque[tuple[float, Counter, dict]] = deque()
         self.made = 0
-        self.falls_in_claims, self.claim_faults_until = falls_in_claims, 150.0
+        self.faults_after_claims, self.claim_faults_until = faults_after_claims, 150.0
         super().__init__(seed, jobs=0, machines=8, **more)
         commit = self.store.commit
 
@@ -144,7 +144,7 @@
             self.samples.popleft()
         self.after(0.25, self.count)
 
-    def lately_waiting(self, job: str) -> int:
+    def max_recently_waiting(self, job: str) -> int:
         return max((unplaced[job] for _, unplaced, _ in self.samples), default=0)
 
     def free_capacity(self, worker):
@@ -197,19 +197,21 @@
                 raise Broken(f"claimed_twice: {machine}")
             self.open[machine] = claim
             self.made += 1
-            self.may_claim(machine, claim)
-        if new and self.falls_in_claims and self.t < self.claim_faults_until:
+            self.check_claim(machine, claim)
+        if new and self.faults_after_claims and self.t < self.claim_faults_until:
             self.inject_claim_fault(list(new.values()))
 
-    def may_claim(self, machine: str, claim: PreemptionClaim) -> None:
+    def check_claim(self, machine: str, claim: PreemptionClaim) -> None:
         claimant, team = self.specs[claim.job], self.specs[claim.job].team
         served_tasks = sum(
             other.count
             for name, other in self.open.items()
             if other.job == claim.job and (name == machine or self.there(name, other))
         )
-        if self.said.get(claim.job) == "done" or served_tasks > self.lately_waiting(claim.job):
-            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.lately_waiting(claim.job)}")
+        if self.said.get(claim.job) == "done" or served_tasks > self.max_recently_waiting(claim.job):
+            raise Broken(
+                f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.max_recently_waiting(claim.job)}"
+            )
         if any(task == claim.job for task, _ in self.victims):
             raise Broken(f"cascade: {claim.job}")
         for job, index, attempt in claim.victims:
@@ -229,8 +231,8 @@
             if self.victims[(job, index)] > 2:
                 raise Broken(f"stops: {job}/{index} stopped {self.victims[(job, index)]} times")
         # Claims are needed only for the tasks that lasting free capacity can't serve.
-        shortfall = self.lately_waiting(claim.job) - self.lasting_free_capacity(claimant)
-        if not self.falls_in_claims and served_tasks > shortfall:
+        shortfall = self.max_recently_waiting(claim.job) - self.lasting_free_capacity(claimant)
+        if not self.faults_after_claims and served_tasks > shortfall:
             raise Broken(f"no_need: claim for {claim.job} at {self.t:.2f}: {served_tasks} for {shortfall}")
         self.spent.append((claim.at, team, len(claim.victims)))
         if sum(count for at, owner, count in self.spent if owner == team and at > claim.at - 60.0) > 12:
@@ -290,9 +292,9 @@
 
 
 def test_claims_are_made_without_faults_but_not_without_declared_priorities():
-    worlds = [play(seed, random_faults=False, falls_in_claims=False) for seed in (101, 103)]
+    worlds = [play(seed, random_faults=False, faults_after_claims=False) for seed in (101, 103)]
     assert all(world.made > 0 for world in worlds)
-    undeclared = ClaimsWorld(101, random_faults=False, falls_in_claims=False)
+    undeclared = ClaimsWorld(101, random_faults=False, faults_after_claims=False)
     undeclared.configuration = PriorityConfiguration()
     undeclared.run(200.0)
     assert undeclared.made == 0 and worlds[0].made > 0
@@ -314,19 +316,19 @@
 
     def add_claims(self, tx, *more):
         real(self, tx, *more)
-        tx.puts[BUDGETS] = PreemptionsSpent()
+        tx.puts[PREEMPTION_BUDGETS] = PreemptionUsage()
 
     monkeypatch.setattr(Ledger, "_add_claims", add_claims)
 
 
 def claims_lost_on_view_change(monkeypatch):
-    real = Ledger.enter
+    real = Ledger.enter_view
 
-    def enter(self):
+    def enter_view(self):
         self.entries.clear()
         real(self)
 
-    monkeypatch.setattr(Ledger, "enter", enter)
+    monkeypatch.setattr(Ledger, "enter_view", enter_view)
 
 
 def protocol_rule_ignored(monkeypatch):
@@ -334,7 +336,7 @@
 
 
 def claimed_tasks_not_counted(monkeypatch):
-    monkeypatch.setattr(PreemptionPlanner, "promised", lambda self: Counter())
+    monkeypatch.setattr(PreemptionPlanner, "claimed_tasks", lambda self: Counter())
 
 
 def preempted_jobs_preempt(monkeypatch):
@@ -393,7 +395,7 @@
 
 def select(spec, count, *machines, max_changes=12, limit=UNLIMITED, is_allowed=lambda demand, victim: True):
     demand = PreemptionDemand(spec, count, 5.0, "urgent")
-    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda demand: limit)
+    budget = PreemptionBudget(PreemptionUsage(), 100.0, {}, 100, lambda demand: limit)
     return select_victims(
         [demand], machines, SelectionRules(is_allowed, preemption.lost_cpu_seconds), budget, max_changes
     )
@@ -447,7 +449,7 @@
     """Stored preemptions only protect later rounds: one selection could serve a job that it preempts."""
     middle, routine = job("5", "standard"), job("1", "best_effort", estimate_s=50.0)
     short_run, long_run = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
-    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda demand: UNLIMITED)
+    budget = PreemptionBudget(PreemptionUsage(), 100.0, {}, 100, lambda demand: UNLIMITED)
     machines = [machine_with("a", short_run, cpus=2.0), machine_with("b", long_run, cpus=2.0)]
     selection_rules = SelectionRules(lambda demand, victim: True, preemption.lost_cpu_seconds)
     urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
@@ -486,7 +488,7 @@
         limit = PreemptionLimit(rng.randint(1, 12), 99)
         groups = select(urgent, count, *machines, max_changes=max_changes, limit=limit)
         candidates = {candidate.machine: candidate for candidate in machines}
-        assert len(victims_of(groups)) <= limit.a_minute
+        assert len(victims_of(groups)) <= limit.max_per_minute
         assert sum(claim.count for group in groups for claim in group.values()) <= count
         for group in groups:
             assert len(group) + len({v[0] for claim in group.values() for v in claim.victims}) + 1 <= max_changes
@@ -506,7 +508,7 @@
     assert not preemption.allowed(low, True, high, False) and not preemption.allowed(low, False, low, True)
     # Within one team only priority counts.
     assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)
-    teams = preemption.Teams(TEAMS, {"bound": (10.0, 0.0)})
+    teams = preemption.GuaranteeUsage(TEAMS, {"bound": (10.0, 0.0)})
     assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
     teams.count_victim(job("5", team="bound"), 1)
     assert not teams.beyond(job("5", team="bound"))
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -85,7 +85,7 @@
         return QueueState(rows, reserved, reserved, {}, self.allocations_received)
 
     def step(self):
-        self.now += constants.ROUND_S
+        self.now += constants.ROUND_INTERVAL_S
         self.change()
         round_ = PublishRound(self.now, 1, "leader", self.links, self.snapshot(), messages.PeerStatus([], [], 0))
         for outgoing in self.queue_publisher.publish(round_, True):
@@ -106,7 +106,7 @@
     def receive(self, label, message):
         self.messages_received += 1
         if isinstance(message, messages.QueueDelta):
-            self.copies[label].apply_row_delta(message, self.clocks[label].local_time(message.at + 7.0, self.now))
+            self.copies[label].apply_row_delta(message, self.clocks[label].to_local_time(message.at + 7.0, self.now))
         elif isinstance(message, messages.TeamUsageDelta):
             self.copies[label].apply_usage_delta(message)
 
@@ -116,9 +116,9 @@
         received = {one.job: one for one in self.copies[label].aged_rows(self.now)}
         assert received.keys() == rows.keys()
         for job, current in rows.items():
-            assert abs(received[job].due_in_s - current.due_in_s) <= constants.QUEUE_TIME_S + 1e-6
-            assert abs(received[job].waiting - current.waiting) * constants.QUEUE_SHARE <= max(
-                received[job].waiting, constants.QUEUE_SHARE
+            assert abs(received[job].due_in_s - current.due_in_s) <= constants.QUEUE_TIME_TOLERANCE_S + 1e-6
+            assert abs(received[job].waiting - current.waiting) * constants.QUEUE_COUNT_CHANGE_DIVISOR <= max(
+                received[job].waiting, constants.QUEUE_COUNT_CHANGE_DIVISOR
             )
         if not offered_only:
             snapshot = self.snapshot()
@@ -132,7 +132,7 @@
     for _ in range(400):
         run.step()
         run.check("leader", offered_only=False)
-        assert run.links["machine-shard"].unacknowledged <= constants.QUEUE_BACKLOG
+        assert run.links["machine-shard"].unacknowledged <= constants.MAX_QUEUE_BACKLOG_MESSAGES
     run.deliver("machine-shard", 1.0)
     run.step()
     run.deliver("machine-shard", 1.0)
@@ -142,10 +142,10 @@
 
 def test_delayed_messages_are_dated_by_their_send_time():
     clock = SenderClock()
-    assert clock.local_time(10.0, 500.0) == 500.0, "no earlier message"
-    assert clock.local_time(20.0, 509.0) == 509.0, "shorter delay than before"
-    assert clock.local_time(30.0, 527.0) == pytest.approx(519.0, abs=0.02), "delayed by 8 s"
-    assert clock.local_time(630.0, 1119.5) == pytest.approx(1119.5, abs=0.7), "clock drift"
+    assert clock.to_local_time(10.0, 500.0) == 500.0, "no earlier message"
+    assert clock.to_local_time(20.0, 509.0) == 509.0, "shorter delay than before"
+    assert clock.to_local_time(30.0, 527.0) == pytest.approx(519.0, abs=0.02), "delayed by 8 s"
+    assert clock.to_local_time(630.0, 1119.5) == pytest.approx(1119.5, abs=0.7), "clock drift"
 
 
 def test_a_lost_delta_is_detected(monkeypatch):
@@ -169,10 +169,10 @@
     delta_tracker = DeltaTracker()
     delta_tracker.update([row(f"wk-{number}") for number in range(3)], 0.0)
     assert delta_tracker.delta_for("slow", True).whole and delta_tracker.delta_for("quick", True).whole
-    for second in range(1, constants.QUEUE_ENDED_JOBS + 10):
+    for second in range(1, constants.MAX_REMOVED_QUEUE_JOBS + 10):
         delta_tracker.update([row(f"wk-{3 + second}")], float(second))
         delta_tracker.delta_for("quick", True)
-    assert len(delta_tracker.removed) <= constants.QUEUE_ENDED_JOBS
+    assert len(delta_tracker.removed) <= constants.MAX_REMOVED_QUEUE_JOBS
     changes = delta_tracker.delta_for("slow", True)
     assert changes.whole and len(changes.rows) == 1
 
@@ -230,14 +230,14 @@
     records = {}
     book = OfferBook(records.get)
     book.apply_delta("a", messages.QueueDelta(0.0, [row("wk-1"), row("wk-2")], [], True), 5.0)
-    book.resolve_unknown_jobs()
+    book.add_pending_rows()
     assert not book.offers.in_order()
     records["wk-1"] = spec("wk-1")
-    book.resolve_unknown_jobs()
+    book.add_pending_rows()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
     book.apply_delta("a", messages.QueueDelta(0.0, [], ["wk-2"], False), 6.0)
     records["wk-2"] = spec("wk-2")
-    book.resolve_unknown_jobs()
+    book.add_pending_rows()
     assert [entry[-1].row.job for entry in book.offers.in_order()] == ["wk-1"]
 
 
@@ -261,19 +261,19 @@
         from_snapshot.apply_snapshot("a", messages.QueueSnapshot(list(rows.values()), {}, {}, {}, 0), 0.0)
         entries = [entry[:5] for entry in from_deltas.offers.in_order()]
         assert entries == [entry[:5] for entry in from_snapshot.offers.in_order()]
-        assert from_deltas.offers.least_cpus == from_snapshot.offers.least_cpus
+        assert from_deltas.offers.min_cpus == from_snapshot.offers.min_cpus
 
 
 def test_unused_write_rate_of_peers_is_borrowed():
     write_rate_limit = WriteRateLimit(90.0, 3, 0.0)
     assert write_rate_limit.budget.rate == 30.0
-    write_rate_limit.is_short = True
+    write_rate_limit.users_waited = True
     write_rate_limit.refresh(0.1)
     write_rate_limit.record_peer_rate("a", 5, 0.1)
     write_rate_limit.record_peer_rate("b", 30, 0.1)
     write_rate_limit.refresh(0.2)
     assert write_rate_limit.reported_rate == 30 and write_rate_limit.budget.rate == 30.0 + 25.0 / 2
-    write_rate_limit.refresh(0.2 + constants.LENT_RATE_TTL_S)
+    write_rate_limit.refresh(0.2 + constants.UNUSED_RATE_TTL_S)
     assert write_rate_limit.budget.rate == 30.0, "expired reports of peers do not count"
 
 
@@ -329,7 +329,7 @@
     world.older.add("host-1")
     world.restart(world.nodes["host-1"])
     world.run(130.0)
-    assert all(sim.core.queue_round.publisher.form.name == "WHOLE_QUEUES" for sim in world.nodes.values())
+    assert all(sim.core.queue_round.publisher.form.name == "SNAPSHOTS" for sim in world.nodes.values())
     world.run(700.0)
     assert all(world.said.get(job) or job in world.cancelled_at for job in world.accepted)
 
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -11,7 +11,7 @@
 import pytest
 import simulation
 from simulation import LEASE_S, TYPES, Broken, World
-from test_machine_proofs import Reports
+from test_machine_proofs import MachineShardHarness
 from test_machines import SPEC
 
 from alderbridge import constants
@@ -56,13 +56,13 @@
             machine_owner=lambda machine: "host-0",
         )
         self.records = {name: MachineRecord("x", "c4", "a") for name in machines}
-        self.enter(6, state, spec)
+        self.enter_view(6, state, spec)
 
-    def enter(self, fencing_token, state=JobState.ABORTED, spec=BOUND):
+    def enter_view(self, fencing_token, state=JobState.ABORTED, spec=BOUND):
         """Enters a new view with only the stored record of the job."""
         self.job = Job(Record(state, "host-3", 0.0, spec.tasks, [], spec), 8, 0.0, 5.0)
         self.job.inherited = True
-        self.job_shard.enter(fencing_token, {spec.id: self.job}, self.records)
+        self.job_shard.enter_view(fencing_token, {spec.id: self.job}, self.records)
         self.job_shard.settled = True
 
     def report(self, machine, live=(), pending=(), now=1.0):
@@ -84,22 +84,22 @@
 
 def test_ordered_task_of_cancelled_job_counts_at_the_next_owner_until_a_heartbeat_settles_it():
     """Guards against freeing quota for an ordered task that an unreachable machine may still run for a lease."""
-    reports, successor = Reports(), InheritingShard()
+    reports, successor = MachineShardHarness(), InheritingShard()
     reports.heartbeat(1.0, 1)
     reports.grant(0, 70)
     assert reports.orders() == [("run", "wk-1/0", 70)]
     reports.machine_shard.jobs.cancelled = lambda job: True
-    reports.told_home()
-    reports.enter(6, 2.0, settle=False, carry=True)
+    reports.take_owner_reports()
+    reports.enter_view(6, 2.0, settle=False, carry=True)
     reports.machine_shard.leases.settle(2.5)
-    ((reported, pending),) = reports.told_home()
+    ((reported, pending),) = reports.take_owner_reports()
     assert (reported, pending) == ([], [("wk-1", 0, 70)])
     successor.report("n-2")
     assert successor.used == 2, "both may be on the machine that has not reported"
     successor.report("n-1", pending=[0])
     assert successor.used == 1 and not successor.drops_description, "the task may be on that machine"
     assert successor.job_shard.usage.room("bound", successor.job_shard.tally.teams["bound"], BOUND) == 0
-    successor.enter(7)
+    successor.enter_view(7)
     successor.report("n-1", pending=[0])
     successor.report("n-2")
     assert successor.used == 1 and not successor.drops_description, "also under the following view"
@@ -111,7 +111,7 @@
 
 def test_unsettled_order_is_adopted_for_known_jobs_without_recorded_run_or_result():
     for recorded in (RecordedState.JOB_ENDED, RecordedState.WAITING, RecordedState.POSSIBLY_HERE):
-        assert TRANSITIONS[recorded][ObservedState.ORDERED] is Action.ADOPT
+        assert TRANSITIONS[recorded][ObservedState.PENDING] is Action.ADOPT
 
 
 def test_record_keeps_its_description_until_its_cancelled_job_is_on_no_machine():
@@ -120,7 +120,7 @@
     successor.report("n-1", live=[1])
     successor.report("n-2")
     assert successor.used == 1 and successor.job.to_record(4096).spec == BOUND and not successor.job.is_complete
-    successor.enter(7)
+    successor.enter_view(7)
     assert successor.used == 2, "without reports the next owner counts all tasks that may be running"
     successor.report("n-2")
     successor.report("n-1")  # its lease expired, or it was terminated
@@ -142,8 +142,8 @@
     )
     successor.job_shard.add(job)
     successor.job_shard.usage.allocate({"bound": (2 * CPUS, 0.0)})
-    assert successor.job_shard.grants.quota_room(job) == 2
-    successor.job_shard.enter(7, {"wk-2": job}, {})
+    assert successor.job_shard.grants.remaining_quota_tasks(job) == 2
+    successor.job_shard.enter_view(7, {"wk-2": job}, {})
     successor.job_shard.grants.on_task_request("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
     assert successor.sent[-1] == TaskGrant(1, "wk-2", "n-1", []) and not job.runs
     successor.job_shard.usage.allocate({"bound": (CPUS, 0.0)})
@@ -158,12 +158,12 @@
         membership = Membership("host-0", 20.0, 12.0)
         replica = Replica(membership, Graph(lambda spec: 1.0, []))
         self.leader = Leader(LeaderSettings([Team("t", cpus_max=limit)], ["a"], Tuning(), 1.0, LEASE_S), replica)
-        self.leader.enter(["host-0", "host-1"], 0.0)
+        self.leader.enter_view(["host-0", "host-1"], 0.0)
         self.job_shards = {
             label: JobShard(self.leader.teams, lambda label, body: 1, 4096) for label in self.leader.members
         }
         for job_shard in self.job_shards.values():
-            job_shard.enter(5, {}, {})
+            job_shard.enter_view(5, {}, {})
         self.rows: dict[str, list[QueueRow]] = {label: [] for label in self.job_shards}
         self.waited_s = waited_s
 
@@ -208,12 +208,12 @@
     cluster.job("host-0", "wk-1", 4.0, 5, 2, 10.0)
     small = cluster.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
     assert cluster.allocate_and_confirm()["host-1"] >= 2.0
-    assert cluster.job_shards["host-1"].grants.quota_room(small) == 2
+    assert cluster.job_shards["host-1"].grants.remaining_quota_tasks(small) == 2
 
 
 def test_quota_is_reserved_for_a_starved_job():
     """Guards against small tasks of other shards that take each freed CPU, so that a large task never starts."""
-    cluster = QuotaCluster(10.0, waited_s=constants.STARVED_JOB_S)
+    cluster = QuotaCluster(10.0, waited_s=constants.STARVATION_TIMEOUT_S)
     cluster.job("host-0", "wk-0", 7.0, 1, 1, 5.0)
     cluster.job("host-0", "wk-1", 4.0, 5, 0, 10.0)
     cluster.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
@@ -457,7 +457,7 @@
 
 
 def requeue_without_proof(monkeypatch):
-    monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
+    monkeypatch.setattr(Barrier, "may_run_tasks_of", lambda self, spec: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from simulation import Broken, World
-from test_machines import SPEC, heartbeat, part_with_machine
+from test_machines import SPEC, heartbeat, machine_shard_with_machine
 
 from alderbridge import constants, reconciliation
 from alderbridge.jobs.job import Job
@@ -44,7 +44,7 @@
     """A job shard that has task 0 in that state, with respect to attempt 7 on machine n-1; its job; messages sent."""
     sent = []
     job_shard = JobShard([], lambda label, body: sent.append(body) or len(sent), 4096)
-    job_shard.enter(5, {}, {HERE: MachineRecord(), "n-2": MachineRecord()})
+    job_shard.enter_view(5, {}, {HERE: MachineRecord(), "n-2": MachineRecord()})
     if recorded is RecordedState.UNKNOWN_JOB:
         return job_shard, None, sent
     job = Job(
@@ -89,7 +89,7 @@
         ObservedState.STOPPED: ("ended", "halted"),
     }.get(observed, ("", None))
     tasks = [TaskStatusReport(SPEC.id, 0, ATTEMPT, status, cause)] if status else []
-    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if observed is ObservedState.ORDERED else [])
+    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if observed is ObservedState.PENDING else [])
 
 
 @pytest.mark.parametrize("observed", ObservedState)
@@ -116,7 +116,7 @@
     run = job.runs.get(0)
     if action in (Action.ADOPT, Action.ADOPT_AND_STOP):
         assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.unknown and 0 not in job.requeued
-        assert run.state is (TaskState.GRANTED if observed is ObservedState.ORDERED else TaskState.RUNNING)
+        assert run.state is (TaskState.GRANTED if observed is ObservedState.PENDING else TaskState.RUNNING)
     elif action in (Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE):
         assert run is None and (0 in job.requeued) is (job.state is JobState.ACTIVE)
     elif action is Action.FINISH:
@@ -133,8 +133,8 @@
     assert len(TRANSITIONS) == len(RecordedState) and all(len(row) == len(ObservedState) for row in TRANSITIONS)
     requeues = {Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE}
     for recorded in RecordedState:
-        assert not requeues & {TRANSITIONS[recorded][ObservedState.LIVE], TRANSITIONS[recorded][ObservedState.ORDERED]}
-        assert TRANSITIONS[recorded][ObservedState.ORDERED] in (Action.NOTHING, Action.ADOPT)
+        assert not requeues & {TRANSITIONS[recorded][ObservedState.LIVE], TRANSITIONS[recorded][ObservedState.PENDING]}
+        assert TRANSITIONS[recorded][ObservedState.PENDING] in (Action.NOTHING, Action.ADOPT)
         if recorded in (
             RecordedState.WAITING,
             RecordedState.POSSIBLY_HERE,
@@ -152,15 +152,15 @@
     barrier = Barrier({"n-1": spot, "n-2": spot, "n-3": other_type, "n-4": MachineRecord("z", "c4", "b")})
     restricted = msgspec.structs.replace(SPEC, spot=False, types=["c4"], zone="b")
     unrestricted = msgspec.structs.replace(SPEC, spot=True)
-    assert barrier.may_hold(restricted) and barrier.may_hold(unrestricted)
-    assert barrier.remove("n-4") and not barrier.may_hold(restricted) and barrier.may_hold(unrestricted)
+    assert barrier.may_run_tasks_of(restricted) and barrier.may_run_tasks_of(unrestricted)
+    assert barrier.remove("n-4") and not barrier.may_run_tasks_of(restricted) and barrier.may_run_tasks_of(unrestricted)
     assert not barrier.remove("n-1") and barrier.remove("n-2") and barrier.remove("n-3")
-    assert not barrier and not barrier.may_hold(unrestricted)
-    assert Barrier({"n-9": MachineRecord()}).may_hold(restricted), "records of version 0.1.0 have no type"
+    assert not barrier and not barrier.may_run_tasks_of(unrestricted)
+    assert Barrier({"n-9": MachineRecord()}).may_run_tasks_of(restricted), "records of version 0.1.0 have no type"
 
 
 def test_a_continued_machine_shard_carries_over_its_grants_and_observed_tasks():
-    machine_shard, sent = part_with_machine()
+    machine_shard, sent = machine_shard_with_machine()
     heartbeat(machine_shard, 1)
     machine = machine_shard.machines["n-1"]
     for index, attempt in ((0, 70), (1, 71)):
@@ -169,7 +169,7 @@
         if index == 0:
             machine_shard.order_builder.orders(machine)  # only the first order is sent
     del sent[:]
-    machine_shard.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, inherit_tasks=True)
+    machine_shard.enter_view(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, inherit_tasks=True)
     assert not sent
     machine_shard.leases.settle(2.2)
     assert sent == [
@@ -187,10 +187,10 @@
 
 
 def test_a_machine_shard_that_may_not_inherit_tasks_carries_nothing_over():
-    machine_shard, sent = part_with_machine()
+    machine_shard, sent = machine_shard_with_machine()
     heartbeat(machine_shard, 1)
     del sent[:]
-    machine_shard.enter(
+    machine_shard.enter_view(
         6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, inherit_tasks=False
     )
     machine_shard.leases.settle(2.2)
@@ -199,7 +199,7 @@
 
 def test_a_machine_that_ends_while_its_record_is_written_is_not_written_again():
     """Guards against a terminated machine that stays queued for writing and blocks all further writes."""
-    machine_shard, _ = part_with_machine()
+    machine_shard, _ = machine_shard_with_machine()
     for name in ("n-2", "n-3", "n-4"):
         machine_shard.heartbeats.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
     assert machine_shard.records.to_write == ["n-2", "n-3", "n-4"]
@@ -221,7 +221,7 @@
     for number in range(200):
         spec = msgspec.structs.replace(world.make_job(number), id=f"wk-{number:06d}", kind="sweep", tasks=9)
         job = Job(Record(JobState.ACTIVE, "host-1", world.t, 9, [], spec), 1, world.t, 0.0)
-        job.last_write = 0.0
+        job.last_written_at = 0.0
         core.job_shard.add(job)
         job.mark_dirty(world.t)
     core.machine_records.to_drop = ["n-8", "n-9"]
@@ -241,7 +241,7 @@
 
 def test_an_unanswered_probe_is_retried_with_jitter_a_limited_number_of_times():
     prober, probed_at, now = HeartbeatProber(Random(1)), [], 10.0
-    prober.enter(["n-1", "n-2", "n-3"], now)
+    prober.enter_view(["n-1", "n-2", "n-3"], now)
     assert [prober.next(now, lambda name: name == "n-2") for _ in range(3)] == ["n-1", "n-3", None]
     prober.unanswered("n-1", now)
     while now < 60.0:
@@ -249,7 +249,7 @@
         if prober.next(now, lambda name: False) is not None:
             probed_at.append(now)
             prober.unanswered("n-1", now)
-    assert len(probed_at) == constants.PROBE_TRIES - 1
+    assert len(probed_at) == constants.MAX_PROBE_ATTEMPTS - 1
     assert all(
         later - earlier <= constants.PROBE_BACKOFF_MAX_S + 0.2
         for earlier, later in zip([10.0, *probed_at], probed_at, strict=False)
@@ -260,11 +260,11 @@
     """Guards against returning machines as idle after a failover and renting as many again seconds later."""
     scale_in_guard = ScaleInGuard(17.0)
     assert scale_in_guard.refresh(300, 600, 5000, 100.0) is FleetKnowledge.RECONCILING
-    assert not scale_in_guard.may_return and not scale_in_guard.counts_inherited
+    assert not scale_in_guard.may_scale_in and not scale_in_guard.counts_inherited
     # A second failover does not restart the time limit.
     assert scale_in_guard.refresh(3, 600, 40, 110.0) is FleetKnowledge.RECONCILING
     assert scale_in_guard.refresh(0, 600, 40, 100.0 + scale_in_guard.overdue_after_s + 0.1) is FleetKnowledge.OVERDUE
-    assert scale_in_guard.may_return and scale_in_guard.counts_inherited
+    assert scale_in_guard.may_scale_in and scale_in_guard.counts_inherited
     assert scale_in_guard.refresh(5, 600, 0, 130.0) is FleetKnowledge.RECONCILED, "a few machines may always be booting"
     assert scale_in_guard.refresh(200, 600, 0, 140.0) is FleetKnowledge.RECONCILING
 
@@ -299,7 +299,7 @@
     view_times, view = views_after_joins([0.0, 0.2, 0.4, 0.6, 0.8])
     assert len(view_times) <= 2 and len(view.members) == 5
     view_times, view = views_after_joins([0.0, 3.0])
-    assert len(view_times) == 2 and view_times[1] - 3.0 <= constants.JOIN_QUIET_S + 0.2
+    assert len(view_times) == 2 and view_times[1] - 3.0 <= constants.JOIN_DEBOUNCE_S + 0.2
 
 
 def test_reconciliation_progress_counts_states_and_finishes():
@@ -462,14 +462,14 @@
         rows = [row for summary, _ in leader.machine_summaries.values() for row in summary.rows]
         if leader.ready(world.t) and any(row.idle_s > 0 and row.state == "up" for row in rows):
             break
-    monkeypatch.setattr(policy, "block_ends", lambda age_s, within_s: True)
-    monkeypatch.setattr(policy, "keep_idle", lambda walk, resource: False)
+    monkeypatch.setattr(policy, "paid_block_ends_within", lambda age_s, within_s: True)
+    monkeypatch.setattr(policy, "must_keep_idle", lambda walk, resource: False)
     spec = world.make_job(99)
     leader.replica.observe_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
     queue.received_rows[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     reconciled_since = leader.scale_in_guard.since
-    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_returns > 0
+    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_scale_ins > 0
     del queue.received_rows[spec.id]
     assert leader.decide(world.t).drain, "the idle machine is drained once the fleet is reconciled"
     assert leader.scale_in_guard.since >= reconciled_since
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -14,7 +14,7 @@
 from alderbridge.machines.machine import Machine
 from alderbridge.machines.orders import OrderBuilder
 from alderbridge.machines.shard import MachineShard
-from alderbridge.protocol.keys import JOBS, LISTS
+from alderbridge.protocol.keys import DEPENDENCY_LISTS, JOBS
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
 from alderbridge.settings import NextStateLimits
@@ -101,7 +101,10 @@
     submission = core.submissions.submit(after, world.t, world.t)
     assert len(submission.lists) > 3 and submission.job.spec.needs is None
     world.run(60.0)
-    assert submission.outcome == "accepted" and len([key for key in world.store.data if key.startswith(LISTS)]) > 3
+    assert (
+        submission.outcome == "accepted"
+        and len([key for key in world.store.data if key.startswith(DEPENDENCY_LISTS)]) > 3
+    )
     for sim in world.nodes.values():
         sim.crash()
         world.after(2.0, world.restart, sim)
@@ -109,7 +112,7 @@
     world.poll(after.id)
     world.run(260.0)  # its team is at its limit most of the time
     assert world.said[after.id] == "done"
-    assert not [key for key in world.store.data if key.startswith(LISTS)]
+    assert not [key for key in world.store.data if key.startswith(DEPENDENCY_LISTS)]
 
 
 @pytest.mark.parametrize("seed", (6000, 6001, 6002))
@@ -172,12 +175,12 @@
 
 
 def disable_barrier(monkeypatch):
-    monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
+    monkeypatch.setattr(Barrier, "may_run_tasks_of", lambda self, spec: False)
 
 
 def report_unproven_machines(monkeypatch):
     """Machine owners report machines that have not acknowledged the fencing token to job owners."""
-    monkeypatch.setattr(Machine, "is_proven", property(lambda self: True))
+    monkeypatch.setattr(Machine, "has_complete_tasks", property(lambda self: True))
     real = WorkerLeases.settle
 
     def settle(self, now):
@@ -204,7 +207,7 @@
 
 
 def ignore_constraints(monkeypatch):
-    monkeypatch.setattr(Job, "room_in", lambda self, zone: self.spec.tasks)
+    monkeypatch.setattr(Job, "remaining_in_zone", lambda self, zone: self.spec.tasks)
     monkeypatch.setattr(placement, "allowed", lambda *args: True)
 
 
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -8,7 +8,7 @@
 import pytest
 from simulation import CANCEL_S, LEASE_S, Broken, SimController, World
 from test_conditions_to_act import without_freshness
-from test_machines import heartbeat, part_with_machine
+from test_machines import heartbeat, machine_shard_with_machine
 
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.membership.membership import Membership
@@ -150,7 +150,7 @@
         Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: original(self, me, CANCEL_S, None)
     )
     # The simulated store keeps leases for as long.
-    monkeypatch.setattr("alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S)
+    monkeypatch.setattr("alderbridge.constants.COMBINED_LEASE_S", CANCEL_S + LEASE_S)
 
 
 def act_without_valid_lease(monkeypatch):
@@ -176,7 +176,7 @@
 
 
 def shard_with_cancelled_job(cancelled=True):
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     heartbeat(shard, 1)
     shard.jobs.cancelled = lambda job: cancelled
     return shard, shard.machines["n-1"], sent
@@ -210,7 +210,7 @@
     """Guards against tasks that outlive ``CANCEL_S`` while views change quickly: each response renews the lease."""
     shard, machine, sent = shard_with_cancelled_job()
     for fencing_token in range(6, 30):
-        shard.enter(
+        shard.enter_view(
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 2.0 * fencing_token
         )
         shard.leases.settle(2.0 * fencing_token)
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -2,14 +2,14 @@
 
 import pytest
 from simulation import World
-from test_machines import heartbeat, part_with_machine
+from test_machines import heartbeat, machine_shard_with_machine
 
 from alderbridge import constants
 from alderbridge.machines.machine import MachineState
 from alderbridge.protocol.keys import MACHINES
 
-# Store lease and worker leases expire, and then machines are silent for ``LOST_MACHINE_S``.
-OUTAGE_S = constants.TOTAL_LEASE_S + constants.LOST_MACHINE_S
+# Store lease and worker leases expire, and then machines are silent for ``LOST_MACHINE_TIMEOUT_S``.
+OUTAGE_S = constants.COMBINED_LEASE_S + constants.LOST_MACHINE_TIMEOUT_S
 
 
 def run_outage(seed, outage_s=OUTAGE_S):
@@ -52,12 +52,12 @@
 @pytest.mark.parametrize("sent", (True, False))
 def test_a_machine_record_is_kept_only_if_no_deletion_was_sent(sent):
     """A late deletion would remove the record while tasks run on the machine, and they would be started twice."""
-    part, _ = part_with_machine()
+    part, _ = machine_shard_with_machine()
     heartbeat(part, 1)
     part.leases.check(100.0)
     machine = part.machines["n-1"]
     assert machine.state is MachineState.EXPIRED and part.records.to_drop == ["n-1"] and not machine.recorded
-    part.records.keep_record = lambda name: not sent
+    part.records.cancel_drop = lambda name: not sent
     heartbeat(part, 101)
     assert machine.state is MachineState.UP and machine.recorded is not sent
     assert part.records.to_write == (["n-1"] if sent else [])
@@ -83,5 +83,5 @@
     assert not core.machine_records.cancel_drop(name)
     core.batch_results.on_failed(batch, world.t)
     assert not core.machine_records.cancel_drop(name), "the unanswered deletion may still commit"
-    core.view_entry.enter(world.t, world.t)
+    core.view_entry.enter_view(world.t, world.t)
     assert name not in core.machine_records.to_drop and not core.machine_records.drops_in_flight
--- a/tests/test_team_limit_large_jobs.py
+++ b/tests/test_team_limit_large_jobs.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from test_capacity_under_faults import Rooms, array
+from test_capacity_under_faults import RateLimitedStoreWorld, array
 
 from alderbridge.protocol import wire
 
@@ -14,7 +14,7 @@
 BEGIN_WITHIN_S = 240.0  # objective: the largest jobs of a class start within four minutes
 
 
-class SmallJobs(Rooms):
+class SmallJobs(RateLimitedStoreWorld):
     """One-CPU tasks of a team in excess of its limit, and one job of large tasks among them."""
 
     def __init__(self, seed: int, jobs_per_s: float = 2.0) -> None:
--- a/tests/test_unanswered_jobs.py
+++ b/tests/test_unanswered_jobs.py
@@ -9,7 +9,7 @@
 from alderbridge.controller.responses import Response
 from alderbridge.protocol import wire
 from alderbridge.settings import Tuning
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 JOB = "wk-000001"
 POLL_S = 25.0  # interval of requests at one of five controllers: the user polls every 5 s, each time at the next one
@@ -19,7 +19,7 @@
 @pytest.fixture
 def simulate(monkeypatch, caplog):
     """``simulate(request_times, refuses)``: the unanswered times logged; the store is unavailable in ``OUTAGES``."""
-    controller, clock = Controller(platform("host-0", LABELS), Tuning(), Poll()), [0.0]
+    controller, clock = Controller(platform("host-0", LABELS), Tuning(), EpollSelector()), [0.0]
     patch_now(monkeypatch, lambda: clock[0])
     caplog.set_level("INFO")
 
@@ -30,7 +30,7 @@
         for step in range(2400):
             clock[0] = step / 10
             if not store_unavailable(clock[0]):  # the store responds to the watch
-                controller.replica_loop.record_watch_answer(clock[0] - constants.STATE_TIMEOUT_S if slow else clock[0])
+                controller.replica_loop.record_watch_answer(clock[0] - constants.STORE_TIMEOUT_S if slow else clock[0])
             if clock[0] in request_times:
                 controller.users_api.status.finalize_status(
                     JOB,
