--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -8,16 +8,16 @@
 import pytest
 from simulation import LABELS, TYPES, World, platform
 from test_bad_input import JOB as FIELDS
-from test_capacity_under_faults import Rooms, array
+from test_capacity_under_faults import RateLimitedStoreWorld, array
 
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import JOBS, LISTS, MACHINES, MEMBERS, VIEW
-from alderbridge.protocol.keys import TYPES as TYPES_KEY
+from alderbridge.protocol.keys import DEPENDENCY_LISTS, JOBS, MACHINES, MEMBERS, VIEW
+from alderbridge.protocol.keys import MACHINE_TYPES as TYPES_KEY
 from alderbridge.settings import Tuning
 from alderbridge.state import errors
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 JOB = "wk-000412"
 GARBAGE = b'{"state": 17, "x": []}'
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def controller(monkeypatch):
-    controller = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
+    controller = Controller(platform("host-0", LABELS[:3]), Tuning(), EpollSelector())
     controller.core.state.loaded = True
     controller.core.machine_types.update(TYPES)
     monkeypatch.setattr(controller.core.membership, "may_act", lambda now: True)
@@ -64,7 +64,7 @@
         assert curio.run(users.submissions.submit, body(JOB))[0] == 503
 
 
-@pytest.mark.parametrize("key", (JOBS + JOB, MACHINES + "n-1", LISTS + JOB + "/0", TYPES_KEY))
+@pytest.mark.parametrize("key", (JOBS + JOB, MACHINES + "n-1", DEPENDENCY_LISTS + JOB + "/0", TYPES_KEY))
 def test_an_unreadable_change_is_logged_and_later_changes_are_applied(controller, caplog, key):
     other = Record(JobState.DONE)
     events = [
@@ -90,7 +90,7 @@
 
 
 def test_a_submission_that_conflicts_with_an_unreadable_record_does_not_block_others():
-    world = Rooms(3)
+    world = RateLimitedStoreWorld(3)
     world.run(5.0)
     sim = world.nodes["host-1"]
     # Written by another controller; the watch has not delivered it yet.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,14 @@
 from alderbridge.membership.membership import Membership
 from alderbridge.membership.records import MemberRecord, View
 from alderbridge.protocol import messages
-from alderbridge.protocol.keys import BUDGETS, CLAIMS, DECLARED, JOBS, LISTS, STOPS
+from alderbridge.protocol.keys import (
+    CLAIMS,
+    CONFIGURATIONS,
+    DEPENDENCY_LISTS,
+    JOB_PREEMPTIONS,
+    JOBS,
+    PREEMPTION_BUDGETS,
+)
 from alderbridge.protocol.wire import JobSpec, WatchEvent
 from alderbridge.settings import NextStateLimits, StateLimits
 from alderbridge.state.errors import LeaseExpiredError, TransactionTooLargeError
@@ -93,12 +100,12 @@
 def test_no_new_key_has_a_prefix_that_the_old_version_reads():
     """The old version decodes each key with one of its prefixes as a job, machine or member and ignores others."""
     for key in (
-        f"{LISTS}wk-000002/abc/0",
-        f"{DECLARED}hours",
-        f"{DECLARED}hours/abc-1/0",
+        f"{DEPENDENCY_LISTS}wk-000002/abc/0",
+        f"{CONFIGURATIONS}hours",
+        f"{CONFIGURATIONS}hours/abc-1/0",
         f"{CLAIMS}n-1",
-        f"{STOPS}wk-000002",
-        BUDGETS,
+        f"{JOB_PREEMPTIONS}wk-000002",
+        PREEMPTION_BUDGETS,
     ):
         assert not any(key.startswith(prefix) for prefix in ("ab/j/", "ab/n/", "ab/m/", "ab/view", "ab/types"))
 
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -8,7 +8,7 @@
 import production
 import pytest
 from simulation import KNOWN_S, Broken, SimController, World
-from test_conditions_to_act import Dark, Terms
+from test_conditions_to_act import ActConditionsWorld, WatchFaultController
 
 from alderbridge import constants
 from alderbridge.membership.membership import Membership
@@ -84,11 +84,11 @@
     assert not any(sim.old for sim in world.nodes.values())
 
 
-class VersionedHangingController(VersionedController, Dark):
+class VersionedHangingController(VersionedController, WatchFaultController):
     pass
 
 
-class MixedVersionsWorld(Terms):
+class MixedVersionsWorld(ActConditionsWorld):
     process = VersionedHangingController
 
 
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from test_capacity_under_faults import Rooms, array
+from test_capacity_under_faults import RateLimitedStoreWorld, array
 
 from alderbridge import constants
 from alderbridge.controller import admission
@@ -24,7 +24,7 @@
 FLOOD_AT, FLOOD_S = 10.0, 70.0
 
 
-class Flood(Rooms):
+class Flood(RateLimitedStoreWorld):
     """Submissions exceed the store's write rate while the fleet is scaled out from zero."""
 
     def __init__(self, seed, rate=16.0, write_rps=10.0, duration_s=FLOOD_S, **more) -> None:
@@ -56,7 +56,7 @@
         if core is None or admission.decide(core, spec, self.t, False).admission is Admission.UNAVAILABLE:
             self.after(constants.RETRY_AFTER_S, self.attempt, spec)
             return
-        self.takes_users = [label]
+        self.submission_controllers = [label]
         super().attempt(spec)
 
     def record_commit(self, conditions, puts) -> None:
@@ -140,7 +140,7 @@
     world.run(60.0)
     world.store.outage(12.0)
     world.run(FLOOD_AT + 150.0)
-    world.check_progress(since=72.0 + constants.VIEW_SETTLE_S)
+    world.check_progress(since=72.0 + constants.VIEW_SETTLE_TIMEOUT_S)
     assert [at for at in world.machines_written if at > 72.0]
     world.check_all_jobs_complete()
 
@@ -149,7 +149,7 @@
     """After a controller crashed at ``crashed_at``, every class makes progress from the next view on."""
     world.run(FLOOD_AT + FLOOD_S)
     assert world.first_task_started_at - world.first_machine_up_at < START_WITHIN_S
-    world.check_progress(since=crashed_at + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_S)
+    world.check_progress(since=crashed_at + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_TIMEOUT_S)
     world.check_all_jobs_complete()
 
 
@@ -187,7 +187,7 @@
         now += 0.01
         for write_class in WriteClass:
             count = rates.available(write_class, True, now)
-            rates.spend(write_class, now, count)
+            rates.consume(write_class, now, count)
             changes_by_class[write_class] += count
     for write_class, share in ASSURED_SHARES.items():
         assert abs(changes_by_class[write_class] - 200 * share) <= 2, changes_by_class
@@ -200,7 +200,7 @@
 
 
 def test_a_submission_that_cannot_be_stored_in_time_is_refused_at_once():
-    world = Rooms(14, write_rps=10.0)
+    world = RateLimitedStoreWorld(14, write_rps=10.0)
     world.run(5.0)
     core = world.nodes["host-1"].core
     answers = []
@@ -212,14 +212,14 @@
     admitted = answers.count(Admission.ADMITTED)
     assert 4 <= admitted <= 7 and answers[admitted:] == [Admission.UNAVAILABLE] * (20 - admitted)
     assert admission.decide(core, array(0), world.t, False).admission is Admission.ADMITTED, "already queued here"
-    world.run(world.t + constants.SUBMIT_WAIT_S)
+    world.run(world.t + constants.SUBMIT_TIMEOUT_S)
     assert admission.decide(core, array(19), world.t, False).admission is Admission.ADMITTED
 
 
 @pytest.mark.parametrize("level", (1.0, 6.0, 12.0, 30.0))
 def test_no_transaction_exceeds_the_limit_of_changes(level):
     """Assured changes count towards the limit of the transaction."""
-    world = Rooms(15)
+    world = RateLimitedStoreWorld(15)
     world.run(5.0)
     core = world.nodes["host-1"].core
     writer, now = core.record_writer, world.t
@@ -233,7 +233,7 @@
         bucket.level, bucket.at = 1.0, now
     writer.write_rate_limit.budget.change(level, level, now)
     writer.write_rate_limit.budget.level = level
-    with_overdraft = int(level + constants.WRITE_AHEAD_SHARE * level)
+    with_overdraft = int(level + constants.WRITE_OVERDRAFT_SHARE * level)
     batch = writer.next_batch(now)
     assert batch is not None and batch.machines and (batch.submissions or level == 1.0)
     assert batch.changes == len(batch.puts) + len(batch.drops) <= min(writer.max_changes, with_overdraft)
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -22,7 +22,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from alderbridge.claims.records import PreemptionsSpent
+from alderbridge.claims.records import PreemptionUsage
 from alderbridge.lending import (
     CapacityLender,
     GpuReserve,
@@ -34,7 +34,7 @@
 )
 from alderbridge.lending.fleet import MachineContents
 from alderbridge.lending.reserve import FreeGpus
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, Teams, Victim
+from alderbridge.preemption import CandidateMachine, GuaranteeUsage, PreemptionBudget, Victim
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
 from alderbridge.settings import Team
@@ -74,7 +74,7 @@
 class Bench:
     def __init__(self, args: argparse.Namespace, mode: str) -> None:
         self.mode, self.rng, self.now = mode, random.Random(args.seed), 0.0
-        self.period_s, self.keep_s = args.period, args.keep
+        self.period_s, self.retention_s = args.period, args.keep
         self.machine_kinds = {f"n-{i:03}": MachineKind("g8", ZONES[i % 3], False) for i in range(args.machines)}
         self.tasks_on: dict[str, list[Task]] = {name: [] for name in self.machine_kinds}
         self.images: dict[str, set[str]] = {name: set() for name in self.machine_kinds}
@@ -244,7 +244,7 @@
             used_gpus = sum(task.job.service for tasks in self.tasks_on.values() for task in tasks)
             wanted_gpus = used_gpus + sum(map(len, self.waiting_since.values()))
             self.reserve.record_use({"maps": min(wanted_gpus, self.teams[0].gpus)}, self.now)
-            reserved_gpus = self.reserve.gpus("maps", 0.0, self.teams[0].gpus, used_gpus, self.keep_s, self.now)
+            reserved_gpus = self.reserve.gpus("maps", 0.0, self.teams[0].gpus, used_gpus, self.retention_s, self.now)
             reserved_on = allocate_reserve(
                 reserved_gpus,
                 [
@@ -289,9 +289,9 @@
     def plan_lending(self) -> None:
         lender = self.lender
         running_by_job = Counter(task.job.id for tasks in self.tasks_on.values() for task in tasks)
-        promised: Counter[str] = Counter()
+        claimed_tasks: Counter[str] = Counter()
         for claimed in self.claimed.values():
-            promised.update(claimed)
+            claimed_tasks.update(claimed)
         services = []
         for model in self.models:
             waiting = len(self.waiting_since[model])
@@ -311,14 +311,14 @@
             "maps": (4.0 * serving, float(serving)),
             "vision": (4.0 * running_by_job["wk-9"], float(running_by_job["wk-9"])),
         }
-        lender.teams = Teams(self.teams, used_by_team)
+        lender.teams = GuaranteeUsage(self.teams, used_by_team)
         # Skips machines with unused claims, as ``PreemptionPlanner`` does.
         open_names = [name for name in self.machine_kinds if not sum(self.claimed[name].values())]
         resources = [
             MachineResource(self.machine_kinds[name], self.free_capacity(name), self.expected_ends(name))
             for name in open_names
         ]
-        demands = lender.demands(services, resources, used_by_team, promised)
+        demands = lender.demands(services, resources, used_by_team, claimed_tasks)
         if not demands:
             return
         machines = [
@@ -342,7 +342,7 @@
             for name in open_names
         ]
         groups = lender.select_victims(
-            demands, machines, PreemptionBudget(PreemptionsSpent(), self.now, {}, 1000, lender.limit), 12
+            demands, machines, PreemptionBudget(PreemptionUsage(), self.now, {}, 1000, lender.limit), 12
         )
         for group in groups:
             for name, claim in group.items():
--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -247,12 +247,12 @@
         for label in self.labels:
             self.schedule(0.0, self.follow_store, label)
             for offset, interval_s, function in (
-                (0.01, constants.ROUND_S, self.run_round),
+                (0.01, constants.ROUND_INTERVAL_S, self.run_round),
                 (0.02, 0.05, self.write_records),
                 (0.5, 1.0, self.renew_store_lease),
             ):
                 self.schedule(offset + 0.03 * self.labels.index(label), self.repeat, interval_s, function, label)
-        self.schedule(1.0, self.repeat, constants.LEADER_ROUND_S, self.run_leader, self.labels[0])
+        self.schedule(1.0, self.repeat, constants.LEADER_ROUND_INTERVAL_S, self.run_leader, self.labels[0])
         self.schedule(1.5, self.repeat, 1.0, self.sample_usage, self.labels[0])
         self.workers: list[Worker] = []
         for _ in range(machines * 9 // 10):  # so that the number of starts per machine does not depend on the size
@@ -262,18 +262,18 @@
             for _ in range(round(machines / 8 * load) if name != "wide" else 0):  # initial backlog
                 self.schedule(self.rng.uniform(1.0, 2.0), self.submit, name, False)
 
-    def platform(self, label: str) -> settings.Platform:
+    def platform(self, label: str) -> settings.PlatformSettings:
         peers = [settings.Peer(other, "a", "127.0.0.1:1") for other in self.labels if other != label]
-        shared = settings.Shared(
+        shared = settings.SharedSettings(
             ZONES,
             self.teams,
-            settings.Workers(3.0, 17.0, 42.0),
+            settings.WorkerTimes(3.0, 17.0, 42.0),
             settings.StateLimits(250.0, 5000.0, 4.0, 12),
             settings.CloudSettings(9.0, 8.0),
-            settings.Limits(1.0, 400.0, 2000),
+            settings.ProcessLimits(1.0, 400.0, 2000),
             OBJECTIVES,
         )
-        return settings.Platform(
+        return settings.PlatformSettings(
             label, "a", "127.0.0.1:1", "127.0.0.1:2", peers, settings.Endpoints("127.0.0.1:3", "127.0.0.1:4"), shared
         )
 
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -50,11 +50,11 @@
     """Preempts the youngest tasks at once, without waiting for capacity that becomes free and without limits."""
 
     def find_demands(self, planner, now):
-        promised, result = planner.promised(), []
+        claimed_tasks, result = planner.claimed_tasks(), []
         for row in planner.queue_rows(now).values():
             spec = planner.leader.replica.spec(row.job)
-            if spec is not None and self.may_preempt(spec) and row.offer > promised[row.job]:
-                result.append(PreemptionDemand(spec, row.offer - promised[row.job], 0.0, self.reason, row.zone))
+            if spec is not None and self.may_preempt(spec) and row.offer > claimed_tasks[row.job]:
+                result.append(PreemptionDemand(spec, row.offer - claimed_tasks[row.job], 0.0, self.reason, row.zone))
         return result
 
     def limit(self, demand):
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -77,7 +77,7 @@
     items[:] = [item for item in items if item.nodeid not in listed]
 
 
-def run_pytest(folder: Path, *args: str, is_quiet: bool = False) -> subprocess.CompletedProcess:
+def run_pytest(folder: Path, *args: str, needs_keep_alive: bool = False) -> subprocess.CompletedProcess:
     path = os.pathsep.join(filter(None, [str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH")]))
     return subprocess.run(
         [sys.executable, "-m", "pytest", "-q", *args],
@@ -85,13 +85,13 @@
         text=True,
         check=False,
         env={**os.environ, "PYTHONPATH": path},
-        capture_output=is_quiet,
+        capture_output=needs_keep_alive,
     )
 
 
 def check_names_one_test(folder: Path, entry: KnownFailure) -> None:
     """Raise ``KnownRedError`` unless the entry's id is that of exactly one test."""
-    collected = run_pytest(folder, "-n", "0", "--collect-only", entry.test, is_quiet=True)
+    collected = run_pytest(folder, "-n", "0", "--collect-only", entry.test, needs_keep_alive=True)
     test_ids = [line for line in collected.stdout.splitlines() if "::" in line and " " not in line.split("[")[0]]
     if collected.returncode or test_ids != [entry.test]:
         raise KnownRedError(f"{LIST_FILE}: {entry.test} does not name one test")
@@ -99,7 +99,7 @@
 
 def check_fails(folder: Path, entry: KnownFailure) -> None:
     """Raise ``KnownRedError`` unless the entry's test runs and fails."""
-    status = run_pytest(folder, "-n", "0", entry.test, is_quiet=True).returncode
+    status = run_pytest(folder, "-n", "0", entry.test, needs_keep_alive=True).returncode
     if not status:
         raise KnownRedError(f"{LIST_FILE}: {entry.test} passes: its line has to go")
     if status != TESTS_FAILED:
--- a/tools/service.py
+++ b/tools/service.py
@@ -34,7 +34,7 @@
 LARGEST_SHARE = 0.1  # of the jobs of a class
 MAX_START_DELAY_S, FORGOTTEN_AFTER_S = 240.0, 75.0
 CANCEL_S = 42.0  # default of --cancel-s
-MAX_TASKS = 100_000
+MAX_TASKS_PER_JOB = 100_000
 JOB_LINE = re.compile(
     r"\s*(?P<at>[\d.]+) (?P<who>\S+) INFO \S+ job=(?P<job>\S+) "
     r"state=(?P<state>accepted|ready|started|done|aborted|unanswered)(?P<more>.*)"
@@ -102,7 +102,7 @@
                     f"lacks {', '.join(missing)}"
                     if missing
                     else f"{tasks} tasks"
-                    if not 1 <= tasks <= MAX_TASKS
+                    if not 1 <= tasks <= MAX_TASKS_PER_JOB
                     else ""
                     if cpus_per_task > 0  # false for NaN
                     else f"{cpus_per_task:g} CPUs"
