--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -18,7 +18,7 @@
 from alderbridge.protocol import messages
 from alderbridge.scheduling import placement
 from alderbridge.scheduling.offers import Offer, Offers
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 
 
 class PlacementRound:
@@ -97,7 +97,7 @@
             or machine_type is None
             or (zone is not None and zone != machine.zone)
             or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
-            or not fits(offer.spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus))
+            or not tasks_that_fit(offer.spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus))
         ):
             return False
         self.reserved_machine = machine.name, now
@@ -123,9 +123,9 @@
                 request.owner,
                 messages.TaskRequest(request_id, request.job, request.machine, request.zone, request.count),
             )
-            requested, free = requested + request.count, minus(free, spec, request.count)
+            requested, free = requested + request.count, remaining_after(free, spec, request.count)
         self.claim_requests[machine.name] = (entry.revision, requested)
-        return msgspec.structs.replace(candidate, free=minus(free, spec, claim.count - requested))
+        return msgspec.structs.replace(candidate, free=remaining_after(free, spec, claim.count - requested))
 
     def execute_claim(self, machine: Machine) -> None:
         """Stop the victims of the machine's claim in the response to the heartbeat that has just arrived."""
--- a/alderbridge/leader/placement_order.py
+++ b/alderbridge/leader/placement_order.py
@@ -11,7 +11,7 @@
 from alderbridge.scheduling import offers, placement
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.market import Market
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 
 RowKey = tuple[bool, tuple[bool, int, float]]  # whether no machine can be had, placement order
 RowKeyFunction = Callable[[QueueRow, JobSpec], RowKey]
@@ -45,10 +45,10 @@
         unobtainable = kinds is not None and not any(
             row.zone in (None, kind.zone)
             and placement.allowed(spec, kind.type, kind.zone, kind.spot)
-            and fits(spec, self.market.capacity(kind))
+            and tasks_that_fit(spec, self.market.capacity(kind))
             for kind in kinds
         )
-        return unobtainable, offers.order(row, spec, row.due_in_s)
+        return unobtainable, offers.placement_key(row, spec, row.due_in_s)
 
     def key_at(self, now: float) -> RowKeyFunction:
         """The sort key function for the current availability of machines."""
--- a/alderbridge/lending/demands.py
+++ b/alderbridge/lending/demands.py
@@ -14,7 +14,7 @@
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.demand import MachineKind, MachineResource
 from alderbridge.scheduling.placement import allowed
-from alderbridge.scheduling.resources import Resources, fits
+from alderbridge.scheduling.resources import Resources, tasks_that_fit
 
 REASON = "serving"
 
@@ -139,7 +139,7 @@
             if not allowed(spec, kind.type, kind.zone, kind.spot) or service.zone not in (None, kind.zone):
                 continue
             count = min(
-                fits(spec, machine.free_within(horizon_s)),
+                tasks_that_fit(spec, machine.free_within(horizon_s)),
                 limit - assigned,
                 self.fleet.remaining_in_zone(spec, by_zone, kind.zone),
             )
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -25,7 +25,7 @@
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
-from alderbridge.scheduling.offers import Offer, order
+from alderbridge.scheduling.offers import Offer, placement_key
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
@@ -125,7 +125,7 @@
                     due_in_s=row.due_in_s,
                     zone=row.zone,
                     guaranteed=row.guaranteed,
-                    order=(*order(row, spec, row.due_in_s), job),
+                    order=(*placement_key(row, spec, row.due_in_s), job),
                 )
                 result.append(service)
         return result
--- a/alderbridge/lending/selection.py
+++ b/alderbridge/lending/selection.py
@@ -109,7 +109,7 @@
         keeps_guarantee = self.teams.beyond(spec)
         if spec.team != team and (demand.spec.id in self.demands.at_team_limit or not keeps_guarantee):
             return False
-        if not preemption.allowed(demand.spec, demand.guaranteed, spec, keeps_guarantee):
+        if not preemption.preemption_allowed(demand.spec, demand.guaranteed, spec, keeps_guarantee):
             return False
         return all(
             victim.ran_s >= one.min_run_s
--- a/alderbridge/machines/capacity.py
+++ b/alderbridge/machines/capacity.py
@@ -11,7 +11,7 @@
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling import placement
 from alderbridge.scheduling.placement import Candidate
-from alderbridge.scheduling.resources import Resources, minus
+from alderbridge.scheduling.resources import Resources, remaining_after
 
 QUARANTINED = "aside"  # state of a quarantined machine in ``MachineSummary``
 
@@ -59,7 +59,7 @@
         for job, count in counts.items():
             spec = spec_of(job)
             if spec is not None:
-                free = minus(free, spec, count)
+                free = remaining_after(free, spec, count)
             else:
                 complete = False  # the job has ended, or its record has not been read yet: not cached
         if complete:
--- a/alderbridge/preemption/__init__.py
+++ b/alderbridge/preemption/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
-from alderbridge.preemption.eligibility import GuaranteeUsage, allowed
+from alderbridge.preemption.eligibility import GuaranteeUsage, preemption_allowed
 from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, lost_seconds, select_victims
 
@@ -18,7 +18,7 @@
     "SelectionRules",
     "GuaranteeUsage",
     "Victim",
-    "allowed",
+    "preemption_allowed",
     "lost_cpu_seconds",
     "lost_seconds",
     "select_victims",
--- a/alderbridge/preemption/eligibility.py
+++ b/alderbridge/preemption/eligibility.py
@@ -8,7 +8,7 @@
 from alderbridge.settings import Team
 
 
-def allowed(demand: JobSpec, guaranteed: bool, victim: JobSpec, beyond: bool) -> bool:
+def preemption_allowed(demand: JobSpec, guaranteed: bool, victim: JobSpec, beyond: bool) -> bool:
     """Whether a task of ``victim`` may be preempted to free capacity for ``demand``.
 
     ``guaranteed``: the demand lies within its team's guarantee. ``beyond``: the victim is work that its team runs
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -24,7 +24,7 @@
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.reconciliation import FleetKnowledge
 from alderbridge.scheduling.demand import MachineKind
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 
 log = logging.getLogger("preemption")
 
@@ -292,4 +292,4 @@
     def _remaining_tasks(self, machine: str, claim: PreemptionClaim, spec: JobSpec) -> int:
         """Return how many more tasks of its job the claimed capacity can take."""
         row = self.claimed_machines.get(machine)
-        return claim.count if row is None else min(claim.count, fits(spec, row.free))
+        return claim.count if row is None else min(claim.count, tasks_that_fit(spec, row.free))
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -12,7 +12,7 @@
 from alderbridge.preemption.budget import PreemptionBudget
 from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.scheduling.placement import allowed
-from alderbridge.scheduling.resources import Resources, fits, minus
+from alderbridge.scheduling.resources import Resources, remaining_after, tasks_that_fit
 
 _OTHER_RECORDS = 2  # reserved in each transaction: the budgets, and a claim (when counting jobs) or a job (claims)
 
@@ -94,7 +94,7 @@
         """Select a victim and count its resources as free."""
         self.victims.append(victim)
         self.selected.add((victim.job, victim.index))
-        self.free = minus(self.free, victim.spec, -1)
+        self.free = remaining_after(self.free, victim.spec, -1)
 
 
 class _Selection:
@@ -121,11 +121,11 @@
         if machine.job not in ("", spec.id):
             return None
         # Tasks that fit without preemption are not part of the demand: their capacity is not available for it.
-        free = machine.free if machine.job else minus(machine.free, spec, fits(spec, machine.free))
-        if machine.job and fits(spec, free):
+        free = machine.free if machine.job else remaining_after(machine.free, spec, tasks_that_fit(spec, machine.free))
+        if machine.job and tasks_that_fit(spec, free):
             return _Option(0.0, [])  # the victims selected so far free capacity for another task
         selected, free = self._add_units(name, demand, self._units(name, demand), free)
-        if not fits(spec, free):
+        if not tasks_that_fit(spec, free):
             return None
         self._remove_unneeded(name, demand, selected, free)
         victims = [placed for unit in selected for placed in unit.victims]
@@ -177,7 +177,7 @@
         counted: list[Victim] = []
         try:
             for unit in units:
-                if fits(demand.spec, free):
+                if tasks_that_fit(demand.spec, free):
                     break
                 if self._count_if_allowed(demand, unit, counted):
                     selected.append(unit)
@@ -207,7 +207,7 @@
         """Remove units that are not needed to fit the task, the most expensive first."""
         for unit in sorted(selected, key=lambda unit: -unit.cost):
             without = _free_after(free, name, unit, 1)
-            if fits(demand.spec, without):
+            if tasks_that_fit(demand.spec, without):
                 free = without
                 selected.remove(unit)
 
@@ -253,14 +253,14 @@
         for other in names:
             plan = self.machines[other]
             if not plan.job:
-                plan.job, plan.free = spec.id, minus(plan.free, spec, fits(spec, plan.free))
+                plan.job, plan.free = spec.id, remaining_after(plan.free, spec, tasks_that_fit(spec, plan.free))
         for other, victim in option.victims:
             self.machines[other].preempt(victim)
             self.rules.count_victim(victim, 1)
             self.victims_of[victim.job] += 1
         self.budget.use(demand, len(option.victims))
         machine.served_tasks += 1
-        machine.free = minus(machine.free, spec, 1)
+        machine.free = remaining_after(machine.free, spec, 1)
         if len(names) > 1:
             linked = set(names).union(*(self.linked.get(other, ()) for other in names))
             for other in linked:
@@ -296,7 +296,7 @@
     """Return the machine's free capacity with the unit's victims on it running again (``sign`` 1) or stopped (-1)."""
     for other, victim in unit.victims:
         if other == name:
-            free = minus(free, victim.spec, sign)
+            free = remaining_after(free, victim.spec, sign)
     return free
 
 
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -12,8 +12,8 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.demand import Demand, MachineResource, may_use
-from alderbridge.scheduling.offers import order
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.offers import placement_key
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 from alderbridge.scheduling.walk import Walk
 
 _ROUNDING_CPUS = 1e-9  # tolerance when free CPUs are compared with a task's
@@ -44,7 +44,9 @@
     capacity.
     """
     queue = [demand for demand in demands if demand.spec.id in rows]
-    queue.sort(key=lambda demand: order(rows[demand.spec.id], demand.spec, demand.due_in_s, classes.may_preempt))
+    queue.sort(
+        key=lambda demand: placement_key(rows[demand.spec.id], demand.spec, demand.due_in_s, classes.may_preempt)
+    )
     preempting = [
         position
         for position, demand in enumerate(queue)
@@ -105,10 +107,10 @@
             max_count = min(demand.count, offered[position]) - placed[position]
             if max_count <= 0 or not may_use(demand, resource.kind):
                 continue
-            count = min(fits(demand.spec, free), max_count)
+            count = min(tasks_that_fit(demand.spec, free), max_count)
             if count > 0:
                 placed[position] += count
-                before, free = free, minus(free, demand.spec, count)
+                before, free = free, remaining_after(free, demand.spec, count)
                 ends.append((demand.run_s, before[0] - free[0], before[1] - free[1], before[2] - free[2]))
         remaining.append(MachineResource(resource.kind, free, ends))
     return remaining, placed
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -10,7 +10,7 @@
 
 from alderbridge.claims.records import ClaimGroup
 from alderbridge.preemption.budget import PreemptionBudget, PreemptionLimit
-from alderbridge.preemption.eligibility import GuaranteeUsage, allowed
+from alderbridge.preemption.eligibility import GuaranteeUsage, preemption_allowed
 from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.preemption.victim_selection import SelectionRules, lost_cpu_seconds, select_victims
 from alderbridge.priorities.configuration import PriorityClass, PriorityConfiguration
@@ -71,7 +71,7 @@
         demand_classes, victim_classes = self.classes(demand.spec), self.classes(victim.spec)
         if demand_classes is None or victim_classes is None or (victim.spec.service and not demand.spec.service):
             return False
-        if not allowed(demand.spec, demand.guaranteed, victim.spec, self.teams.beyond(victim.spec)):
+        if not preemption_allowed(demand.spec, demand.guaranteed, victim.spec, self.teams.beyond(victim.spec)):
             return False
         return all(
             demand_class.names(victim_class)
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -20,7 +20,7 @@
         self, spec_of: Callable[[str], JobSpec | None], ignores_lateness: IgnoresLateness = never_ignores_lateness
     ) -> None:
         """``spec_of``: returns a job's spec, None before its record arrives; ``ignores_lateness``: see
-        ``offers.order``.
+        ``offers.placement_key``.
         """
         self.spec_of = spec_of
         self.ignores_lateness = ignores_lateness
--- a/alderbridge/scheduling/market.py
+++ b/alderbridge/scheduling/market.py
@@ -7,7 +7,7 @@
 
 from alderbridge.protocol.wire import MachineType
 from alderbridge.scheduling.demand import Demand, MachineKind, may_use
-from alderbridge.scheduling.resources import Resources, fits
+from alderbridge.scheduling.resources import Resources, tasks_that_fit
 
 
 @dataclass
@@ -44,13 +44,13 @@
 
     def can_serve(self, kind: MachineKind, demand: Demand) -> bool:
         """Whether an empty machine of this kind could run a task of the demand."""
-        return may_use(demand, kind) and fits(demand.spec, self.capacity(kind)) > 0
+        return may_use(demand, kind) and tasks_that_fit(demand.spec, self.capacity(kind)) > 0
 
     def options(self, demand: Demand, kinds: Iterable[MachineKind]) -> list[tuple[float, MachineKind]]:
         """Those of ``kinds`` that can serve the demand, cheapest first, each with its price per slot used."""
         result = []
         for kind in kinds:
-            slots = fits(demand.spec, self.capacity(kind))
+            slots = tasks_that_fit(demand.spec, self.capacity(kind))
             if slots and may_use(demand, kind):
                 result.append((self.price(kind) / min(slots, demand.count), kind))
         return sorted(result)
--- a/alderbridge/scheduling/offers.py
+++ b/alderbridge/scheduling/offers.py
@@ -24,7 +24,7 @@
     return False
 
 
-def order(
+def placement_key(
     row: QueueRow, spec: JobSpec, due_in_s: float, ignores_lateness: IgnoresLateness = never_ignores_lateness
 ) -> tuple[bool, int, float]:
     """The sort key of a job: jobs that can still meet a deadline first, then higher priority, then earlier deadline.
@@ -61,9 +61,12 @@
         packing_wait_s: float,
         ignores_lateness: IgnoresLateness = never_ignores_lateness,
     ) -> None:
-        """``label``: the job shard; ``now``: when the row was sent, in seconds; ``ignores_lateness``: see ``order``."""
+        """``label``: the job shard; ``now``: when the row was sent, in seconds.
+
+        ``ignores_lateness``: see ``placement_key``.
+        """
         # The key holds absolute times, so that it stays valid as time passes.
-        late, rank, due = order(row, spec, now + row.due_in_s, ignores_lateness)
+        late, rank, due = placement_key(row, spec, now + row.due_in_s, ignores_lateness)
         self.key = (late, rank, now + due - BOOST_OFFSET_S) if row.priority_boost else (late, rank, due)
         self.label, self.row, self.spec, self.left = label, row, spec, row.offer
         self.packing_until = now - row.waited_s + packing_wait_s  # until then idle machines leave it to busy ones
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -18,7 +18,7 @@
 
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.offers import Offer, OfferEntry, Offers
-from alderbridge.scheduling.resources import Resources, fits, minus
+from alderbridge.scheduling.resources import Resources, remaining_after, tasks_that_fit
 
 # How many of an offer's tasks are left to other machines.
 CapacityElsewhere = Callable[[Offer], int]
@@ -75,7 +75,7 @@
         requirements = (spec.cpus, spec.memory_gb, spec.gpus, spec.spot, spec.zone, tuple(spec.types or ()))
         if requirements not in self.capacities:
             self.capacities[requirements] = sum(
-                fits(spec, machine.free)
+                tasks_that_fit(spec, machine.free)
                 for machine in self.machines
                 if allowed(spec, machine.type, machine.zone, machine.spot)
             )
@@ -87,7 +87,7 @@
     for machine_type in types:
         zones = machine_type.zones or [""]
         if any(allowed(spec, machine_type.name, zone, False) for zone in zones):
-            if fits(spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)):
+            if tasks_that_fit(spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)):
                 return True
     return False
 
@@ -98,10 +98,10 @@
     for *_, offer in offers.in_order():
         if offer.row.job != job or offer.left <= 0 or offer.row.zone not in (None, machine.zone):
             continue
-        number = min(fits(offer.spec, free), offer.left, count)
+        number = min(tasks_that_fit(offer.spec, free), offer.left, count)
         if number > 0 and allowed(offer.spec, machine.type, machine.zone, machine.spot):
             offer.left -= number
-            free, count = minus(free, offer.spec, number), count - number
+            free, count = remaining_after(free, offer.spec, number), count - number
             result.append(PlacementRequest(offer.label, job, machine.name, machine.zone, number))
     return result
 
@@ -166,12 +166,12 @@
     requests: list[PlacementRequest],
 ) -> Resources:
     """Request as many tasks of the offer as fit; returns the remaining free capacity."""
-    count = min(fits(offer.spec, free), offer.left - capacity_elsewhere(offer))
+    count = min(tasks_that_fit(offer.spec, free), offer.left - capacity_elsewhere(offer))
     if count <= 0:
         return free
     offer.left -= count
     requests.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
-    return minus(free, offer.spec, count)
+    return remaining_after(free, offer.spec, count)
 
 
 def _request_from_reserved(
--- a/alderbridge/scheduling/policy.py
+++ b/alderbridge/scheduling/policy.py
@@ -22,7 +22,7 @@
 from alderbridge import constants
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource, may_use
 from alderbridge.scheduling.market import Market, cheapest
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 from alderbridge.scheduling.walk import Walk
 
 
@@ -144,14 +144,14 @@
         remaining = demand.count
         unused = []
         for resource in available:
-            slots = fits(demand.spec, resource.free) if may_use(demand, resource.kind) else 0
+            slots = tasks_that_fit(demand.spec, resource.free) if may_use(demand, resource.kind) else 0
             if remaining > 0 and slots:
                 remaining -= slots
             else:
                 unused.append(resource)
         available = unused
         if remaining > 0:
-            kinds += [kind] * math.ceil(remaining / max(1, fits(demand.spec, market.capacity(kind))))
+            kinds += [kind] * math.ceil(remaining / max(1, tasks_that_fit(demand.spec, market.capacity(kind))))
         if len(kinds) >= max_new_machines:
             return kinds[:max_new_machines]
     return kinds
@@ -166,7 +166,7 @@
 
     def cannot_use(demand: Demand) -> bool:
         """Whether the demand's tasks cannot run on the machine."""
-        return not (may_use(demand, resource.kind) and fits(demand.spec, resource.free))
+        return not (may_use(demand, resource.kind) and tasks_that_fit(demand.spec, resource.free))
 
     walk.remove(resource)
     if walk.first_breach(cannot_use) is None:
--- a/alderbridge/scheduling/walk.py
+++ b/alderbridge/scheduling/walk.py
@@ -12,7 +12,7 @@
 
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource, may_use
-from alderbridge.scheduling.resources import Resources, fits
+from alderbridge.scheduling.resources import Resources, tasks_that_fit
 
 
 class SlotPool:
@@ -121,7 +121,12 @@
         machine = (resource.kind, total)
         if machine not in self.sizing_demands:
             self.sizing_demands[machine] = next(
-                (demand for demand in self.queue if may_use(demand, resource.kind) and fits(demand.spec, total)), None
+                (
+                    demand
+                    for demand in self.queue
+                    if may_use(demand, resource.kind) and tasks_that_fit(demand.spec, total)
+                ),
+                None,
             )
         sizing_demand = self.sizing_demands[machine]
         if sizing_demand is not None:
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -24,7 +24,7 @@
 from alderbridge.protocol.keys import VIEW
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
-from alderbridge.scheduling.resources import Resources, fits, minus
+from alderbridge.scheduling.resources import Resources, remaining_after, tasks_that_fit
 from alderbridge.settings import NextStateLimits
 
 FREE_WINDOW_S = 8  # s; longer than two heartbeats and the responses to them
@@ -54,7 +54,7 @@
         free = (kind.cpus, kind.memory_gb, kind.gpus)
         for task_id, task in worker.tasks.items():
             if task.status != "ended":
-                free = minus(free, self.world.specs[wire.split_task_id(task_id)[0]], 1)
+                free = remaining_after(free, self.world.specs[wire.split_task_id(task_id)[0]], 1)
         return free
 
     def check(self) -> None:
@@ -91,7 +91,7 @@
             zones = [zone for _, zone in live]
             for kind, free_capacity in available:
                 if (
-                    fits(spec, free_capacity)
+                    tasks_that_fit(spec, free_capacity)
                     and placement.allowed(spec, kind.type, kind.zone, kind.spot)
                     and not (spec.one_zone and zones and kind.zone not in zones)
                     and not (spec.spread and zones.count(kind.zone) >= math.ceil(spec.tasks / 2))
--- a/tests/test_claims_beside_free_room.py
+++ b/tests/test_claims_beside_free_room.py
@@ -13,7 +13,7 @@
 from alderbridge.priorities.demands import place_on_free_capacity, unserved_demands
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
-from alderbridge.scheduling.offers import Offer, Offers, order
+from alderbridge.scheduling.offers import Offer, Offers, placement_key
 from alderbridge.scheduling.placement import Candidate, fill
 
 LARGE = array(1, tasks=3, cpus=4.0, priority="best_effort")
@@ -68,8 +68,10 @@
     rows = [queue_row(SMALL, due_in_s=1.0), queue_row(URGENT, late=True)]
     assert count_preempting(rows, [2.0]) == 1
     may_preempt = UrgentOnly().may_preempt
-    assert order(rows[1], URGENT, 10.0, may_preempt) < order(rows[0], SMALL, 1.0, may_preempt)
-    assert order(rows[1], URGENT, 10.0) > order(rows[0], SMALL, 1.0), "without priority classes, late jobs come last"
+    assert placement_key(rows[1], URGENT, 10.0, may_preempt) < placement_key(rows[0], SMALL, 1.0, may_preempt)
+    assert placement_key(rows[1], URGENT, 10.0) > placement_key(rows[0], SMALL, 1.0), (
+        "without priority classes, late jobs come last"
+    )
 
 
 def test_tasks_that_may_not_start_now_use_no_free_capacity():
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -9,7 +9,7 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec, MalformedBodyError, parse_job
 from alderbridge.scheduling import queue_times
-from alderbridge.scheduling.offers import order
+from alderbridge.scheduling.offers import placement_key
 from alderbridge.settings import Objective, Tuning
 
 
@@ -163,7 +163,9 @@
     row = QueueRow("wk-1", 1, 1, 9.0, 1.0, None, 0.0, False, False)
     with_dependents = QueueRow("wk-1", 1, 1, 9.0, 1.0, None, 0.0, False, False, 2)
     low = spec("wk-1", "best_effort")
-    assert order(with_dependents, low, 9.0) < order(row, spec("wk-2"), 1.0) < order(row, low, 1.0)
+    assert (
+        placement_key(with_dependents, low, 9.0) < placement_key(row, spec("wk-2"), 1.0) < placement_key(row, low, 1.0)
+    )
 
 
 @pytest.mark.parametrize("waits_on", ['"wk-1"', "[1]", '["x"]', '["wk-1\\n"]', "{}", "[null]"])
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -46,7 +46,7 @@
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
 from alderbridge.scheduling.offers import Offer
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 from alderbridge.settings import ConfigError, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -150,7 +150,7 @@
 
     def place(self, one, index):
         """Place a task on a random machine with free capacity; False if there is none."""
-        machines = [machine for machine in self.machines if fits(one, machine[2])]
+        machines = [machine for machine in self.machines if tasks_that_fit(one, machine[2])]
         if not machines:
             return False
         machine = self.rng.choice(machines)
@@ -244,7 +244,7 @@
                 if in_use[0] + demand.spec.cpus > limit.cpus_max or in_use[1] + demand.spec.gpus > limit.gpus_max:
                     violated.append("capacity beyond the team's limit")
             gpus[claim.team] += victim.spec.gpus
-        if fits(demand.spec, free) < claim.count:
+        if tasks_that_fit(demand.spec, free) < claim.count:
             violated.append("claim exceeds free capacity")
     for team in other_teams:
         if used[team][0] < limits[team].cpus or used[team][1] < limits[team].gpus:
@@ -291,7 +291,7 @@
 
 DISABLED_GUARDS = {
     "team below its guarantee for another team": (GuaranteeUsage, "beyond", lambda self, spec: True),
-    "preemption not allowed by the protocol": (preemption, "allowed", lambda *args: True),
+    "preemption not allowed by the protocol": (preemption, "preemption_allowed", lambda *args: True),
     "reclaim rate exceeded": (LendingSelection, "_remaining_gpus_for", lambda self, team: 1000.0),
     "too many replicas in a zone": (
         ServingFleet,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 from alderbridge.protocol.wire import PRIORITIES, JobSpec
 from alderbridge.scheduling.offers import Offer, Offers
 from alderbridge.scheduling.placement import BusyMachines, Candidate, allowed, fill
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 
 
 def spec(spot=True, **more):
@@ -52,9 +52,9 @@
     for _, label, _, offer in queue:
         if allowed(offer.spec, machine.type, machine.zone, machine.spot):
             if offer.row.zone in (None, machine.zone):
-                count = min(fits(offer.spec, free), offer.left - capacity_elsewhere(offer))
+                count = min(tasks_that_fit(offer.spec, free), offer.left - capacity_elsewhere(offer))
                 if count > 0:
-                    free = minus(free, offer.spec, count)
+                    free = remaining_after(free, offer.spec, count)
                     requests.append((label, offer.row.job, count))
     return requests
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,7 +15,7 @@
 from alderbridge.scheduling import policy, queue_times, quota_division
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
 from alderbridge.scheduling.market import Market
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 from alderbridge.settings import Objective, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -58,14 +58,14 @@
     for resource in resources:
         total = tuple(resource.free[i] + sum(end[i + 1] for end in resource.ends) for i in range(3))
         for one in queue:
-            if policy.may_use(one, resource.kind) and fits(one.spec, total):
+            if policy.may_use(one, resource.kind) and tasks_that_fit(one.spec, total):
                 slots = pools.setdefault((resource.kind, one.spec.id), (one.spec, []))[1]
-                free, count = resource.free, fits(one.spec, resource.free)
+                free, count = resource.free, tasks_that_fit(one.spec, resource.free)
                 slots += [0.0] * count
                 for end, *freed in sorted(resource.ends):
                     free = tuple(a + b for a, b in zip(free, freed, strict=True))
-                    slots += [end] * (fits(one.spec, free) - count)
-                    count = max(count, fits(one.spec, free))
+                    slots += [end] * (tasks_that_fit(one.spec, free) - count)
+                    count = max(count, tasks_that_fit(one.spec, free))
                 break
     for one in queue:
         before = {key: list(slots) for key, (_, slots) in pools.items()}
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -28,7 +28,7 @@
 from alderbridge.protocol.keys import CLAIMS, JOBS, PREEMPTION_BUDGETS
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.placement import allowed
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 from alderbridge.settings import ConfigError
 
 INI = """
@@ -152,13 +152,13 @@
         free = (kind.cpus, kind.memory_gb, 0.0)
         for task_id, task in tasks:
             if task.status != "ended":
-                free = minus(free, self.specs[wire.split_task_id(task_id)[0]], 1)
+                free = remaining_after(free, self.specs[wire.split_task_id(task_id)[0]], 1)
         return free
 
     def lasting_free_capacity(self, spec: wire.JobSpec) -> int:
         """Tasks that would have fitted on unclaimed machines at every sample."""
         return sum(
-            min(fits(spec, free[name]) if name in free else 0 for _, _, free in self.samples)
+            min(tasks_that_fit(spec, free[name]) if name in free else 0 for _, _, free in self.samples)
             for name, worker in self.machines.items()
             if worker is not None
             and name not in self.open
@@ -332,7 +332,7 @@
 
 
 def protocol_rule_ignored(monkeypatch):
-    monkeypatch.setattr(policy, "allowed", lambda *args: True)
+    monkeypatch.setattr(policy, "preemption_allowed", lambda *args: True)
 
 
 def claimed_tasks_not_counted(monkeypatch):
@@ -389,7 +389,7 @@
 def machine_with(name, *victims, cpus=8.0):
     free = (cpus, 64.0, 0.0)
     for victim in victims:
-        free = minus(free, victim.spec, 1)
+        free = remaining_after(free, victim.spec, 1)
     return CandidateMachine(name, MachineKind("m", "a", False), free, list(victims))
 
 
@@ -476,9 +476,9 @@
         machines = []
         for name in range(rng.randint(1, 8)):
             free, victims = (16.0, 64.0, 0.0), []
-            while fits(spec := rng.choice(jobs), free) and len(victims) < 12:
+            while tasks_that_fit(spec := rng.choice(jobs), free) and len(victims) < 12:
                 victims.append(Victim(spec.id, rng.randrange(10**6), 1, spec, rng.uniform(0.0, 100.0)))
-                free = minus(free, spec, 1)
+                free = remaining_after(free, spec, 1)
             machines.append(machine_with(str(name), *victims, cpus=16.0))
         urgent, count, max_changes = (
             job("9", "high", cpus=rng.choice([2.0, 8.0])),
@@ -494,20 +494,26 @@
             assert len(group) + len({v[0] for claim in group.values() for v in claim.victims}) + 1 <= max_changes
             for name, claim in group.items():
                 free = candidates[name].free
-                before = fits(urgent, free)
+                before = tasks_that_fit(urgent, free)
                 for victim in candidates[name].tasks:
                     if (victim.job, victim.index) in victims_of([group]):
-                        free = minus(free, victim.spec, -1)
-                assert fits(urgent, free) >= before + claim.count > before
+                        free = remaining_after(free, victim.spec, -1)
+                assert tasks_that_fit(urgent, free) >= before + claim.count > before
 
 
 def test_the_protocol_rule_on_preemption():
     high, low = job("1", "high", team="a"), job("2", "best_effort", team="b")
-    assert preemption.allowed(high, False, low, False) and not preemption.allowed(low, False, high, True)
-    assert preemption.allowed(low, True, high, True)  # guaranteed, and the victim is beyond its team's guarantee
-    assert not preemption.allowed(low, True, high, False) and not preemption.allowed(low, False, low, True)
+    assert preemption.preemption_allowed(high, False, low, False) and not preemption.preemption_allowed(
+        low, False, high, True
+    )
+    assert preemption.preemption_allowed(
+        low, True, high, True
+    )  # guaranteed, and the victim is beyond its team's guarantee
+    assert not preemption.preemption_allowed(low, True, high, False) and not preemption.preemption_allowed(
+        low, False, low, True
+    )
     # Within one team only priority counts.
-    assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)
+    assert not preemption.preemption_allowed(job("3", team="b"), True, job("4", team="b"), True)
     teams = preemption.GuaranteeUsage(TEAMS, {"bound": (10.0, 0.0)})
     assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
     teams.count_victim(job("5", team="bound"), 1)
