--- a/alderbridge/claims/ledger.py
+++ b/alderbridge/claims/ledger.py
@@ -90,9 +90,9 @@
     def __init__(self) -> None:
         """Create an empty ledger; ``apply`` fills it from the store."""
         self.entries: dict[str, ClaimEntry] = {}  # machine -> its stored claim
-        self.stops: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its preemptions, revision of the record
-        self.spent, self.usage_revision = PreemptionUsage(), 0
-        self.planned: list[ClaimGroup] = []
+        self.preemptions: dict[str, tuple[JobPreemptions, int]] = {}  # job -> its preemptions, revision of the record
+        self.usage, self.usage_revision = PreemptionUsage(), 0
+        self.planned_groups: list[ClaimGroup] = []
         self.dropping: dict[str, int] = {}  # machine -> revision of the claim to delete
         self.ended_jobs: dict[str, int] = {}  # ended job -> revision of its record, which is to be deleted
         self.in_flight: ClaimTransaction | None = None
@@ -103,45 +103,47 @@
         entry = self.entries.get(machine)
         return entry.claim if entry is not None else None
 
-    def all(self) -> Mapping[str, PreemptionClaim]:
+    def claims(self) -> Mapping[str, PreemptionClaim]:
         """Return the stored claims by machine."""
         return {machine: entry.claim for machine, entry in self.entries.items()}
 
     def preemption_count(self, job: str, index: int) -> int:
         """Return how often the task was preempted."""
-        record = self.stops.get(job)
-        return record[0].tasks.get(index, 0) if record is not None else 0
+        record = self.preemptions.get(job)
+        return record[0].preemptions_by_index.get(index, 0) if record is not None else 0
 
     def seconds_since_first_preemption(self, job: str, wall: float) -> float:
         """Return the seconds since a task of the job was first preempted; 0: none was."""
-        record = self.stops.get(job)
-        return max(1e-9, wall - record[0].first) if record is not None else 0.0
+        record = self.preemptions.get(job)
+        return max(1e-9, wall - record[0].first_preempted_at) if record is not None else 0.0
 
     @property
     def busy(self) -> bool:
         """Whether claims are being written, so that no others may be planned."""
-        return bool(self.planned) or self.in_flight is not None or self.unconfirmed is not None
+        return bool(self.planned_groups) or self.in_flight is not None or self.unconfirmed is not None
 
     @property
-    def idle(self) -> bool:
+    def nothing_to_send(self) -> bool:
         """Whether no transaction can be sent now: there is nothing to write, or one is in flight."""
-        return self.in_flight is not None or not (self.planned or self.dropping or self.ended_jobs or self.unconfirmed)
+        return self.in_flight is not None or not (
+            self.planned_groups or self.dropping or self.ended_jobs or self.unconfirmed
+        )
 
-    def clear(self, revision: float = math.inf) -> None:
+    def discard_up_to(self, revision: float = math.inf) -> None:
         """Discard what was stored up to ``revision``, before the store is read again as it was at that revision.
 
         Records with a newer revision stay, and so do transactions in flight or unconfirmed: without them, jobs that
         were preempted could preempt others. A newer view resets the transactions (``enter_view``).
         """
         self.entries = {machine: entry for machine, entry in self.entries.items() if entry.revision > revision}
-        self.stops = {job: record for job, record in self.stops.items() if record[1] > revision}
+        self.preemptions = {job: record for job, record in self.preemptions.items() if record[1] > revision}
         if self.usage_revision <= revision:
-            self.spent, self.usage_revision = PreemptionUsage(), 0
-        self.planned, self.dropping, self.ended_jobs = [], {}, {}
+            self.usage, self.usage_revision = PreemptionUsage(), 0
+        self.planned_groups, self.dropping, self.ended_jobs = [], {}, {}
 
     def enter_view(self) -> None:
         """Enter a new view: a transaction of the previous one is either already in the replica or can't commit."""
-        self.planned, self.dropping, self.ended_jobs, self.in_flight, self.unconfirmed = [], {}, {}, None, None
+        self.planned_groups, self.dropping, self.ended_jobs, self.in_flight, self.unconfirmed = [], {}, {}, None, None
         for entry in self.entries.values():
             entry.state = ClaimState.HELD
 
@@ -149,7 +151,7 @@
         """Apply one change from the replica; other keys are ignored. ``data`` None: the key was deleted."""
         if key == PREEMPTION_BUDGETS:
             if revision > self.usage_revision:
-                self.spent = PreemptionUsage() if data is None else _spent_decoder.decode(data)
+                self.usage = PreemptionUsage() if data is None else _spent_decoder.decode(data)
                 self.usage_revision = revision
         elif key.startswith(JOB_PREEMPTIONS):
             self._apply_stops(key[len(JOB_PREEMPTIONS) :], data, revision)
@@ -157,14 +159,14 @@
             self._apply_claim(key[len(CLAIMS) :], data, revision)
 
     def _apply_stops(self, job: str, data: bytes | msgspec.Raw | None, revision: int) -> None:
-        existing = self.stops.get(job)
+        existing = self.preemptions.get(job)
         if existing is not None and revision <= existing[1]:
             return
         self.ended_jobs.pop(job, None)
         if data is None:
-            self.stops.pop(job, None)
+            self.preemptions.pop(job, None)
         else:
-            self.stops[job] = (_stops_decoder.decode(data), revision)
+            self.preemptions[job] = (_stops_decoder.decode(data), revision)
 
     def _apply_claim(self, machine: str, data: bytes | msgspec.Raw | None, revision: int) -> None:
         existing = self.entries.get(machine)
@@ -179,7 +181,7 @@
     def plan(self, groups: list[ClaimGroup]) -> None:
         """Queue the claims that the leader selected; those of a group are stored together or not at all."""
         assert not self.busy
-        self.planned = list(groups)
+        self.planned_groups = list(groups)
 
     def _hold(self, machine: str, claim: PreemptionClaim, revision: int) -> None:
         self.entries[machine] = ClaimEntry(claim, revision)
@@ -195,10 +197,10 @@
 
     def forget(self, job: str) -> None:
         """Request deletion of the ended job's record of preemptions."""
-        if job in self.stops:
-            self.ended_jobs[job] = self.stops[job][1]
+        if job in self.preemptions:
+            self.ended_jobs[job] = self.preemptions[job][1]
 
-    def due(self, wall: float, max_changes: int, value_bytes: int) -> ClaimTransaction | None:
+    def next_transaction(self, wall: float, max_changes: int, value_bytes: int) -> ClaimTransaction | None:
         """Return the next transaction, of at most ``max_changes`` puts and drops, and mark it as in flight.
 
         Returns None if there is nothing to write or one is in flight already.
@@ -209,7 +211,7 @@
             self.unconfirmed = None  # it has committed, or its condition can't hold any more
         tx = ClaimTransaction()
         if self.unconfirmed is not None:
-            tx.conditions[PREEMPTION_BUDGETS], tx.puts[PREEMPTION_BUDGETS] = self.usage_revision, self.spent
+            tx.conditions[PREEMPTION_BUDGETS], tx.puts[PREEMPTION_BUDGETS] = self.usage_revision, self.usage
         elif self.dropping or self.ended_jobs:
             keys = [(CLAIMS + machine, revision) for machine, revision in self.dropping.items()]
             keys += [(JOB_PREEMPTIONS + job, revision) for job, revision in self.ended_jobs.items()]
@@ -224,18 +226,18 @@
 
     def _add_claims(self, tx: ClaimTransaction, wall: float, max_changes: int, value_bytes: int) -> None:
         """Add as many planned groups as fit; a group too large for any transaction is discarded."""
-        spent = self.spent
+        spent = self.usage
         stops: dict[str, JobPreemptions] = {}
-        while self.planned:
-            group = self.planned[0]
-            new_spent, new_stops = _with_group(group, spent, stops, self.stops, wall)
+        while self.planned_groups:
+            group = self.planned_groups[0]
+            new_spent, new_stops = _with_group(group, spent, stops, self.preemptions, wall)
             if not tx.can_add(group, new_spent, new_stops, max_changes, value_bytes):
                 if tx.groups:
                     break
                 log.info("claim=%s state=dropped cause=takes more than one transaction", min(group))
-                self.planned.pop(0)
+                self.planned_groups.pop(0)
                 continue
-            self.planned.pop(0)
+            self.planned_groups.pop(0)
             tx.groups.append(group)
             spent, stops = new_spent, new_stops
             tx.puts |= {CLAIMS + machine: claim for machine, claim in group.items()}
@@ -244,9 +246,9 @@
             tx.puts[PREEMPTION_BUDGETS], tx.conditions[PREEMPTION_BUDGETS] = spent, self.usage_revision
             for job, stopped in stops.items():
                 tx.puts[JOB_PREEMPTIONS + job] = stopped
-                tx.conditions[JOB_PREEMPTIONS + job] = self.stops[job][1] if job in self.stops else 0
+                tx.conditions[JOB_PREEMPTIONS + job] = self.preemptions[job][1] if job in self.preemptions else 0
 
-    def done(self, tx: ClaimTransaction, revision: int, now: float = 0.0) -> None:
+    def mark_committed(self, tx: ClaimTransaction, revision: int, now: float = 0.0) -> None:
         """Apply a transaction that has committed; the replica may already have applied it.
 
         A transaction of an earlier view is ignored: its claims may already be deleted, and the replica has the result.
@@ -270,11 +272,11 @@
                     ",".join(f"{job}/{index}" for job, index, _ in claim.victims),
                 )
 
-    def failed(self, tx: ClaimTransaction, now: float = 0.0) -> None:
+    def mark_unconfirmed(self, tx: ClaimTransaction, now: float = 0.0) -> None:
         """Handle a conflict, a refusal or a missing answer: the transaction may still commit and is not resent."""
         if self.in_flight is not tx:
             return
-        self.in_flight, self.planned = None, []
+        self.in_flight, self.planned_groups = None, []
         if PREEMPTION_BUDGETS in tx.conditions:
             self.unconfirmed = tx
 
@@ -292,9 +294,9 @@
     """
     result = dict(stops)
     for claim in group.values():
-        spent = spent.add(budget_key(claim.team, claim.reason), len(claim.victims), claim.at)
+        spent = spent.add(budget_key(claim.team, claim.reason), len(claim.victims), claim.planned_at)
         for job, index, _ in claim.victims:
             existing = result.get(job) or (stored[job][0] if job in stored else JobPreemptions({}, wall))
-            tasks = existing.tasks | {index: existing.tasks.get(index, 0) + 1}
-            result[job] = JobPreemptions(tasks, existing.first)
+            tasks = existing.preemptions_by_index | {index: existing.preemptions_by_index.get(index, 0) + 1}
+            result[job] = JobPreemptions(tasks, existing.first_preempted_at)
     return spent, result
--- a/alderbridge/claims/records.py
+++ b/alderbridge/claims/records.py
@@ -20,34 +20,36 @@
     count: int  # tasks of the job that fit the freed capacity; 0: only stops part of a gang
     victims: list[Task]
     wind_down_s: float  # time for the victims' final checkpoint
-    until: float  # Unix time in s when the reservation expires
+    expires_at: float = msgspec.field(name="until")  # Unix time in s when the reservation expires
     team: str  # whose budget was charged
-    at: float  # Unix time in s when it was planned
+    planned_at: float = msgspec.field(name="at")  # Unix time in s when it was planned
 
 
 class JobPreemptions(msgspec.Struct, frozen=True):
     """How often tasks of a job were preempted; key ``ab/s/JOB``. Deleted when the job has ended."""
 
-    tasks: dict[int, int]  # task index -> preemptions
-    first: float  # Unix time in s of the first preemption
+    preemptions_by_index: dict[int, int] = msgspec.field(name="tasks")  # task index -> preemptions
+    first_preempted_at: float = msgspec.field(name="first")  # Unix time in s of the first preemption
 
 
 class PreemptionUsage(msgspec.Struct, frozen=True):
     """Preemptions of the last minute, by budget, as (Unix time in s when the time step began, count); key ``ab/b``."""
 
-    stops: dict[str, list[tuple[int, int]]] = {}
+    preemptions: dict[str, list[tuple[int, int]]] = msgspec.field(name="stops", default_factory=dict)
 
     def in_last_minute(self, budget: str, wall: float) -> int:
         """Return the preemptions in the minute before ``wall``: never too few, but some may be up to one step older."""
         cutoff = wall - constants.PREEMPTION_WINDOW_S - constants.PREEMPTION_BUCKET_S
-        return sum(count for step_start, count in self.stops.get(budget, ()) if step_start > cutoff)
+        return sum(count for step_start, count in self.preemptions.get(budget, ()) if step_start > cutoff)
 
     def add(self, budget: str, count: int, wall: float) -> PreemptionUsage:
         """Return a record with ``count`` more preemptions at ``wall``, without steps older than the last minute."""
         cutoff = wall - constants.PREEMPTION_WINDOW_S - constants.PREEMPTION_BUCKET_S
         step = int(wall // constants.PREEMPTION_BUCKET_S * constants.PREEMPTION_BUCKET_S)
         stops = {
-            name: recent for name, entries in self.stops.items() if (recent := [e for e in entries if e[0] > cutoff])
+            name: recent
+            for name, entries in self.preemptions.items()
+            if (recent := [e for e in entries if e[0] > cutoff])
         }
         entries = dict(stops.get(budget, ()))
         entries[step] = entries.get(step, 0) + count
--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -63,7 +63,7 @@
         if batch.proposal is not None:
             self.declared.failed(batch.proposal, now)
         if batch.claims is not None:
-            self.replica.ledger.failed(batch.claims)
+            self.replica.ledger.mark_unconfirmed(batch.claims)
             self.record_writer.claims_deferred = True
 
     def on_too_large(self, batch: WriteBatch, now: float) -> None:
@@ -93,7 +93,7 @@
         if batch.proposal is not None:
             self.declared.done(batch.proposal, revision, now)
         if batch.claims is not None:
-            self.replica.ledger.done(batch.claims, revision)
+            self.replica.ledger.mark_committed(batch.claims, revision)
         self._machines_written(batch, revision, current)
         for job, record, cleared in batch.jobs:
             if self.job_shard.jobs.get(job.spec.id) is job:
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -106,7 +106,7 @@
     def _place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Request tasks of the job that holds the claim; the candidate with the capacity that remains for others."""
         entry = self.ledger.entries.get(machine.name)
-        if entry is None or self.state.wall() >= entry.claim.until:
+        if entry is None or self.state.wall() >= entry.claim.expires_at:
             return candidate
         claim, spec = entry.claim, self.directory.spec_of(entry.claim.job)
         revision, requested = self.claim_requests.get(machine.name, (0, 0))
@@ -133,5 +133,5 @@
         if claim is None:
             if machine.orders.claim_stops:
                 self.machine_shard.claims.drop(machine)
-        elif self.state.wall() < claim.until:
+        elif self.state.wall() < claim.expires_at:
             self.machine_shard.claims.execute(machine, claim.victims, claim.wind_down_s)
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -89,7 +89,7 @@
             or self.machine_shard.records.due_drops(self.state.now)
             or self.machine_records.to_drop
             or self.lists_to_drop
-            or not self.ledger.idle
+            or not self.ledger.nothing_to_send
         )
 
     def next_write_delay_s(self, now: float) -> float:
@@ -173,9 +173,9 @@
         once, so that claims cannot block the leader's other writes while its watch is stalled.
         """
         deferred, self.claims_deferred = self.claims_deferred, False
-        if deferred or self.ledger.idle or not self.membership.is_leader(self.state.now):
+        if deferred or self.ledger.nothing_to_send or not self.membership.is_leader(self.state.now):
             return False
-        batch.claims = self.ledger.due(self.state.wall(), limits.max_changes, self.job_shard.value_bytes)
+        batch.claims = self.ledger.next_transaction(self.state.wall(), limits.max_changes, self.job_shard.value_bytes)
         if batch.claims is None:
             return False
         batch.conditions |= batch.claims.conditions
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -77,7 +77,7 @@
         self.replica.machines, self.replica.records = {}, {}
         self.membership.registered.clear()
         self.declared.reload()
-        self.replica.ledger.clear(revision)
+        self.replica.ledger.discard_up_to(revision)
         for row in sorted(
             rows, key=lambda row: not row.key.startswith(DEPENDENCY_LISTS)
         ):  # before the records that refer to them
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -101,7 +101,7 @@
     def _observe_claims(self, planner: PreemptionPlanner) -> None:
         """Update the lending claims, and the GPUs of their victims that may still run."""
         replica = planner.leader.replica
-        self.claims = {machine: claim for machine, claim in planner.ledger.all().items() if claim.reason == REASON}
+        self.claims = {machine: claim for machine, claim in planner.ledger.claims().items() if claim.reason == REASON}
         self.specs = {job: replica.spec(job) for claim in self.claims.values() for job, _, _ in claim.victims}
         self.pace.stopping = Counter()
         for machine, claim in self.claims.items():
--- a/alderbridge/lending/pace.py
+++ b/alderbridge/lending/pace.py
@@ -36,11 +36,11 @@
     ) -> None:
         """Count the GPUs of each stored lending claim once; ``specs``: of the victims' jobs, by job."""
         for machine, claim in claims.items():
-            if (machine, claim.at) in self.counted:
+            if (machine, claim.planned_at) in self.counted:
                 continue
-            self.counted.add((machine, claim.at))
+            self.counted.add((machine, claim.planned_at))
             gpus = sum(spec.gpus for job, _, _ in claim.victims if (spec := specs.get(job)) is not None)
-            self.reclaimed.append(ReclaimedGpus(claim.at, claim.team, gpus))
+            self.reclaimed.append(ReclaimedGpus(claim.planned_at, claim.team, gpus))
         oldest = wall_time - constants.PREEMPTION_WINDOW_S - constants.PREEMPTION_BUCKET_S
         self.reclaimed = deque(entry for entry in self.reclaimed if entry[0] > oldest)
         self.counted = {key for key in self.counted if key[1] > oldest or key[0] in claims}
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -99,7 +99,7 @@
         This may briefly count too many: tasks that already run there are counted until their claim is dropped.
         """
         result: Counter[str] = Counter()
-        for claim in self.ledger.all().values():
+        for claim in self.ledger.claims().values():
             result[claim.job] += claim.count
         return result
 
@@ -114,7 +114,7 @@
     def stopping_victims(self) -> Counter[str]:
         """Return how many victims may still be on machines, by budget."""
         result: Counter[str] = Counter()
-        for machine, claim in self.ledger.all().items():
+        for machine, claim in self.ledger.claims().items():
             result[budget_key(claim.team, claim.reason)] += self.remaining_victims(machine, claim)
         return result
 
@@ -147,7 +147,7 @@
 
     def _begin_round(self, now: float, wall: float, policies: Sequence[PreemptionPolicy]) -> None:
         self.last_round_at = now
-        if self.ledger.entries or self.ledger.stops:
+        if self.ledger.entries or self.ledger.preemptions:
             self._drop_finished(now, wall, policies)
         self.pending = []
         reconciled = self.leader.scale_in_guard.knowledge is FleetKnowledge.RECONCILED
@@ -186,7 +186,7 @@
             ]
             policy.teams = teams
             policy.observe_machines(rows, kinds, self.leader.replica.spec)
-            budget = PreemptionBudget(self.ledger.spent, wall, self.stopping_victims(), running, policy.limit)
+            budget = PreemptionBudget(self.ledger.usage, wall, self.stopping_victims(), running, policy.limit)
             selected = policy.select_victims(demands, machines, budget, max_changes)
             for group in selected:
                 used_machines.update(group)
@@ -205,7 +205,7 @@
 
     def _count_stopping(self, teams: GuaranteeUsage) -> None:
         """Subtract the remaining victims of stored claims from their teams' usage."""
-        for machine, claim in self.ledger.all().items():
+        for machine, claim in self.ledger.claims().items():
             for job, _, _ in claim.victims[: self.remaining_victims(machine, claim)]:
                 spec = self.leader.replica.spec(job)
                 if spec is not None:
@@ -235,7 +235,7 @@
         summaries = {row.machine: row for shard, _ in self.leader.machine_summaries.values() for row in shard.rows}
         waiting = Counter({job: row.waiting + row.inherited for job, row in self.queue_rows(now).items()})
         reasons = {policy.reason for policy in policies}
-        for machine, claim in ledger.all().items():
+        for machine, claim in ledger.claims().items():
             remaining = self.remaining_victims(machine, claim)
             if remaining == 0 and machine in self.claimed_machines:
                 ledger.entries[machine].mark_cleared()
@@ -255,7 +255,7 @@
         self.unused_since = {
             machine: since for machine, since in self.unused_since.items() if ledger.claim_of(machine) is not None
         }
-        for job in [job for job in ledger.stops if job in replica.ended]:
+        for job in [job for job in ledger.preemptions if job in replica.ended]:
             ledger.forget(job)
 
     def _cause_to_drop(self, claim: PreemptionClaim, summary: MachineSummary | None, wall: float, needed: bool) -> str:
@@ -265,7 +265,7 @@
         """
         if self.leader.replica.spec(claim.job) is None or claim.job in self.leader.replica.ended:
             return "its job is over"
-        if wall > claim.until:
+        if wall > claim.expires_at:
             return "its time is over"
         if summary is not None and summary.state not in ("up", "expected"):
             return f"the machine is {summary.state}"
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -286,9 +286,9 @@
             count=machine.served_tasks,
             victims=[(victim.job, victim.index, victim.attempt) for victim in machine.victims],
             wind_down_s=save_s,
-            until=wall + save_s + constants.CLAIM_GRACE_S,
+            expires_at=wall + save_s + constants.CLAIM_GRACE_S,
             team=demand.spec.team,
-            at=wall,
+            planned_at=wall,
         )
 
 
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -89,7 +89,12 @@
         if not any(self.may_preempt(spec) for job in rows if (spec := leader.replica.spec(job)) is not None):
             return []
         return unserved_demands(
-            self, leader.demands(now), rows, leader.outlook(now, ledger.entries), planner.claimed_tasks(), ledger.stops
+            self,
+            leader.demands(now),
+            rows,
+            leader.outlook(now, ledger.entries),
+            planner.claimed_tasks(),
+            ledger.preemptions,
         )
 
     is_reported = preemptible
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -229,12 +229,12 @@
         count=3,
         victims=[("wk-000018", 6, 2)],
         wind_down_s=3.5,
-        until=1700000060.5,
+        expires_at=1700000060.5,
         team="forecasts",
-        at=1700000000.25,
+        planned_at=1700000000.25,
     ),
-    "record-stops": JobPreemptions(tasks={4: 2, 6: 1}, first=1700000000.25),
-    "record-spent": PreemptionUsage(stops={"forecasts/serving": [(1700000000, 3)]}),
+    "record-stops": JobPreemptions(preemptions_by_index={4: 2, 6: 1}, first_preempted_at=1700000000.25),
+    "record-spent": PreemptionUsage(preemptions={"forecasts/serving": [(1700000000, 3)]}),
     "record-declaration": ConfigurationHead(
         revision=4,
         digest="d4",
@@ -310,7 +310,7 @@
     "older-record-presence": MemberRecord(lease_id=7, protocol_version=1),
     "older-record-machine": wire.MachineRecord(address="", type="", zone="", spot=False),
     "older-record-machine-types": wire.MachineTypes(types=[MACHINE_TYPE_REQUIRED]),
-    "older-record-spent": PreemptionUsage(stops={}),
+    "older-record-spent": PreemptionUsage(preemptions={}),
     "older-record-declaration": ConfigurationHead(revision=4, digest="d4", parts=2, at=1700000000.25, before=None),
     "older-record-declaration-first": ConfigurationHead(
         revision=4, digest="d4", parts=2, at=1700000000.25, before=StoredRevision(revision=0, digest="", parts=0)
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -581,22 +581,22 @@
     ledger.plan(
         [{"n-000001": PreemptionClaim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}]
     )
-    first = ledger.due(1.0, 12, 4096)
+    first = ledger.next_transaction(1.0, 12, 4096)
     if failed:
-        ledger.failed(first)
-    ledger.clear()  # and the reloaded rows do not have them yet
+        ledger.mark_unconfirmed(first)
+    ledger.discard_up_to()  # and the reloaded rows do not have them yet
     assert ledger.busy, "no planning before the claims are confirmed or rejected"
     if not failed:
-        ledger.failed(first)
-    retried = ledger.due(2.0, 12, 4096)
+        ledger.mark_unconfirmed(first)
+    retried = ledger.next_transaction(2.0, 12, 4096)
     assert set(retried.puts) == {PREEMPTION_BUDGETS}, (
         "the new revision of this key prevents the first one from committing"
     )
     for key, value in first.puts.items():  # the first one committed before that
         ledger.apply(key, msgspec.json.encode(value), 9)
-    ledger.failed(retried)
-    assert ledger.due(3.0, 12, 4096) is None and not ledger.busy
-    assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
+    ledger.mark_unconfirmed(retried)
+    assert ledger.next_transaction(3.0, 12, 4096) is None and not ledger.busy
+    assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.preemptions
 
 
 def test_a_claim_survives_a_reload_of_rows_older_than_it():
@@ -608,9 +608,9 @@
         [{"n-000001": PreemptionClaim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}]
     )
     alone.write()
-    assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
+    assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.preemptions
     alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
-    assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.stops
+    assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.preemptions
     assert ledger.usage_revision == store.data[PREEMPTION_BUDGETS][1]
     store.commit({}, {}, [CLAIMS + "n-000001"])
     alone.reload()
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -538,11 +538,11 @@
     harness.report(1.0, 3)
     harness.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
     assert harness.run_round(1.0)
-    (group,) = harness.leader.replica.ledger.planned
+    (group,) = harness.leader.replica.ledger.planned_groups
     assert list(group) == ["n-1"] and group["n-1"].count == 3  # the machine with the cached image
     assert [one.count for one in harness.leader.demands(1.0)] == []
-    transaction = harness.leader.replica.ledger.due(1.0, 12, 4096)
-    harness.leader.replica.ledger.done(transaction, 5)
+    transaction = harness.leader.replica.ledger.next_transaction(1.0, 12, 4096)
+    harness.leader.replica.ledger.mark_committed(transaction, 5)
     harness.report(9.0, 3)
     assert not harness.run_round(9.0)  # the claim already covers the replicas
     assert [one.count for one in harness.leader.demands(9.0)] == []
@@ -659,9 +659,9 @@
                 stopped = sum((one.cpus, one.gpus)[resource] for one in other_teams_victims if one.team == team)
                 if max(used[team, resource] for used in self.recent_use) - stopped < minimum:
                     raise Broken(f"guarantee: {team} at {self.t:.2f}")
-        self.spent.append((claim.at, claim.team, len(claim.victims)))
+        self.spent.append((claim.planned_at, claim.team, len(claim.victims)))
         if (
-            sum(count for claimed_at, _, count in self.spent if claimed_at > claim.at - 60.0)
+            sum(count for claimed_at, _, count in self.spent if claimed_at > claim.planned_at - 60.0)
             > LENDING_CONFIGURATION.gpus_per_minute
         ):
             raise Broken(f"pace: limit in a minute exceeded at {self.t:.2f}")
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -398,7 +398,7 @@
     assert stored_record(alone).state is JobState.ABORTED
     alone.follow()
     attempt_writes(alone, 2)
-    assert ledger.claim_of("n-000001") is None and ledger.idle
+    assert ledger.claim_of("n-000001") is None and ledger.nothing_to_send
 
 
 @pytest.mark.parametrize("event_seen", (True, False))
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -234,8 +234,8 @@
         shortfall = self.max_recently_waiting(claim.job) - self.lasting_free_capacity(claimant)
         if not self.faults_after_claims and served_tasks > shortfall:
             raise Broken(f"no_need: claim for {claim.job} at {self.t:.2f}: {served_tasks} for {shortfall}")
-        self.spent.append((claim.at, team, len(claim.victims)))
-        if sum(count for at, owner, count in self.spent if owner == team and at > claim.at - 60.0) > 12:
+        self.spent.append((claim.planned_at, team, len(claim.victims)))
+        if sum(count for at, owner, count in self.spent if owner == team and at > claim.planned_at - 60.0) > 12:
             raise Broken(f"budget: {team} a minute at {self.t:.2f}")
         if sum(self.there(name, other) for name, other in self.open.items() if other.team == team) > 8:
             raise Broken(f"budget: {team} at once")
