--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -100,7 +100,7 @@
                 self.job_shard.record_writes.on_written(job, record, revision, cleared, now)
             self._job_stored(job, record, revision)
         for submission, key in batch.lists:
-            self.replica.lists[key] = submission.lists.pop(key, [])
+            self.replica.dependency_lists[key] = submission.lists.pop(key, [])
         for submission, record in batch.submissions:
             self._submission_stored(submission, record, revision, current)
         self.dependencies.apply_graph_changes()
@@ -169,7 +169,7 @@
         elif not current:
             pass  # the row that was read may be outdated; the replica will show the current one
         elif name in batch.dropped_machines and row is not None:
-            self.replica.machines[name] = row.revision
+            self.replica.machine_revisions[name] = row.revision
         elif row is not None:
             self.machine_records.on_recorded(name, row.revision)
 
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -53,7 +53,7 @@
         """The jobs that this job depends on, from its record and its dependency lists."""
         result = list(job.spec.needs or ())
         for key in dependency_list_keys(job.spec.id, job.dependency_digest):
-            result += self.replica.lists.get(key, ())
+            result += self.replica.dependency_lists.get(key, ())
         return result
 
     def is_cascade_aborted(self, job: str) -> bool:
--- a/alderbridge/controller/job_directory.py
+++ b/alderbridge/controller/job_directory.py
@@ -24,7 +24,7 @@
         local_job = self.job_shard.jobs.get(job)
         if local_job is not None:
             return local_job.spec
-        stored = self.replica.active.get(job)
+        stored = self.replica.active_jobs.get(job)
         return stored[0].spec if stored is not None else None
 
     def cancelled(self, job: str) -> bool:
@@ -43,7 +43,7 @@
         replica = self.replica
         return (
             job in replica.ended
-            or job in replica.active
+            or job in replica.active_jobs
             or job in self.job_shard.jobs
             or job in replica.unreadable_jobs
         )
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -55,7 +55,7 @@
         may have deleted the record since. Restored here only, it would block every later view's barrier, because no
         owner would delete it.
         """
-        self.replica.machines[name] = max(revision, self.replica.machines.get(name, 0))
+        self.replica.machine_revisions[name] = max(revision, self.replica.machine_revisions.get(name, 0))
         # Deletions sent before have committed, or are conditional on an older record.
         self.drops_in_flight.discard(name)
         self.machine_shard.records.on_recorded(name)
@@ -66,10 +66,10 @@
         The answer may arrive after the next view, under which the new owner has recorded the machine again. If the
         machine counted as unrecorded, a later view would not wait for its tasks and would start them elsewhere.
         """
-        return self.replica.machines.get(name, 0) > batch.conditions[MACHINES + name]
+        return self.replica.machine_revisions.get(name, 0) > batch.conditions[MACHINES + name]
 
     def dropped(self, name: str) -> None:
         """The store has deleted the record."""
-        self.replica.machines.pop(name, None)
-        self.replica.records.pop(name, None)
+        self.replica.machine_revisions.pop(name, None)
+        self.replica.machine_records.pop(name, None)
         self.to_drop = [other for other in self.to_drop if other != name]
--- a/alderbridge/controller/machine_types.py
+++ b/alderbridge/controller/machine_types.py
@@ -41,7 +41,7 @@
         current = [
             msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.capacity.types.values()
         ]
-        stored = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
+        stored = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.machine_types.values()]
         if not current or current == stored or not self.membership.is_leader(self.state.now):
             return None
         machine_types = wire.MachineTypes(list(self.machine_shard.capacity.types.values()))
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -103,7 +103,12 @@
         result: set[str] = set()
         if not remaining:
             return result
-        active, tasks_left, nodes, jobs = self.replica.active, self.replica.left, self.graph.nodes, self.job_shard.jobs
+        active, tasks_left, nodes, jobs = (
+            self.replica.active_jobs,
+            self.replica.remaining_tasks,
+            self.graph.nodes,
+            self.job_shard.jobs,
+        )
         gate = self.calendars.gate
         # Jobs whose calendar is about to open get what remains after all others, so that the leader can plan for them.
         opening_soon: list[tuple[float, str]] = []
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -357,7 +357,9 @@
         batch.drops = [MACHINES + name for name in batch.dropped_machines]
         self.machine_records.drops_in_flight.update(batch.dropped_machines)
         # A late commit must not delete a record that was written again since.
-        batch.conditions |= {MACHINES + name: self.replica.machines.get(name, 0) for name in batch.dropped_machines}
+        batch.conditions |= {
+            MACHINES + name: self.replica.machine_revisions.get(name, 0) for name in batch.dropped_machines
+        }
 
     def _add_list_drops(self, batch: WriteBatch, limits: BatchLimits) -> None:
         """Add deletions of unused dependency lists, without conditions: repeated or late deletions are harmless."""
--- a/alderbridge/controller/store_follower.py
+++ b/alderbridge/controller/store_follower.py
@@ -74,7 +74,7 @@
         self.state.now, self.state.wall_offset_s = now, wall - now
         view_changed = False
         self.view_entry.entered_lease_id = 0  # views may have been missed: shards must not carry over state
-        self.replica.machines, self.replica.records = {}, {}
+        self.replica.machine_revisions, self.replica.machine_records = {}, {}
         self.membership.registered.clear()
         self.declared.reload()
         self.replica.ledger.discard_up_to(revision)
@@ -90,15 +90,15 @@
         if view_changed:
             self.view_entry.enter_view(now, wall)
         # After a reload, transactions that committed late appear among the rows and not among the changes.
-        for name in list(self.replica.active):
+        for name in list(self.replica.active_jobs):
             self.submissions.adopt_late_record(name)
-        self._observe_recorded_machines(self.replica.machines)
+        self._observe_recorded_machines(self.replica.machine_revisions)
         self.dependencies.apply_graph_changes()
         self._process_configuration()
         if not self.machine_shard.capacity.types:
-            self.machine_types.update(self.replica.types)
+            self.machine_types.update(self.replica.machine_types)
         self.state.loaded = True
-        log.info("replica state=loaded revision=%d jobs=%d", revision, len(self.replica.active))
+        log.info("replica state=loaded revision=%d jobs=%d", revision, len(self.replica.active_jobs))
 
     def observe_end(self, name: str, record: Record, revision: int) -> None:
         """Apply a record that was read from the store before the watch delivered it, if it is a final state.
@@ -114,7 +114,7 @@
     def _observe_recorded_machines(self, names: Iterable[str]) -> None:
         """Notify the machine shard of its machines' new records, except those already deleted again."""
         for name in names:
-            if name in self.replica.machines and self.membership.machine_owner(name) == self.state.me:
+            if name in self.replica.machine_revisions and self.membership.machine_owner(name) == self.state.me:
                 self.machine_shard.records.on_observed(name)
 
     def _process_configuration(self) -> None:
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -122,7 +122,7 @@
 
     def drop_stored_lists(self, submission: Submission) -> None:
         """Skip the lists that an earlier attempt has stored: the value of a list key never changes."""
-        for key in [key for key in submission.lists if key in self.replica.lists]:
+        for key in [key for key in submission.lists if key in self.replica.dependency_lists]:
             del submission.lists[key]
 
     def adopt_late_record(self, name: str) -> None:
@@ -132,7 +132,7 @@
         its record. Without this, an accepted job would not run until the next view. No task of it can have been
         granted, as it was in no job shard.
         """
-        record, revision = self.replica.active.get(name, (None, 0))
+        record, revision = self.replica.active_jobs.get(name, (None, 0))
         if (
             record is None
             or not self.state.is_member
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -80,7 +80,9 @@
         self.entered_lease_id = self.membership.store_lease.lease_id if is_member else 0
         self.state.is_member = is_member
         jobs = self._owned_jobs(previous_jobs, now, wall) if is_member else {}
-        recorded = {name: self.replica.record(name) for name in self.replica.machines} if is_member else {}
+        recorded = (
+            {name: self.replica.machine_record(name) for name in self.replica.machine_revisions} if is_member else {}
+        )
         self.job_shard.enter_view(fencing_token, jobs, recorded)
         owned_records = {
             name: record for name, record in recorded.items() if self.membership.machine_owner(name) == self.state.me
@@ -103,7 +105,7 @@
     def _owned_jobs(self, previous_jobs: dict[str, Job], now: float, wall: float) -> dict[str, Job]:
         """The jobs that this member owns under the view; ``previous_jobs`` carry over their state from the last one."""
         jobs: dict[str, Job] = {}
-        for name, (record, revision) in self.replica.active.items():
+        for name, (record, revision) in self.replica.active_jobs.items():
             if self.membership.job_owner(record.accepted_by) != self.state.me:
                 continue
             job = previous_jobs.get(name)
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -113,7 +113,7 @@
     def services(self, planner: PreemptionPlanner, now: float) -> list[ServingJob]:
         """Return the active services that GPUs are reclaimed for, with their current queue rows."""
         rows, result = planner.queue_rows(now), []
-        for job, (record, _) in planner.leader.replica.active.items():
+        for job, (record, _) in planner.leader.replica.active_jobs.items():
             spec = record.spec
             if record.state is JobState.ACTIVE and spec is not None and self.rules.serves(spec) and not spec.needs:
                 row = rows.get(job) or QueueRow(job, 0, 0, math.inf, 0.0, None, 0.0, False, False)
@@ -201,7 +201,7 @@
             return {}
         images = {
             spec.image
-            for record, _ in planner.leader.replica.active.values()
+            for record, _ in planner.leader.replica.active_jobs.values()
             if (spec := record.spec) is not None and rules.serves(spec)
         }
         machines = []
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -81,16 +81,18 @@
         self.graph = graph
         self.declared = declared or OperatorConfiguration(None, membership.store_lease.ttl_s, [membership.me])
         self.ledger = Ledger()  # preemption claims, budgets and preemptions
-        self.active: dict[str, tuple[Record, int]] = {}  # job -> record and revision, of jobs that still have a spec
-        self.left: dict[str, int] = {}  # of these, the number of tasks not recorded as done
+        self.active_jobs: dict[
+            str, tuple[Record, int]
+        ] = {}  # job -> record and revision, of jobs that still have a spec
+        self.remaining_tasks: dict[str, int] = {}  # of these, the number of tasks not recorded as done
         self.jobs_by_submission: list[tuple[float, str]] = []  # submission time and job, ascending; includes ended jobs
         self.unreadable_jobs: set[str] = set()  # jobs whose records this version can't decode
         self.ended: dict[str, JobState] = {}  # all ended jobs; kept until the process ends
         self.done_at: dict[str, float] = {}  # of jobs whose record has that time
-        self.lists: dict[str, list[str]] = {}  # key -> dependencies of a job that its record does not hold
-        self.machines: dict[str, int] = {}  # machine -> revision of its record
-        self.records: dict[str, MachineRecord] = {}  # machine -> its record
-        self.types: dict[str, MachineType] = {}  # as last listed by the cloud, which may be unreachable now
+        self.dependency_lists: dict[str, list[str]] = {}  # key -> dependencies of a job that its record does not hold
+        self.machine_revisions: dict[str, int] = {}  # machine -> revision of its record
+        self.machine_records: dict[str, MachineRecord] = {}  # machine -> its record
+        self.machine_types: dict[str, MachineType] = {}  # as last listed by the cloud, which may be unreachable now
         self.types_revision = 0
         self.revision = 0
         self._handlers: dict[str, _Handler] = {
@@ -123,7 +125,7 @@
     def _apply_types(self, _key: str, data: msgspec.Raw | None, revision: int) -> None:
         types = None if data is None else decode_or_none(_machine_types_decoder, MACHINE_TYPES, data)
         if types is not None:
-            self.types = {kind.name: kind for kind in types.types}
+            self.machine_types = {kind.name: kind for kind in types.types}
             self.types_revision = revision
 
     def _apply_member(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
@@ -134,7 +136,7 @@
         if data is None:
             return
         job = key[len(JOBS) :]
-        current = self.active.get(job)
+        current = self.active_jobs.get(job)
         if current is None or revision > current[1]:  # else this controller's own write was already applied
             record = decode_or_none(_record_decoder, key, data)
             if record is None:
@@ -146,19 +148,19 @@
     def _apply_list(self, key: str, data: msgspec.Raw | None, _revision: int) -> None:
         names = None if data is None else decode_or_none(_list_decoder, key, data)
         if names is None:
-            self.lists.pop(key, None)
+            self.dependency_lists.pop(key, None)
         else:
-            self.lists[key] = names
+            self.dependency_lists[key] = names
 
     def _apply_machine(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
         name = key[len(MACHINES) :]
         if data is not None:
             # Also if it can't be decoded: views must wait for the machine.
-            self.records[name] = decode_or_none(_machine_record_decoder, key, data) or MachineRecord()
-            self.machines[name] = max(revision, self.machines.get(name, 0))
-        elif self.machines.get(name, 0) < revision:
-            self.machines.pop(name, None)
-            self.records.pop(name, None)
+            self.machine_records[name] = decode_or_none(_machine_record_decoder, key, data) or MachineRecord()
+            self.machine_revisions[name] = max(revision, self.machine_revisions.get(name, 0))
+        elif self.machine_revisions.get(name, 0) < revision:
+            self.machine_revisions.pop(name, None)
+            self.machine_records.pop(name, None)
 
     def _apply_preemption(self, key: str, data: msgspec.Raw | None, revision: int) -> None:
         self.ledger.apply(key, data, revision)
@@ -168,22 +170,22 @@
 
     def observe_job(self, job: str, record: Record, revision: int) -> None:
         """Apply a job's record as of that revision; ignored unless it is newer than the current one."""
-        current = self.active.get(job)
+        current = self.active_jobs.get(job)
         if current is not None and revision <= current[1]:
             return
         if job not in self.ended:
             if record.state is not JobState.ACTIVE:
                 self._observe_end(job, record)
             elif record.spec is not None and (record.spec.needs or record.dependency_digest):
-                self.graph.add(record.spec, record.at, self.needs(job, record), self.over)
+                self.graph.add(record.spec, record.at, self.needs(job, record), self.final_state)
         if record.spec is None:
-            self.active.pop(job, None)
-            self.left.pop(job, None)
+            self.active_jobs.pop(job, None)
+            self.remaining_tasks.pop(job, None)
         elif job not in self.ended or record.state is not JobState.ACTIVE:
             if current is None:
                 bisect.insort(self.jobs_by_submission, (record.at, job))
-            self.active[job] = (record, revision)
-            self.left[job] = record.spec.tasks - sum(stop - start for start, stop in record.done)
+            self.active_jobs[job] = (record, revision)
+            self.remaining_tasks[job] = record.spec.tasks - sum(stop - start for start, stop in record.done)
 
     def _observe_end(self, job: str, record: Record) -> None:
         self.ended[job] = record.state
@@ -196,8 +198,8 @@
 
     def oldest_first(self) -> list[tuple[float, str]]:
         """Active jobs in order of submission; ended ones may be among them."""
-        if len(self.jobs_by_submission) > len(self.active) * 5 // 4 + constants.MAX_QUEUE_ROWS // 10:
-            self.jobs_by_submission = [entry for entry in self.jobs_by_submission if entry[1] in self.active]
+        if len(self.jobs_by_submission) > len(self.active_jobs) * 5 // 4 + constants.MAX_QUEUE_ROWS // 10:
+            self.jobs_by_submission = [entry for entry in self.jobs_by_submission if entry[1] in self.active_jobs]
         return self.jobs_by_submission
 
     def needs(self, job: str, record: Record) -> list[str]:
@@ -207,24 +209,24 @@
             # A list is written before the job's record and deleted after the job's end. So if a list is missing, the
             # job has ended, and that has not been read yet. Until then the key stands in for its dependencies: no job
             # has that name, so it is a dependency that is not met.
-            result += self.lists.get(key, [key])
+            result += self.dependency_lists.get(key, [key])
         return result
 
-    def over(self, job: str) -> tuple[str, float] | None:
+    def final_state(self, job: str) -> tuple[str, float] | None:
         """The final state of a job and the time at which it was done (0: not recorded); None: it has not ended."""
         state = self.ended.get(job)
         return (state.value, self.done_at.get(job, 0.0)) if state is not None else None
 
-    def record(self, machine: str) -> MachineRecord:
+    def machine_record(self, machine: str) -> MachineRecord:
         """The record of a machine; an empty one if the store has none."""
-        return self.records.get(machine, MachineRecord())
+        return self.machine_records.get(machine, MachineRecord())
 
     def spec(self, job: str) -> JobSpec | None:
         """The submitted spec of a job; None if it no longer has one."""
-        current = self.active.get(job)
+        current = self.active_jobs.get(job)
         return current[0].spec if current is not None else None
 
     def accepted_by(self, job: str) -> str:
         """The label of the controller that accepted a job; "" for a job without a spec."""
-        current = self.active.get(job)
+        current = self.active_jobs.get(job)
         return current[0].accepted_by if current else ""
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -185,7 +185,7 @@
         """Checks that a controller that may act serves all active jobs that it owns by the store."""
         if not core.may_act():
             return
-        for name, (record, _) in core.replica.active.items():
+        for name, (record, _) in core.replica.active_jobs.items():
             if (
                 record.state is JobState.ACTIVE
                 and name not in core.job_shard.jobs
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -327,8 +327,8 @@
         core = sim.core
         assert not (
             core.job_shard.jobs
-            or core.replica.active
-            or core.replica.left
+            or core.replica.active_jobs
+            or core.replica.remaining_tasks
             or core.job_shard.jobs_by_machine
             or core.submissions.pending
         )
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -217,7 +217,7 @@
     how(alone)
     alone.write()
     assert MACHINES + name not in alone.store.data
-    assert name not in alone.core.replica.machines
+    assert name not in alone.core.replica.machine_revisions
 
 
 def test_a_put_that_commits_after_its_machine_was_terminated_leaves_no_record():
@@ -275,7 +275,7 @@
     alone.follow()
     alone.runs(job, name, 0)
     alone.core.batch_results.on_written(drop, answer.revision, alone.t)  # within the request timeout of 2 s
-    assert name in alone.core.replica.machines
+    assert name in alone.core.replica.machine_revisions
     alone.view("host-1", "host-0")
     assert 0 in job.runs, "its machine is recorded: only a heartbeat, lease expiry or termination releases the task"
 
@@ -295,7 +295,7 @@
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})
     alone.follow()
     alone.core.batch_results.resolve_conflict(drop, MACHINES + name, None, alone.t)  # the state at the time of the read
-    assert name in alone.core.replica.machines
+    assert name in alone.core.replica.machine_revisions
 
 
 @pytest.mark.parametrize("how", ("answer", "read"))
@@ -309,14 +309,14 @@
     alone.view("host-1", "host-0")
     alone.store.commit({}, {}, [MACHINES + name])
     alone.follow()
-    assert name not in alone.core.replica.machines
+    assert name not in alone.core.replica.machine_revisions
     if how == "answer":
         alone.core.batch_results.on_written(put, answer.revision, alone.t)
     else:
         alone.core.batch_results.resolve_conflict(
             put, MACHINES + name, wire.KeyValue(MACHINES + name, msgspec.Raw(b"{}"), answer.revision), alone.t
         )
-    assert name not in alone.core.replica.machines
+    assert name not in alone.core.replica.machine_revisions
 
 
 def test_a_new_view_does_not_wait_for_a_terminated_machine():
@@ -568,7 +568,7 @@
     assert not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
     assert alone.carry_out(late).failed == [JOBS + SPEC.id]
     alone.core.replica.ended.clear()  # as on a controller that has not received the job's record
-    alone.core.replica.lists.clear()
+    alone.core.replica.dependency_lists.clear()
     retried = alone.core.submissions.submit(spec, alone.t, alone.t)
     alone.settle(alone.batch())
     assert retried.outcome == "known" and not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
@@ -670,14 +670,14 @@
 def test_a_job_stored_during_a_slow_read_is_not_reported_as_unknown(monkeypatch):
     """Another attempt of its user was accepted meanwhile: neither 404 nor a refusal may follow."""
     controller, record = controller_with_remote_job(monkeypatch)
-    controller.core.replica.active.clear()
+    controller.core.replica.active_jobs.clear()
 
     async def slow_get(key):
         controller.core.replica.observe_job(SPEC.id, record, 6)
 
     monkeypatch.setattr(controller.store, "get", slow_get)
     assert curio.run(controller.users_api.status.status_from_store, SPEC.id)[0] == 503
-    controller.core.replica.active.clear()
+    controller.core.replica.active_jobs.clear()
     assert curio.run(controller.users_api.submissions.refuse_unless_accepted, SPEC.id, "unknown team")[0] == 503
 
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -110,7 +110,7 @@
         and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     )
     sync_to_same_time(alone, peer)
-    assert name not in peer.core.replica.machines
+    assert name not in peer.core.replica.machine_revisions
     while not machine.recorded:
         alone.settle(alone.batch())
         alone.follow()
@@ -153,7 +153,7 @@
         body for body in sent if isinstance(body, messages.AcknowledgeFinished)
     ]
     sync_to_same_time(alone, peer)
-    assert peer.core.replica.left[SPEC.id] == SPEC.tasks - 1
+    assert peer.core.replica.remaining_tasks[SPEC.id] == SPEC.tasks - 1
     alone.t += 1.0
     alone.follow()
     alone.write()
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -336,7 +336,7 @@
 def test_reply_that_arrives_after_reading_the_store_is_discarded(controller):
     """Guards against a job owner's late reply that is older than the store's record."""
     responses, job = [], "wk-000001"
-    controller.core.replica.active[job] = (
+    controller.core.replica.active_jobs[job] = (
         msgspec.structs.replace(Record(JobState.ACTIVE, "host-1", 0.0, 1, [], None)),
         8,
     )
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -352,7 +352,7 @@
     world.machines[machine].die()
     world.nodes[job_owner].cut_mesh_until = world.t + 26.0
     world.run(world.t + 20.0)
-    assert machine not in world.nodes[machine_owner].core.replica.machines  # expired, and its record dropped
+    assert machine not in world.nodes[machine_owner].core.replica.machine_revisions  # expired, and its record dropped
     world.nodes[third].crash()
     world.after(1.0, world.restart, world.nodes[third])
     world.run(world.t + 12.0)
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -77,7 +77,7 @@
     [line] = unreadable_lines(caplog)
     assert key in line and "cause=" in line
     if key.startswith(MACHINES):
-        assert replica.machines == {"n-1": 5}, "views wait for this machine although its record is unreadable"
+        assert replica.machine_revisions == {"n-1": 5}, "views wait for this machine although its record is unreadable"
     if key.startswith(JOBS):
         assert controller.core.directory.knows_job(JOB), "not 404: the job may have been accepted"
 
