--- a/alderbridge/calendars/gate.py
+++ b/alderbridge/calendars/gate.py
@@ -31,7 +31,7 @@
 
     spec: JobSpec
     is_blocked: bool  # a dependency is not done yet
-    submitted: float
+    submitted_at: float
     ready_since: float  # when its last dependency was done, or its submission
     opens_at: float  # time of day until which its calendar is closed; 0: open
     opened_at: float  # time of day of the opening from which its waiting time counts; 0: none
@@ -141,7 +141,7 @@
         def start_order(job: CalendarJob) -> tuple[int, float, float]:
             return (
                 -max(self.rank(job.spec), job.spec.rank),
-                job.submitted + job.spec.due_s if job.spec.due_s is not None else math.inf,
+                job.submitted_at + job.spec.due_s if job.spec.due_s is not None else math.inf,
                 job.ready_since,
             )
 
--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -177,7 +177,11 @@
         job = submission.job
         name = job.spec.id
         self.replica.observe_job(name, record, revision)
-        accepted_here = record.accepted_by == self.state.me and record.at == job.at and record.state is JobState.ACTIVE
+        accepted_here = (
+            record.accepted_by == self.state.me
+            and record.submitted_at == job.submitted_time_of_day
+            and record.state is JobState.ACTIVE
+        )
         if accepted_here and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
             job.revision = revision  # an earlier, unanswered write of this member has committed
             self.job_shard.add(job)
--- a/alderbridge/controller/dependency_tracker.py
+++ b/alderbridge/controller/dependency_tracker.py
@@ -31,7 +31,9 @@
                 job.abort(self.state.now, "a job before it is aborted")
             return
         ready_at = max(job.ready_at, self.graph.ready_at(name))
-        job.unblock(min(self.state.now, ready_at - self.state.wall_offset_s) if ready_at else job.submitted, ready_at)
+        job.unblock(
+            min(self.state.now, ready_at - self.state.wall_offset_s) if ready_at else job.submitted_at, ready_at
+        )
 
     def apply_graph_changes(self) -> None:
         """Update the jobs that the last changes of the graph made ready or aborted in a cascade."""
@@ -51,7 +53,7 @@
 
     def dependencies_of(self, job: Job) -> list[str]:
         """The jobs that this job depends on, from its record and its dependency lists."""
-        result = list(job.spec.needs or ())
+        result = list(job.spec.dependencies or ())
         for key in dependency_list_keys(job.spec.id, job.dependency_digest):
             result += self.replica.dependency_lists.get(key, ())
         return result
--- a/alderbridge/controller/queue_inbox.py
+++ b/alderbridge/controller/queue_inbox.py
@@ -38,7 +38,7 @@
 
     def on_queue_delta(self, label: str, changes: messages.QueueDelta) -> None:
         """Apply the changed rows of a job shard's queue."""
-        sent_at = self.sender_clocks.setdefault(label, SenderClock()).to_local_time(changes.at, self.state.now)
+        sent_at = self.sender_clocks.setdefault(label, SenderClock()).to_local_time(changes.created_at, self.state.now)
         self.offer_book.apply_delta(label, changes, sent_at)
         if self.membership.view.leader == self.me:
             self.leader.on_queue_changes(label, changes, sent_at)
--- a/alderbridge/controller/queue_times.py
+++ b/alderbridge/controller/queue_times.py
@@ -35,7 +35,7 @@
                     self.tuning,
                     self.objectives,
                     guaranteed,
-                    job.waiting_since - job.submitted,
+                    job.waiting_since - job.submitted_at,
                     [due_at - self.state.wall_offset_s - job.waiting_since for due_at in dependents_due],
                 ),
             )
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -197,7 +197,7 @@
         by_waiting_since: list[tuple[float, Job | Submission]] = [
             (job.dirty_since if job.dirty_since is not None else now, job) for job in ends
         ]
-        by_waiting_since += [(submission.job.submitted, submission) for submission in pending.values()]
+        by_waiting_since += [(submission.job.submitted_at, submission) for submission in pending.values()]
         return [entry for _, entry in sorted(by_waiting_since, key=lambda entry: entry[0])]
 
     def _add_configuration(self, batch: WriteBatch, limits: BatchLimits) -> bool:
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -24,13 +24,13 @@
 
 def split_dependencies(record: Record, max_bytes: int) -> tuple[Record, dict[str, list[str]]]:
     """Move the dependencies out of the record into lists of at most ``max_bytes`` each, by key."""
-    assert record.spec is not None and record.spec.needs is not None
-    needs = sorted(record.spec.needs)
+    assert record.spec is not None and record.spec.dependencies is not None
+    needs = sorted(record.spec.dependencies)
     names_per_list = max(1, (max_bytes - 2) // (max(map(len, needs)) + 3))
     count = -(-len(needs) // names_per_list)
     digest = f"{hashlib.blake2b(' '.join(needs).encode(), digest_size=8).hexdigest()}/{count}"
     lists = [needs[start : start + names_per_list] for start in range(0, len(needs), names_per_list)]
-    spec = msgspec.structs.replace(record.spec, needs=None)
+    spec = msgspec.structs.replace(record.spec, dependencies=None)
     return (
         msgspec.structs.replace(record, spec=spec, dependency_digest=digest),
         dict(zip(dependency_list_keys(spec.id, digest), lists, strict=True)),
@@ -73,8 +73,8 @@
         if spec.id in self.pending:
             return self.pending[spec.id]
         ended = self.replica.ended
-        needs = [need for need in dict.fromkeys(spec.needs or ()) if ended.get(need) is not JobState.DONE]
-        spec = msgspec.structs.replace(spec, needs=needs or None)
+        needs = [need for need in dict.fromkeys(spec.dependencies or ()) if ended.get(need) is not JobState.DONE]
+        spec = msgspec.structs.replace(spec, dependencies=needs or None)
         record = Record(
             JobState.ACTIVE, self.state.me, wall, min(spec.tasks, constants.START_LIMIT_HEADROOM_TASKS), [], spec
         )
@@ -100,7 +100,7 @@
         Stored here as well, a record would conflict with the retry's, which costs both controllers a transaction.
         """
         for submission in list(self.pending.values()):
-            if now - submission.job.submitted > constants.SUBMISSION_TTL_S:
+            if now - submission.job.submitted_at > constants.SUBMISSION_TTL_S:
                 self.decide(submission, "refused")
 
     def decide(self, submission: Submission, outcome: str) -> None:
@@ -143,7 +143,9 @@
             or self.state.membership.job_owner(record.accepted_by) != self.state.me
         ):
             return
-        job = Job(record, revision, self.state.now, max(0.0, self.state.wall() - record.at), never_started=True)
+        job = Job(
+            record, revision, self.state.now, max(0.0, self.state.wall() - record.submitted_at), never_started=True
+        )
         self.job_shard.add(job)
         self.dependencies.apply(job)
         log.info("job=%s state=adopted cause=stored after its submission was given up", name)
--- a/alderbridge/controller/users_api.py
+++ b/alderbridge/controller/users_api.py
@@ -137,7 +137,7 @@
         record = stored.record
         if record.state is not JobState.ACTIVE:
             return responses.ok(wire.job_status_body(job, record.state.value, 0, 0))
-        has_dependencies = record.spec is not None and (record.spec.needs or record.dependency_digest)
+        has_dependencies = record.spec is not None and (record.spec.dependencies or record.dependency_digest)
         if has_dependencies and not self.core.local_jobs.is_certainly_pending(job, now()):
             # A dependency may be aborted, which aborts this job, and another controller may have reported that.
             return responses.unavailable("the state of the job's dependencies cannot be determined here yet")
@@ -175,7 +175,7 @@
             return responses.unavailable(decision.reason)
         if decision.admission is Admission.REJECTED:
             return await self.refuse_unless_accepted(spec.id, decision.reason)
-        refusal = await self._check_dependencies(spec) if spec.needs else None
+        refusal = await self._check_dependencies(spec) if spec.dependencies else None
         if refusal is not None:
             return refusal
         return await self._store(spec)
@@ -201,7 +201,7 @@
         """The error response if a dependency was not accepted or cannot be checked; None if all were accepted."""
         if not self.core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES):
             return responses.unavailable("a controller still runs a version without support for dependencies")
-        for dependency in spec.needs or ():
+        for dependency in spec.dependencies or ():
             if dependency == spec.id:
                 return await self.refuse_unless_accepted(spec.id, f"waits_on: {dependency} is this job")
             if self.core.directory.knows_job(dependency):
--- a/alderbridge/controller/view_entry.py
+++ b/alderbridge/controller/view_entry.py
@@ -129,7 +129,7 @@
         changed, so no task of a job that waits for it has ever been started.
         """
         is_waiting = self.dependencies.graph.waiting(name)
-        job = Job(record, revision, now, max(0.0, wall - record.at), never_started=is_waiting)
+        job = Job(record, revision, now, max(0.0, wall - record.submitted_at), never_started=is_waiting)
         job.inherited = True
         self.dependencies.apply(job)
         return job
--- a/alderbridge/jobs/job.py
+++ b/alderbridge/jobs/job.py
@@ -159,14 +159,18 @@
     def to_record(self, value_bytes: int, may_end: bool = True) -> Record:
         """The record to store, of at most ``value_bytes``; ``may_end``: the end of the job may be stored."""
         state = self.state if may_end else self.stored_state
-        done_at = round(self.at + self.ended_at - self.submitted, 3) if state is JobState.DONE else NOT_ENDED
+        done_at = (
+            round(self.submitted_time_of_day + self.ended_at - self.submitted_at, 3)
+            if state is JobState.DONE
+            else NOT_ENDED
+        )
         if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.unknown:
             return Record(self.state, done_at=done_at)
         spec, dependency_digest = self._stored_spec()
         without_tasks = Record(
             state=state,
             accepted_by=self.accepted_by,
-            at=self.at,
+            submitted_at=self.submitted_time_of_day,
             start_limit=self.requested_start_limit,
             done=[],
             spec=spec,
@@ -179,6 +183,6 @@
 
     def _stored_spec(self) -> tuple[JobSpec, str]:
         """Spec and dependency digest for the record; the dependencies are dropped for good once all are done."""
-        if self.is_blocked or not (self.spec.needs or self.dependency_digest):
+        if self.is_blocked or not (self.spec.dependencies or self.dependency_digest):
             return self.spec, self.dependency_digest
-        return msgspec.structs.replace(self.spec, needs=None), ""
+        return msgspec.structs.replace(self.spec, dependencies=None), ""
--- a/alderbridge/jobs/job_timing.py
+++ b/alderbridge/jobs/job_timing.py
@@ -19,14 +19,14 @@
         """``submitted``: time of the submission, monotonic clock."""
         assert record.spec is not None
         self.spec = record.spec
-        self.at = record.at  # time of day of the submission
-        self.submitted = submitted
+        self.submitted_time_of_day = record.submitted_at  # time of day of the submission
+        self.submitted_at = submitted
         self.ready_since = submitted  # end of the last dependency; the submission if there is none
         self.waiting_since = submitted  # start of its waiting time: ``ready_since``, or later because of its calendar
         self.opens_at = 0.0  # time of day when its closed calendar opens; 0: it is open
         self.opened_at = 0.0  # time of day of the opening that ``waiting_since`` is based on; 0: none
         # Whether a dependency may not be done yet; cleared by ``unblock``.
-        self.is_blocked = bool(record.spec.needs or record.dependency_digest)
+        self.is_blocked = bool(record.spec.dependencies or record.dependency_digest)
         self.ready_at = record.ready_at  # time of day when its last dependency was done; 0: none, or not done
         # Cached queue times, after the inputs that they were computed from.
         self.queue_times: tuple[tuple[object, ...], list[tuple[float, float]]] | None = None
@@ -41,10 +41,10 @@
             log.info(
                 "job=%s state=ready cause=all it needs is done, %.1f s after its submission",
                 self.spec.id,
-                since - self.submitted,
+                since - self.submitted_at,
             )
         self.is_blocked = False
-        self.waiting_since = self.ready_since = max(self.submitted, since)
+        self.waiting_since = self.ready_since = max(self.submitted_at, since)
         self.ready_at, self.opened_at = ready_at, 0.0
 
     def close(self, opens_at: float) -> None:
--- a/alderbridge/jobs/record.py
+++ b/alderbridge/jobs/record.py
@@ -26,7 +26,7 @@
 
     state: JobState
     accepted_by: str = msgspec.field(name="home", default="")
-    at: float = 0.0  # time of day of the submission
+    submitted_at: float = msgspec.field(name="at", default=0.0)  # time of day of the submission
     start_limit: int = msgspec.field(name="mark", default=0)  # tasks below this index may have been started
     done: list[tuple[int, int]] = []  # half-open ranges of task indexes
     spec: JobSpec | None = None
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -84,7 +84,7 @@
         if label in self.members:
             self.queues.of(label).apply_row_delta(changes, now)
             self.queues.promote_if_complete(label)
-            self.quota_allocator.on_rows_changed([*(row.job for row in changes.rows), *changes.gone])
+            self.quota_allocator.on_rows_changed([*(row.job for row in changes.rows), *changes.removed_jobs])
 
     def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
         """Apply changed usage of teams at a job shard."""
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -115,7 +115,12 @@
         rows, result = planner.queue_rows(now), []
         for job, (record, _) in planner.leader.replica.active_jobs.items():
             spec = record.spec
-            if record.state is JobState.ACTIVE and spec is not None and self.rules.serves(spec) and not spec.needs:
+            if (
+                record.state is JobState.ACTIVE
+                and spec is not None
+                and self.rules.serves(spec)
+                and not spec.dependencies
+            ):
                 row = rows.get(job) or QueueRow(job, 0, 0, math.inf, 0.0, None, 0.0, False, False)
                 service = ServingJob(
                     spec=spec,
--- a/alderbridge/protocol/jobs.py
+++ b/alderbridge/protocol/jobs.py
@@ -42,7 +42,7 @@
     spread: bool = field(name="apart", default=False)
     spot: bool = field(name="standby", default=False)
     due_s: Amount | None = None
-    needs: list[str] | None = field(name="waits_on", default=None)
+    dependencies: list[str] | None = field(name="waits_on", default=None)
 
     @property
     def service(self) -> bool:
@@ -90,7 +90,7 @@
         raise MalformedBodyError(str(error)) from error
     if not JOB_ID.match(spec.id):
         raise MalformedBodyError("id: expected wk- and digits")
-    if not all(JOB_ID.match(dependency) for dependency in spec.needs or ()):
+    if not all(JOB_ID.match(dependency) for dependency in spec.dependencies or ()):
         raise MalformedBodyError("waits_on: expected ids of jobs")
     return spec
 
--- a/alderbridge/protocol/messages.py
+++ b/alderbridge/protocol/messages.py
@@ -51,10 +51,10 @@
 class QueueDelta(Message, frozen=True, tag="QueueChanges"):
     """Rows of a job shard's queue that have changed since the previous delta. Since protocol version 6."""
 
-    at: float  # time of creation by the sender's monotonic clock, in s; the times in the rows refer to it
+    created_at: float  # time of creation by the sender's monotonic clock, in s; the times in the rows refer to it
     rows: list[QueueRow]
-    gone: list[str]  # jobs whose rows are removed
-    whole: bool  # contains all rows, and replaces the previous ones
+    removed_jobs: list[str]  # jobs whose rows are removed
+    is_full: bool  # contains all rows, and replaces the previous ones
 
 
 class TeamUsage(msgspec.Struct, array_like=True, frozen=True):
@@ -70,7 +70,7 @@
 
     teams: dict[str, TeamUsage]  # all zeros: the team has no jobs left
     allocations_received: int  # quota allocations received under this fencing token and included here
-    whole: bool  # contains all teams, and replaces the previous ones
+    is_full: bool  # contains all teams, and replaces the previous ones
 
 
 class PeerStatus(Message, frozen=True, tag="Status"):
--- a/alderbridge/queues/delta_tracker.py
+++ b/alderbridge/queues/delta_tracker.py
@@ -148,7 +148,7 @@
         resent = [self.current[job] for job in sorted(to_resend - included) if job in self.current]
         if changes is None:
             return QueueDelta(self.now, resent, [], False) if resent else None
-        return QueueDelta(self.now, [*changes.rows, *resent], changes.gone, False) if resent else changes
+        return QueueDelta(self.now, [*changes.rows, *resent], changes.removed_jobs, False) if resent else changes
 
     def usage_for_leader(self, queue: QueueState) -> TeamUsageDelta | None:
         """Return the team usage changed since the last message to the leader, or None if nothing changed.
--- a/alderbridge/queues/offer_book.py
+++ b/alderbridge/queues/offer_book.py
@@ -43,10 +43,10 @@
         """Update the offers of a job shard; ``sent_at``: local time at which the delta was sent."""
         self.delta_senders.add(label)
         pending = self.pending_rows.setdefault(label, {})
-        if changes.whole:
+        if changes.is_full:
             pending.clear()
             self.offers.replace(label, ())
-        for job in changes.gone:
+        for job in changes.removed_jobs:
             pending.pop(job, None)
         offers = self._offers_of(label, changes.rows, sent_at)
         resolved = {offer.row.job for offer in offers}
@@ -54,7 +54,7 @@
             pending.pop(row.job, None)
             if row.offer > 0 and row.job not in resolved:
                 pending[row.job] = (row, sent_at)
-        removed = [*changes.gone, *(row.job for row in changes.rows if row.offer <= 0)]
+        removed = [*changes.removed_jobs, *(row.job for row in changes.rows if row.offer <= 0)]
         self.offers.update(label, offers, removed)
 
     def add_pending_rows(self) -> None:
--- a/alderbridge/queues/shard_queue.py
+++ b/alderbridge/queues/shard_queue.py
@@ -68,9 +68,9 @@
     def apply_row_delta(self, changes: QueueDelta, sent_at: float) -> None:
         """Apply new, changed and removed rows; ``sent_at``: local time at which the delta was sent."""
         self._record_delta(Received.ROWS)
-        if changes.whole:
+        if changes.is_full:
             self.received_rows = {}
-        for job in changes.gone:
+        for job in changes.removed_jobs:
             self.received_rows.pop(job, None)
         for row in changes.rows:
             self.received_rows[row.job] = (row, sent_at)
@@ -78,7 +78,7 @@
     def apply_usage_delta(self, changes: TeamUsageDelta) -> None:
         """Apply changed team usage."""
         self._record_delta(Received.USAGE)
-        if changes.whole:
+        if changes.is_full:
             self.used, self.reserved, self.demand = {}, {}, {}
         self.allocations_received = changes.allocations_received
         for team, usage in changes.teams.items():
--- a/alderbridge/state/replica.py
+++ b/alderbridge/state/replica.py
@@ -176,14 +176,14 @@
         if job not in self.ended:
             if record.state is not JobState.ACTIVE:
                 self._observe_end(job, record)
-            elif record.spec is not None and (record.spec.needs or record.dependency_digest):
-                self.graph.add(record.spec, record.at, self.needs(job, record), self.final_state)
+            elif record.spec is not None and (record.spec.dependencies or record.dependency_digest):
+                self.graph.add(record.spec, record.submitted_at, self.needs(job, record), self.final_state)
         if record.spec is None:
             self.active_jobs.pop(job, None)
             self.remaining_tasks.pop(job, None)
         elif job not in self.ended or record.state is not JobState.ACTIVE:
             if current is None:
-                bisect.insort(self.jobs_by_submission, (record.at, job))
+                bisect.insort(self.jobs_by_submission, (record.submitted_at, job))
             self.active_jobs[job] = (record, revision)
             self.remaining_tasks[job] = record.spec.tasks - sum(stop - start for start, stop in record.done)
 
@@ -204,7 +204,7 @@
 
     def needs(self, job: str, record: Record) -> list[str]:
         """All dependencies of a job, from its record and its dependency lists."""
-        result = list(record.spec.needs or ()) if record.spec is not None else []
+        result = list(record.spec.dependencies or ()) if record.spec is not None else []
         for key in dependency_list_keys(job, record.dependency_digest):
             # A list is written before the job's record and deleted after the job's end. So if a list is missing, the
             # job has ended, and that has not been read yet. Until then the key stands in for its dependencies: no job
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -55,7 +55,7 @@
     spread=True,
     spot=True,
     due_s=7200.5,
-    needs=["wk-000003", "wk-000004"],
+    dependencies=["wk-000003", "wk-000004"],
 )
 JOB_REQUIRED = wire.JobSpec(
     id="wk-000018",
@@ -123,11 +123,13 @@
         failed=["host-3"],
         changes=55,
     ),
-    "message-queue-changes": messages.QueueDelta(at=812.5, rows=[QUEUE_ROW], gone=["wk-000009"], whole=True),
+    "message-queue-changes": messages.QueueDelta(
+        created_at=812.5, rows=[QUEUE_ROW], removed_jobs=["wk-000009"], is_full=True
+    ),
     "message-team-changes": messages.TeamUsageDelta(
         teams={"forecasts": messages.TeamUsage(used=(1.5, 2.5), reserved=(3.5, 4.5), demand=(5.5, 6.5))},
         allocations_received=7,
-        whole=True,
+        is_full=True,
     ),
     "message-status": messages.PeerStatus(suspected=["host-2"], failed=["host-3"], changes=55),
     "message-allot-changes": messages.QuotaDelta(teams={"forecasts": (7.5, 8.5)}),
@@ -207,7 +209,7 @@
     "record-job": Record(
         state=JobState.ACTIVE,
         accepted_by="host-1",
-        at=1700000000.25,
+        submitted_at=1700000000.25,
         start_limit=8,
         done=[(0, 3), (5, 6)],
         spec=JOB,
@@ -304,7 +306,7 @@
 OLDER_RECORDS = {
     "older-record-job": Record(state=JobState.ABORTED),
     "older-record-job-with-spec": Record(
-        state=JobState.ACTIVE, accepted_by="host-1", at=1700000000.25, spec=JOB_REQUIRED
+        state=JobState.ACTIVE, accepted_by="host-1", submitted_at=1700000000.25, spec=JOB_REQUIRED
     ),
     "older-record-view": View(leader="host-1", members={"host-0": 3}),
     "older-record-presence": MemberRecord(lease_id=7, protocol_version=1),
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -421,7 +421,7 @@
                 state = None if core.directory.knows_job(job) else NOT_FOUND
             else:
                 record = msgspec.json.decode(row.data, type=Record)
-                waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
+                waits = record.spec is not None and (record.spec.dependencies or record.dependency_digest)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
                 elif not waits or core.local_jobs.is_certainly_pending(job, world.t):
@@ -471,7 +471,7 @@
             callback(None)
         elif admission.rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values()):
             self.query_status(spec.id, callback)
-        elif not core.membership.may_act(world.t) or spec.needs:
+        elif not core.membership.may_act(world.t) or spec.dependencies:
             callback(None)
         else:
             submission = core.submissions.submit(spec, world.t, world.t + self.ahead_s)
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -60,7 +60,7 @@
         zones.append(worker.kind.zone)
         if not self.may_place(spec, worker.kind, zones):
             raise Broken(f"wrong_place: {task_id} on {worker.name}")
-        for need in spec.needs or ():
+        for need in spec.dependencies or ():
             if any(f"{need}/{index}" not in self.completed for index in range(self.specs[need].tasks)):
                 raise Broken(f"too_early: {task_id} before {need}")
         self.on[task_id] = worker.name
@@ -122,7 +122,7 @@
         limits = {team.name: team.cpus_max or math.inf for team in deployment.TEAMS}
         for job in sorted(self.accepted):
             spec = self.specs[job]
-            is_exempt = job in self.said or job in self.cancelled_at or spec.needs
+            is_exempt = job in self.said or job in self.cancelled_at or spec.dependencies
             if is_exempt or all(f"{job}/{i}" in self.completed or f"{job}/{i}" in reported for i in range(spec.tasks)):
                 self.waits.pop(job, None)
                 continue
@@ -215,7 +215,7 @@
     def largest_jobs(self) -> list[str]:
         classes: dict[str, list[wire.JobSpec]] = {}
         for job in self.accepted:
-            if job not in self.cancelled_at and not self.specs[job].needs:
+            if job not in self.cancelled_at and not self.specs[job].dependencies:
                 classes.setdefault(self.specs[job].job_class, []).append(self.specs[job])
         result = []
         for specs in classes.values():
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -156,7 +156,7 @@
                 zone=None,
                 one_zone=False,
                 spread=False,
-                needs=needs or None,
+                dependencies=needs or None,
                 **more,
             )
             self.specs[spec.id] = spec
@@ -182,7 +182,7 @@
         """All jobs that ``job`` depends on, directly or transitively."""
         result, pending = set(), [job]
         while pending:
-            for need in self.specs[pending.pop()].needs or ():
+            for need in self.specs[pending.pop()].dependencies or ():
                 if need not in result:
                     result.add(need)
                     pending.append(need)
@@ -204,9 +204,9 @@
             and core.membership.may_act(self.t)
             and core.state.loaded
         ):
-            ready = not spec.needs or (
+            ready = not spec.dependencies or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
-                and all(map(core.directory.knows_job, spec.needs))
+                and all(map(core.directory.knows_job, spec.dependencies))
             )
             if ready and not core.directory.knows_job(spec.id):
                 core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
@@ -356,7 +356,7 @@
         if row is None:
             raise Broken(f"forgotten: {job}")
         record = msgspec.json.decode(row[0], type=Record)
-        waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
+        waits = record.spec is not None and (record.spec.dependencies or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
         return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -324,7 +324,7 @@
     world = calm_world(2)  # with this seed its user does not cancel it
     first = submit_job(world, 1, estimate_s=1000.0)
     world.run(10.0)
-    dependent = submit_job(world, 2, needs=[first])
+    dependent = submit_job(world, 2, dependencies=[first])
     world.run(20.0)
     assert dependent in world.accepted
     world.run(60.0)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -175,6 +175,6 @@
         '"accelerators":0.0,"mem_gb":1.0,"bundle":"i","image_gb":1.0,"together":false,"apart":false,'
         '"standby":true,"expected_s":5.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"waits_on":%s}'
     )
-    assert parse_job((body % "null").encode()).needs is None
+    assert parse_job((body % "null").encode()).dependencies is None
     with pytest.raises(MalformedBodyError):
         parse_job((body % waits_on).encode())
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -522,7 +522,9 @@
     alone = SteppedController()
     dependency = msgspec.structs.replace(SPEC, id="wk-000002")
     alone.job(dependency)
-    submission = alone.core.submissions.submit(msgspec.structs.replace(SPEC, needs=[dependency.id]), alone.t, alone.t)
+    submission = alone.core.submissions.submit(
+        msgspec.structs.replace(SPEC, dependencies=[dependency.id]), alone.t, alone.t
+    )
     first = alone.lost()
     alone.store.commit({}, {JOBS + dependency.id: Record(JobState.ABORTED)})
     alone.follow()
@@ -556,7 +558,7 @@
     alone = SteppedController()
     alone.core.job_shard.value_bytes = 700
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
-    spec = msgspec.structs.replace(SPEC, needs=needs)
+    spec = msgspec.structs.replace(SPEC, dependencies=needs)
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     assert len(submission.lists) > 1
     late = alone.lost()
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -288,7 +288,7 @@
     alone.core.job_shard.value_bytes = 700
     need = msgspec.structs.replace(SPEC, id="wk-000100")
     alone.job(need)
-    spec = msgspec.structs.replace(SPEC, needs=[f"wk-{number:06d}" for number in range(100, 250)])
+    spec = msgspec.structs.replace(SPEC, dependencies=[f"wk-{number:06d}" for number in range(100, 250)])
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     lists = dict(submission.lists)
     assert len(lists) > 1
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -174,7 +174,7 @@
             for name, record in records.items()
             if record.state is JobState.ACTIVE
             and self.specs[name].team == self.specs[job].team
-            and record.at <= records[job].at
+            and record.submitted_at <= records[job].submitted_at
         )
         return guarantee > 0 and reserved_cpus <= guarantee + 1e-9
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -106,7 +106,9 @@
     def receive(self, label, message):
         self.messages_received += 1
         if isinstance(message, messages.QueueDelta):
-            self.copies[label].apply_row_delta(message, self.clocks[label].to_local_time(message.at + 7.0, self.now))
+            self.copies[label].apply_row_delta(
+                message, self.clocks[label].to_local_time(message.created_at + 7.0, self.now)
+            )
         elif isinstance(message, messages.TeamUsageDelta):
             self.copies[label].apply_usage_delta(message)
 
@@ -168,13 +170,13 @@
 def test_a_member_far_behind_is_sent_the_full_queue():
     delta_tracker = DeltaTracker()
     delta_tracker.update([row(f"wk-{number}") for number in range(3)], 0.0)
-    assert delta_tracker.delta_for("slow", True).whole and delta_tracker.delta_for("quick", True).whole
+    assert delta_tracker.delta_for("slow", True).is_full and delta_tracker.delta_for("quick", True).is_full
     for second in range(1, constants.MAX_REMOVED_QUEUE_JOBS + 10):
         delta_tracker.update([row(f"wk-{3 + second}")], float(second))
         delta_tracker.delta_for("quick", True)
     assert len(delta_tracker.removed) <= constants.MAX_REMOVED_QUEUE_JOBS
     changes = delta_tracker.delta_for("slow", True)
-    assert changes.whole and len(changes.rows) == 1
+    assert changes.is_full and len(changes.rows) == 1
 
 
 def test_only_small_changes_are_delayed_by_a_second():
@@ -201,7 +203,7 @@
     assert [one.job for one in delta_tracker.delta_for("leader", True).rows] == ["wk-1", "wk-2"]
     delta_tracker.update([row("wk-1", offer=0), row("wk-2")], 0.2)
     changes = delta_tracker.delta_for("machine-shard", False)
-    assert [one.job for one in changes.rows] == ["wk-2"] and changes.gone == ["wk-1"]
+    assert [one.job for one in changes.rows] == ["wk-2"] and changes.removed_jobs == ["wk-1"]
 
 
 def test_a_late_snapshot_does_not_replace_a_delta():
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("seed", range(3000, 3008))
 def test_invariants_hold_for_pipelines(seed):
     world = play(seed, until=220.0, pipelines=5)
-    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.needs)
+    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
 
 
 # Seeds 4002 and 4008 are left out: users cancel all dependencies there.
@@ -68,7 +68,7 @@
     world = play(
         seed, until=260.0, nodes=3 + 2 * (seed % 2), pipelines=4, upgrade=True, coming=NEXT_LIMITS, tight_at=110.0
     )
-    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.needs)
+    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
     assert world.store.too_large == 0
 
 
@@ -91,7 +91,7 @@
     tail = msgspec.structs.replace(
         world.make_job(99), id=needs[-1], kind="sweep", tasks=1, types=None, zone=None, one_zone=False, spread=False
     )
-    after = msgspec.structs.replace(tail, id="wk-777", needs=needs)
+    after = msgspec.structs.replace(tail, id="wk-777", dependencies=needs)
     world.specs |= {tail.id: tail, after.id: after}
     world.specs |= {need: msgspec.structs.replace(tail, id=need, tasks=0) for need in needs[:-1]}
     core = world.nodes["host-1"].core
@@ -99,7 +99,7 @@
     world.run(33.0)
     core.replica.ended.clear()  # as if no dependency had ended, so that the list is long
     submission = core.submissions.submit(after, world.t, world.t)
-    assert len(submission.lists) > 3 and submission.job.spec.needs is None
+    assert len(submission.lists) > 3 and submission.job.spec.dependencies is None
     world.run(60.0)
     assert (
         submission.outcome == "accepted"
@@ -132,7 +132,7 @@
     """The job owner, cut off from the store, may still report "pending" until its view is stale."""
     world = play(1, until=5.0, jobs=0, random_faults=False)
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
-    after = msgspec.structs.replace(after, needs=[first.id])
+    after = msgspec.structs.replace(after, dependencies=[first.id])
     owner, cut_off = world.nodes["host-0"], world.nodes["host-1"]
     owner.core.submissions.submit(first, world.t, world.t)
     world.run(6.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -36,14 +36,14 @@
     image="i",
     image_gb=1.0,
     estimate_s=5.0,
-    needs=["wk-000001"],
+    dependencies=["wk-000001"],
 )
 
 
 def test_records_frames_and_views_of_the_old_version_are_read():
     for raw in production.RECORDS:
         old, new = msgspec.json.decode(raw, type=production.Record), msgspec.json.decode(raw, type=Record)
-        assert (new.state.value, new.accepted_by, new.at, new.start_limit, new.done) == (
+        assert (new.state.value, new.accepted_by, new.submitted_at, new.start_limit, new.done) == (
             old.state,
             old.home,
             old.at,
