--- a/alderbridge/controller/worker_prober.py
+++ b/alderbridge/controller/worker_prober.py
@@ -73,7 +73,7 @@
             request = wire.acknowledge_request(probe.fencing_token, probe.incarnation)
             exchange = Exchange(self.poll, host, port, ResponseReader(host, "POST", "/commands", request), on_answer)
         except (OSError, ValueError, h11.ProtocolError) as error:
-            self.core.machine_shard.prober.unanswered(probe.machine, now())
+            self.core.machine_shard.prober.on_probe_failed(probe.machine, now())
             log.debug("machine=%s state=probe_failed cause=%s", probe.machine, error)
         else:
             self.exchanges.add(exchange)
@@ -92,6 +92,6 @@
                 self.core.on_probe_answered(heartbeat, now())
         except wire.MalformedBodyError as error:
             if is_current_view:
-                self.core.machine_shard.prober.unanswered(probe.machine, now())
+                self.core.machine_shard.prober.on_probe_failed(probe.machine, now())
             log.debug("machine=%s state=probe_failed cause=%s", probe.machine, error)
         self._start_probes()
--- a/alderbridge/jobs/grants.py
+++ b/alderbridge/jobs/grants.py
@@ -80,4 +80,6 @@
         """How many more tasks of the job the team's quota on this shard allows."""
         if not self.usage.limited(job.spec.team):
             return job.spec.tasks
-        return self.usage.room(job.spec.team, self.usage.tally.teams.get(job.spec.team, (0.0, 0.0)), job.spec)
+        return self.usage.remaining_tasks(
+            job.spec.team, self.usage.tally.teams.get(job.spec.team, (0.0, 0.0)), job.spec
+        )
--- a/alderbridge/jobs/inherited_tasks.py
+++ b/alderbridge/jobs/inherited_tasks.py
@@ -36,6 +36,6 @@
     def release(self) -> None:
         """Requeue the inherited tasks that no machine of the barrier may still run."""
         for job in self.jobs.values():
-            if job.unknown and not self.barrier.may_run_tasks_of(job.spec):
-                for index in list(job.unknown):
+            if job.inherited_tasks and not self.barrier.may_run_tasks_of(job.spec):
+                for index in list(job.inherited_tasks):
                     job.requeue(index)
--- a/alderbridge/jobs/job.py
+++ b/alderbridge/jobs/job.py
@@ -164,7 +164,7 @@
             if state is JobState.DONE
             else NOT_ENDED
         )
-        if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.unknown:
+        if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.inherited_tasks:
             return Record(self.state, done_at=done_at)
         spec, dependency_digest = self._stored_spec()
         without_tasks = Record(
--- a/alderbridge/jobs/job_queue.py
+++ b/alderbridge/jobs/job_queue.py
@@ -43,11 +43,11 @@
         """
         rows = []
         self.job_calendars.refresh(now)
-        closed, quota_tasks = self.job_calendars.closed, self.usage.room
+        closed, quota_tasks = self.job_calendars.closed, self.usage.remaining_tasks
         for job in self.jobs.values():
             if job.is_blocked or job.state is not JobState.ACTIVE or now < job.paused_until:
                 continue
-            spec, waiting, inherited = job.spec, job.waiting, len(job.unknown)
+            spec, waiting, inherited = job.spec, job.waiting, len(job.inherited_tasks)
             if not (waiting or inherited) or spec.id in closed:
                 continue
             may_grant, zone = job.allowed_zone()
--- a/alderbridge/jobs/job_tasks.py
+++ b/alderbridge/jobs/job_tasks.py
@@ -39,7 +39,7 @@
         self.spec = record.spec
         self.state = record.state
         self.done = IndexRanges(record.done)
-        self.unknown = set() if never_started else {i for i in range(record.start_limit) if i not in self.done}
+        self.inherited_tasks = set() if never_started else {i for i in range(record.start_limit) if i not in self.done}
         self.next_index = 0 if never_started else record.start_limit  # no task from this index on was ever granted
         self.requeued: list[int] = []  # heap of the waiting tasks below ``next_index``
         self.runs: dict[int, TaskRun] = {}
@@ -57,7 +57,7 @@
     @property
     def on_machines(self) -> int:
         """Number of tasks that are, or may be, on a machine."""
-        return len(self.runs) + len(self.unknown)
+        return len(self.runs) + len(self.inherited_tasks)
 
     @property
     def running(self) -> int:
@@ -70,13 +70,13 @@
             return TaskState.DONE
         if index in self.runs:
             return self.runs[index].state
-        return TaskState.UNKNOWN if index in self.unknown else TaskState.WAITING
+        return TaskState.UNKNOWN if index in self.inherited_tasks else TaskState.WAITING
 
     def allowed_zone(self) -> tuple[bool, str | None]:
         """Whether any task may be granted, and the zone that grants are restricted to, if any."""
         if not self.spec.one_zone or self.spec.zone is not None:
             return True, self.spec.zone
-        if self.unknown:
+        if self.inherited_tasks:
             return False, None
         zones = {run.zone for run in self.runs.values()}
         return True, next(iter(zones), None)
@@ -88,7 +88,7 @@
             return 0
         if not self.spec.spread:
             return self.spec.tasks
-        in_zone = sum(run.zone == zone for run in self.runs.values()) + len(self.unknown)
+        in_zone = sum(run.zone == zone for run in self.runs.values()) + len(self.inherited_tasks)
         return max(0, math.ceil(self.spec.tasks / 2) - in_zone)
 
     def grant(self, index: int, run: TaskRun) -> None:
@@ -128,8 +128,8 @@
             self.tally.add(self.spec, change)
 
     def _remove_from_unknown(self, index: int) -> None:
-        if index in self.unknown:
-            self.unknown.remove(index)
+        if index in self.inherited_tasks:
+            self.inherited_tasks.remove(index)
             self._add_to_tally(-1)
 
     def _remove_from_machine(self, index: int) -> None:
--- a/alderbridge/jobs/quota_usage.py
+++ b/alderbridge/jobs/quota_usage.py
@@ -28,7 +28,7 @@
         self.jobs = jobs
         self.tally = tally
         self.job_calendars = job_calendars
-        self.allowed: dict[str, tuple[float, float]] = {}
+        self.allocated: dict[str, tuple[float, float]] = {}
         self.allocations_received = 0  # under this view
         self.counted_at = -math.inf  # when ``used`` last counted all jobs
 
@@ -38,24 +38,24 @@
 
     def reset_allocations(self) -> None:
         """Start a new view: nothing is allocated until its leader sends an allocation."""
-        self.allowed = {}
+        self.allocated = {}
         self.allocations_received = 0
 
     def allocate(self, teams: dict[str, tuple[float, float]], whole: bool = True) -> None:
         """Apply an allocation of the leader; ``whole``: for all teams, else only for those whose amounts changed."""
-        allowed = teams if whole else self.allowed | teams
-        self.allowed = {team: amounts for team, amounts in allowed.items() if amounts != (0.0, 0.0)}
+        allowed = teams if whole else self.allocated | teams
+        self.allocated = {team: amounts for team, amounts in allowed.items() if amounts != (0.0, 0.0)}
         self.allocations_received += 1
 
     def limited(self, team: str) -> bool:
         """Whether the team has a quota."""
         return team in self.limited_teams
 
-    def room(self, team: str, used: tuple[float, float], spec: JobSpec) -> int:
+    def remaining_tasks(self, team: str, used: tuple[float, float], spec: JobSpec) -> int:
         """How many more tasks of ``spec`` the quota allocated to the team allows on this shard."""
         if team not in self.limited_teams:
             return spec.tasks
-        limit, allowed = self.teams[team], self.allowed.get(team, (0.0, 0.0))
+        limit, allowed = self.teams[team], self.allocated.get(team, (0.0, 0.0))
         quota_tasks = math.inf
         if limit.cpus_max > 0 and spec.cpus > 0:
             quota_tasks = (allowed[0] - used[0]) / spec.cpus
@@ -70,7 +70,7 @@
         self.counted_at = now
         counted = UsageTally()
         for job in self.jobs.values():
-            if job.runs or job.unknown:
+            if job.runs or job.inherited_tasks:
                 counted.add(job.spec, job.on_machines)
         self.tally.teams = counted.teams
         return dict(counted.teams)
@@ -78,7 +78,7 @@
     def reserved(self, used: dict[str, tuple[float, float]]) -> dict[str, tuple[float, float]]:
         """Per team with a quota, the maximum of the used and the allocated amounts."""
         result = {team: amounts for team, amounts in used.items() if self.limited(team)}
-        for team, (cpus, gpus) in self.allowed.items():
+        for team, (cpus, gpus) in self.allocated.items():
             amounts = result.get(team, (0.0, 0.0))
             if self.limited(team):
                 result[team] = (max(cpus, amounts[0]), max(gpus, amounts[1]))
--- a/alderbridge/jobs/task_reports.py
+++ b/alderbridge/jobs/task_reports.py
@@ -124,7 +124,7 @@
             return RecordedState.RESULT_UNSTORED if job.has_unstored_results() else RecordedState.RESULT_STORED
         if job.state is not JobState.ACTIVE:
             return RecordedState.JOB_ENDED
-        return RecordedState.POSSIBLY_HERE if index in job.unknown else RecordedState.WAITING
+        return RecordedState.POSSIBLY_HERE if index in job.inherited_tasks else RecordedState.WAITING
 
     def _reconcile(
         self, label: str, report: MachineTaskReport, task: TaskStatusReport, observed: ObservedState, now: float
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -124,7 +124,7 @@
 
     def next_to_probe(self, now: float) -> ProbeTarget | None:
         """The next machine to probe for its acknowledgement; None if no probe is due."""
-        name = self.prober.next(now, self._needs_no_probe)
+        name = self.prober.next_machine(now, self._needs_no_probe)
         if name is None:
             return None
         machine = self.machines[name]
@@ -139,12 +139,12 @@
     def update_reconciliation(self, now: float) -> None:
         """Mark silent machines and log the reconciliation progress until no machine is in a transient state."""
         reconciliation = self.view.reconciliation
-        is_unsettled = not reconciliation.over
+        is_unsettled = not reconciliation.is_settled
         for machine in self.machines.values():
             if not machine.acknowledged and now - machine.last_heartbeat_at > constants.MACHINE_SILENCE_TIMEOUT_S:
                 reconciliation.mark_silent(machine.name)
         if is_unsettled:
-            log.info("machine_shard fencing_token=%d %s", self.view.fencing_token, reconciliation.line(now))
+            log.info("machine_shard fencing_token=%d %s", self.view.fencing_token, reconciliation.summary(now))
 
     def reserve(self, machine: Machine, job: str, count: int) -> int:
         """Reserve capacity for a task request until its grant arrives; returns the request id."""
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -68,7 +68,7 @@
     remaining, placed = place_on_free_capacity(waiting, offered, resources)
     shortfall = Walk(
         remaining, [reduce_count(demand, count) for demand, count in zip(waiting, placed, strict=True)]
-    ).lacking()
+    ).shortfalls()
     result = []
     for position in preempting:
         demand, row = waiting[position], rows[waiting[position].spec.id]
--- a/alderbridge/reconciliation/prober.py
+++ b/alderbridge/reconciliation/prober.py
@@ -28,7 +28,7 @@
         self.queue = [(now, number, name) for number, name in enumerate(machines)]
         self.tries = {}
 
-    def next(self, now: float, needs_no_probe: Callable[[str], bool]) -> str | None:
+    def next_machine(self, now: float, needs_no_probe: Callable[[str], bool]) -> str | None:
         """Remove and return a due machine, skipping those that need no probe; ``unanswered`` queues it again."""
         while self.queue and self.queue[0][0] <= now:
             name = heapq.heappop(self.queue)[-1]
@@ -41,7 +41,7 @@
         """Whether any machine is due to be probed."""
         return bool(self.queue) and self.queue[0][0] <= now
 
-    def unanswered(self, name: str, now: float) -> None:
+    def on_probe_failed(self, name: str, now: float) -> None:
         """A probe failed: queue the machine again after a backoff, unless its tries are used up."""
         tries = self.tries.get(name, 0)
         if 0 < tries < constants.MAX_PROBE_ATTEMPTS:
--- a/alderbridge/reconciliation/progress.py
+++ b/alderbridge/reconciliation/progress.py
@@ -81,7 +81,7 @@
         self.states[machine] = state
 
     @property
-    def over(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether no machine is in a transient state."""
         return self.transient_count == 0
 
@@ -89,7 +89,7 @@
         """Number of machines in each state."""
         return Counter(self.states.values())
 
-    def line(self, now: float) -> str:
+    def summary(self, now: float) -> str:
         """Text for the log: time since the view was entered, and the number of machines in each state."""
         counts = self.counts()
         text = ", ".join(f"{state.value} {counts[state]}" for state in MachineProgress if counts[state])
--- a/alderbridge/scheduling/walk.py
+++ b/alderbridge/scheduling/walk.py
@@ -158,7 +158,7 @@
                 pool.heap, pool.total = heap, total
         return None
 
-    def lacking(self) -> list[int]:
+    def shortfalls(self) -> list[int]:
         """For each demand, in queue order, the number of tasks that get no slot in time."""
         for pool in self.pools.values():
             pool.reset()
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -233,7 +233,7 @@
             if any(abs(a - b) > 1e-6 for a, b in zip(cached.get(team, (0, 0)), used.get(team, (0, 0)), strict=True)):
                 raise Broken(f"books: {team} uses {used.get(team)}, cached was {cached.get(team)}")
         for name, job in job_shard.jobs.items():
-            counted = job.done.count + len(job.runs) + len(job.unknown) + job.waiting
+            counted = job.done.count + len(job.runs) + len(job.inherited_tasks) + job.waiting
             if job.state is JobState.ACTIVE and counted != job.spec.tasks:
                 raise Broken(f"books: {name} accounts for {counted} of {job.spec.tasks} tasks")
             if any(name not in jobs_by_machine.get(machine, ()) for machine in job.tasks_by_machine):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -130,7 +130,7 @@
     assert job.next_task(alone.t) is None, "the owner does not know that the store has the new limit"
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     sync_to_same_time(alone, peer)
-    assert len(peer.core.job_shard.jobs[SPEC.id].unknown) == stored_record(alone).start_limit > previous_limit
+    assert len(peer.core.job_shard.jobs[SPEC.id].inherited_tasks) == stored_record(alone).start_limit > previous_limit
 
 
 @pytest.mark.parametrize("event_seen", (True, False))
@@ -298,7 +298,7 @@
     assert submission.outcome == "accepted" and alone.core.replica.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
     assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is event_seen
-    assert not alone.core.job_shard.jobs[SPEC.id].unknown and alone.core.job_shard.jobs[SPEC.id].is_blocked
+    assert not alone.core.job_shard.jobs[SPEC.id].inherited_tasks and alone.core.job_shard.jobs[SPEC.id].is_blocked
 
 
 @pytest.mark.parametrize("event_seen", (True, False))
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -83,10 +83,10 @@
         name in other.core.job_shard.inherited.barrier
     ) is is_waited_for
     job = other.core.job_shard.jobs["wk-000001"]
-    assert job.unknown == ({0, 1, 2} if is_waited_for else set())
+    assert job.inherited_tasks == ({0, 1, 2} if is_waited_for else set())
     if is_waited_for:
         other.heartbeat(name, 2, [RUNNING_TASK])
-        assert not job.unknown and list(job.runs) == [0]
+        assert not job.inherited_tasks and list(job.runs) == [0]
 
 
 def test_a_machine_is_served_before_it_is_listed_when_the_scale_out_answer_was_lost():
@@ -416,7 +416,10 @@
                 )
                 for name, machine in core.machine_shard.machines.items()
             },
-            {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
+            {
+                name: (dict(job.runs), set(job.inherited_tasks), job.done.count)
+                for name, job in core.job_shard.jobs.items()
+            },
         )
 
     while not cores_in_newer_view():
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -294,7 +294,7 @@
     def inherited(self):
         """Number of inherited tasks of unknown state, at all job owners."""
         return sum(
-            len(job.unknown)
+            len(job.inherited_tasks)
             for sim in self.nodes.values()
             if sim.core is not None
             for job in sim.core.job_shard.jobs.values()
@@ -643,16 +643,16 @@
     assert not harness.report("n-1", done[0]), "not acknowledged before it is stored"
     assert harness.job.state is JobState.ACTIVE and harness.job.done.count == 1
     harness.change_owner()  # the result was not stored
-    assert harness.job.unknown == {0, 1, 2} and not harness.job.waiting
+    assert harness.job.inherited_tasks == {0, 1, 2} and not harness.job.waiting
     assert not harness.report("n-2", running[1]) and harness.job.state_of(1) is TaskState.RUNNING
     assert not harness.report("n-1", done[0]) and harness.job.done.count == 1
     harness.store(answered=False)
     harness.change_owner(settled=False)  # stored, but the acknowledgement was lost
-    assert harness.job.unknown == {1, 2} and harness.report("n-1", done[0]) == [
+    assert harness.job.inherited_tasks == {1, 2} and harness.report("n-1", done[0]) == [
         AcknowledgeFinished("n-1", "wk-1", 0, first[1])
     ]
     assert not harness.report("n-2", done[1]) and not harness.report("n-3", running[2])
-    assert harness.job.state is JobState.ACTIVE and not harness.job.unknown
+    assert harness.job.state is JobState.ACTIVE and not harness.job.inherited_tasks
     harness.store()
     assert AcknowledgeFinished("n-2", "wk-1", 1, second[1]) in harness.sent
     assert not harness.report("n-3", done[2]) and harness.job.state is JobState.DONE
@@ -681,12 +681,12 @@
     harness.report("n-3", done[2])
     assert harness.job.state is JobState.DONE and harness.job.stored_state is JobState.ACTIVE
     harness.change_owner()
-    assert harness.job.state is JobState.ACTIVE and harness.job.unknown == {2}
+    assert harness.job.state is JobState.ACTIVE and harness.job.inherited_tasks == {2}
     for machine in ("n-1", "n-2"):
         harness.report(machine)
-        assert harness.job.unknown == {2}, "the task may run on n-3"
+        assert harness.job.inherited_tasks == {2}, "the task may run on n-3"
     harness.report("n-3")  # expired
-    assert not harness.job.unknown and harness.job.waiting == 1
+    assert not harness.job.inherited_tasks and harness.job.waiting == 1
     (regranted,) = harness.grant("n-1")
     assert regranted[0] == 2 and regranted[1] != tasks[2][1]
     assert harness.report("n-3", done[2]) == [AcknowledgeFinished("n-3", "wk-1", 2, tasks[2][1])], (
--- a/tests/test_monotonic_reads.py
+++ b/tests/test_monotonic_reads.py
@@ -333,7 +333,7 @@
 
     def set_running(self, job: Job) -> None:
         if 0 not in job.runs:
-            job.unknown.clear()
+            job.inherited_tasks.clear()
             job.next_index = max(job.next_index, 1)
             job.grant(0, TaskRun(MACHINE, "a", 7, 0, TaskState.RUNNING, self.t))
 
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -98,7 +98,7 @@
     assert successor.used == 2, "both may be on the machine that has not reported"
     successor.report("n-1", pending=[0])
     assert successor.used == 1 and not successor.drops_description, "the task may be on that machine"
-    assert successor.job_shard.usage.room("bound", successor.job_shard.tally.teams["bound"], BOUND) == 0
+    assert successor.job_shard.usage.remaining_tasks("bound", successor.job_shard.tally.teams["bound"], BOUND) == 0
     successor.enter_view(7)
     successor.report("n-1", pending=[0])
     successor.report("n-2")
@@ -199,7 +199,9 @@
             assert reserved <= self.leader.teams[0].cpus_max + 1e-6
             for label, teams in self.leader.quota_updates(1.0).items():
                 self.job_shards[label].usage.allocate(teams)
-        return {label: job_shard.usage.allowed.get("t", (0.0, 0.0))[0] for label, job_shard in self.job_shards.items()}
+        return {
+            label: job_shard.usage.allocated.get("t", (0.0, 0.0))[0] for label, job_shard in self.job_shards.items()
+        }
 
 
 def test_quota_too_small_for_a_task_of_the_first_job_is_allocated_to_the_next():
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -115,7 +115,7 @@
         return
     run = job.runs.get(0)
     if action in (Action.ADOPT, Action.ADOPT_AND_STOP):
-        assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.unknown and 0 not in job.requeued
+        assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.inherited_tasks and 0 not in job.requeued
         assert run.state is (TaskState.GRANTED if observed is ObservedState.PENDING else TaskState.RUNNING)
     elif action in (Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE):
         assert run is None and (0 in job.requeued) is (job.state is JobState.ACTIVE)
@@ -124,9 +124,9 @@
     else:
         assert run is before
         if action is Action.REMOVE_FROM_BARRIER and recorded is RecordedState.POSSIBLY_HERE:
-            assert 0 in job.unknown, "n-2 may still run it"
+            assert 0 in job.inherited_tasks, "n-2 may still run it"
             job_shard.task_reports.on_task_report("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
-            assert 0 in job.requeued and not job.unknown
+            assert 0 in job.requeued and not job.inherited_tasks
 
 
 def test_the_table_requeues_only_with_proof_and_acknowledges_only_stored_results():
@@ -242,13 +242,13 @@
 def test_an_unanswered_probe_is_retried_with_jitter_a_limited_number_of_times():
     prober, probed_at, now = HeartbeatProber(Random(1)), [], 10.0
     prober.enter_view(["n-1", "n-2", "n-3"], now)
-    assert [prober.next(now, lambda name: name == "n-2") for _ in range(3)] == ["n-1", "n-3", None]
-    prober.unanswered("n-1", now)
+    assert [prober.next_machine(now, lambda name: name == "n-2") for _ in range(3)] == ["n-1", "n-3", None]
+    prober.on_probe_failed("n-1", now)
     while now < 60.0:
         now += 0.1
-        if prober.next(now, lambda name: False) is not None:
+        if prober.next_machine(now, lambda name: False) is not None:
             probed_at.append(now)
-            prober.unanswered("n-1", now)
+            prober.on_probe_failed("n-1", now)
     assert len(probed_at) == constants.MAX_PROBE_ATTEMPTS - 1
     assert all(
         later - earlier <= constants.PROBE_BACKOFF_MAX_S + 0.2
@@ -313,10 +313,10 @@
     progress.mark_silent("n-2")
     progress.mark_silent("n-1")
     progress.mark_expired("n-3")
-    assert not progress.over
+    assert not progress.is_settled
     progress.mark_terminated("n-4")
-    assert progress.over
-    assert progress.line(3.0) == "after 3.0 s: reconciled 1, silent 1, expired 1, terminated 1 of 4"
+    assert progress.is_settled
+    assert progress.summary(3.0) == "after 3.0 s: reconciled 1, silent 1, expired 1, terminated 1 of 4"
 
 
 def find_remote_run(world):
@@ -381,7 +381,7 @@
     while world.t < restarted_at + 30.0:
         world.run(world.t + 0.1)
         core = world.nodes[job_owner].core
-        if core.may_act() and not any(job.unknown for job in core.job_shard.jobs.values()):
+        if core.may_act() and not any(job.inherited_tasks for job in core.job_shard.jobs.values()):
             break
     return world.t - restarted_at
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -203,7 +203,7 @@
 
 
 def ignore_quota(monkeypatch):
-    monkeypatch.setattr(QuotaUsage, "room", lambda self, team, used, spec: spec.tasks)
+    monkeypatch.setattr(QuotaUsage, "remaining_tasks", lambda self, team, used, spec: spec.tasks)
 
 
 def ignore_constraints(monkeypatch):
--- a/tools/bench_fall.py
+++ b/tools/bench_fall.py
@@ -226,7 +226,7 @@
         core = self.controllers[label]
         if worker.crashed or worker.terminated or core is None or core.membership.fencing_token != fencing_token:
             if core is not None:
-                core.machine_shard.prober.unanswered(name, self.now + constants.PROBE_TIMEOUT_S)
+                core.machine_shard.prober.on_probe_failed(name, self.now + constants.PROBE_TIMEOUT_S)
             return
         self.expire_lease(worker)
         worker.fencing_token = max(worker.fencing_token, fencing_token)
