--- a/alderbridge/controller/messenger.py
+++ b/alderbridge/controller/messenger.py
@@ -92,7 +92,7 @@
 
     def processed_seq_of(self, label: str) -> int:
         """The sequence of the last message from that member that was processed here."""
-        return self.local_processed_seq if label == self.me else self.channels[label].received
+        return self.local_processed_seq if label == self.me else self.channels[label].last_received_sequence
 
     def maintain_channels(self, now: float) -> None:
         """Send keepalives on idle channels, resend unacknowledged frames, and reconnect stalled channels."""
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -89,7 +89,7 @@
     def _subscribers(self) -> list[str]:
         """The other members; once deltas are published, without those whose version does not support deltas."""
         others = [label for label in self.messenger.channels if label in self.membership.view.members]
-        if self.publisher.form is QueueFormat.SNAPSHOTS:
+        if self.publisher.format is QueueFormat.SNAPSHOTS:
             return others
         return [
             label
--- a/alderbridge/leader/leader.py
+++ b/alderbridge/leader/leader.py
@@ -75,21 +75,21 @@
 
     def on_queue(self, label: str, queue: QueueSnapshot, now: float) -> None:
         """Apply the whole queue of a job shard, from a member that sends no deltas."""
-        if label in self.members and self.queues.of(label).apply_snapshot(queue, now):
+        if label in self.members and self.queues.get_or_create(label).apply_snapshot(queue, now):
             self.queues.promote_if_complete(label)
             self.quota_allocator.changed_teams.update(self.quota_allocator.teams)
 
     def on_queue_changes(self, label: str, changes: QueueDelta, now: float) -> None:
         """Apply changed rows of a job shard's queue."""
         if label in self.members:
-            self.queues.of(label).apply_row_delta(changes, now)
+            self.queues.get_or_create(label).apply_row_delta(changes, now)
             self.queues.promote_if_complete(label)
             self.quota_allocator.on_rows_changed([*(row.job for row in changes.rows), *changes.removed_jobs])
 
     def on_team_changes(self, label: str, changes: TeamUsageDelta) -> None:
         """Apply changed usage of teams at a job shard."""
         if label in self.members:
-            self.queues.of(label).apply_usage_delta(changes)
+            self.queues.get_or_create(label).apply_usage_delta(changes)
             self.queues.promote_if_complete(label)
             self.quota_allocator.on_usage_changed(changes.teams)
 
--- a/alderbridge/lending/configuration.py
+++ b/alderbridge/lending/configuration.py
@@ -29,10 +29,10 @@
 
 
 class ServingClass(msgspec.Struct, frozen=True):
-    """GPU services that lent GPUs are reclaimed for; ``owner`` and ``workload`` are glob patterns."""
+    """GPU services that lent GPUs are reclaimed for; ``team_pattern`` and ``workload_pattern`` are glob patterns."""
 
-    owner: str
-    workload: str
+    team_pattern: str = msgspec.field(name="owner")
+    workload_pattern: str = msgspec.field(name="workload")
 
     def matches(self, spec: JobSpec) -> bool:
         """Whether the job belongs to the class."""
@@ -42,8 +42,8 @@
 class LendingClass(msgspec.Struct, frozen=True):
     """GPU work that may be preempted for replicas of services; services themselves never belong to it."""
 
-    owner: str
-    workload: str
+    team_pattern: str = msgspec.field(name="owner")
+    workload_pattern: str = msgspec.field(name="workload")
     min_run_s: float = msgspec.field(name="least_run_s")  # a task is not preempted before it has run for this long
     # limit on the preemptions of one task; 0: never preempted
     max_preemptions_per_task: int = msgspec.field(name="most_stops")
@@ -58,9 +58,10 @@
 class LendingConfiguration(msgspec.Struct, frozen=True):
     """The parsed lending configuration, also as stored. A job belongs to the first class that matches it."""
 
-    serve: list[ServingClass] = []
-    lend: list[LendingClass] = []
-    reserve: dict[str, float] = {}  # team -> free GPUs reserved for its replicas beyond those in use
+    serving_classes: list[ServingClass] = msgspec.field(name="serve", default_factory=list)
+    lending_classes: list[LendingClass] = msgspec.field(name="lend", default_factory=list)
+    # team -> free GPUs reserved for its replicas beyond those in use
+    reserved_gpus: dict[str, float] = msgspec.field(name="reserve", default_factory=dict)
     # limit on the GPUs reclaimed for one team's replicas in a minute
     gpus_per_minute: int = msgspec.field(name="gpus_a_minute", default=0)
     # limit on the GPUs of one team's reclaims whose victims have not all stopped
@@ -70,15 +71,15 @@
 
     def serves(self, spec: JobSpec) -> bool:
         """Whether the job is a service that lent GPUs are reclaimed for."""
-        return any(one.matches(spec) for one in self.serve)
+        return any(one.matches(spec) for one in self.serving_classes)
 
     def lends(self, spec: JobSpec) -> LendingClass | None:
         """Return the lending class of the job, or None if it may not be preempted for services."""
-        return next((one for one in self.lend if one.matches(spec)), None)
+        return next((one for one in self.lending_classes if one.matches(spec)), None)
 
 
 def _matches(pattern: ServingClass | LendingClass, spec: JobSpec) -> bool:
-    return fnmatchcase(spec.team, pattern.owner) and fnmatchcase(spec.job_class, pattern.workload)
+    return fnmatchcase(spec.team, pattern.team_pattern) and fnmatchcase(spec.job_class, pattern.workload_pattern)
 
 
 def parse(parser: configparser.ConfigParser, path: str) -> LendingConfiguration:
@@ -91,7 +92,9 @@
         _check_title(section)
         owner, _, workload = section.name.partition("/")
         if section.word in ("serve", "lend"):
-            declared = [(one.owner, one.workload) for one in serve] + [(one.owner, one.workload) for one in lend]
+            declared = [(one.team_pattern, one.workload_pattern) for one in serve] + [
+                (one.team_pattern, one.workload_pattern) for one in lend
+            ]
             if (owner, workload) in declared:
                 raise section.error("", "declared before; a class is declared once, in [serve ...] or in [lend ...]")
         settings = _NUMBERS[section.word]
@@ -122,7 +125,7 @@
     if not serve:
         raise ConfigError(f"{path}: expected at least one [serve OWNER/WORKLOAD]")
     for team in reserve:
-        if not any(fnmatchcase(team, one.owner) for one in serve):
+        if not any(fnmatchcase(team, one.team_pattern) for one in serve):
             raise SettingError(
                 path, f"reserve {team}", "", f"no [serve {team}/WORKLOAD], so nothing would use the reserve"
             )
@@ -131,19 +134,20 @@
 def check_lines(lending: LendingConfiguration) -> list[str]:
     """Summarize the configuration, one line per rule, for ``--check``."""
     lines = [
-        f"serve {one.owner}/{one.workload}: lent GPUs are reclaimed for its replicas, within the team's guarantee"
-        for one in lending.serve
+        f"serve {one.team_pattern}/{one.workload_pattern}: lent GPUs are reclaimed for its replicas, "
+        f"within the team's guarantee"
+        for one in lending.serving_classes
     ]
-    for one in lending.lend:
+    for one in lending.lending_classes:
         conditions = (
             f"after {one.min_run_s:g} s, {one.max_preemptions_per_task} times a task, until "
             f"{one.preemptible_for_s:g} s after its job's first preemption"
             if one.max_preemptions_per_task
             else "never"
         )
-        lines.append(f"lend {one.owner}/{one.workload}: preempted for replicas {conditions}")
-    lines += [f"reserve {team}: {gpus:g} free GPUs are not lent" for team, gpus in lending.reserve.items()]
-    if lending.serve:
+        lines.append(f"lend {one.team_pattern}/{one.workload_pattern}: preempted for replicas {conditions}")
+    lines += [f"reserve {team}: {gpus:g} free GPUs are not lent" for team, gpus in lending.reserved_gpus.items()]
+    if lending.serving_classes:
         lines.append(
             f"pace: at most {lending.gpus_per_minute} GPUs a minute and {lending.max_stopping_gpus} at once are "
             f"reclaimed for a team; GPUs that replicas used are not lent again for {lending.retention_s:g} s"
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -81,14 +81,14 @@
             self.unserved_since = {}
             return []
         resources = [one for one in planner.leader.outlook(now, planner.ledger.entries) if self._has_gpus(one.kind)]
-        demands = self.demands(services, resources, _used_by_teams(planner), claimed_tasks)
+        demands = self.unserved_demands(services, resources, _used_by_teams(planner), claimed_tasks)
         self.unserved_since = {demand.spec.id: self.unserved_since.get(demand.spec.id, now) for demand in demands}
         for demand in demands:
             if now - self.unserved_since[demand.spec.id] < constants.LENDING_HEAD_START_S:
                 self.tasks_served_by_lending[demand.spec.id] += demand.count
         return demands
 
-    def demands(
+    def unserved_demands(
         self,
         services: Iterable[ServingJob],
         resources: Iterable[MachineResource],
@@ -197,7 +197,7 @@
         """Return the free GPUs that are reserved for replicas now, by machine."""
         rules = self.rules
         gpus = sum(
-            self.gpu_reserve.gpus(
+            self.gpu_reserve.gpus_to_reserve(
                 team, rules.reserve(team), rules.guarantee(team), self.used[team], rules.retention_s, now
             )
             for team in {*self.gpu_reserve.peaks, *rules.teams_with_reserve()}
--- a/alderbridge/lending/reserve.py
+++ b/alderbridge/lending/reserve.py
@@ -26,7 +26,9 @@
                 peaks.pop()
             peaks.append((now, gpus))
 
-    def gpus(self, team: str, declared: float, guarantee: float, used: float, retention_s: float, now: float) -> float:
+    def gpus_to_reserve(
+        self, team: str, declared: float, guarantee: float, used: float, retention_s: float, now: float
+    ) -> float:
         """Return how many GPUs to reserve for a team's replicas beyond those in use, within its guarantee.
 
         ``declared``: GPUs that the configuration reserves for the team.
--- a/alderbridge/lending/rules.py
+++ b/alderbridge/lending/rules.py
@@ -67,11 +67,11 @@
 
     def reserve(self, team: str) -> float:
         """Return the free GPUs that the configurations reserve for a team's replicas."""
-        return max((each.reserve.get(team, 0.0) for each in self.configurations), default=0.0)
+        return max((each.reserved_gpus.get(team, 0.0) for each in self.configurations), default=0.0)
 
     def teams_with_reserve(self) -> list[str]:
         """Return the teams with a configured reserve, in order; a team of two configurations is returned twice."""
-        return [team for each in self.configurations for team in each.reserve]
+        return [team for each in self.configurations for team in each.reserved_gpus]
 
     def guarantee(self, team: str) -> float:
         """Return the GPUs of a team's guarantee."""
--- a/alderbridge/queues/queue_publisher.py
+++ b/alderbridge/queues/queue_publisher.py
@@ -2,10 +2,10 @@
 
 States, for one view::
 
-    SNAPSHOTS ---> CHANGES
+    SNAPSHOTS ---> DELTAS
 
 * SNAPSHOTS: a current or joining member runs an older version; the full queue is sent in each round.
-* CHANGES: all members have published a protocol version with deltas; changes are sent in numbered messages. The state
+* DELTAS: all members have published a protocol version with deltas; changes are sent in numbered messages. The state
   does not return to SNAPSHOTS within a view, so receivers drop a full queue from a sender of deltas as a late frame.
 """
 
@@ -24,13 +24,13 @@
     """The format in which members are sent the queue."""
 
     SNAPSHOTS = "whole queues"
-    CHANGES = "changes"
+    DELTAS = "changes"
 
 
 class Link(Protocol):
     """What the publisher reads of a channel to another member."""
 
-    received: int
+    last_received_sequence: int
     peer_fencing_token: int
 
     def backlog(self) -> int:
@@ -78,15 +78,15 @@
 
     def enter_view(self) -> None:
         """Begin a new view: every member is sent the full state again."""
-        self.form = QueueFormat.SNAPSHOTS
+        self.format = QueueFormat.SNAPSHOTS
         self.delta_tracker.clear()
         self.last_sent: dict[str, LastSent] = {}  # by member
 
     def publish(self, round_: PublishRound, all_read_deltas: bool) -> Iterator[OutgoingMessage]:
         """Yield all messages of a round; ``all_read_deltas``: all current and joining members can read deltas."""
         if all_read_deltas:
-            self.form = QueueFormat.CHANGES
-        if self.form is QueueFormat.CHANGES:
+            self.format = QueueFormat.DELTAS
+        if self.format is QueueFormat.DELTAS:
             yield from self._deltas(round_)
             yield from self._broadcast(round_, round_.status)
         else:
@@ -117,7 +117,7 @@
         """Record that the delta just sent carries the acknowledgement, so that no status is sent only for that."""
         if label in self.last_sent:
             message, sent_at, _ = self.last_sent[label]
-            self.last_sent[label] = LastSent(message, sent_at, round_.links[label].received)
+            self.last_sent[label] = LastSent(message, sent_at, round_.links[label].last_received_sequence)
 
     def _broadcast(self, round_: PublishRound, message: QueueSnapshot | PeerStatus) -> Iterator[OutgoingMessage]:
         """Yield the message for each member; an unchanged one only to acknowledge, or every
@@ -127,9 +127,9 @@
             last, sent_at, acknowledged = self.last_sent.get(label, _NEVER_SENT)
             if (
                 last != message
-                or acknowledged != link.received
+                or acknowledged != link.last_received_sequence
                 or round_.now - sent_at >= constants.MESH_KEEP_ALIVE_INTERVAL_S
                 or (isinstance(message, QueueSnapshot) and message.rows)
             ):
-                self.last_sent[label] = LastSent(message, round_.now, link.received)
+                self.last_sent[label] = LastSent(message, round_.now, link.last_received_sequence)
                 yield OutgoingMessage(label, message, False)
--- a/alderbridge/queues/shard_queue.py
+++ b/alderbridge/queues/shard_queue.py
@@ -106,7 +106,7 @@
         super().__init__()
         self.incomplete: dict[str, ShardQueue] = {}
 
-    def of(self, label: str) -> ShardQueue:
+    def get_or_create(self, label: str) -> ShardQueue:
         """Return the queue of the job shard, complete or not."""
         queue = self.get(label)
         return queue if queue is not None else self.incomplete.setdefault(label, ShardQueue())
--- a/alderbridge/transport/channel.py
+++ b/alderbridge/transport/channel.py
@@ -21,7 +21,7 @@
         """Start again under another view; ``lease_id``: this controller's store lease there, 0: it is no member."""
         self.fencing_token, self.lease_id = fencing_token, lease_id
         self.next_seq = 1
-        self.received = 0
+        self.last_received_sequence = 0
         self.unacked: deque[tuple[int, Message, float]] = deque()  # sequence, body, when it was first sent
         self.newest_acked_sent_at = float("-inf")  # when the newest acknowledged message was first sent
         self.resend_timer_started_at = now
@@ -42,7 +42,7 @@
         return self._frame(0, body)
 
     def _frame(self, seq: int, body: Message) -> Frame:
-        return Frame(__version__, self.me, self.fencing_token, seq, self.received, body, self.lease_id)  # type: ignore[arg-type]  # a Message is one of Body
+        return Frame(__version__, self.me, self.fencing_token, seq, self.last_received_sequence, body, self.lease_id)  # type: ignore[arg-type]  # a Message is one of Body
 
     def observe_view(self, frame: Frame) -> None:
         """Record the highest fencing token the peer has used; the frame is neither accepted nor acknowledged."""
@@ -58,9 +58,9 @@
             self.resend_timer_started_at = self.stall_timer_started_at = now
         if frame.seq == 0:
             return frame.body
-        if frame.seq != self.received + 1:
+        if frame.seq != self.last_received_sequence + 1:
             return None
-        self.received = frame.seq
+        self.last_received_sequence = frame.seq
         return frame.body
 
     def resend(self, now: float) -> list[Frame]:
--- a/tests/encoded_examples.py
+++ b/tests/encoded_examples.py
@@ -271,13 +271,17 @@
         ],
     ),
     "declared-lending": lending.LendingConfiguration(
-        serve=[lending.ServingClass(owner="forecasts", workload="llm-*")],
-        lend=[
+        serving_classes=[lending.ServingClass(team_pattern="forecasts", workload_pattern="llm-*")],
+        lending_classes=[
             lending.LendingClass(
-                owner="*", workload="fine-tune", min_run_s=21.5, max_preemptions_per_task=4, preemptible_for_s=901.5
+                team_pattern="*",
+                workload_pattern="fine-tune",
+                min_run_s=21.5,
+                max_preemptions_per_task=4,
+                preemptible_for_s=901.5,
             ),
         ],
-        reserve={"forecasts": 5.5},
+        reserved_gpus={"forecasts": 5.5},
         gpus_per_minute=65,
         max_stopping_gpus=33,
         retention_s=31.5,
@@ -324,7 +328,12 @@
         ],
     ),
     "older-declared-lending": lending.LendingConfiguration(
-        serve=[], lend=[], reserve={}, gpus_per_minute=0, max_stopping_gpus=0, retention_s=0.0
+        serving_classes=[],
+        lending_classes=[],
+        reserved_gpus={},
+        gpus_per_minute=0,
+        max_stopping_gpus=0,
+        retention_s=0.0,
     ),
     "older-declared-priorities": priorities.PriorityConfiguration(classes=[]),
 }
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -103,7 +103,7 @@
     assert not [body for _, body in core.effects.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
         "no halt of the tasks that its earlier incarnation ran"
     )
-    assert core.messenger.channels[machine_owner].received == 0, "no acknowledgement"
+    assert core.messenger.channels[machine_owner].last_received_sequence == 0, "no acknowledgement"
     core.on_frame(sender.messenger.channels[job_owner].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
     assert [query.query_id for _, query in core.effects.queries] == [7], (
         "queries are accepted; the sender reads the store after a 503"
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -193,7 +193,7 @@
         lender.fleet.update(self.contents, {name: kind.zone for name, kind, _, _ in self.machines})
         lender.teams = GuaranteeUsage(TEAMS, self.used)
         resources = [MachineResource(kind, free) for _, kind, free, _ in self.machines]
-        demands = lender.demands(self.services, resources, self.used, {})
+        demands = lender.unserved_demands(self.services, resources, self.used, {})
         candidates = [
             CandidateMachine(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
             for name, kind, free, tasks in self.machines
@@ -225,7 +225,9 @@
             free = tuple(
                 a + b for a, b in zip(free, (victim.spec.cpus, victim.spec.memory_gb, victim.spec.gpus), strict=True)
             )
-            lending_class = next((one for one in CONFIGURATION.lend if one.workload == victim.spec.job_class), None)
+            lending_class = next(
+                (one for one in CONFIGURATION.lending_classes if one.workload_pattern == victim.spec.job_class), None
+            )
             if (
                 lending_class is None
                 or victim.ran_s < lending_class.min_run_s
@@ -334,7 +336,7 @@
     policy = lending_policy or lender()
     policy.fleet.update(contents or {}, {one.machine: one.kind.zone for one in machines})
     policy.teams = GuaranteeUsage(TEAMS, used)
-    demands = policy.demands([service], [MachineResource(one.kind, one.free) for one in machines], used, {})
+    demands = policy.unserved_demands([service], [MachineResource(one.kind, one.free) for one in machines], used, {})
     groups = policy.select_victims(
         demands, machines, PreemptionBudget(PreemptionUsage(), 1000.0, {}, 100, policy.limit), 12
     )
@@ -372,7 +374,9 @@
     assert sorted(claim.count for claim in claims.values()) == [0, 1]
     assert {victim for claim in claims.values() for victim in claim.victims} == {("wk-1", 8, 7), ("wk-1", 16, 7)}
     tight = CapacityLender(
-        [LendingConfiguration(CONFIGURATION.serve, CONFIGURATION.lend, {}, 64, 8, 60.0)], TEAMS, TYPES
+        [LendingConfiguration(CONFIGURATION.serving_classes, CONFIGURATION.lending_classes, {}, 64, 8, 60.0)],
+        TEAMS,
+        TYPES,
     )
     # the gang has 16 GPUs, and 8 may be reclaimed at once
     assert plan_service(service, machines, {"data": (64.0, 16.0)}, lending_policy=tight)[1] == {}
@@ -399,11 +403,13 @@
     policy.pace.count_reclaimed(claims, {"wk-1": tune}, 1001.0)
     assert [entry[1:] for entry in policy.pace.reclaimed] == [("maps", 2.0)]  # each claim is counted once
     resources = [MachineResource(one.kind, one.free) for one in machines]
-    assert policy.demands([service], resources, used, {"wk-9": 2}) == []  # the claim already covers both replicas
+    assert (
+        policy.unserved_demands([service], resources, used, {"wk-9": 2}) == []
+    )  # the claim already covers both replicas
     remaining = [one for one in machines if one.machine != name]  # the machine is lost, and its claim with it
     _, new_claims = plan_service(service, remaining, {"data": (32.0, 8.0)}, lending_policy=policy)
     assert list(new_claims) == [remaining[0].machine] and new_claims != claims
-    assert policy.demands([], resources, used, {}) == []  # the job was withdrawn
+    assert policy.unserved_demands([], resources, used, {}) == []  # the job was withdrawn
     policy.pace.count_reclaimed({}, {}, 1000.0 + constants.PREEMPTION_WINDOW_S + constants.PREEMPTION_BUCKET_S + 1.0)
     assert not policy.pace.reclaimed and not policy.pace.counted
 
@@ -412,12 +418,14 @@
     service, kind = ServingJob(replica("wk-9", tasks=3), 0, 3, 3, 10.0), MachineKind("g8", "a", False)
     ends = [(8.0, 8.0, 128.0, 2.0), (60.0, 24.0, 384.0, 6.0)]
     assert [
-        demand.count for demand in lender().demands([service], [MachineResource(kind, (0.0, 0.0, 0.0), ends)], {}, {})
+        demand.count
+        for demand in lender().unserved_demands([service], [MachineResource(kind, (0.0, 0.0, 0.0), ends)], {}, {})
     ] == [1]
-    assert lender().demands([service], [MachineResource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
+    assert lender().unserved_demands([service], [MachineResource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
     spread = ServingJob(replica("wk-9", tasks=4, spread=True), 0, 4, 4, 10.0)
     assert [
-        demand.count for demand in lender().demands([spread], [MachineResource(kind, (96.0, 768.0, 8.0))], {}, {})
+        demand.count
+        for demand in lender().unserved_demands([spread], [MachineResource(kind, (96.0, 768.0, 8.0))], {}, {})
     ] == [2]
 
 
@@ -428,7 +436,7 @@
         used = rng.choice([2.0, 10.0, 24.0]) if second < 400 else 2.0
         reserve.record_use({"maps": used}, float(second))
         history.append(used)
-        reserved = reserve.gpus("maps", 4.0, 16.0, used, 60.0, float(second))
+        reserved = reserve.gpus_to_reserve("maps", 4.0, 16.0, used, 60.0, float(second))
         assert reserved == max(0.0, min(16.0, max(max(history[-61:]), used + 4.0)) - used)
 
 
@@ -553,7 +561,9 @@
 
 def test_a_machine_is_rented_when_lending_cannot_serve_a_demand():
     harness = LeaderHarness()
-    harness.lender = CapacityLender([LendingConfiguration(CONFIGURATION.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
+    harness.lender = CapacityLender(
+        [LendingConfiguration(CONFIGURATION.serving_classes, [], {}, 24, 16, 120.0)], TEAMS, TYPES
+    )
     harness.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
     for now, demands in ((1.0, 0), (2.0, 0), (1.0 + constants.LENDING_HEAD_START_S, 1)):
         harness.report(now, 3)
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -128,11 +128,11 @@
     world.run(20.0)
     core, other = world.nodes["host-0"].core, world.nodes["host-1"].core
     assert core.state.is_member
-    received = core.messenger.channels["host-1"].received
+    received = core.messenger.channels["host-1"].last_received_sequence
     core.membership.store_lease.mark_expired()
     for _ in range(2):
         core.on_frame(other.messenger.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
-    assert core.messenger.channels["host-1"].received == received
+    assert core.messenger.channels["host-1"].last_received_sequence == received
 
 
 class IsolatedLeaderWorld(World):
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -38,7 +38,7 @@
     """A channel as the publisher sees it."""
 
     def __init__(self):
-        self.received, self.peer_fencing_token, self.unacknowledged = 0, 1, 0
+        self.last_received_sequence, self.peer_fencing_token, self.unacknowledged = 0, 1, 0
 
     def backlog(self):
         return self.unacknowledged
@@ -326,12 +326,12 @@
     world.restart(world.nodes["host-2"])
     world.run(100.0)
     assert {messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus} <= world.sent_types
-    assert all(sim.core.queue_round.publisher.form.name == "CHANGES" for sim in world.nodes.values())
+    assert all(sim.core.queue_round.publisher.format.name == "DELTAS" for sim in world.nodes.values())
     world.nodes["host-1"].crash()
     world.older.add("host-1")
     world.restart(world.nodes["host-1"])
     world.run(130.0)
-    assert all(sim.core.queue_round.publisher.form.name == "SNAPSHOTS" for sim in world.nodes.values())
+    assert all(sim.core.queue_round.publisher.format.name == "SNAPSHOTS" for sim in world.nodes.values())
     world.run(700.0)
     assert all(world.said.get(job) or job in world.cancelled_at for job in world.accepted)
 
--- a/tools/bench_lending.py
+++ b/tools/bench_lending.py
@@ -244,7 +244,9 @@
             used_gpus = sum(task.job.service for tasks in self.tasks_on.values() for task in tasks)
             wanted_gpus = used_gpus + sum(map(len, self.waiting_since.values()))
             self.reserve.record_use({"maps": min(wanted_gpus, self.teams[0].gpus)}, self.now)
-            reserved_gpus = self.reserve.gpus("maps", 0.0, self.teams[0].gpus, used_gpus, self.retention_s, self.now)
+            reserved_gpus = self.reserve.gpus_to_reserve(
+                "maps", 0.0, self.teams[0].gpus, used_gpus, self.retention_s, self.now
+            )
             reserved_on = allocate_reserve(
                 reserved_gpus,
                 [
@@ -318,7 +320,7 @@
             MachineResource(self.machine_kinds[name], self.free_capacity(name), self.expected_ends(name))
             for name in open_names
         ]
-        demands = lender.demands(services, resources, used_by_team, claimed_tasks)
+        demands = lender.unserved_demands(services, resources, used_by_team, claimed_tasks)
         if not demands:
             return
         machines = [
