--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -189,7 +189,7 @@
         max_changes: int,
     ) -> list[ClaimGroup]:
         """Return claims for the demands; see ``preemption.select_victims``."""
-        self.pace.count_reclaimed(self.claims, self.specs, budget.wall)
+        self.pace.count_reclaimed(self.claims, self.specs, budget.wall_time)
         selection = LendingSelection(self.serving_demands, self.pace, self.types, self.teams, machines)
         return selection.select(demands, budget, max_changes)
 
--- a/alderbridge/lending/selection.py
+++ b/alderbridge/lending/selection.py
@@ -106,14 +106,14 @@
         lends = self.rules.lends(spec)
         if lends is None or not self.rules.serves(demand.spec) or spec.gpus > self._remaining_gpus_for(team) + 1e-9:
             return False
-        keeps_guarantee = self.teams.beyond(spec)
+        keeps_guarantee = self.teams.exceeds_guarantee(spec)
         if spec.team != team and (demand.spec.id in self.demands.at_team_limit or not keeps_guarantee):
             return False
         if not preemption.preemption_allowed(demand.spec, demand.guaranteed, spec, keeps_guarantee):
             return False
         return all(
             victim.ran_s >= one.min_run_s
-            and victim.stops < one.max_preemptions_per_task
+            and victim.preemptions < one.max_preemptions_per_task
             and victim.since_first_preemption_s <= one.preemptible_for_s
             for one in lends
         )
@@ -138,7 +138,7 @@
         Each earlier preemption adds the same cost again, so that one task is not preempted repeatedly.
         """
         lost_s = lost_seconds(victim) + constants.UNSAVED_WORK_LOSS_SHARE * (victim.since_checkpoint_s or 0.0)
-        return victim.spec.gpus * (1 + victim.stops) * lost_s
+        return victim.spec.gpus * (1 + victim.preemptions) * lost_s
 
     def placement_cost(self, demand: PreemptionDemand, machine: CandidateMachine) -> float:
         """Return the cost of placing a replica there, in GPU-seconds: idle GPU time and the ``LEND_*`` penalties."""
--- a/alderbridge/preemption/budget.py
+++ b/alderbridge/preemption/budget.py
@@ -17,8 +17,8 @@
     """Limits on the preemptions that one priority class or one lending rule may cause."""
 
     max_per_minute: int  # preemptions per minute
-    at_once: int  # victims that are stopping at one time
-    share: float = 1.0  # of all running tasks, stopping at one time; rounded down, but at least one task
+    max_concurrent: int  # victims that are stopping at one time
+    max_share_of_running: float = 1.0  # of all running tasks, stopping at one time; rounded down, but at least one task
 
 
 class PreemptionBudget:
@@ -36,15 +36,15 @@
 
         ``stopping``: victims of stored claims that are not gone yet, by budget. ``running``: all running tasks.
         """
-        self.used, self.wall, self.running, self.limit = used, wall, running, limit
+        self.used, self.wall_time, self.running, self.limit = used, wall, running, limit
         self.stopping = Counter(stopping)
         self.selected: Counter[str] = Counter()  # budget -> victims selected in this round
 
     def remaining(self, demand: PreemptionDemand) -> int:
         """Return how many more tasks may be preempted for the demand."""
         name, limit = budget_key(demand.spec.team, demand.reason), self.limit(demand)
-        at_once = min(limit.at_once, max(1, int(limit.share * self.running)))
-        remaining_in_minute = limit.max_per_minute - self.used.in_last_minute(name, self.wall)
+        at_once = min(limit.max_concurrent, max(1, int(limit.max_share_of_running * self.running)))
+        remaining_in_minute = limit.max_per_minute - self.used.in_last_minute(name, self.wall_time)
         return max(0, min(remaining_in_minute, at_once - self.stopping[name]) - self.selected[name])
 
     def use(self, demand: PreemptionDemand, count: int) -> None:
--- a/alderbridge/preemption/eligibility.py
+++ b/alderbridge/preemption/eligibility.py
@@ -26,7 +26,7 @@
         self.guarantee = {team.name: (team.cpus, team.gpus) for team in teams}
         self.used = dict(used)
 
-    def beyond(self, spec: JobSpec) -> bool:
+    def exceeds_guarantee(self, spec: JobSpec) -> bool:
         """Whether the team of ``spec`` still uses at least its guarantee after one such task stops."""
         cpus, gpus = self.used.get(spec.team, (0.0, 0.0))
         guarantee = self.guarantee.get(spec.team, (0.0, 0.0))
--- a/alderbridge/preemption/model.py
+++ b/alderbridge/preemption/model.py
@@ -29,8 +29,10 @@
     spec: JobSpec
     ran_s: float  # of this attempt, since it was first observed running
     since_checkpoint_s: float | None = None  # since its last checkpoint; None: it does not checkpoint
-    stops: int = 0  # preemptions so far
-    sure: bool = True  # ``ran_s`` is exact; else a minimum: the task ran before its machine shard first observed it
+    preemptions: int = 0  # preemptions so far
+    is_run_time_exact: bool = (
+        True  # ``ran_s`` is exact; else a minimum: the task ran before its machine shard first observed it
+    )
     since_first_preemption_s: float = 0.0  # since the first preemption of its job; 0: never preempted
 
 
--- a/alderbridge/preemption/planner.py
+++ b/alderbridge/preemption/planner.py
@@ -223,8 +223,8 @@
                     spec=spec,
                     ran_s=ran_s,
                     since_checkpoint_s=ran_s % spec.checkpoint_s if spec.checkpoint_s > 0 else None,
-                    stops=ledger.preemption_count(job, index),
-                    sure=sure,
+                    preemptions=ledger.preemption_count(job, index),
+                    is_run_time_exact=sure,
                     since_first_preemption_s=ledger.seconds_since_first_preemption(job, wall),
                 )
                 result.append(victim)
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -21,7 +21,9 @@
     """Return the seconds lost by preempting the victim: its run, or else its final checkpoint, and the restart."""
     if victim.spec.checkpoint_s > 0:
         return victim.spec.save_s + constants.START_OVERHEAD_S
-    return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.START_OVERHEAD_S
+    return (
+        victim.ran_s if victim.is_run_time_exact else max(victim.ran_s, victim.spec.estimate_s)
+    ) + constants.START_OVERHEAD_S
 
 
 def lost_cpu_seconds(victim: Victim) -> float:
@@ -34,7 +36,7 @@
     spec = victim.spec
     if spec.service or not spec.estimate_s:
         return False
-    if spec.estimate_s - victim.ran_s <= constants.MIN_VICTIM_REMAINING_S and victim.sure:
+    if spec.estimate_s - victim.ran_s <= constants.MIN_VICTIM_REMAINING_S and victim.is_run_time_exact:
         return True
     return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * constants.MAX_VICTIM_RUN_SHARE
 
@@ -278,7 +280,7 @@
         return result
 
     def _claim(self, machine: _MachinePlan, demands: Mapping[str, PreemptionDemand]) -> PreemptionClaim:
-        demand, wall = demands[machine.job], self.budget.wall
+        demand, wall = demands[machine.job], self.budget.wall_time
         save_s = max((victim.spec.save_s for victim in machine.victims if victim.spec.checkpoint_s > 0), default=0.0)
         return PreemptionClaim(
             reason=demand.reason,
@@ -310,7 +312,7 @@
     """Return claims for the demands, which are served in the given order; each machine serves one job.
 
     ``machines``: those without a claim. ``max_changes``: maximum number of changes in one transaction; groups that need
-    more are not selected. The claims are dated with the budget's ``wall``.
+    more are not selected. The claims are dated with the budget's ``wall_time``.
     """
     selection = _Selection(machines, rules, budget, max_changes)
     served: dict[str, PreemptionDemand] = {}
--- a/alderbridge/priorities/configuration.py
+++ b/alderbridge/priorities/configuration.py
@@ -34,7 +34,8 @@
     max_preemptions_per_minute: int = msgspec.field(name="stops_a_minute")
     # maximum victims of this class stopping at one time
     max_concurrent_preemptions: int = msgspec.field(name="stops_at_once")
-    share: float  # of all running tasks, the maximum stopping at one time for this class
+    # of all running tasks, the maximum stopping at one time for this class
+    max_share_of_running: float = msgspec.field(name="share")
     # minimum run time before a task of this class may be preempted
     min_run_s: float = msgspec.field(name="least_run_s")
     max_preemptions_per_task: int = msgspec.field(name="most_stops")  # maximum preemptions of one task of this class
@@ -118,7 +119,7 @@
         allowed = (
             f"may stop {', '.join(preemptible)} where the protocol allows it: "
             f"{declared.max_preemptions_per_minute} a minute, {declared.max_concurrent_preemptions} at once, "
-            f"{declared.share:g} of what runs"
+            f"{declared.max_share_of_running:g} of what runs"
             if preemptible
             else "stops nobody"
         )
--- a/alderbridge/priorities/policy.py
+++ b/alderbridge/priorities/policy.py
@@ -63,7 +63,7 @@
         return PreemptionLimit(
             min((priority_class.max_preemptions_per_minute for priority_class in classes), default=0),
             min((priority_class.max_concurrent_preemptions for priority_class in classes), default=0),
-            min((priority_class.share for priority_class in classes), default=0.0),
+            min((priority_class.max_share_of_running for priority_class in classes), default=0.0),
         )
 
     def allowed(self, demand: PreemptionDemand, victim: Victim) -> bool:
@@ -71,13 +71,15 @@
         demand_classes, victim_classes = self.classes(demand.spec), self.classes(victim.spec)
         if demand_classes is None or victim_classes is None or (victim.spec.service and not demand.spec.service):
             return False
-        if not preemption_allowed(demand.spec, demand.guaranteed, victim.spec, self.teams.beyond(victim.spec)):
+        if not preemption_allowed(
+            demand.spec, demand.guaranteed, victim.spec, self.teams.exceeds_guarantee(victim.spec)
+        ):
             return False
         return all(
             demand_class.names(victim_class)
             and victim_class.preemptible
             and victim.ran_s >= victim_class.min_run_s
-            and victim.stops < victim_class.max_preemptions_per_task
+            and victim.preemptions < victim_class.max_preemptions_per_task
             and victim.since_first_preemption_s <= victim_class.preemptible_for_s
             for demand_class, victim_class in zip(demand_classes, victim_classes, strict=True)
         )
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -231,7 +231,7 @@
             if (
                 lending_class is None
                 or victim.ran_s < lending_class.min_run_s
-                or victim.stops >= lending_class.max_preemptions_per_task
+                or victim.preemptions >= lending_class.max_preemptions_per_task
                 or victim.since_first_preemption_s > lending_class.preemptible_for_s
             ):
                 violated.append("victim protected by its class")
@@ -292,7 +292,7 @@
 
 
 DISABLED_GUARDS = {
-    "team below its guarantee for another team": (GuaranteeUsage, "beyond", lambda self, spec: True),
+    "team below its guarantee for another team": (GuaranteeUsage, "exceeds_guarantee", lambda self, spec: True),
     "preemption not allowed by the protocol": (preemption, "preemption_allowed", lambda *args: True),
     "reclaim rate exceeded": (LendingSelection, "_remaining_gpus_for", lambda self, team: 1000.0),
     "too many replicas in a zone": (
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -515,9 +515,11 @@
     # Within one team only priority counts.
     assert not preemption.preemption_allowed(job("3", team="b"), True, job("4", team="b"), True)
     teams = preemption.GuaranteeUsage(TEAMS, {"bound": (10.0, 0.0)})
-    assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
+    assert teams.exceeds_guarantee(job("5", team="bound")) and not teams.exceeds_guarantee(
+        job("5", team="bound", cpus=4.0)
+    )
     teams.count_victim(job("5", team="bound"), 1)
-    assert not teams.beyond(job("5", team="bound"))
+    assert not teams.exceeds_guarantee(job("5", team="bound"))
 
 
 @pytest.mark.parametrize(
