--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -100,7 +100,7 @@
                 self.job_shard.record_writes.on_written(job, record, revision, cleared, now)
             self._job_stored(job, record, revision)
         for submission, key in batch.lists:
-            self.replica.dependency_lists[key] = submission.lists.pop(key, [])
+            self.replica.dependency_lists[key] = submission.dependency_lists.pop(key, [])
         for submission, record in batch.submissions:
             self._submission_stored(submission, record, revision, current)
         self.dependencies.apply_graph_changes()
--- a/alderbridge/controller/core.py
+++ b/alderbridge/controller/core.py
@@ -107,7 +107,7 @@
         self.directory = JobDirectory(self.membership, self.replica, self.job_shard)
         self.machine_shard = MachineShard(
             self.shared.workers.lease_s,
-            JobLookups(self.directory.spec_of, self.directory.job_owner, self.directory.cancelled),
+            JobLookups(self.directory.spec_of, self.directory.job_owner, self.directory.is_aborted),
             Outbox(self.messenger.send, self.messenger.send_deferred, self.messenger.processed_seq_of),
             lambda name: self.machine_records.cancel_drop(name),
             rng,
@@ -315,7 +315,7 @@
         self.machine_shard.leases.no_newer_view_until = self.membership.synced_at
         if self.may_act():
             self.machine_shard.leases.check(now)
-        self.placement_round.busy = None
+        self.placement_round.busy_machines = None
         self.queue_inbox.offer_book.add_pending_rows()
 
     def on_terminated(self, names: list[str], now: float) -> None:
--- a/alderbridge/controller/job_directory.py
+++ b/alderbridge/controller/job_directory.py
@@ -27,7 +27,7 @@
         stored = self.replica.active_jobs.get(job)
         return stored[0].spec if stored is not None else None
 
-    def cancelled(self, job: str) -> bool:
+    def is_aborted(self, job: str) -> bool:
         """Whether the replica has the job as aborted, which is final."""
         return self.replica.ended.get(job) is JobState.ABORTED
 
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -43,7 +43,7 @@
         self.preemption = preemption
         self.offers = offers
         # Free capacity of busy machines, computed at most once a round.
-        self.busy: placement.BusyMachines | None = None
+        self.busy_machines: placement.BusyMachines | None = None
         # The reserved machine, and when an offer last needed the reservation.
         self.reserved_machine: tuple[str, float] = ("", float("-inf"))
         self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> revision of its claim, tasks requested for it
@@ -61,9 +61,9 @@
             """The number of recently queued tasks that an idle machine leaves to busy machines with free capacity."""
             if not idle or now >= offer.packing_until:
                 return 0
-            if self.busy is None:
-                self.busy = self.machine_shard.capacity.busy(now)
-            return self.busy.capacity_for(offer.spec)
+            if self.busy_machines is None:
+                self.busy_machines = self.machine_shard.capacity.busy_machines(now)
+            return self.busy_machines.capacity_for(offer.spec)
 
         capacity_elsewhere: Callable[[Offer], int] = capacity_on_busy_machines
         lender = self.preemption.lender
--- a/alderbridge/controller/preemption_round.py
+++ b/alderbridge/controller/preemption_round.py
@@ -43,9 +43,11 @@
         self.record_writer = record_writer
         self.teams = teams
         self.planner = PreemptionPlanner(leader, leader.replica.ledger)
-        self.priorities: Callable[[float], list[Any]] = lambda now: self.declared.in_force("priorities", now)
+        self.priority_configurations: Callable[[float], list[Any]] = lambda now: self.declared.in_force(
+            "priorities", now
+        )
         self.lending_configurations: Callable[[float], list[Any]] = lambda now: self.declared.in_force("lending", now)
-        self.rules = PriorityPolicy([])
+        self.priority_policy = PriorityPolicy([])
         self.priorities_refreshed_at = float("-inf")
         self.lender: CapacityLender | None = None
         self.reserved_gpus: dict[
@@ -67,20 +69,20 @@
         """Whether the priorities in force let this job preempt; they are refreshed once a round."""
         if self.state.now - self.priorities_refreshed_at >= constants.ROUND_INTERVAL_S:
             self._refresh_priorities()
-        return bool(self.rules.configurations) and self.rules.may_preempt(spec)
+        return bool(self.priority_policy.configurations) and self.priority_policy.may_preempt(spec)
 
     def _refresh_priorities(self) -> None:
         """Load the priorities in force; none while a member runs a version without support for claims."""
         self.priorities_refreshed_at = self.state.now
         claims_supported = self.membership.all_support(constants.VERSION_WITH_CONFIGURATION)
-        configurations = self.priorities(self.state.now) if claims_supported else []
-        if configurations != self.rules.configurations:
-            self.rules = PriorityPolicy(configurations)
+        configurations = self.priority_configurations(self.state.now) if claims_supported else []
+        if configurations != self.priority_policy.configurations:
+            self.priority_policy = PriorityPolicy(configurations)
 
     def policies(self) -> list[PreemptionPolicy]:
         """The policies that may preempt now; none while a member runs a version without support for claims."""
         self._refresh_priorities()
-        result: list[PreemptionPolicy] = [self.rules] if self.rules.configurations else []
+        result: list[PreemptionPolicy] = [self.priority_policy] if self.priority_policy.configurations else []
         lending_configurations = (
             self.lending_configurations(self.state.now)
             if self.membership.all_support(constants.VERSION_WITH_CONFIGURATION)
--- a/alderbridge/controller/process.py
+++ b/alderbridge/controller/process.py
@@ -184,7 +184,7 @@
         while notifications:
             notification = notifications.popleft()
             awaited = notification.job if isinstance(notification, JobEndStored) else notification
-            for event in self.waiters.events.pop(awaited, ()):
+            for event in self.waiters.events_by_key.pop(awaited, ()):
                 await event.set()
             if isinstance(notification, Machine):
                 self.workers_api.answer_pending_heartbeats(notification)
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -307,7 +307,7 @@
         """Add a submission's dependency lists, or its record once they are stored; False: the batch is full."""
         job = submission.job
         self._add_lists(batch, limits, submission)
-        if submission.lists:
+        if submission.dependency_lists:
             return True  # the record is written in a later batch, after the lists
         if any(
             self.dependencies.is_cascade_aborted(dependency) for dependency in self.dependencies.dependencies_of(job)
@@ -322,7 +322,7 @@
     def _add_lists(self, batch: WriteBatch, limits: BatchLimits, submission: Submission) -> None:
         """Add as many of the submission's dependency lists as the batch can hold."""
         self.submissions.drop_stored_lists(submission)
-        for key, names in submission.lists.items():
+        for key, names in submission.dependency_lists.items():
             if batch.changes >= limits.max_changes or batch.size > constants.MAX_BODY_BYTES // 2:
                 break
             batch.lists.append((submission, key))
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -44,7 +44,7 @@
     job: Job
     outcome: str = ""  # "accepted", "known", "refused" or "too long"; empty while undecided
     # Dependencies that do not fit into the record, by key: stored before the record.
-    lists: dict[str, list[str]] = field(default_factory=dict)
+    dependency_lists: dict[str, list[str]] = field(default_factory=dict)
 
 
 class Submissions:
@@ -84,7 +84,7 @@
             record, lists = split_dependencies(record, max_record_bytes)
         if len(msgspec.json.encode(record)) > max_record_bytes:
             return None
-        submission = Submission(Job(record, 0, now, 0.0, never_started=True), lists=lists)
+        submission = Submission(Job(record, 0, now, 0.0, never_started=True), dependency_lists=lists)
         self.pending[spec.id] = submission
         self.has_new_submissions = True
         return submission
@@ -122,8 +122,8 @@
 
     def drop_stored_lists(self, submission: Submission) -> None:
         """Skip the lists that an earlier attempt has stored: the value of a list key never changes."""
-        for key in [key for key in submission.lists if key in self.replica.dependency_lists]:
-            del submission.lists[key]
+        for key in [key for key in submission.dependency_lists if key in self.replica.dependency_lists]:
+            del submission.dependency_lists[key]
 
     def adopt_late_record(self, name: str) -> None:
         """Add a job that this controller owns and whose record was stored after its submission had been decided.
--- a/alderbridge/controller/waiters.py
+++ b/alderbridge/controller/waiters.py
@@ -10,12 +10,12 @@
 
     def __init__(self) -> None:
         """Start without waiting tasks."""
-        self.events: dict[object, list[curio.Event]] = {}  # submission or job id -> events of the waiting tasks
+        self.events_by_key: dict[object, list[curio.Event]] = {}  # submission or job id -> events of the waiting tasks
 
     async def wait_for(self, key: object, timeout_s: float) -> bool:
         """Wait for the notification of this submission or job id; False after ``timeout_s``."""
         event = curio.Event()
-        self.events.setdefault(key, []).append(event)
+        self.events_by_key.setdefault(key, []).append(event)
         try:
             await curio.timeout_after(timeout_s, event.wait)
         except curio.TaskTimeout:
@@ -24,8 +24,8 @@
         return True
 
     def _discard(self, key: object, event: curio.Event) -> None:
-        waiting = self.events.get(key, [])
+        waiting = self.events_by_key.get(key, [])
         if event in waiting:
             waiting.remove(event)
         if not waiting:
-            self.events.pop(key, None)
+            self.events_by_key.pop(key, None)
--- a/alderbridge/machines/capacity.py
+++ b/alderbridge/machines/capacity.py
@@ -40,7 +40,7 @@
         for machine in self.machines.values():
             machine.invalidate_cached_load()
 
-    def free(self, machine: Machine) -> Resources:
+    def free_resources(self, machine: Machine) -> Resources:
         """Free cpus, memory in GB and gpus, after running tasks, granted tasks and reservations for task requests."""
         if machine.free is not None:
             return machine.free
@@ -70,9 +70,11 @@
         """The machine as a placement candidate; None if no task may be placed on it."""
         if machine.state is not MachineState.UP or not machine.recorded or now < machine.health.quarantined_until:
             return None
-        return Candidate(machine.name, machine.type, machine.zone, machine.spot, self.free(machine), machine.images)
+        return Candidate(
+            machine.name, machine.type, machine.zone, machine.spot, self.free_resources(machine), machine.images
+        )
 
-    def busy(self, now: float) -> placement.BusyMachines:
+    def busy_machines(self, now: float) -> placement.BusyMachines:
         """Candidates that are not idle and have free cpus."""
         candidates = [self.candidate(machine, now) for machine in self.machines.values() if not machine.idle]
         return placement.BusyMachines(
@@ -112,7 +114,7 @@
                     machine.spot,
                     state,
                     idle_s,
-                    self.free(machine),
+                    self.free_resources(machine),
                     [(float(end_s), *freed) for end_s, freed in freed_after.items()],
                     self.view.silence_s(machine, now),
                 )
--- a/alderbridge/machines/claims.py
+++ b/alderbridge/machines/claims.py
@@ -59,7 +59,7 @@
                 continue
             tasks = self._stoppable_tasks(machine, now, None if is_claimed else may_stop)
             images = set() if may_stop is None else self._images(machine)
-            rows.append(MachineTasks(machine.name, self.capacity.free(machine), tasks, sorted(images)))
+            rows.append(MachineTasks(machine.name, self.capacity.free_resources(machine), tasks, sorted(images)))
         return rows
 
     def _stoppable_tasks(
--- a/alderbridge/machines/context.py
+++ b/alderbridge/machines/context.py
@@ -15,7 +15,7 @@
 class JobLookups:
     """Job lookups of a machine shard, by job id."""
 
-    __slots__ = ("cancelled", "job_owner", "spec_of")
+    __slots__ = ("is_aborted", "job_owner", "spec_of")
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         """All lookups use the job records that this process has read so far."""
         self.spec_of = spec_of  # None: not read yet, or the job has ended
         self.job_owner = job_owner  # label of the owning controller; "" if no member owns the job
-        self.cancelled = cancelled  # whether the store records the job as cancelled
+        self.is_aborted = cancelled  # whether the store records the job as cancelled
 
 
 class Outbox:
--- a/alderbridge/machines/heartbeats.py
+++ b/alderbridge/machines/heartbeats.py
@@ -188,7 +188,7 @@
         tasks, orders = machine.tasks, machine.orders
         orders_lost = False
         for key, pending in orders.pending.items():
-            orders_lost = orders_lost or pending.sent >= constants.MAX_START_ORDER_ATTEMPTS and key not in tasks
+            orders_lost = orders_lost or pending.times_sent >= constants.MAX_START_ORDER_ATTEMPTS and key not in tasks
         if orders_lost and now >= machine.health.quarantined_until:
             # Responses do not reach the worker: quarantine the machine so that tasks are placed elsewhere.
             machine.health.quarantined_until = now + self.leases.lease_s
--- a/alderbridge/machines/machine.py
+++ b/alderbridge/machines/machine.py
@@ -57,7 +57,7 @@
     """A task granted by its job owner that no heartbeat has shown yet."""
 
     attempt: int
-    sent: int = 0  # number of responses that ordered it
+    times_sent: int = 0  # number of responses that ordered it
 
 
 class LeaseEvidence:
@@ -188,7 +188,7 @@
     def inherit_tasks(self, previous: Machine) -> None:
         """Inherit tasks and unconfirmed orders; only if this process sent all orders under the previous view."""
         self.tasks = dict(previous.tasks)
-        sent = {key: pending.attempt for key, pending in previous.orders.pending.items() if pending.sent}
+        sent = {key: pending.attempt for key, pending in previous.orders.pending.items() if pending.times_sent}
         self.prior_view.complete = True
         self.prior_view.observed_since = previous.prior_view.observed_since
         self.prior_view.unconfirmed = previous.prior_view.unconfirmed | sent
--- a/alderbridge/machines/orders.py
+++ b/alderbridge/machines/orders.py
@@ -52,7 +52,7 @@
         return [
             stop_order(job, index, attempt, 0.0)
             for (job, index), (attempt, _) in machine.orders.stops.items()
-            if self.jobs.cancelled(job)
+            if self.jobs.is_aborted(job)
         ]
 
     def _run_orders(self, machine: Machine) -> list[Order]:
@@ -61,12 +61,12 @@
             observed = machine.tasks.get((job, index))
             if observed is not None and observed.attempt != pending.attempt:
                 continue  # the older attempt has to be acknowledged as finished first
-            if self.jobs.cancelled(job) or (self.calendars is not None and self._is_closed(job, self.calendars)):
+            if self.jobs.is_aborted(job) or (self.calendars is not None and self._is_closed(job, self.calendars)):
                 # The job was cancelled or its calendar closed after the grant. Run orders sent earlier were not
                 # carried out, as the heartbeat being answered does not show the task: the next heartbeat releases it.
                 machine.orders.stops[(job, index)] = (pending.attempt, 0.0)
                 continue
-            pending.sent += 1
+            pending.times_sent += 1
             orders.append(run_order(job, index, pending.attempt))
         return orders
 
@@ -85,7 +85,7 @@
         responses sent here keep renewing the lease. This bounds the time until cancelled tasks stop by ``cancel_s``
         (docs/design.md, "Cancelled"): an active member has read all that was stored more than a lease TTL ago.
         """
-        cancelled = self.jobs.cancelled
+        cancelled = self.jobs.is_aborted
         for job in {job for job, _ in reported if cancelled(job)}:
             for (reported_job, index), (attempt, status) in reported.items():
                 if reported_job == job and status != "ended":
--- a/alderbridge/machines/shard.py
+++ b/alderbridge/machines/shard.py
@@ -184,7 +184,7 @@
             return
         key = (stop.job, stop.index)
         pending = machine.orders.pending.get(key)
-        if pending is not None and pending.attempt == stop.attempt and not pending.sent:
+        if pending is not None and pending.attempt == stop.attempt and not pending.times_sent:
             del machine.orders.pending[key]
             machine.invalidate_cached_load()
             self.owner_reports.send(machine)
@@ -208,7 +208,7 @@
 
     def _cancel_unsent(self, machine: Machine) -> None:
         """Remove granted tasks that have not been ordered yet, and report this to their job owners."""
-        unsent = [key for key, pending in machine.orders.pending.items() if not pending.sent]
+        unsent = [key for key, pending in machine.orders.pending.items() if not pending.times_sent]
         for key in unsent:
             del machine.orders.pending[key]
         if unsent:
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -258,7 +258,7 @@
                     raise Broken(f"books: {machine.name} was silent since {last_contact_at}, no expiry check is due")
         for machine in machine_shard.machines.values():
             cached, machine.free = machine.free, None
-            free = machine_shard.capacity.free(machine)
+            free = machine_shard.capacity.free_resources(machine)
             # The recount is not cached where a job of the machine is unknown: then nothing is compared.
             is_known, machine.free = machine.free is not None, cached
             if cached is not None and is_known and any(abs(a - b) > 1e-6 for a, b in zip(cached, free, strict=True)):
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -560,7 +560,7 @@
     needs = [f"wk-{number:06d}" for number in range(100, 250)]
     spec = msgspec.structs.replace(SPEC, dependencies=needs)
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
-    assert len(submission.lists) > 1
+    assert len(submission.dependency_lists) > 1
     late = alone.lost()
     assert all(key.startswith(DEPENDENCY_LISTS) for key in late.puts)
     alone.write()
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -290,7 +290,7 @@
     alone.job(need)
     spec = msgspec.structs.replace(SPEC, dependencies=[f"wk-{number:06d}" for number in range(100, 250)])
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
-    lists = dict(submission.lists)
+    lists = dict(submission.dependency_lists)
     assert len(lists) > 1
     batch = commit_and_lose_answer(alone, event_seen)
     revisions = {key: alone.store.data[key][1] for key in batch.puts}
@@ -689,7 +689,7 @@
 
 
 def never_stop_cancelled_jobs(monkeypatch):
-    monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(JobDirectory, "is_aborted", lambda self, job: False)
 
 
 def ignore_contact_timeout(monkeypatch):
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -92,7 +92,7 @@
         self.after(0.5, self.count)
 
     def prepare(self, core) -> None:
-        core.preemption.priorities = lambda now: [self.configuration]
+        core.preemption.priority_configurations = lambda now: [self.configuration]
 
     def routine(self, number: int) -> wire.JobSpec:
         rng, saves = self.rng, self.rng.random() < 0.5
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -99,7 +99,7 @@
     world.run(33.0)
     core.replica.ended.clear()  # as if no dependency had ended, so that the list is long
     submission = core.submissions.submit(after, world.t, world.t)
-    assert len(submission.lists) > 3 and submission.job.spec.dependencies is None
+    assert len(submission.dependency_lists) > 3 and submission.job.spec.dependencies is None
     world.run(60.0)
     assert (
         submission.outcome == "accepted"
@@ -268,7 +268,7 @@
         free = machine.free if machine is not None else None
         real(self, label, grant, now)
         if machine is not None:
-            machine.free = free or self.capacity.free(machine)
+            machine.free = free or self.capacity.free_resources(machine)
             machine.orders.pending = dict(machine.orders.pending)
 
     monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -140,7 +140,7 @@
 
 
 def ignore_cancellations(monkeypatch):
-    monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(JobDirectory, "is_aborted", lambda self, job: False)
 
 
 def act_longer_than_cancel_s(monkeypatch):
@@ -178,7 +178,7 @@
 def shard_with_cancelled_job(cancelled=True):
     shard, sent = machine_shard_with_machine()
     heartbeat(shard, 1)
-    shard.jobs.cancelled = lambda job: cancelled
+    shard.jobs.is_aborted = lambda job: cancelled
     return shard, shard.machines["n-1"], sent
 
 
@@ -222,7 +222,7 @@
         )
         assert encoded_orders(shard, machine) == [("halt", "wk-1/0", 70)]
         assert len(sent) == sent_count and not machine.acknowledged, "the heartbeat changes nothing else"
-    shard.jobs.cancelled = lambda job: False
+    shard.jobs.is_aborted = lambda job: False
     assert encoded_orders(shard, machine) == [], (
         "other orders, also a halt from the job owner, wait for the acknowledgement"
     )
@@ -232,7 +232,7 @@
     """Guards against starting a task that was granted before the cancellation and waited for the next heartbeat."""
     shard, machine, sent = shard_with_cancelled_job(False)
     shard.on_task_grant("host-1", TaskGrant(shard.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
-    shard.jobs.cancelled = lambda job: True
+    shard.jobs.is_aborted = lambda job: True
     assert encoded_orders(shard, machine) in ([("halt", "wk-1/0", 70)], [])
     assert encoded_orders(shard, machine) == [("halt", "wk-1/0", 70)]
     sent_count = len(sent)
--- a/tools/bench_urgent.py
+++ b/tools/bench_urgent.py
@@ -94,9 +94,9 @@
 
     def configure_preemption(self, core) -> None:
         if self.mode != "without":
-            core.preemption.priorities = lambda now: [self.policy]
+            core.preemption.priority_configurations = lambda now: [self.policy]
         if self.mode == "naive":
-            core.preemption.rules = NaivePolicy([self.policy])
+            core.preemption.priority_policy = NaivePolicy([self.policy])
 
     def restart(self, label: str) -> None:
         super().restart(label)
