--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -110,7 +110,7 @@
         """``current``: the batch was written under the current view."""
         for name in batch.dropped_machines:
             if not self.machine_records.has_newer_record(name, batch):
-                self.machine_records.dropped(name)
+                self.machine_records.on_dropped(name)
         for name in batch.machines if current else ():
             self.machine_records.on_recorded(name, revision)
 
@@ -165,7 +165,7 @@
         """An earlier, unanswered write of this member has committed."""
         if name in batch.dropped_machines and row is None:
             if not self.machine_records.has_newer_record(name, batch):
-                self.machine_records.dropped(name)
+                self.machine_records.on_dropped(name)
         elif not current:
             pass  # the row that was read may be outdated; the replica will show the current one
         elif name in batch.dropped_machines and row is not None:
--- a/alderbridge/controller/leader_messages.py
+++ b/alderbridge/controller/leader_messages.py
@@ -58,4 +58,6 @@
             if deltas_supported:
                 self.messenger.send(label, messages.QuotaDelta(teams))
             else:
-                self.messenger.send(label, messages.QuotaAllocation(dict(self.leader.quota_allocator.given[label])))
+                self.messenger.send(
+                    label, messages.QuotaAllocation(dict(self.leader.quota_allocator.allocations[label]))
+                )
--- a/alderbridge/controller/machine_records.py
+++ b/alderbridge/controller/machine_records.py
@@ -68,7 +68,7 @@
         """
         return self.replica.machine_revisions.get(name, 0) > batch.conditions[MACHINES + name]
 
-    def dropped(self, name: str) -> None:
+    def on_dropped(self, name: str) -> None:
         """The store has deleted the record."""
         self.replica.machine_revisions.pop(name, None)
         self.replica.machine_records.pop(name, None)
--- a/alderbridge/controller/responses.py
+++ b/alderbridge/controller/responses.py
@@ -7,12 +7,12 @@
 
 from alderbridge import constants
 from alderbridge.protocol import wire
-from alderbridge.transport.http_server import Answer
+from alderbridge.transport.http_server import RawResponse
 
-Responder: TypeAlias = Callable[[Answer], None]
+Responder: TypeAlias = Callable[[RawResponse], None]
 """Sends the response to a request whose handler returned None."""
 
-Handled: TypeAlias = Answer | Awaitable[Answer] | None
+Handled: TypeAlias = RawResponse | Awaitable[RawResponse] | None
 """What a handler returns: a response, an awaitable of one, or None if it calls its ``Responder`` later."""
 
 RETRY_LATER = [("Retry-After", str(constants.RETRY_AFTER_S))]
--- a/alderbridge/controller/workers_api.py
+++ b/alderbridge/controller/workers_api.py
@@ -12,7 +12,7 @@
 from alderbridge.controller.responses import Responder
 from alderbridge.machines.machine import Machine
 from alderbridge.protocol import wire
-from alderbridge.transport.http_server import Answer
+from alderbridge.transport.http_server import RawResponse
 
 log = logging.getLogger("controller")
 now = time.monotonic
@@ -29,7 +29,7 @@
         self.pending_heartbeats: dict[Machine, list[tuple[int, Responder]]] = {}
         self.grant_deadlines: deque[tuple[float, Machine]] = deque()  # in ascending order
 
-    def on_heartbeat(self, body: bytes, reply: Responder) -> Answer | None:
+    def on_heartbeat(self, body: bytes, reply: Responder) -> RawResponse | None:
         """Handle a heartbeat; returns the response with its orders, or None if that waits for task grants."""
         try:
             heartbeat = wire.parse_heartbeat(body)
@@ -54,7 +54,7 @@
             return None
         return self.heartbeat_response(machine, fencing_token)
 
-    def heartbeat_response(self, machine: Machine, fencing_token: int) -> Answer:
+    def heartbeat_response(self, machine: Machine, fencing_token: int) -> RawResponse:
         """The machine's orders, if the view under which its heartbeat was received is still current.
 
         Returns a plain tuple because one is allocated for each heartbeat.
--- a/alderbridge/leader/quota.py
+++ b/alderbridge/leader/quota.py
@@ -39,7 +39,7 @@
     def enter_view(self, members: list[str]) -> None:
         """Start a new view, in which all earlier quotas are void."""
         self.members = members
-        self.given: dict[str, dict[str, QuotaAmounts]] = {label: {} for label in members}
+        self.allocations: dict[str, dict[str, QuotaAmounts]] = {label: {} for label in members}
         self.allocations_sent: dict[str, int] = dict.fromkeys(members, 0)
         self.changed_teams: set[str] = set(self.teams)  # teams whose limits are divided in the next update
         self.last_full_division_at = float("-inf")
@@ -69,8 +69,8 @@
         result: dict[str, dict[str, QuotaAmounts]] = {}
         for name in self.changed_teams:
             for label, amounts in self._divide(self.teams[name], queues, demands[name]).items():
-                if amounts != self.given[label].get(name):
-                    result.setdefault(label, {})[name] = self.given[label][name] = amounts
+                if amounts != self.allocations[label].get(name):
+                    result.setdefault(label, {})[name] = self.allocations[label][name] = amounts
         self.changed_teams = set()
         for label in result:
             self.allocations_sent[label] += 1
@@ -87,7 +87,7 @@
         for index, (limit, demands) in enumerate(((team.cpus_max, demand.cpus), (team.gpus_max, demand.gpus))):
             used = {label: queues[label].used.get(team.name, NO_QUOTA)[index] for label in self.members}
             reserved = {label: queues[label].reserved.get(team.name, NO_QUOTA)[index] for label in self.members}
-            given = {label: self.given[label].get(team.name, NO_QUOTA)[index] for label in self.members}
+            given = {label: self.allocations[label].get(team.name, NO_QUOTA)[index] for label in self.members}
             shares.append(divide_quota(limit, used, reserved, given, demands) if limit > 0 else given)
         return {label: (shares[0].get(label, 0.0), shares[1].get(label, 0.0)) for label in self.members}
 
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -228,9 +228,9 @@
             nonlocal gpus
             if self.rules.lends(offer.spec) is None:
                 return elsewhere(offer)
-            limit = max(0, min(offer.left, int(gpus / offer.spec.gpus + 1e-9)))
+            limit = max(0, min(offer.remaining, int(gpus / offer.spec.gpus + 1e-9)))
             gpus -= limit * offer.spec.gpus  # GPUs that the offer then does not use stay free until the next heartbeat
-            return max(elsewhere(offer), offer.left - limit)
+            return max(elsewhere(offer), offer.remaining - limit)
 
         return result
 
--- a/alderbridge/scheduling/offers.py
+++ b/alderbridge/scheduling/offers.py
@@ -48,9 +48,9 @@
 
 
 class Offer:
-    """Tasks of one job that its shard would grant now; ``left`` decreases as tasks are requested."""
+    """Tasks of one job that its shard would grant now; ``remaining`` decreases as tasks are requested."""
 
-    __slots__ = ("key", "label", "row", "spec", "left", "packing_until", "reserve_from")
+    __slots__ = ("key", "label", "row", "spec", "remaining", "packing_until", "reserve_from")
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         # The key holds absolute times, so that it stays valid as time passes.
         late, rank, due = placement_key(row, spec, now + row.due_in_s, ignores_lateness)
         self.key = (late, rank, now + due - BOOST_OFFSET_S) if row.priority_boost else (late, rank, due)
-        self.label, self.row, self.spec, self.left = label, row, spec, row.offer
+        self.label, self.row, self.spec, self.remaining = label, row, spec, row.offer
         self.packing_until = now - row.waited_s + packing_wait_s  # until then idle machines leave it to busy ones
         self.reserve_from = (
             now - row.waited_s + constants.RESERVE_MACHINE_AFTER_S
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -96,11 +96,11 @@
     """Request up to ``count`` tasks of the job that holds a claim on the machine, and deduct them from its offers."""
     result, free = [], machine.free
     for *_, offer in offers.in_order():
-        if offer.row.job != job or offer.left <= 0 or offer.row.zone not in (None, machine.zone):
+        if offer.row.job != job or offer.remaining <= 0 or offer.row.zone not in (None, machine.zone):
             continue
-        number = min(tasks_that_fit(offer.spec, free), offer.left, count)
+        number = min(tasks_that_fit(offer.spec, free), offer.remaining, count)
         if number > 0 and allowed(offer.spec, machine.type, machine.zone, machine.spot):
-            offer.left -= number
+            offer.remaining -= number
             free, count = remaining_after(free, offer.spec, number), count - number
             result.append(PlacementRequest(offer.label, job, machine.name, machine.zone, number))
     return result
@@ -139,7 +139,7 @@
             free = _request(machine, heapq.heappop(deferred)[-1], free, capacity_elsewhere, requests)
         offer = entry[-1]
         spec = offer.spec
-        if offer.left <= 0:
+        if offer.remaining <= 0:
             continue
         if spec.cpus > free[0] + 1e-9 or spec.memory_gb > free[1] + 1e-9 or spec.gpus > free[2] + 1e-9:
             if now >= offer.reserve_from and reserve(offer):
@@ -166,10 +166,10 @@
     requests: list[PlacementRequest],
 ) -> Resources:
     """Request as many tasks of the offer as fit; returns the remaining free capacity."""
-    count = min(tasks_that_fit(offer.spec, free), offer.left - capacity_elsewhere(offer))
+    count = min(tasks_that_fit(offer.spec, free), offer.remaining - capacity_elsewhere(offer))
     if count <= 0:
         return free
-    offer.left -= count
+    offer.remaining -= count
     requests.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
     return remaining_after(free, offer.spec, count)
 
@@ -186,7 +186,7 @@
     for *_, offer in offers.in_order():
         zone = offer.row.zone
         if (
-            offer.left > 0
+            offer.remaining > 0
             and may_use_reserved(offer.spec)
             and allowed(offer.spec, machine.type, machine.zone, machine.spot)
             and zone in (None, machine.zone)
--- a/alderbridge/state/write_classes.py
+++ b/alderbridge/state/write_classes.py
@@ -45,10 +45,10 @@
             write_class: TokenBucket(share * rate, ASSURED_BURST, now) for write_class, share in ASSURED_SHARES.items()
         }
 
-    def change(self, rate: float, now: float) -> None:
+    def set_rate(self, rate: float, now: float) -> None:
         """Set the rate of the write budget, in changes/s."""
         for write_class, share in ASSURED_SHARES.items():
-            self._buckets[write_class].change(share * rate, ASSURED_BURST, now)
+            self._buckets[write_class].set_rate(share * rate, ASSURED_BURST, now)
 
     def available(self, write_class: WriteClass, is_waiting: bool, now: float) -> int:
         """The number of changes assured to the class now; a class with no changes waiting accumulates none."""
--- a/alderbridge/state/write_rate_limit.py
+++ b/alderbridge/state/write_rate_limit.py
@@ -62,5 +62,5 @@
         self._change_rate(self.share + unused_rate / borrowers, now)
 
     def _change_rate(self, rate: float, now: float) -> None:
-        self.budget.change(rate, self.share, now)
-        self.assured.change(rate, now)
+        self.budget.set_rate(rate, self.share, now)
+        self.assured.set_rate(rate, now)
--- a/alderbridge/transport/http_server.py
+++ b/alderbridge/transport/http_server.py
@@ -21,8 +21,8 @@
 log = logging.getLogger("http")
 now = time.monotonic
 
-Answer = tuple[int, bytes, list[tuple[str, str]]]  # status, body, additional headers
-Handler = Callable[[str, str, bytes, Callable[[Answer], None]], Answer | Awaitable[Answer] | None]
+RawResponse = tuple[int, bytes, list[tuple[str, str]]]  # status, body, additional headers
+Handler = Callable[[str, str, bytes, Callable[[RawResponse], None]], RawResponse | Awaitable[RawResponse] | None]
 
 _END = h11.EndOfMessage()
 _READ_BYTES = 16 * 1024  # limit of one read
@@ -258,7 +258,7 @@
         elif answer is not None:
             self.server.poll.spawn(self.respond_when_done, answer, method, target)
 
-    async def respond_when_done(self, pending: Awaitable[Answer], method: str, target: str) -> None:
+    async def respond_when_done(self, pending: Awaitable[RawResponse], method: str, target: str) -> None:
         """Await the handler's answer and send the response."""
         try:
             answer = await pending
@@ -269,7 +269,7 @@
             raise
         self.respond(answer)
 
-    def internal_error(self, method: str, target: str) -> Answer:
+    def internal_error(self, method: str, target: str) -> RawResponse:
         """Log the exception of a handler; return the answer to its request."""
         log.exception("request state=failed method=%s target=%s", method, target)
         return 500, b'{"error":"internal"}', []
@@ -279,7 +279,7 @@
         self.state, self.closes_after_response = ConnectionState.HANDLING, True
         self.respond((status, body, [("Connection", "close")]))
 
-    def respond(self, answer: Answer) -> None:
+    def respond(self, answer: RawResponse) -> None:
         """Respond to the request that is being handled; does nothing if the connection is closed."""
         if self.state is not ConnectionState.HANDLING:
             return
--- a/alderbridge/transport/token_bucket.py
+++ b/alderbridge/transport/token_bucket.py
@@ -9,18 +9,18 @@
     def __init__(self, rate: float, burst: float, now: float) -> None:
         """The bucket is full at ``now``."""
         self.rate, self.burst = rate, max(1.0, burst)
-        self.level, self.at = self.burst, now
+        self.tokens, self.refilled_at = self.burst, now
 
     def _refill(self, now: float) -> None:
-        self.level = min(self.burst, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
 
     def available(self, now: float) -> float:
         """Number of tokens; negative after ``consume`` took more than there were."""
         self._refill(now)
-        return self.level
+        return self.tokens
 
-    def change(self, rate: float, burst: float, now: float) -> None:
+    def set_rate(self, rate: float, burst: float, now: float) -> None:
         """Set another rate and burst, effective at ``now``."""
         self._refill(now)
         self.rate, self.burst = rate, max(1.0, burst)
@@ -28,12 +28,12 @@
     def try_take(self, now: float, amount: float = 1.0) -> bool:
         """Take tokens if that many are available; return whether they were."""
         self._refill(now)
-        if self.level < amount:
+        if self.tokens < amount:
             return False
-        self.level -= amount
+        self.tokens -= amount
         return True
 
     def consume(self, now: float, amount: float = 1.0) -> None:
         """Take tokens even if there are not enough, for calls that cannot wait."""
         self._refill(now)
-        self.level -= amount
+        self.tokens -= amount
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -367,7 +367,7 @@
     written = []
     core.write_rate_limit.budget.available(world.t + 2.0)
     while len(written) < 42:
-        core.write_rate_limit.budget.level = 2.0 - constants.WRITE_OVERDRAFT_SHARE * core.write_rate_limit.budget.burst
+        core.write_rate_limit.budget.tokens = 2.0 - constants.WRITE_OVERDRAFT_SHARE * core.write_rate_limit.budget.burst
         batch = core.record_writer.next_batch(world.t + 2.0)
         written += [job.spec.id for job, _, _ in batch.jobs] + [
             accepted.job.spec.id for accepted, _ in batch.submissions
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -581,7 +581,7 @@
         for one in (harness.tune, harness.tune, harness.serve)
     ]
     left_to_others = harness.lender.limit_lending(2.0, lambda offer: 0)
-    assert [offer.left - left_to_others(offer) for offer in offers] == [2, 0, 9]
+    assert [offer.remaining - left_to_others(offer) for offer in offers] == [2, 0, 9]
 
 
 LENDING_CONFIGURATION = LendingConfiguration(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -52,7 +52,7 @@
     for _, label, _, offer in queue:
         if allowed(offer.spec, machine.type, machine.zone, machine.spot):
             if offer.row.zone in (None, machine.zone):
-                count = min(tasks_that_fit(offer.spec, free), offer.left - capacity_elsewhere(offer))
+                count = min(tasks_that_fit(offer.spec, free), offer.remaining - capacity_elsewhere(offer))
                 if count > 0:
                     free = remaining_after(free, offer.spec, count)
                     requests.append((label, offer.row.job, count))
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -233,7 +233,7 @@
             dropped += batch.dropped_machines
             assert batch.changes <= core.record_writer.max_changes
             for name in batch.dropped_machines:
-                core.machine_records.dropped(name)
+                core.machine_records.on_dropped(name)
             for job, _, _ in batch.jobs:
                 job.mark_dirty(world.t)
     assert dropped == ["n-8", "n-9"]
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -230,9 +230,9 @@
     for number in range(5):
         core.submissions.submit(array(number), now, now)
     for bucket in writer.write_rate_limit.assured._buckets.values():  # each class has its full assured burst
-        bucket.level, bucket.at = 1.0, now
-    writer.write_rate_limit.budget.change(level, level, now)
-    writer.write_rate_limit.budget.level = level
+        bucket.tokens, bucket.refilled_at = 1.0, now
+    writer.write_rate_limit.budget.set_rate(level, level, now)
+    writer.write_rate_limit.budget.tokens = level
     with_overdraft = int(level + constants.WRITE_OVERDRAFT_SHARE * level)
     batch = writer.next_batch(now)
     assert batch is not None and batch.machines and (batch.submissions or level == 1.0)
