--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -183,9 +183,9 @@
     def send(self, spec: wire.JobSpec) -> None:
         self.specs[spec.id] = spec
         self.first_asked[spec.id] = self.sent_at[spec.id] = self.t
-        self.attempt(spec)
+        self.try_submit(spec)
 
-    def attempt(self, spec: wire.JobSpec) -> None:
+    def try_submit(self, spec: wire.JobSpec) -> None:
         if spec.id in self.accepted_at:  # already confirmed to the user, possibly because the store had it before
             return
         healthy = [
@@ -194,14 +194,14 @@
             if (core := self.nodes[label].core) is not None and core.may_act()
         ]
         if not healthy:
-            self.after(1.0, self.attempt, spec)
+            self.after(1.0, self.try_submit, spec)
             return
         sim = self.nodes[self.rng.choice(healthy)]
         if sim.core.directory.knows_job(spec.id):
             if self.question(sim, spec.id) is not None:
                 self.on_accepted(spec.id)
             else:
-                self.after(2.0, self.attempt, spec)
+                self.after(2.0, self.try_submit, spec)
             return
         submission = sim.core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
@@ -215,12 +215,12 @@
         if submission.outcome == "accepted":
             self.on_accepted(spec.id)
         else:
-            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
 
     def on_submission_timeout(self, submission: Submission) -> None:
         if submission in self.open_submissions:  # 503, or its controller has ended
             spec, _ = self.open_submissions.pop(submission)
-            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
 
     def on_accepted(self, job: str) -> None:
         if job not in self.accepted_at:
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -77,13 +77,13 @@
         self.core.machine_types.update(TYPES)
         self.lease_ids: dict[str, int] = {}
         for label in (self.me, *others):
-            self.come(label)
+            self.register_member(label)
         self.core.view_entry.lease_acquired(self.lease_ids[self.me], self.t, self.t)
         self.core.membership.record_sync(self.t)
         self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
-        self.view(self.me, *others)
+        self.commit_view(self.me, *others)
 
-    def other(self, label: str) -> "SteppedController":
+    def other_member(self, label: str) -> "SteppedController":
         """The controller core of another member, with the same store."""
         other = object.__new__(SteppedController)
         other.t, other.store, other.me, other.lease_ids = self.t, self.store, label, self.lease_ids
@@ -93,12 +93,12 @@
         other.reload()
         return other
 
-    def come(self, label: str) -> None:
+    def register_member(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
         self.store.holds[lease_id] = 1e9
         self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
-    def view(self, *labels: str) -> None:
+    def commit_view(self, *labels: str) -> None:
         """Commit a newer view of these members, and apply it here."""
         self.store.commit({}, {VIEW: View(labels[0], {label: self.lease_ids[label] for label in labels})})
         self.follow()
@@ -115,7 +115,7 @@
         self.core.membership.record_sync(self.t)
         self.core.store_follower.load(self.store.rows(), [], self.store.revision, self.t, self.t)
 
-    def go(self, for_s: float) -> None:
+    def advance(self, for_s: float) -> None:
         """Advance the time, with a working watch."""
         end = self.t + for_s
         while self.t < end:
@@ -123,15 +123,15 @@
             self.follow()
             self.core.round(self.t)
 
-    def batch(self):
+    def next_batch(self):
         return self.core.record_writer.next_batch(self.t)
 
-    def carry_out(self, batch) -> wire.TransactionResult:
+    def commit(self, batch) -> wire.TransactionResult:
         return self.store.commit(batch.conditions, batch.puts, batch.drops)
 
-    def settle(self, batch) -> wire.TransactionResult:
+    def commit_and_answer(self, batch) -> wire.TransactionResult:
         """Commit the batch with an immediate answer; conflicts are resolved as in ``RecordsLoop``."""
-        core, answer = self.core, self.carry_out(batch)
+        core, answer = self.core, self.commit(batch)
         if not answer.failed:
             core.batch_results.on_written(batch, answer.revision, self.t)
             return answer
@@ -143,15 +143,15 @@
             )
         return answer
 
-    def write(self, max_batches: int = 30) -> None:
+    def write_due_records(self, max_batches: int = 30) -> None:
         """Commit all due records with immediate answers."""
-        while (batch := self.batch()) is not None and max_batches:
-            self.settle(batch)
+        while (batch := self.next_batch()) is not None and max_batches:
+            self.commit_and_answer(batch)
             max_batches -= 1
 
-    def lost(self):
+    def unanswered_batch(self):
         """A batch of the due records that gets no answer; the test may commit it later."""
-        batch = self.batch()
+        batch = self.next_batch()
         assert batch is not None
         self.core.batch_results.on_failed(batch, self.t)
         self.t += constants.STORE_TIMEOUT_S
@@ -166,25 +166,25 @@
             self.t,
         )
 
-    def up(self, name: str) -> None:
+    def add_machine(self, name: str) -> None:
         """Add a machine of this shard that has sent a heartbeat and is recorded in the store."""
         self.heartbeat(name, 1)
-        self.write()
+        self.write_due_records()
         assert self.core.machine_shard.machines[name].recorded
 
-    def job(self, spec=SPEC):
+    def submit_job(self, spec=SPEC):
         """Submit a job that this member owns."""
         submission = self.core.submissions.submit(spec, self.t, self.t)
-        self.write()
+        self.write_due_records()
         assert submission.outcome == "accepted"
         return self.core.job_shard.jobs[spec.id]
 
-    def runs(self, job, machine: str, index: int) -> None:
+    def start_task(self, job, machine: str, index: int) -> None:
         job.next_index = max(job.next_index, index + 1)
         job.grant(index, TaskRun(machine, "a", 7, 0, TaskState.RUNNING, self.t))
         self.core.job_shard.jobs_by_machine.setdefault(machine, set()).add(job.spec.id)
 
-    def ended(self, machine: str, index: int, job: str = SPEC.id):
+    def ended_task_report(self, machine: str, index: int, job: str = SPEC.id):
         return messages.MachineTaskReport(
             machine, "a", 1 << 40, [messages.TaskStatusReport(job, index, 7, "ended", "done")], []
         )
@@ -203,19 +203,19 @@
     alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
-    first = alone.lost()
+    first = alone.unanswered_batch()
     assert MACHINES + name in first.puts
-    alone.write()
+    alone.write_due_records()
     if end == "expired":
-        alone.go(LEASE_S + 2.0)
+        alone.advance(LEASE_S + 2.0)
         assert alone.core.machine_shard.machines[name].state is MachineState.EXPIRED
     else:
         alone.core.on_terminated([name], alone.t)
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
-    assert not alone.carry_out(first).failed, "its conditions hold: the same view, and no record"
+    assert not alone.commit(first).failed, "its conditions hold: the same view, and no record"
     how(alone)
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
     assert name not in alone.core.replica.machine_revisions
 
@@ -225,12 +225,12 @@
     alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
-    first = alone.lost()
+    first = alone.unanswered_batch()
     alone.core.on_terminated([name], alone.t)
-    alone.write()
-    assert not alone.carry_out(first).failed
+    alone.write_due_records()
+    assert not alone.commit(first).failed
     alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
 
 
@@ -239,21 +239,21 @@
     alone = SteppedController()
     name = "n-000001"
     alone.heartbeat(name, 1)
-    put = alone.lost()
-    alone.write()
-    alone.go(LEASE_S + 2.0)
-    drop = alone.lost()
+    put = alone.unanswered_batch()
+    alone.write_due_records()
+    alone.advance(LEASE_S + 2.0)
+    drop = alone.unanswered_batch()
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
     assert machine.acknowledged and not machine.recorded
     alone.follow()
     assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
-    assert not alone.carry_out(drop).failed and not alone.carry_out(put).failed  # both commit late, one after the other
+    assert not alone.commit(drop).failed and not alone.commit(put).failed  # both commit late, one after the other
     alone.follow()
     assert not machine.recorded, "the repeated deletion may still remove the record"
-    alone.write()
+    alone.write_due_records()
     assert machine.recorded and MACHINES + name in alone.store.data
-    assert alone.carry_out(drop).failed and alone.carry_out(put).failed, "neither can commit any more"
+    assert alone.commit(drop).failed and alone.commit(put).failed, "neither can commit any more"
 
 
 def test_a_late_answer_to_a_deletion_does_not_hide_a_newer_record():
@@ -263,20 +263,20 @@
     """
     alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
-    alone.up(name)
-    job = alone.job()
-    alone.go(VIEW_SETTLED_S + LEASE_S)  # without heartbeats its lease expires
-    drop = alone.batch()
+    alone.add_machine(name)
+    job = alone.submit_job()
+    alone.advance(VIEW_SETTLED_S + LEASE_S)  # without heartbeats its lease expires
+    drop = alone.next_batch()
     assert drop.drops == [MACHINES + name]
-    answer = alone.carry_out(drop)
-    alone.come("host-2")
-    alone.view("host-1", "host-0", "host-2")
+    answer = alone.commit(drop)
+    alone.register_member("host-2")
+    alone.commit_view("host-1", "host-0", "host-2")
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})  # by its owner under this view
     alone.follow()
-    alone.runs(job, name, 0)
+    alone.start_task(job, name, 0)
     alone.core.batch_results.on_written(drop, answer.revision, alone.t)  # within the request timeout of 2 s
     assert name in alone.core.replica.machine_revisions
-    alone.view("host-1", "host-0")
+    alone.commit_view("host-1", "host-0")
     assert 0 in job.runs, "its machine is recorded: only a heartbeat, lease expiry or termination releases the task"
 
 
@@ -284,14 +284,14 @@
     """The deletion failed with a conflict, and the read of the record is answered after the next view."""
     alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
-    alone.up(name)
-    alone.go(VIEW_SETTLED_S + LEASE_S)
-    unanswered = alone.lost()
-    alone.carry_out(unanswered)
-    drop = alone.batch()
+    alone.add_machine(name)
+    alone.advance(VIEW_SETTLED_S + LEASE_S)
+    unanswered = alone.unanswered_batch()
+    alone.commit(unanswered)
+    drop = alone.next_batch()
     assert drop.drops == [MACHINES + name]
-    assert alone.carry_out(drop).failed == [MACHINES + name]
-    alone.view("host-1", "host-0")
+    assert alone.commit(drop).failed == [MACHINES + name]
+    alone.commit_view("host-1", "host-0")
     alone.store.commit({}, {MACHINES + name: wire.MachineRecord("x", "small", "a")})
     alone.follow()
     alone.core.batch_results.resolve_conflict(drop, MACHINES + name, None, alone.t)  # the state at the time of the read
@@ -304,9 +304,9 @@
     alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
-    put = alone.batch()
-    answer = alone.carry_out(put)
-    alone.view("host-1", "host-0")
+    put = alone.next_batch()
+    answer = alone.commit(put)
+    alone.commit_view("host-1", "host-0")
     alone.store.commit({}, {}, [MACHINES + name])
     alone.follow()
     assert name not in alone.core.replica.machine_revisions
@@ -324,34 +324,34 @@
     alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
     alone.heartbeat(name, 1)
-    put = alone.lost()
+    put = alone.unanswered_batch()
     alone.core.on_terminated([name], alone.t)
-    alone.write()
-    assert not alone.carry_out(put).failed
+    alone.write_due_records()
+    assert not alone.commit(put).failed
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     alone.follow()
     alone.core.messenger.pump()
     assert not alone.core.job_shard.inherited.barrier, "no task runs on it"
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
 
 
 def test_a_result_is_not_acknowledged_before_it_is_stored():
     """A repeated report while the record is being written must not clear the result on the worker."""
     alone = SteppedController()
-    job = alone.job()
+    job = alone.submit_job()
     for index in (0, 1):
-        alone.runs(job, "n-000001", index)
+        alone.start_task(job, "n-000001", index)
     sent = []
     shard = alone.core.job_shard
     shard.task_reports.send = shard.record_writes.send = shard.record_writes.send_deferred = lambda label, body: (
         sent.append(body) or len(sent)
     )
-    report = alone.ended("n-000001", 0)
+    report = alone.ended_task_report("n-000001", 0)
     alone.core.job_shard.task_reports.on_task_report("host-0", report, alone.t)
     alone.t += 1.0
     alone.follow()
-    batch = alone.batch()
+    batch = alone.next_batch()
     assert batch.jobs
     # The next report of the machine repeats the result.
     alone.core.job_shard.task_reports.on_task_report("host-0", report, alone.t)
@@ -359,23 +359,25 @@
         "the worker would discard a result that is not stored"
     )
     alone.core.batch_results.on_failed(batch, alone.t)
-    alone.write()
+    alone.write_due_records()
     assert [body.index for body in sent if isinstance(body, messages.AcknowledgeFinished)] == [0]
-    alone.go(2.0)
-    alone.write()
+    alone.advance(2.0)
+    alone.write_due_records()
     assert not job.unacknowledged_results and job.dirty_since is None
 
 
 def late_end(alone, how):
     """A job, and the unanswered batch that writes its final state."""
-    job = alone.job()
+    job = alone.submit_job()
     if how == "cancelled":
         assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
-            alone.runs(job, "n-000001", index)
-            alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
-    return job, alone.lost()
+            alone.start_task(job, "n-000001", index)
+            alone.core.job_shard.task_reports.on_task_report(
+                "host-0", alone.ended_task_report("n-000001", index), alone.t
+            )
+    return job, alone.unanswered_batch()
 
 
 @pytest.mark.parametrize("how, state", [("cancelled", "aborted"), ("last task", "done")])
@@ -389,18 +391,18 @@
     )
     assert core.local_jobs.cancel(SPEC.id, alone.t) == ""
     if late:  # after a newer attempt that was answered
-        alone.write()
-        assert alone.carry_out(end).failed
+        alone.write_due_records()
+        assert alone.commit(end).failed
     else:  # before: the watch delivers it, and the next attempt fails with a conflict
-        assert not alone.carry_out(end).failed
+        assert not alone.commit(end).failed
         alone.follow()
     assert (
         core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == state
         and core.local_jobs.cancel(SPEC.id, alone.t) == state
     )
-    alone.write()
-    alone.go(2.0)
-    alone.write()
+    alone.write_due_records()
+    alone.advance(2.0)
+    alone.write_due_records()
     assert SPEC.id not in core.job_shard.jobs, "the final state is reported and its results are acknowledged"
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
     assert stored.state.value == state and stored.spec is None
@@ -412,28 +414,28 @@
     alone = SteppedController("host-1")
     _, end = late_end(alone, "cancelled")
     if carried_out:
-        alone.carry_out(end)
-    alone.view("host-1", "host-0")
-    assert alone.carry_out(end).failed, "it asserts the view"
+        alone.commit(end)
+    alone.commit_view("host-1", "host-0")
+    assert alone.commit(end).failed, "it asserts the view"
     reported = alone.core.local_jobs.local_job_state(SPEC.id, alone.t)
     assert reported == (("aborted", 0, 0) if carried_out else None)
-    alone.write()
+    alone.write_due_records()
     assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
 
 
 def test_a_stored_final_state_is_not_overwritten_with_an_active_record():
     """An inherited job may not end before the view settles; until then its owner must keep the stored state."""
     alone = SteppedController("host-1")
-    job = alone.job()
-    alone.runs(job, "n-000001", 0)  # a task is still to be stopped, so the record keeps the job's spec
+    job = alone.submit_job()
+    alone.start_task(job, "n-000001", 0)  # a task is still to be stopped, so the record keeps the job's spec
     job.inherited = True
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     alone.core.job_shard.settled = True
-    alone.carry_out(alone.lost())
-    alone.view("host-1", "host-0")
+    alone.commit(alone.unanswered_batch())
+    alone.commit_view("host-1", "host-0")
     assert not alone.core.job_shard.settled and SPEC.id in alone.core.job_shard.jobs
     for _ in range(5):
-        alone.write(3)
+        alone.write_due_records(3)
         alone.follow()
         alone.t += 1.0
         record = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
@@ -446,20 +448,20 @@
     """The new job owner finds the stored final state, or writes the only one."""
     alone = SteppedController("host-1")
     _, end = late_end(alone, "last task")
-    successor = alone.other("host-1")
+    successor = alone.other_member("host-1")
     if carried_out:
-        alone.carry_out(end)
-    successor.view("host-1")
-    assert alone.carry_out(end).failed, "it asserts the view"
+        alone.commit(end)
+    successor.commit_view("host-1")
+    assert alone.commit(end).failed, "it asserts the view"
     reported = successor.core.local_jobs.local_job_state(SPEC.id, successor.t)
     assert reported[0] == ("done" if carried_out else "pending"), "a final state that is not stored is not reported"
-    successor.go(2.0)
+    successor.advance(2.0)
     state = successor.core.local_jobs.cancel(SPEC.id, successor.t)
-    successor.write()
+    successor.write_due_records()
     assert (state, successor.core.local_jobs.local_job_state(SPEC.id, successor.t)[0]) == (
         ("done", "done") if carried_out else ("", "aborted")
     )
-    successor.go(1.0)
+    successor.advance(1.0)
     assert msgspec.json.decode(successor.store.data[JOBS + SPEC.id][0], type=Record).state.value == (
         "done" if carried_out else "aborted"
     )
@@ -468,16 +470,16 @@
 def test_late_progress_does_not_overwrite_newer_progress():
     """Each write is conditional on the record's revision, so only one of two attempts commits."""
     alone = SteppedController()
-    job = alone.job()
+    job = alone.submit_job()
     for index in (0, 1):
-        alone.runs(job, "n-000001", index)
-    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
+        alone.start_task(job, "n-000001", index)
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended_task_report("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
-    first = alone.lost()
-    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 1), alone.t)
-    alone.write()
-    assert alone.carry_out(first).failed
+    first = alone.unanswered_batch()
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended_task_report("n-000001", 1), alone.t)
+    alone.write_due_records()
+    assert alone.commit(first).failed
     stored = msgspec.json.decode(alone.store.data[JOBS + SPEC.id][0], type=Record)
     assert stored.done == [(0, 2)] and not job.unacknowledged_results
 
@@ -486,9 +488,9 @@
     """The record appears among the reloaded rows and not among the watched changes."""
     alone = SteppedController()
     alone.core.submissions.submit(SPEC, alone.t, alone.t)
-    late = alone.lost()
+    late = alone.unanswered_batch()
     alone.core.submissions.refuse_all()
-    assert not alone.carry_out(late).failed
+    assert not alone.commit(late).failed
     alone.reload()
     assert SPEC.id in alone.core.job_shard.jobs, (
         "its user may have been answered that it is known, and no other member owns it"
@@ -499,18 +501,18 @@
 def test_a_submission_refused_by_two_controllers_has_one_record_and_one_owner():
     """Both transactions arrive late: one fails with a conflict, and the owner of the other adopts the record."""
     alone = SteppedController("host-1")
-    peer = alone.other("host-1")
+    peer = alone.other_member("host-1")
     late = []
     for member in (alone, peer):
         member.core.submissions.submit(SPEC, member.t, member.t)
-        late.append(member.lost())
+        late.append(member.unanswered_batch())
         member.core.submissions.refuse_all()
-    assert not peer.carry_out(late[1]).failed
+    assert not peer.commit(late[1]).failed
     retried = alone.core.submissions.submit(
         SPEC, alone.t, alone.t
     )  # the user retries before the watch has delivered the record
-    alone.write()
-    assert retried.outcome == "known" and alone.carry_out(late[0]).failed
+    alone.write_due_records()
+    assert retried.outcome == "known" and alone.commit(late[0]).failed
     alone.follow()
     peer.follow()
     assert SPEC.id in peer.core.job_shard.jobs and SPEC.id not in alone.core.job_shard.jobs
@@ -521,18 +523,18 @@
     """The first attempt stored an active record; the second, a final state, fails with a conflict."""
     alone = SteppedController()
     dependency = msgspec.structs.replace(SPEC, id="wk-000002")
-    alone.job(dependency)
+    alone.submit_job(dependency)
     submission = alone.core.submissions.submit(
         msgspec.structs.replace(SPEC, dependencies=[dependency.id]), alone.t, alone.t
     )
-    first = alone.lost()
+    first = alone.unanswered_batch()
     alone.store.commit({}, {JOBS + dependency.id: Record(JobState.ABORTED)})
     alone.follow()
-    assert not alone.carry_out(first).failed
-    alone.write()
+    assert not alone.commit(first).failed
+    alone.write_due_records()
     assert submission.outcome == "known"
     alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert (
         alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("aborted", 0, 0)
         and SPEC.id not in alone.core.job_shard.jobs
@@ -545,10 +547,10 @@
     alone.store.commit({}, dict.fromkeys(keys, ["wk-000008"]))
     alone.follow()
     alone.core.record_writer.lists_to_drop = list(keys)
-    batch = alone.lost()
+    batch = alone.unanswered_batch()
     assert batch.drops == keys
     alone.core.batch_results.on_failed(batch, alone.t)  # called again if the read after a conflict fails
-    alone.write()
+    alone.write_due_records()
     assert not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
     assert not alone.core.record_writer.lists_to_drop
 
@@ -561,18 +563,18 @@
     spec = msgspec.structs.replace(SPEC, dependencies=needs)
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     assert len(submission.dependency_lists) > 1
-    late = alone.lost()
+    late = alone.unanswered_batch()
     assert all(key.startswith(DEPENDENCY_LISTS) for key in late.puts)
-    alone.write()
+    alone.write_due_records()
     assert submission.outcome == "accepted"
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
-    alone.write()
+    alone.write_due_records()
     assert not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
-    assert alone.carry_out(late).failed == [JOBS + SPEC.id]
+    assert alone.commit(late).failed == [JOBS + SPEC.id]
     alone.core.replica.ended.clear()  # as on a controller that has not received the job's record
     alone.core.replica.dependency_lists.clear()
     retried = alone.core.submissions.submit(spec, alone.t, alone.t)
-    alone.settle(alone.batch())
+    alone.commit_and_answer(alone.next_batch())
     assert retried.outcome == "known" and not [key for key in alone.store.data if key.startswith(DEPENDENCY_LISTS)]
 
 
@@ -609,7 +611,7 @@
     ledger.plan(
         [{"n-000001": PreemptionClaim("urgent", "wk-000002", 1, [("wk-000001", 0, 7)], 0.0, 99.0, "free", 1.0)}]
     )
-    alone.write()
+    alone.write_due_records()
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.preemptions
     alone.core.store_follower.load(rows, [], revision, alone.t, alone.t)
     assert ledger.claim_of("n-000001") is not None and "wk-000001" in ledger.preemptions
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -628,8 +628,8 @@
         if spec.service:
             self.after(self.rng.uniform(15.0, 60.0), self.withdraw, spec.id)
 
-    def count(self):
-        super().count()
+    def sample(self):
+        super().sample()
         used = Counter()
         for task in self.on:
             one = self.specs[wire.split_task_id(task)[0]]
@@ -645,37 +645,40 @@
         service = self.specs[claim.job]
         claimed = sum(
             other.count
-            for name, other in self.open.items()
-            if other.job == claim.job and (name == machine or self.there(name, other))
+            for name, other in self.stored_claims.items()
+            if other.job == claim.job and (name == machine or self.running_victims(name, other))
         )
         if not service.service or claimed > self.max_recently_waiting(claim.job):
             raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {claimed} for {self.max_recently_waiting(claim.job)}")
         for job, index, attempt in claim.victims:
             one = self.specs[job]
-            self.claimed.add((f"{job}/{index}", attempt))
-            self.victims[job, index] += 1
-            if one.job_class != "tune" or self.victims[job, index] > 2:
-                raise Broken(f"protected: {job}/{index}, preempted {self.victims[job, index]} times")
+            self.claimed_attempts.add((f"{job}/{index}", attempt))
+            self.preemption_counts[job, index] += 1
+            if one.job_class != "tune" or self.preemption_counts[job, index] > 2:
+                raise Broken(f"protected: {job}/{index}, preempted {self.preemption_counts[job, index]} times")
             if one.team == service.team and one.rank >= service.rank:
                 raise Broken(f"preemption: {job} ({one.priority}) for {claim.job} ({service.priority})")
         other_teams_victims = [
             self.specs[job]
-            for name, other in self.open.items()
+            for name, other in self.stored_claims.items()
             for job, _, _ in other.victims
-            if self.there(name, other) and self.specs[job].team != service.team
+            if self.running_victims(name, other) and self.specs[job].team != service.team
         ]
         for team in {one.team for one in other_teams_victims}:
             for resource, minimum in enumerate(GUARANTEED[team]):
                 stopped = sum((one.cpus, one.gpus)[resource] for one in other_teams_victims if one.team == team)
                 if max(used[team, resource] for used in self.recent_use) - stopped < minimum:
                     raise Broken(f"guarantee: {team} at {self.t:.2f}")
-        self.spent.append((claim.planned_at, claim.team, len(claim.victims)))
+        self.preemption_log.append((claim.planned_at, claim.team, len(claim.victims)))
         if (
-            sum(count for claimed_at, _, count in self.spent if claimed_at > claim.planned_at - 60.0)
+            sum(count for claimed_at, _, count in self.preemption_log if claimed_at > claim.planned_at - 60.0)
             > LENDING_CONFIGURATION.gpus_per_minute
         ):
             raise Broken(f"pace: limit in a minute exceeded at {self.t:.2f}")
-        if sum(self.there(name, other) for name, other in self.open.items()) > LENDING_CONFIGURATION.max_stopping_gpus:
+        if (
+            sum(self.running_victims(name, other) for name, other in self.stored_claims.items())
+            > LENDING_CONFIGURATION.max_stopping_gpus
+        ):
             raise Broken(f"pace: limit at once exceeded at {self.t:.2f}")
 
 
@@ -691,7 +694,7 @@
 
 def run_world(seed, until=700.0, **more):
     world = LendingWorld(seed, **more)
-    while world.t < until and not (world.t > 220.0 and world.over()):
+    while world.t < until and not (world.t > 220.0 and world.is_finished()):
         world.run(world.t + 20.0)
     world.check_end()
     return world
@@ -703,9 +706,9 @@
 
 
 def test_tasks_are_preempted_only_with_a_lending_configuration(gpu_machines, monkeypatch):
-    assert run_world(103, random_faults=False, faults_after_claims=False).made > 0
+    assert run_world(103, random_faults=False, faults_after_claims=False).claim_count > 0
     monkeypatch.setattr(LendingWorld, "prepare", lambda self, core: None)
-    assert run_world(101, random_faults=False, faults_after_claims=False).made == 0
+    assert run_world(101, random_faults=False, faults_after_claims=False).claim_count == 0
 
 
 def test_lending_respects_another_teams_guarantee_without_faults(gpu_machines):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -29,8 +29,8 @@
 
 def commit_and_lose_answer(alone, event_seen=True):
     """Commits the next batch and loses the response; ``event_seen``: the writer's watch delivers the write first."""
-    batch = alone.batch()
-    assert batch is not None and not alone.carry_out(batch).failed
+    batch = alone.next_batch()
+    assert batch is not None and not alone.commit(batch).failed
     if event_seen:
         alone.follow()
     alone.t += constants.STORE_TIMEOUT_S
@@ -41,9 +41,9 @@
 def attempt_writes(alone, times):
     """Sends the next due batch up to ``times`` times, each answered immediately."""
     for _ in range(times):
-        batch = alone.batch()
+        batch = alone.next_batch()
         if batch is not None:
-            alone.settle(batch)
+            alone.commit_and_answer(batch)
 
 
 def sync_to_same_time(alone, other):
@@ -61,7 +61,7 @@
     """The next view's barrier includes a stored machine; its owner must not use it before an answer or a read."""
     alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
-    peer = alone.other("host-1")
+    peer = alone.other_member("host-1")
     alone.heartbeat(name, 1)
     put = commit_and_lose_answer(alone, event_seen)
     assert MACHINES + name in put.puts
@@ -70,9 +70,9 @@
     alone.store.commit({}, {VIEW: View("host-1", alone.lease_ids)})
     sync_to_same_time(alone, peer)
     assert name in peer.core.job_shard.inherited.barrier
-    alone.write()  # conflicts with the view, then with its own record
+    alone.write_due_records()  # conflicts with the view, then with its own record
     alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert alone.core.machine_shard.machines[name].recorded
 
 
@@ -84,12 +84,12 @@
     alone.heartbeat(name, 1)
     commit_and_lose_answer(alone, event_seen=False)
     refresh(alone)
-    alone.go(LEASE_S + 2.0)  # the store is read but nothing is written
+    alone.advance(LEASE_S + 2.0)  # the store is read but nothing is written
     assert alone.core.machine_shard.machines[name].state is MachineState.EXPIRED
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
     alone.heartbeat(name, 1, incarnation=2)
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name in alone.store.data and alone.core.machine_shard.machines[name].recorded
 
 
@@ -98,9 +98,9 @@
     """A member that does not see the record restarts the machine's tasks elsewhere."""
     alone = SteppedController("host-1")
     name = machine_of("host-0", "host-0", "host-1")
-    peer = alone.other("host-1")
-    alone.up(name)
-    alone.go(VIEW_SETTLED_S + LEASE_S)
+    peer = alone.other_member("host-1")
+    alone.add_machine(name)
+    alone.advance(VIEW_SETTLED_S + LEASE_S)
     drop = commit_and_lose_answer(alone, event_seen)
     assert drop.drops == [MACHINES + name]
     machine = alone.heartbeat(name, 1, incarnation=2)
@@ -112,7 +112,7 @@
     sync_to_same_time(alone, peer)
     assert name not in peer.core.replica.machine_revisions
     while not machine.recorded:
-        alone.settle(alone.batch())
+        alone.commit_and_answer(alone.next_batch())
         alone.follow()
     assert MACHINES + name in alone.store.data
 
@@ -120,9 +120,9 @@
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_no_grant_beyond_unconfirmed_start_limit_and_next_job_shard_assumes_tasks_started(event_seen):
     alone = SteppedController("host-1")
-    job = alone.job(msgspec.structs.replace(SPEC, tasks=1000))
-    alone.up("n-000001")
-    peer, previous_limit = alone.other("host-1"), job.start_limit
+    job = alone.submit_job(msgspec.structs.replace(SPEC, tasks=1000))
+    alone.add_machine("n-000001")
+    peer, previous_limit = alone.other_member("host-1"), job.start_limit
     job.next_index = previous_limit
     job.raise_start_limit(10, alone.t)
     commit_and_lose_answer(alone, event_seen)
@@ -136,19 +136,19 @@
 @pytest.mark.parametrize("event_seen", (True, False))
 def test_unconfirmed_result_stays_on_its_machine_and_counts_at_the_next_owner(event_seen):
     alone = SteppedController("host-1")
-    peer = alone.other("host-1")
-    job = alone.job()
-    alone.runs(job, "n-000001", 0)
+    peer = alone.other_member("host-1")
+    job = alone.submit_job()
+    alone.start_task(job, "n-000001", 0)
     sent = []
     shard = alone.core.job_shard
     shard.task_reports.send = shard.record_writes.send = shard.record_writes.send_deferred = lambda label, body: (
         sent.append(body) or len(sent)
     )
-    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended_task_report("n-000001", 0), alone.t)
     alone.t += 1.0
     alone.follow()
     commit_and_lose_answer(alone, event_seen)
-    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", 0), alone.t)
+    alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended_task_report("n-000001", 0), alone.t)
     assert stored_record(alone).done == [(0, 1)] and not [
         body for body in sent if isinstance(body, messages.AcknowledgeFinished)
     ]
@@ -156,7 +156,7 @@
     assert peer.core.replica.remaining_tasks[SPEC.id] == SPEC.tasks - 1
     alone.t += 1.0
     alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert [body.index for body in sent if isinstance(body, messages.AcknowledgeFinished)] == [0], (
         "acknowledged once, after its own write was read"
     )
@@ -167,14 +167,16 @@
 
 def prepare_job_end(alone, scenario):
     """A job whose end is due to be written; an aborted one still has a task on a machine."""
-    job = alone.job()
+    job = alone.submit_job()
     if scenario == "aborted":
-        alone.runs(job, "n-000001", 0)
+        alone.start_task(job, "n-000001", 0)
         assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     else:
         for index in range(SPEC.tasks):
-            alone.runs(job, "n-000001", index)
-            alone.core.job_shard.task_reports.on_task_report("host-0", alone.ended("n-000001", index), alone.t)
+            alone.start_task(job, "n-000001", index)
+            alone.core.job_shard.task_reports.on_task_report(
+                "host-0", alone.ended_task_report("n-000001", index), alone.t
+            )
     return job
 
 
@@ -184,7 +186,7 @@
 def test_unconfirmed_end_is_reported_by_others_and_never_contradicted_by_its_job_shard(state, event_seen, resolution):
     """Queried after the commit, after the call fails, when the conflict can't be read, and under a new view."""
     alone = SteppedController("host-1")
-    peer = alone.other("host-1")
+    peer = alone.other_member("host-1")
     prepare_job_end(alone, state)
     answered = []
 
@@ -196,8 +198,8 @@
             if one.core.directory.job_owner(SPEC.id) == one.me or answer is not None:
                 assert one.core.local_jobs.cancel(SPEC.id, one.t) in ("", None, state)
 
-    batch = alone.batch()
-    assert not alone.carry_out(batch).failed
+    batch = alone.next_batch()
+    assert not alone.commit(batch).failed
     if event_seen:
         alone.follow()
     sync_to_same_time(alone, peer)
@@ -208,8 +210,8 @@
     sync_to_same_time(alone, peer)
     query_all()
     if resolution == "unread":  # the next attempt conflicts, and the conflicting record can't be read
-        again = alone.batch()
-        assert alone.carry_out(again).failed == [JOBS + SPEC.id]
+        again = alone.next_batch()
+        assert alone.commit(again).failed == [JOBS + SPEC.id]
         alone.core.batch_results.on_failed(again, alone.t)
         query_all()
     elif resolution != "read":
@@ -226,7 +228,7 @@
         alone.follow()
         peer.follow()
         owner.core.round(owner.t)
-        owner.write()
+        owner.write_due_records()
         query_all()
     assert stored_record(alone).state.value == state
     assert (
@@ -245,11 +247,11 @@
     assert stored_record(alone).spec is None and job.unacknowledged_results and not job.is_complete
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ("done" if event_seen else "")
     if view:
-        alone.view("host-1", "host-0")
+        alone.commit_view("host-1", "host-0")
         assert SPEC.id not in alone.core.job_shard.jobs
-    alone.write()
-    alone.go(2.0)
-    alone.write()
+    alone.write_due_records()
+    alone.advance(2.0)
+    alone.write_due_records()
     assert SPEC.id not in alone.core.job_shard.jobs and not alone.core.job_shard.tally.lagging
     assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t) == ("done", 0, 0)
 
@@ -259,7 +261,7 @@
 def test_unconfirmed_submission_is_reported_by_others_and_served_once(event_seen, then):
     """A refused submission is retried at the same controller, or a new view gives the job to its owner."""
     alone = SteppedController("host-1")
-    peer = alone.other("host-1")
+    peer = alone.other_member("host-1")
     submission = alone.core.submissions.submit(SPEC, alone.t, alone.t)
     commit_and_lose_answer(alone, event_seen)
     sync_to_same_time(alone, peer)
@@ -271,14 +273,14 @@
         if not alone.core.directory.knows_job(SPEC.id):
             submission = alone.core.submissions.submit(SPEC, alone.t, alone.t + 1.0)
     elif then == "view":
-        alone.view("host-1", "host-0")
-    alone.write()
+        alone.commit_view("host-1", "host-0")
+    alone.write_due_records()
     assert not alone.core.submissions.pending and submission.outcome in ("known", "refused")
     job = alone.core.job_shard.jobs[SPEC.id]
     assert job.revision == alone.store.data[JOBS + SPEC.id][1] and job.inherited is (then == "view")
     assert alone.core.local_jobs.local_job_state(SPEC.id, alone.t)[0] == "pending"
-    alone.go(2.0)
-    alone.write()
+    alone.advance(2.0)
+    alone.write_due_records()
     assert alone.core.job_shard.jobs == {SPEC.id: job}
 
 
@@ -287,14 +289,14 @@
     alone = SteppedController()
     alone.core.job_shard.value_bytes = 700
     need = msgspec.structs.replace(SPEC, id="wk-000100")
-    alone.job(need)
+    alone.submit_job(need)
     spec = msgspec.structs.replace(SPEC, dependencies=[f"wk-{number:06d}" for number in range(100, 250)])
     submission = alone.core.submissions.submit(spec, alone.t, alone.t)
     lists = dict(submission.dependency_lists)
     assert len(lists) > 1
     batch = commit_and_lose_answer(alone, event_seen)
     revisions = {key: alone.store.data[key][1] for key in batch.puts}
-    alone.write()
+    alone.write_due_records()
     assert submission.outcome == "accepted" and alone.core.replica.graph.waiting(SPEC.id)
     assert {key: msgspec.json.decode(alone.store.data[key][0]) for key in lists} == lists
     assert (revisions == {key: alone.store.data[key][1] for key in batch.puts}) is event_seen
@@ -305,15 +307,15 @@
 def test_unconfirmed_view_limits_its_writer_by_conflicts_and_freshness(event_seen):
     """Other members are in the new view; without its watch the writer acts under the old one until that expires."""
     alone = SteppedController("host-1", "host-2")
-    peer = alone.other("host-1")
+    peer = alone.other_member("host-1")
     name = machine_of("host-0", "host-0", "host-1", "host-2")
-    alone.up(name)
+    alone.add_machine(name)
     spec = next(
         spec
         for spec in (msgspec.structs.replace(SPEC, id=f"wk-{number:06d}") for number in range(99))
         if rendezvous_owner("host-2", ["host-0", "host-1"]) != rendezvous_owner("host-3", ["host-0", "host-1"]) or spec
     )
-    job = alone.job(spec)
+    job = alone.submit_job(spec)
     alone.store.commit({}, {VIEW: View("host-0", {label: alone.lease_ids[label] for label in ("host-0", "host-1")})})
     if event_seen:
         alone.follow()
@@ -321,15 +323,15 @@
     assert peer.core.membership.fencing_token > alone.core.membership.fencing_token or event_seen
     assert alone.core.local_jobs.cancel(spec.id, alone.t) == ""
     if not event_seen:
-        batch = alone.batch()
-        assert alone.carry_out(batch).failed == [VIEW]
+        batch = alone.next_batch()
+        assert alone.commit(batch).failed == [VIEW]
         alone.core.batch_results.on_failed(batch, alone.t)
     assert job.stored_state is JobState.ACTIVE and alone.core.local_jobs.local_job_state(spec.id, alone.t) is None
     if not event_seen:
         alone.t += alone.core.membership.store_lease.ttl_s
-        assert alone.batch() is None and not alone.core.may_act()
+        assert alone.next_batch() is None and not alone.core.may_act()
         alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert alone.core.local_jobs.local_job_state(spec.id, alone.t) == ("aborted", 0, 0)
 
 
@@ -344,17 +346,17 @@
     other = msgspec.structs.replace(SPEC, id="wk-000009")
     for spec in (SPEC, other):
         alone.store.commit({}, {JOBS + spec.id: Record(JobState.ACTIVE, removed, 0.0, 3, [], spec)})
-    alone.view("host-0", remaining)
+    alone.commit_view("host-0", remaining)
     assert alone.core.local_jobs.cancel(SPEC.id, alone.t) == ""
     attempt_writes(alone, 2)
     assert stored_record(alone).state is JobState.ACTIVE, "the previous owner may still report it as active"
-    alone.view(remaining, "host-0")
+    alone.commit_view(remaining, "host-0")
     attempt_writes(alone, 2)
     assert stored_record(alone).state is JobState.ACTIVE, "no view has settled since the job was inherited"
-    alone.go(VIEW_SETTLED_S)
+    alone.advance(VIEW_SETTLED_S)
     attempt_writes(alone, 2)
     assert stored_record(alone).state is JobState.ABORTED
-    alone.view("host-0", remaining)
+    alone.commit_view("host-0", remaining)
     assert alone.core.local_jobs.cancel(other.id, alone.t) == ""
     attempt_writes(alone, 2)
     assert stored_record(alone, other.id).state is JobState.ABORTED, "this member has owned it since a settled view"
@@ -390,7 +392,7 @@
     ledger = alone.core.replica.ledger
     prepare_job_end(alone, "aborted")
     ledger.plan([{"n-000001": claim()}])
-    alone.settle(alone.batch())
+    alone.commit_and_answer(alone.next_batch())
     ledger.drop("n-000001", "used")
     drop = commit_and_lose_answer(alone, event_seen)
     assert drop.drops == [CLAIMS + "n-000001"]
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -27,16 +27,16 @@
     """
     alone, name = SteppedController(), "n-000001"
     alone.heartbeat(name, 1)
-    alone.go(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
-    put = alone.batch()
-    revision, since = alone.carry_out(put).revision, alone.core.replica.revision
+    alone.advance(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
+    put = alone.next_batch()
+    revision, since = alone.commit(put).revision, alone.core.replica.revision
     rows, changes = alone.store.rows(), alone.store.since(since)  # what the store returns for a read at this revision
     alone.t += 1.0
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
     assert machine.state is MachineState.EXPIRED
     alone.core.batch_results.on_written(put, revision, alone.t)
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
         alone.core.store_follower.apply_events(changes, alone.t, alone.t)
@@ -46,7 +46,7 @@
     assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
     assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert machine.recorded and MACHINES + name in alone.store.data, "its record is put again"
 
 
@@ -54,10 +54,10 @@
 def test_the_next_view_waits_for_a_new_machine_that_may_have_run_tasks(write_outcome):
     """The put of its record is in flight and a task is granted when the leader that owns the machine ends."""
     alone = SteppedController("host-1")
-    other, name = alone.other("host-1"), machine_of("host-0", "host-0", "host-1")
-    alone.job()
+    other, name = alone.other_member("host-1"), machine_of("host-0", "host-0", "host-1")
+    alone.submit_job()
     machine = alone.heartbeat(name, 1)
-    put = alone.batch()
+    put = alone.next_batch()
     assert MACHINES + name in put.puts
     alone.core.machine_shard.on_task_grant(
         "host-0",
@@ -66,14 +66,14 @@
     )
     assert not alone.core.machine_shard.order_builder.orders(machine), "not before the store holds its record"
     if write_outcome == "before the view":
-        alone.core.batch_results.on_written(put, alone.carry_out(put).revision, alone.t)
+        alone.core.batch_results.on_written(put, alone.commit(put).revision, alone.t)
         assert [order["verb"] for order in alone.core.machine_shard.order_builder.orders(machine)] == ["run"]
     elif write_outcome == "before the view, unanswered":
-        assert not alone.carry_out(put).failed
+        assert not alone.commit(put).failed
         alone.core.batch_results.on_failed(put, alone.t)
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     if write_outcome == "after the view":
-        assert VIEW in alone.carry_out(put).failed
+        assert VIEW in alone.commit(put).failed
         assert not alone.core.machine_shard.order_builder.orders(machine), (
             "no run order after the failed put, though it still acts under the older view"
         )
@@ -246,7 +246,7 @@
     harness.heartbeat(1.0, 50)
     harness.machine_shard.enter_view(6, ["host-0", "host-1"], {}, 2.0, True, True)
     assert "n-1" not in harness.machine_shard.machines
-    harness.enter_view(7, 10.0, carry=True)
+    harness.enter_view(7, 10.0, inherit_tasks=True)
     harness.take_owner_reports()
     for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
         harness.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=reported)
@@ -259,12 +259,12 @@
     assert harness.machine.last_sequence == (2, 61), (
         "the newer incarnation's heartbeats arrived first: all others are older"
     )
-    harness.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=reported, asked=True)
-    harness.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=reported, asked=True)
+    harness.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=reported, is_probe_answer=True)
+    harness.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=reported, is_probe_answer=True)
     assert not harness.machine.acknowledged, (
         "probe answers with an older token, or not newer than the last heartbeat, are ignored"
     )
-    harness.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
+    harness.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], is_probe_answer=True)
     assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
     for fencing_token, sequence in ((6, 60), (6, 61), (7, 62)):
         assert harness.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=reported) is None
@@ -278,7 +278,7 @@
     harness.heartbeat(1.0, 1, tasks=[RUNNING])
     harness.grant(3, 73)
     assert harness.orders() == [("run", "wk-1/3", 73)]
-    harness.enter_view(6, 2.0, settle=False, carry=True)
+    harness.enter_view(6, 2.0, settle=False, inherit_tasks=True)
     harness.take_owner_reports()
     harness.heartbeat(2.1, 2, fencing_token=5, tasks=reported)
     assert not harness.take_owner_reports()
@@ -443,15 +443,18 @@
 def test_a_machine_with_blocked_outbound_traffic_expires_in_time_whatever_it_answers_to_probes(is_lost):
     """Each of three views within a lease probes it; the last probe is unanswered or answered by a new incarnation."""
     harness = MachineShardHarness()
-    harness.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
+    harness.heartbeat(1.0, 1, tasks=[RUNNING], is_probe_answer=True)
     assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
     harness.enter_view(6, 8.0)
-    harness.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
+    harness.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], is_probe_answer=True)
     assert harness.take_owner_reports() == [([0], [])]
-    assert harness.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and harness.machine.last_heartbeat_at == 9.0
+    assert (
+        harness.heartbeat(10.0, 4, fencing_token=6, is_probe_answer=True) is None
+        and harness.machine.last_heartbeat_at == 9.0
+    )
     harness.enter_view(7, 16.0)
     if not is_lost:
-        harness.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
+        harness.heartbeat(19.0, 1, fencing_token=7, incarnation=2, is_probe_answer=True)
         assert harness.machine.state is MachineState.UP and harness.take_owner_reports() == [([], [])], (
             "a new incarnation starts without tasks, as the old one's lease has expired"
         )
@@ -469,7 +472,7 @@
             fencing_token=7,
             incarnation=incarnation,
             tasks=[RUNNING] if incarnation == 1 else [],
-            asked=True,
+            is_probe_answer=True,
         )
         assert (
             harness.machine.state is MachineState.EXPIRED and not harness.take_owner_reports() and not harness.orders()
@@ -486,11 +489,11 @@
 def test_a_machine_that_only_answers_probes_gets_no_task():
     """Run orders are sent only in responses to heartbeats: its tasks would wait until its lease expires."""
     alone, name = SteppedController(), "n-000001"
-    alone.up(name)
-    alone.view("host-0")
+    alone.add_machine(name)
+    alone.commit_view("host-0")
     alone.t += VIEW_SETTLED_S
     alone.follow()
-    job = alone.job()
+    job = alone.submit_job()
     alone.core.round(alone.t)
     fencing_token = alone.core.membership.fencing_token
     machine = alone.core.machine_shard.machines[name]
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -50,9 +50,9 @@
         self.sent.append((label, body))
         return len(self.sent)
 
-    def enter_view(self, fencing_token, now, continued=True, settle=True, carry=False):
+    def enter_view(self, fencing_token, now, continued=True, settle=True, inherit_tasks=False):
         self.machine_shard.enter_view(
-            fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, carry
+            fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, now, continued, inherit_tasks
         )
         if settle:
             self.machine_shard.leases.settle(now)
@@ -61,11 +61,13 @@
     def machine(self):
         return self.machine_shard.machines["n-1"]
 
-    def heartbeat(self, now, sequence, fencing_token=5, incarnation=1, tasks=(), asked=False):
+    def heartbeat(self, now, sequence, fencing_token=5, incarnation=1, tasks=(), is_probe_answer=False):
         heartbeat = Heartbeat("n-1", "x", "c4", incarnation, sequence, fencing_token, "a", tasks=list(tasks))
-        return (self.machine_shard.heartbeats.on_probe_answer if asked else self.machine_shard.heartbeats.on_heartbeat)(
-            heartbeat, now
-        )
+        return (
+            self.machine_shard.heartbeats.on_probe_answer
+            if is_probe_answer
+            else self.machine_shard.heartbeats.on_heartbeat
+        )(heartbeat, now)
 
     def grant(self, index, attempt, now=0.0):
         self.machine_shard.on_task_grant(
@@ -186,12 +188,12 @@
     """A late probe answer proves the tasks of a machine that has not expired; an expired one needs a heartbeat."""
     harness = MachineShardHarness()
     harness.heartbeat(5.0, 1, fencing_token=4, tasks=[RUNNING])
-    harness.heartbeat(9.0, 2, fencing_token=5, tasks=[RUNNING], asked=True)
+    harness.heartbeat(9.0, 2, fencing_token=5, tasks=[RUNNING], is_probe_answer=True)
     assert harness.machine.state is MachineState.UP and harness.take_owner_reports() == [([0], [])]
     other = MachineShardHarness()
     other.heartbeat(LEASE_EXPIRY_PROOF_S + 1.0, 1, fencing_token=4)
     other.take_owner_reports()
-    other.heartbeat(LEASE_EXPIRY_PROOF_S + 2.0, 2, fencing_token=5, asked=True)
+    other.heartbeat(LEASE_EXPIRY_PROOF_S + 2.0, 2, fencing_token=5, is_probe_answer=True)
     assert other.machine.state is MachineState.EXPIRED and not other.machine.acknowledged, (
         "its expiry is reported; only a heartbeat makes it usable again"
     )
@@ -202,7 +204,7 @@
     harness.heartbeat(1.0, 1)
     harness.grant(3, 73)
     assert harness.orders() == [("run", "wk-1/3", 73)]
-    harness.enter_view(6, 2.0, carry=True)
+    harness.enter_view(6, 2.0, inherit_tasks=True)
     assert harness.take_owner_reports()[-1] == ([], [("wk-1", 3, 73)])
     harness.heartbeat(1.0 + LEASE_EXPIRY_PROOF_S - 0.1, 2, fencing_token=5)
     assert not harness.take_owner_reports()
@@ -506,22 +508,22 @@
     harness.grant(0, 70)
     assert harness.orders() == [("run", "wk-1/0", 70)]
     harness.take_owner_reports()
-    harness.heartbeat(5.0, 3, asked=True)  # sent before the worker received the response with the order
+    harness.heartbeat(5.0, 3, is_probe_answer=True)  # sent before the worker received the response with the order
     assert (
         ("wk-1", 0) in harness.machine.orders.pending
         and not harness.take_owner_reports()
         and harness.machine.last_sequence == (1, 2)
     )
-    harness.enter_view(6, 6.0, carry=True)
+    harness.enter_view(6, 6.0, inherit_tasks=True)
     harness.take_owner_reports()
-    harness.heartbeat(7.0, 4, fencing_token=5, asked=True)
+    harness.heartbeat(7.0, 4, fencing_token=5, is_probe_answer=True)
     assert not harness.machine.acknowledged and not harness.take_owner_reports(), (
         "it does not acknowledge the next view either"
     )
     assert harness.machine.last_sequence == (1, 2) and harness.machine.last_heartbeat_at == 1.0, (
         "only a probe answer that acknowledges the view counts as a heartbeat"
     )
-    harness.heartbeat(8.0, 5, fencing_token=6, asked=True, tasks=[RUNNING])
+    harness.heartbeat(8.0, 5, fencing_token=6, is_probe_answer=True, tasks=[RUNNING])
     assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
 
 
@@ -529,11 +531,11 @@
     """Heartbeat 1 has an older token; a probe answer acknowledges; then heartbeat 1 is delivered again."""
     harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, fencing_token=4)
-    harness.heartbeat(1.1, 2, asked=True)
+    harness.heartbeat(1.1, 2, is_probe_answer=True)
     assert harness.machine.acknowledged and not harness.orders()
     assert harness.heartbeat(1.2, 1) is None, "heartbeat 1 again"
     harness.grant(0, 70)
-    harness.heartbeat(2.0, 3, asked=True)
+    harness.heartbeat(2.0, 3, is_probe_answer=True)
     assert ("wk-1", 0) in harness.machine.orders.pending
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -63,14 +63,14 @@
 
     def __init__(self, seed: int, faults_after_claims: bool = True, **more) -> None:
         self.configuration = parse_priorities()
-        self.open: dict[str, PreemptionClaim] = {}  # machine -> its stored claim
-        self.victims: Counter[tuple[str, int]] = Counter()
-        self.claimed: set[tuple[str, int]] = set()  # task id, attempt
-        self.spent: list[tuple[float, str, int]] = []  # time, team, victims
+        self.stored_claims: dict[str, PreemptionClaim] = {}  # machine -> its stored claim
+        self.preemption_counts: Counter[tuple[str, int]] = Counter()
+        self.claimed_attempts: set[tuple[str, int]] = set()  # task id, attempt
+        self.preemption_log: list[tuple[float, str, int]] = []  # time, team, victims
         self.remaining_s: dict[str, float] = {}
         # of the last 4 s: time, tasks by job that were on no machine, free capacity by machine
         self.samples: deque[tuple[float, Counter, dict]] = deque()
-        self.made = 0
+        self.claim_count = 0
         self.faults_after_claims, self.claim_faults_until = faults_after_claims, 150.0
         super().__init__(seed, jobs=0, machines=8, **more)
         commit = self.store.commit
@@ -89,7 +89,7 @@
             self.after(self.rng.uniform(1.0, 60.0), self.submit, self.routine(number))
         for number in range(8):
             self.after(self.rng.uniform(35.0, 140.0), self.submit, self.urgent(20 + number))
-        self.after(0.5, self.count)
+        self.after(0.5, self.sample)
 
     def prepare(self, core) -> None:
         core.preemption.priority_configurations = lambda now: [self.configuration]
@@ -130,7 +130,7 @@
     def saved(self, task_id: str, remaining_s: float) -> None:
         self.remaining_s[task_id] = remaining_s
 
-    def count(self) -> None:
+    def sample(self) -> None:
         unplaced: Counter[str] = Counter()
         for job in self.accepted:
             # A result that was never reported does not count: the task runs again.
@@ -142,7 +142,7 @@
         self.samples.append((self.t, unplaced, free))
         while self.samples[0][0] < self.t - 4.0:
             self.samples.popleft()
-        self.after(0.25, self.count)
+        self.after(0.25, self.sample)
 
     def max_recently_waiting(self, job: str) -> int:
         return max((unplaced[job] for _, unplaced, _ in self.samples), default=0)
@@ -161,7 +161,7 @@
             min(tasks_that_fit(spec, free[name]) if name in free else 0 for _, _, free in self.samples)
             for name, worker in self.machines.items()
             if worker is not None
-            and name not in self.open
+            and name not in self.stored_claims
             and allowed(spec, worker.kind.type, worker.kind.zone, worker.kind.spot)
         )
 
@@ -178,7 +178,7 @@
         )
         return guarantee > 0 and reserved_cpus <= guarantee + 1e-9
 
-    def there(self, machine: str, claim: PreemptionClaim) -> int:
+    def running_victims(self, machine: str, claim: PreemptionClaim) -> int:
         """Victims whose same attempt is still on the machine."""
         worker = self.machines.get(machine)
         tasks = worker.tasks if worker is not None else {}
@@ -191,12 +191,12 @@
 
     def check_commit(self, new: dict, dropped: list[str]) -> None:
         for machine in dropped:
-            self.open.pop(machine, None)
+            self.stored_claims.pop(machine, None)
         for machine, claim in new.items():
-            if machine in self.open:
+            if machine in self.stored_claims:
                 raise Broken(f"claimed_twice: {machine}")
-            self.open[machine] = claim
-            self.made += 1
+            self.stored_claims[machine] = claim
+            self.claim_count += 1
             self.check_claim(machine, claim)
         if new and self.faults_after_claims and self.t < self.claim_faults_until:
             self.inject_claim_fault(list(new.values()))
@@ -205,14 +205,14 @@
         claimant, team = self.specs[claim.job], self.specs[claim.job].team
         served_tasks = sum(
             other.count
-            for name, other in self.open.items()
-            if other.job == claim.job and (name == machine or self.there(name, other))
+            for name, other in self.stored_claims.items()
+            if other.job == claim.job and (name == machine or self.running_victims(name, other))
         )
         if self.said.get(claim.job) == "done" or served_tasks > self.max_recently_waiting(claim.job):
             raise Broken(
                 f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.max_recently_waiting(claim.job)}"
             )
-        if any(task == claim.job for task, _ in self.victims):
+        if any(task == claim.job for task, _ in self.preemption_counts):
             raise Broken(f"cascade: {claim.job}")
         for job, index, attempt in claim.victims:
             spec = self.specs[job]
@@ -222,22 +222,28 @@
                 raise Broken(f"preemption: {job} ({spec.priority}) for {claim.job} ({claimant.priority})")
             if any(
                 (job, index, attempt) in map(tuple, other.victims)
-                for name, other in self.open.items()
+                for name, other in self.stored_claims.items()
                 if name != machine
             ):
                 raise Broken(f"victim_twice: {job}/{index}")
-            self.claimed.add((f"{job}/{index}", attempt))
-            self.victims[(job, index)] += 1
-            if self.victims[(job, index)] > 2:
-                raise Broken(f"stops: {job}/{index} stopped {self.victims[(job, index)]} times")
+            self.claimed_attempts.add((f"{job}/{index}", attempt))
+            self.preemption_counts[(job, index)] += 1
+            if self.preemption_counts[(job, index)] > 2:
+                raise Broken(f"stops: {job}/{index} stopped {self.preemption_counts[(job, index)]} times")
         # Claims are needed only for the tasks that lasting free capacity can't serve.
         shortfall = self.max_recently_waiting(claim.job) - self.lasting_free_capacity(claimant)
         if not self.faults_after_claims and served_tasks > shortfall:
             raise Broken(f"no_need: claim for {claim.job} at {self.t:.2f}: {served_tasks} for {shortfall}")
-        self.spent.append((claim.planned_at, team, len(claim.victims)))
-        if sum(count for at, owner, count in self.spent if owner == team and at > claim.planned_at - 60.0) > 12:
+        self.preemption_log.append((claim.planned_at, team, len(claim.victims)))
+        if (
+            sum(count for at, owner, count in self.preemption_log if owner == team and at > claim.planned_at - 60.0)
+            > 12
+        ):
             raise Broken(f"budget: {team} a minute at {self.t:.2f}")
-        if sum(self.there(name, other) for name, other in self.open.items() if other.team == team) > 8:
+        if (
+            sum(self.running_victims(name, other) for name, other in self.stored_claims.items() if other.team == team)
+            > 8
+        ):
             raise Broken(f"budget: {team} at once")
 
     def halted(self, task_id: str, task, worker) -> None:
@@ -248,7 +254,7 @@
             wire.split_task_id(task_id) in machine.orders.claim_stops for machine in machines if machine is not None
         )
         # After failovers job shards also stop tasks for other reasons.
-        if stopped_by_claim and (task_id, task.attempt) not in self.claimed:
+        if stopped_by_claim and (task_id, task.attempt) not in self.claimed_attempts:
             raise Broken(f"unclaimed: {task_id} stopped on {worker.name} at {self.t:.2f}")
 
     def inject_claim_fault(self, claims: list) -> None:
@@ -264,23 +270,23 @@
             claim = rng.choice(claims)
             self.after(rng.uniform(0.0, 2.0), self.withdraw, rng.choice([claim.job, claim.victims[0][0]]))
 
-    def over(self) -> bool:
-        return not self.open and all(self.said.get(job) or job in self.cancelled_at for job in self.accepted)
+    def is_finished(self) -> bool:
+        return not self.stored_claims and all(self.said.get(job) or job in self.cancelled_at for job in self.accepted)
 
     def check_end(self) -> None:
-        if self.open:
-            raise Broken(f"claims_left: {self.open}")
+        if self.stored_claims:
+            raise Broken(f"claims_left: {self.stored_claims}")
         for job in self.accepted:
             if job not in self.cancelled_at and self.said.get(job) != "done":
                 raise Broken(f"lost: {job} is {self.said.get(job)}")
-        for job, index in self.victims:
+        for job, index in self.preemption_counts:
             if job not in self.cancelled_at and f"{job}/{index}" not in self.completed:
                 raise Broken(f"lost: victim {job}/{index}")
 
 
 def play(seed, until=700.0, **more):
     world = ClaimsWorld(seed, **more)
-    while world.t < until and not (world.t > 200.0 and world.over()):
+    while world.t < until and not (world.t > 200.0 and world.is_finished()):
         world.run(world.t + 20.0)
     world.check_end()
     return world
@@ -293,11 +299,11 @@
 
 def test_claims_are_made_without_faults_but_not_without_declared_priorities():
     worlds = [play(seed, random_faults=False, faults_after_claims=False) for seed in (101, 103)]
-    assert all(world.made > 0 for world in worlds)
+    assert all(world.claim_count > 0 for world in worlds)
     undeclared = ClaimsWorld(101, random_faults=False, faults_after_claims=False)
     undeclared.configuration = PriorityConfiguration()
     undeclared.run(200.0)
-    assert undeclared.made == 0 and worlds[0].made > 0
+    assert undeclared.claim_count == 0 and worlds[0].claim_count > 0
 
 
 def victims_stopped_before_commit(monkeypatch):
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -90,7 +90,7 @@
     assert reports.orders() == [("run", "wk-1/0", 70)]
     reports.machine_shard.jobs.is_aborted = lambda job: True
     reports.take_owner_reports()
-    reports.enter_view(6, 2.0, settle=False, carry=True)
+    reports.enter_view(6, 2.0, settle=False, inherit_tasks=True)
     reports.machine_shard.leases.settle(2.5)
     ((reported, pending),) = reports.take_owner_reports()
     assert (reported, pending) == ([], [("wk-1", 0, 70)])
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -47,17 +47,17 @@
             self.after(FLOOD_AT + number / rate, self.send, array(number, tasks=2, estimate_s=5.0))
         self.after(FLOOD_AT, self.look)
 
-    def attempt(self, spec) -> None:
+    def try_submit(self, spec) -> None:
         """Submit at a random controller, which may refuse with 503; retry for ``USER_RETRY_S``."""
         if self.t - self.first_asked[spec.id] > USER_RETRY_S:
             return
         label = self.rng.choice(list(self.nodes))
         core = self.nodes[label].core
         if core is None or admission.decide(core, spec, self.t, False).admission is Admission.UNAVAILABLE:
-            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
             return
         self.submission_controllers = [label]
-        super().attempt(spec)
+        super().try_submit(spec)
 
     def record_commit(self, conditions, puts) -> None:
         for key, value in puts.items():
