--- a/alderbridge/reconciliation/prober.py
+++ b/alderbridge/reconciliation/prober.py
@@ -29,7 +29,7 @@
         self.tries = {}
 
     def next_machine(self, now: float, needs_no_probe: Callable[[str], bool]) -> str | None:
-        """Remove and return a due machine, skipping those that need no probe; ``unanswered`` queues it again."""
+        """Remove and return a due machine, skipping those that need no probe; ``on_probe_failed`` queues it again."""
         while self.queue and self.queue[0][0] <= now:
             name = heapq.heappop(self.queue)[-1]
             if not needs_no_probe(name):
