--- a/tests/simulation/__main__.py
+++ b/tests/simulation/__main__.py
@@ -20,9 +20,9 @@
         world = World(seed, nodes=5, machines=args.machines, jobs=args.machines, groups=True, falls=2, rush=True)
         world.run(args.until)
         world.remembered()
-        open_jobs = sum(job not in world.said for job in world.accepted)
+        open_jobs = sum(job not in world.reported_ends for job in world.accepted)
         print(
-            f"seed {seed}: {world.starts} starts, {len(world.accepted)} jobs accepted, {open_jobs} still open, "
+            f"seed {seed}: {world.task_starts} starts, {len(world.accepted)} jobs accepted, {open_jobs} still open, "
             f"{len(world.late_largest())} of the largest jobs started late, longest wait for a matching view "
             f"{world.store.longest_change:.1f} s, {time.process_time() - started_at:.0f} s of processor time"
         )
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -18,21 +18,21 @@
     def rent(self, kind, count: int) -> list[str]:
         names = []
         for _ in range(count):
-            if sum(name in self.kinds for name in self.machines) >= self.max_machines:
+            if sum(name in self.rented_kinds for name in self.machines) >= self.max_machines:
                 break
             name = f"n-{len(self.machines):06d}"
             self.machines[name] = None
-            self.kinds[name] = (kind, self.t)
+            self.rented_kinds[name] = (kind, self.t)
             names.append(name)
             if self.rng.random() > 0.05:
                 boot = self.rng.uniform(0.5, 1.5) * TYPES[kind.type].boot_s
-                if self.t < self.quick_until:
+                if self.t < self.quick_boots_until:
                     boot = self.rng.uniform(0.2, 2.0)
                 self.after(boot, self.boot, name, kind)
         return names
 
     def boot(self, name: str, kind) -> None:
-        if name in self.kinds:
+        if name in self.rented_kinds:
             self.machines[name] = SimWorker(self, name, kind)
 
     def remove(self, names: list[str]) -> None:
@@ -41,7 +41,7 @@
             if worker is not None:
                 worker.die()
                 self.machines[name] = None
-            self.kinds.pop(name, None)
+            self.rented_kinds.pop(name, None)
 
     def listing(self) -> list[wire.ListedMachine]:
         machines = [
@@ -53,7 +53,7 @@
                 kind.zone,
                 kind.spot,
             )
-            for name, (kind, rented_at) in self.kinds.items()
+            for name, (kind, rented_at) in self.rented_kinds.items()
             if self.t - rented_at > 4.0
         ]
         self.delayed_listings.append(machines)
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -365,7 +365,9 @@
         core.drain_machines(decision.drain, world.t)
         for kind, count in decision.scale_out:
             names = world.rent(kind, count)
-            if world.t < world.quick_until:  # machines boot and send heartbeats before the rental response arrives
+            if (
+                world.t < world.quick_boots_until
+            ):  # machines boot and send heartbeats before the rental response arrives
                 self.is_renting = True
                 world.after(world.rng.uniform(0.5, 3.0), self.rented, self.life, kind, names, count)
             else:
@@ -529,7 +531,7 @@
                 continue
             if world.rng.random() < 0.002:
                 continue
-            is_late = world.rng.random() < world.late_share
+            is_late = world.rng.random() < world.delayed_frame_share
             delay = 5.0 * world.rng.random() if is_late else world.rng.uniform(0.0005, 0.003)
             arrives_at = max(self.last_frame_arrivals[label] + 1e-6, (cut if held_back else world.t) + delay)
             self.last_frame_arrivals[label] = arrives_at
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -97,12 +97,12 @@
         elif kind == "lost_responses":
             self.store.lost_share, self.store.lost_until = rng.uniform(0.2, 0.9), self.t + length
         elif kind == "reports_kept":
-            self.kept_share, self.kept_until = rng.uniform(0.1, 0.6), self.t + length
+            self.heartbeat_copy_share, self.heartbeat_copies_until = rng.uniform(0.1, 0.6), self.t + length
             self.after(rng.uniform(0.3, 1.0) * length, self.end_leaders, rng.randint(1, 3), rng.uniform(1.0, 8.0))
         elif kind == "concurrent_reads":
-            self.looks_until = self.t + length
+            self.concurrent_reads_until = self.t + length
         elif kind == "quick_boots":
-            self.quick_until = self.t + length
+            self.quick_boots_until = self.t + length
             if rng.random() < 0.5:
                 self.after(rng.uniform(1.0, length), self.end_leaders, 1, 1.0)
         elif kind == "cancel_now":
@@ -190,7 +190,7 @@
             elif kind == "limits":
                 length += 20.0
             self.after(begins_at, self.inject_concurrent, kind, length)
-            self.calm_at = max(self.calm_at, begins_at + length + 60.0 * (kind == "refused"))
+            self.faults_end_at = max(self.faults_end_at, begins_at + length + 60.0 * (kind == "refused"))
         for _ in range(rng.randint(2, 5)):
             self.after(starts_at + rng.uniform(-3.0, 30.0), self.cancel_any)
 
@@ -207,13 +207,13 @@
 
     def can_reach(self, worker: SimWorker, label: str) -> bool:
         """Whether no zone partition separates the worker from the controller."""
-        zone, inside, until = self.zone_away
+        zone, inside, until = self.partitioned_zone
         return self.t >= until or (worker.kind.zone == zone) == (label == inside)
 
     def cut_zone(self, zone: str, sim: SimController, for_s: float) -> None:
         """Partitions a zone: its workers and ``sim`` reach only each other, users reach all; submits one-zone jobs."""
         rng = self.rng
-        self.zone_away = (zone, sim.label, self.t + for_s)
+        self.partitioned_zone = (zone, sim.label, self.t + for_s)
         sim.cut_store_until = sim.cut_mesh_until = self.t + for_s
         for _ in range(rng.randint(2, 4)):
             spec = msgspec.structs.replace(
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -50,11 +50,11 @@
     def entered(self, task_id: str, worker: SimWorker) -> None:
         job = wire.split_task_id(task_id)[0]
         spec = self.specs[job]
-        if task_id in self.on:
-            raise Broken(f"ran_twice: {task_id} on {self.on[task_id]} and {worker.name} at {self.t:.2f}")
+        if task_id in self.running_on:
+            raise Broken(f"ran_twice: {task_id} on {self.running_on[task_id]} and {worker.name} at {self.t:.2f}")
         zones = [
             self.machines[name].kind.zone
-            for other, name in self.on.items()
+            for other, name in self.running_on.items()
             if wire.split_task_id(other)[0] == job and self.machines.get(name)
         ]
         zones.append(worker.kind.zone)
@@ -63,16 +63,16 @@
         for need in spec.dependencies or ():
             if any(f"{need}/{index}" not in self.completed for index in range(self.specs[need].tasks)):
                 raise Broken(f"too_early: {task_id} before {need}")
-        self.on[task_id] = worker.name
-        self.starts += 1
-        self.waits.pop(job, None)
+        self.running_on[task_id] = worker.name
+        self.task_starts += 1
+        self.placeable_since.pop(job, None)
         if self.t > self.cancelled_at.get(job, math.inf):
-            self.starts_after.append((task_id, self.t - self.cancelled_at[job]))
-        self.began.setdefault(job, self.t)
+            self.starts_after_cancellation.append((task_id, self.t - self.cancelled_at[job]))
+        self.first_started_at.setdefault(job, self.t)
         for team in deployment.TEAMS:
             used = sum(
                 self.specs[wire.split_task_id(other)[0]].cpus
-                for other in self.on
+                for other in self.running_on
                 if self.specs[wire.split_task_id(other)[0]].team == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-9:
@@ -93,7 +93,7 @@
 
     def check_placeable_jobs(self) -> None:
         """Checks that no job waits longer than ``ROOM_S`` while free capacity suits it, after the faults have ended."""
-        if self.t < self.calm_at:
+        if self.t < self.faults_end_at:
             return
         reported: dict[str, SimWorker] = {}
         used: dict[str, float] = {}
@@ -122,9 +122,9 @@
         limits = {team.name: team.cpus_max or math.inf for team in deployment.TEAMS}
         for job in sorted(self.accepted):
             spec = self.specs[job]
-            is_exempt = job in self.said or job in self.cancelled_at or spec.dependencies
+            is_exempt = job in self.reported_ends or job in self.cancelled_at or spec.dependencies
             if is_exempt or all(f"{job}/{i}" in self.completed or f"{job}/{i}" in reported for i in range(spec.tasks)):
-                self.waits.pop(job, None)
+                self.placeable_since.pop(job, None)
                 continue
             is_within_limit = used.get(spec.team, 0.0) + spec.cpus <= limits[spec.team] + 1e-9
             if not is_within_limit or not any(
@@ -133,25 +133,25 @@
                 and self.may_place(spec, worker.kind, [*zones.get(job, ()), worker.kind.zone])
                 for worker, cpus, memory in free
             ):
-                self.waits.pop(job, None)
+                self.placeable_since.pop(job, None)
                 continue
-            waited = self.t - self.waits.setdefault(job, self.t)
-            self.longest_wait = max(self.longest_wait, waited)
+            waited = self.t - self.placeable_since.setdefault(job, self.t)
+            self.longest_placeable_wait_s = max(self.longest_placeable_wait_s, waited)
             if waited > ROOM_S:
-                raise Broken(f"waited: {job} although free capacity suits it since {self.waits[job]:.1f}")
+                raise Broken(f"waited: {job} although free capacity suits it since {self.placeable_since[job]:.1f}")
 
     def check_jobs_answered(self) -> None:
         """Checks that each open job got a status within ``KNOWN_S``, counted from the end of the faults."""
         for job in self.accepted:
-            since = max(self.answered_at.get(job, self.accepted_at.get(job, self.t)), self.calm_at)
-            if job not in self.said and self.t - since > KNOWN_S:
+            since = max(self.last_status_at.get(job, self.accepted_at.get(job, self.t)), self.faults_end_at)
+            if job not in self.reported_ends and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
     def judged(self) -> None:
         """Runs on until all time limits have been checked: waiting jobs, and the start of the largest jobs."""
-        self.run(max(self.t, self.calm_at + ROOM_S + 10.0))
+        self.run(max(self.t, self.faults_end_at + ROOM_S + 10.0))
         while late := self.largest_not_started():
-            self.run(min(self.first_asked[job] for job in late) + BEGIN_S + 0.5)
+            self.run(min(self.first_submitted_at[job] for job in late) + BEGIN_S + 0.5)
             if self.late_largest():
                 raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
         if self.late_largest():
@@ -159,8 +159,8 @@
         self.remembered()
 
     def left(self, task_id: str, machine: str) -> None:
-        if self.on.get(task_id) == machine:
-            del self.on[task_id]
+        if self.running_on.get(task_id) == machine:
+            del self.running_on[task_id]
 
     def watch(self) -> None:
         for worker in self.machines.values():
@@ -168,7 +168,7 @@
                 worker.tick()
                 if worker.recall_at is not None and self.t >= worker.recall_at:
                     self.remove([worker.name])
-        for task_id, machine in self.on.items():
+        for task_id, machine in self.running_on.items():
             if self.t > self.cancelled_at.get(wire.split_task_id(task_id)[0], math.inf) + CANCEL_S:
                 raise Broken(f"ran_cancelled: {task_id} on {machine}")
         for sim in self.nodes.values():
@@ -197,8 +197,8 @@
     def remembered(self) -> None:
         """Checks at the end of a run that each open job got a status within ``KNOWN_S``."""
         for job in sorted(self.accepted):
-            since = self.answered_at.get(job, self.first_asked.get(job, 0.0))
-            if job not in self.said and self.t - since > KNOWN_S:
+            since = self.last_status_at.get(job, self.first_submitted_at.get(job, 0.0))
+            if job not in self.reported_ends and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
     def late_largest(self) -> list[str]:
@@ -206,11 +206,11 @@
         return [
             job
             for job in self.largest_jobs()
-            if min(self.began.get(job, math.inf), self.t) > self.first_asked[job] + BEGIN_S
+            if min(self.first_started_at.get(job, math.inf), self.t) > self.first_submitted_at[job] + BEGIN_S
         ]
 
     def largest_not_started(self) -> list[str]:
-        return [job for job in self.largest_jobs() if job not in self.began]
+        return [job for job in self.largest_jobs() if job not in self.first_started_at]
 
     def largest_jobs(self) -> list[str]:
         classes: dict[str, list[wire.JobSpec]] = {}
@@ -269,7 +269,7 @@
         leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader
         if leader != (self.leaders[-1] if self.leaders else ""):
             self.leaders.append(leader)
-        kept, self.kept = self.kept, []
+        kept, self.kept_heartbeats = self.kept_heartbeats, []
         for heartbeat in kept:
             delay = self.rng.choice([0.005, 0.3, 2.0, 8.0]) * self.rng.random()
             for sim in self.nodes.values():
@@ -281,7 +281,7 @@
             self.t < self.cancel_at_end_until
             and self.rng.random() < self.cancel_at_end_share
             and job in self.accepted
-            and job not in self.said
+            and job not in self.reported_ends
             and job not in self.cancelled_at
             and all(f"{job}/{i}" in self.completed for i in range(self.specs[job].tasks))
         ):
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -190,7 +190,7 @@
 
     def submit(self, spec: wire.JobSpec) -> None:
         self.specs[spec.id] = spec
-        self.first_asked.setdefault(spec.id, self.t)
+        self.first_submitted_at.setdefault(spec.id, self.t)
         sim = self.nodes[self.rng.choice(self.labels)]
         core = sim.core
         if spec.id in self.accepted:
@@ -215,7 +215,7 @@
         self.after(1.5, self.submit, spec)
 
     def accept(self, job: str) -> None:
-        if job in self.flawed:
+        if job in self.invalid_jobs:
             raise Broken(f"took_flawed: {job}")
         self.accepted.add(job)
         if job not in self.accepted_at:
@@ -224,7 +224,7 @@
 
     def answer(self, job: str, state: str, asked: float | None = None) -> None:
         """Checks a reported state; ``asked``: when it was requested, if another response may have arrived since."""
-        before, ends = self.said.get(job), state in ("done", "aborted")
+        before, ends = self.reported_ends.get(job), state in ("done", "aborted")
         if before is not None and state != before:
             if asked is None or ends or asked >= self.end_reported_at[job]:
                 raise Broken(f"went_back: {job} {before} -> {state}")
@@ -236,13 +236,13 @@
             missing = [i for i in range(self.specs[job].tasks) if f"{job}/{i}" not in self.completed]
             if missing:
                 raise Broken(f"not_done: {job} lacks {missing}")
-            self.said[job] = state
+            self.reported_ends[job] = state
         elif state == "aborted":
             if job not in self.cancelled_at and not any(
                 one in self.cancelled_at for one in self.transitive_dependencies(job)
             ):
                 raise Broken(f"went_back: {job} was never cancelled")
-            self.said[job] = state
+            self.reported_ends[job] = state
             if job in self.cancelled_at:  # the first response counts, also one to a status request
                 self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
         elif any(
@@ -253,13 +253,13 @@
 
     def poll(self, job: str) -> None:
         """Requests the status of a job at intervals, from each controller in turn."""
-        sim = self.nodes[self.labels[next(self.turn) % len(self.labels)]]
+        sim = self.nodes[self.labels[next(self.poll_numbers) % len(self.labels)]]
         if self.has_concurrent_faults:
             self.request_status(sim, job)
         else:
             state = self.question(sim, job)
             if state is not None:
-                self.answered_at[job] = self.t
+                self.last_status_at[job] = self.t
                 self.answer(job, state)
         self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
 
@@ -273,7 +273,7 @@
             if self.accepted_at.get(job, math.inf) <= asked:
                 raise Broken(f"forgotten: {job} at {self.t:.2f}, accepted at {self.accepted_at[job]:.2f}")
         elif state is not None:
-            self.answered_at[job] = self.t
+            self.last_status_at[job] = self.t
             self.answer(job, state, asked)
 
     def resubmit(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
@@ -284,10 +284,10 @@
 
     def query_concurrently(self, job: str) -> None:
         """Sends status requests, repeated submissions and cancellations to all controllers within milliseconds."""
-        if self.t >= self.looks_until:
+        if self.t >= self.concurrent_reads_until:
             return
         rng = self.rng
-        withdraws_often = rng.random() < (0.5 if job in self.said else 0.1)
+        withdraws_often = rng.random() < (0.5 if job in self.reported_ends else 0.1)
         for label in self.labels:
             for _ in range(rng.randint(1, 3)):
                 self.after(
@@ -299,7 +299,7 @@
                 )
 
     def send_concurrent_request(self, sim: SimController, job: str, kind: str) -> None:
-        self.looks += 1
+        self.concurrent_request_count += 1
         if kind == "ask":
             self.request_status(sim, job)
         elif kind == "withdraw":
@@ -312,7 +312,7 @@
         rng = self.rng
         sim = self.nodes[rng.choice(self.labels)]
         kind = rng.choice(["repeat", "withdraw", "flawed", "flawed"])
-        ended_jobs, open_jobs = sorted(self.said), sorted(self.accepted - self.said.keys())
+        ended_jobs, open_jobs = sorted(self.reported_ends), sorted(self.accepted - self.reported_ends.keys())
         if kind == "repeat" and open_jobs:
             self.resubmit(sim, rng.choice(open_jobs))
         elif kind == "withdraw" and ended_jobs:
@@ -324,7 +324,7 @@
                 del body[field]
             else:
                 body |= {field: value} if field else value
-            self.flawed.add(body.get("id", ""))
+            self.invalid_jobs.add(body.get("id", ""))
             sim.submit_body(json.dumps(body).encode(), lambda state: self.check_rejected(body, state))
 
     def check_rejected(self, body: dict, state: str | None) -> None:
@@ -362,7 +362,7 @@
         return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
 
     def withdraw(self, job: str) -> None:
-        if job in self.said:
+        if job in self.reported_ends:
             return
         if self.has_concurrent_faults:
             self.withdraw_through(self.nodes[self.rng.choice(self.labels)], job)
@@ -382,7 +382,7 @@
     def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
         """As ``CancellationHandler.cancel``: by this controller or a message to the job owner; retried if ``again``."""
         core, asked = sim.core, self.t
-        if job not in self.said:
+        if job not in self.reported_ends:
             self.cancelled_at.setdefault(job, math.inf)
         if again:
             self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
@@ -410,10 +410,10 @@
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
         """Cancels running jobs within 0.2 s; with ``hang_s``, up to eight of their machines hang for that time."""
         rng = self.rng
-        running = sorted({wire.split_task_id(part)[0] for part in self.on})
-        running = [job for job in running if job not in self.said and job not in self.cancelled_at]
+        running = sorted({wire.split_task_id(part)[0] for part in self.running_on})
+        running = [job for job in running if job not in self.reported_ends and job not in self.cancelled_at]
         jobs = rng.sample(running, min(count, len(running)))
-        machines = sorted({name for part, name in self.on.items() if wire.split_task_id(part)[0] in jobs})
+        machines = sorted({name for part, name in self.running_on.items() if wire.split_task_id(part)[0] in jobs})
         for name in rng.sample(machines, min(8, len(machines))) if hang_s else ():
             self.machines[name].hangs_until = self.t + hang_s
         for job in jobs:
@@ -462,6 +462,6 @@
             self.after(1.0, self.withdraw_accepted, job)
 
     def cancel_any(self) -> None:
-        jobs = sorted(job for job in self.accepted if job not in self.said and job not in self.cancelled_at)
+        jobs = sorted(job for job in self.accepted if job not in self.reported_ends and job not in self.cancelled_at)
         if jobs:
             self.withdraw(self.rng.choice(jobs))
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -85,8 +85,12 @@
             world.after(4.0, self.timeout, request)
             return
         raw = self.heartbeat_body()
-        if world.t < world.kept_until and len(world.kept) < 300 and world.rng.random() < world.kept_share:
-            world.kept.append(raw)
+        if (
+            world.t < world.heartbeat_copies_until
+            and len(world.kept_heartbeats) < 300
+            and world.rng.random() < world.heartbeat_copy_share
+        ):
+            world.kept_heartbeats.append(raw)
 
         def reply(status: int, body: bytes) -> None:
             if world.t >= max(self.cut_until, self.deaf_until) and world.can_reach(self, controller):
@@ -202,7 +206,7 @@
             if order["verb"] == "halt" and task.status != "ended":
                 job = wire.split_task_id(task_id)[0]
                 if job not in self.world.cancelled_at:
-                    self.world.halted_needed.append(task_id)
+                    self.world.wrongly_halted.append(task_id)
                     self.world.halted(task_id, task, self)
                 spec, wind_down = self.world.specs[job], order["wind_down_s"]
                 if spec.checkpoint_s > 0 and wind_down >= spec.save_s and task.status in ("running", "saving"):
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -37,7 +37,7 @@
         for number in range(6):
             self.after(rng.uniform(40.0, 200.0), self.submit, self.make_job(60 + number))
         if not self.is_fault_free:
-            self.late_share = 0.03
+            self.delayed_frame_share = 0.03
             for minute in range(1, 4):  # requests and grants sent before closing arrive after it
                 self.after(60.0 * minute - rng.uniform(4.0, 12.0), self.partition_controller, rng.uniform(6.0, 20.0))
         for _ in range(rng.randint(2, 5) if crashes else 0):
@@ -136,7 +136,7 @@
 
     def watch(self) -> None:
         super().watch()
-        for task in self.on if self.is_fault_free else ():
+        for task in self.running_on if self.is_fault_free else ():
             spec, configuration = self.specs[wire.split_task_id(task)[0]], self.configurations[-1]
             rule, until = self.closing_time(configuration, spec, STOP_DELAY_S)
             since = self.closing_time(configuration, spec)[1]
@@ -170,7 +170,7 @@
 
 
 def unfinished_jobs(world) -> list[str]:
-    return [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    return [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("seed", range(9000, 9006))
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("seed", range(9100, 9105))
 def test_no_task_starts_in_closed_hours_under_random_faults(seed):
-    assert play(seed, 260.0, nodes=3 + 2 * (seed % 2), pipelines=2, groups=seed % 2 == 0).starts > 0
+    assert play(seed, 260.0, nodes=3 + 2 * (seed % 2), pipelines=2, groups=seed % 2 == 0).task_starts > 0
 
 
 def test_task_granted_but_not_sent_at_closing_is_released():
@@ -213,7 +213,7 @@
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # for an older offer
     assert not owner.jobs[spec.id].runs
-    assert task not in world.on and owner.jobs[spec.id].waiting == 1 and not machine.orders.pending
+    assert task not in world.running_on and owner.jobs[spec.id].waiting == 1 and not machine.orders.pending
     for other in world.nodes.values():
         assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.calendars.apply([])
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -80,7 +80,7 @@
         waiting_now = set()
         for job in world.accepted:
             spec = world.specs[job]
-            if job in world.said or job in world.cancelled_at:
+            if job in world.reported_ends or job in world.cancelled_at:
                 continue
             live = live_tasks.get(job, [])
             live_ids = {task_id for task_id, _ in live}
@@ -154,7 +154,7 @@
             **kwargs,
         )
         self.has_concurrent_faults = True  # users cancel through any controller
-        self.calm_at = math.inf  # each test tells its own checker when the faults have ended
+        self.faults_end_at = math.inf  # each test tells its own checker when the faults have ended
         self.store_write_rps, self.write_tokens, self.last_refill_at, self.rejected_commits, self.changes = (
             write_rps,
             write_rps,
@@ -182,7 +182,7 @@
 
     def send(self, spec: wire.JobSpec) -> None:
         self.specs[spec.id] = spec
-        self.first_asked[spec.id] = self.sent_at[spec.id] = self.t
+        self.first_submitted_at[spec.id] = self.sent_at[spec.id] = self.t
         self.try_submit(spec)
 
     def try_submit(self, spec: wire.JobSpec) -> None:
@@ -229,7 +229,7 @@
             self.after(self.rng.uniform(1.0, 5.0), self.poll, job)
 
     def poll(self, job: str) -> None:
-        if job not in self.said:
+        if job not in self.reported_ends:
             super().poll(job)
 
     def ordered(self, task_id: str) -> None:
@@ -317,12 +317,12 @@
     assert len(world.accepted) == len(world.sent_at) == 488
     latencies = submission_latencies(world)
     assert latencies[-1] < 10.0 and latencies[int(0.9 * len(latencies))] < 0.3
-    assert {world.said.get(job) for job in world.accepted if int(job[3:]) % 4} == {"done"}
-    ends = [world.said.get(job) for job in world.accepted if int(job[3:]) % 4 == 0]
+    assert {world.reported_ends.get(job) for job in world.accepted if int(job[3:]) % 4} == {"done"}
+    ends = [world.reported_ends.get(job) for job in world.accepted if int(job[3:]) % 4 == 0]
     assert set(ends) <= {"done", "aborted"} and ends.count("aborted") > 80
     assert not world.starts_after_cancel and checker.longest_wait_s < MAX_WAIT_S
     # Only the final status of each job remains: no pending writes, orders, reservations or quota usage.
-    assert world.backlog() == 0 and not world.on
+    assert world.backlog() == 0 and not world.running_on
     for sim in world.nodes.values():
         core = sim.core
         assert not (
@@ -430,7 +430,7 @@
             self.after(rng.uniform(5.0, 60.0), self.send, spec)
 
     def boot(self, name, kind) -> None:
-        if name in self.kinds:
+        if name in self.rented_kinds:
             self.machines[name] = IsolatedZoneWorker(self, name, kind)
 
     def question(self, sim, job):
@@ -453,7 +453,9 @@
     world = IsolatedZoneWorld(seed, **kwargs)
     world.run(45.0)
     label = world.leader.label if is_leader else min(set(LABELS) - {world.leader.label})
-    tasks_in_zone = [task_id for task_id, name in world.on.items() if world.machines[name].kind.zone == ISOLATED_ZONE]
+    tasks_in_zone = [
+        task_id for task_id, name in world.running_on.items() if world.machines[name].kind.zone == ISOLATED_ZONE
+    ]
     world.cut_zone(label, duration_s, failed_share)
     world.run(45.0 + duration_s + 15.0)
     checker = FreeCapacityChecker(world, world.t)
@@ -466,7 +468,7 @@
     """No task runs twice or in a wrong zone during the partition, and all jobs are done after it."""
     world, checker, tasks_in_zone = run_isolated_zone(seed, is_leader, duration_s)
     assert len(tasks_in_zone) >= 5, "tasks ran in the isolated zone"
-    assert {world.said.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == 30
+    assert {world.reported_ends.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == 30
     assert checker.longest_wait_s < MAX_WAIT_S
 
 
@@ -524,9 +526,9 @@
             self.after(5.0 + duration_s * number / jobs, self.send, spec)
 
     def delay_links(self, until: float) -> None:
-        self.late_share = 0.3  # share of frames, delayed by up to 5 s
+        self.delayed_frame_share = 0.3  # share of frames, delayed by up to 5 s
         self.store.slow_by, self.store.slow_until = 40.0, until
-        self.after(until - self.t, setattr, self, "late_share", 0.001)
+        self.after(until - self.t, setattr, self, "delayed_frame_share", 0.001)
 
 
 def run_overloaded(seed, outage_s=0.0, until=420.0):
@@ -539,14 +541,14 @@
             world.end(sim, outage_s + world.rng.uniform(0.0, 2.0))
     world.run(110.0)
     checker = FreeCapacityChecker(world, world.t)
-    while world.t < until and len(world.said) < len(world.specs):
+    while world.t < until and len(world.reported_ends) < len(world.specs):
         world.run(world.t + 10.0)
     return world, checker
 
 
 def start_latencies(world, priority):
     return sorted(
-        world.began.get(job, world.t) - world.sent_at[job]
+        world.first_started_at.get(job, world.t) - world.sent_at[job]
         for job in world.sent_at
         if world.specs[job].priority == priority
     )
@@ -558,7 +560,9 @@
     urgent, other = start_latencies(world, "production"), start_latencies(world, "best_effort")
     assert urgent[len(urgent) // 2] < other[len(other) // 2] and other[-1] < BEGIN_S
     assert not world.late_largest() and checker.longest_wait_s < MAX_WAIT_S
-    assert {world.said.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == len(world.specs)
+    assert {world.reported_ends.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == len(
+        world.specs
+    )
 
 
 def no_candidates_in_a_zone(monkeypatch):
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("nodes, seed", [*((5, 12000 + n) for n in (0, 2, 4, 6)), *((3, 12000 + n) for n in range(6))])
 def test_invariants_hold_under_concurrent_faults(nodes, seed):
     world = run_concurrent_faults(seed, nodes)
-    assert world.starts > 0 and not world.late_largest()
+    assert world.task_starts > 0 and not world.late_largest()
 
 
 def test_runs_contain_cancellations_and_view_changes():
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("kind", ["mute", "quick_boots", "limits", "zone_away", "reports_kept", "ten_leaders"])
 def test_each_fault_has_its_intended_effect(kind):
     world = calm_world(5, jobs=14, until=50.0, nodes=5)
-    sim, before, fencing_token = world.nodes["host-1"], dict(world.kinds), world.store.data[VIEW][1]
+    sim, before, fencing_token = world.nodes["host-1"], dict(world.rented_kinds), world.store.data[VIEW][1]
     worker = next(worker for worker in world.machines.values() if worker is not None and worker.alive)
     incarnation = worker.incarnation
     if kind == "mute":
@@ -90,10 +90,10 @@
             submit_job(world, 50 + number, estimate_s=30.0)
             submit_job(world, 60 + number, estimate_s=30.0)
         world.run(53.0)
-        assert sim.world.quick_until > world.t
-        world.rent(world.kinds[min(before)][0], 1)
+        assert sim.world.quick_boots_until > world.t
+        world.rent(world.rented_kinds[min(before)][0], 1)
         world.run(56.0)
-        assert len(world.kinds) > len(before) and world.machines[max(world.kinds)] is not None
+        assert len(world.rented_kinds) > len(before) and world.machines[max(world.rented_kinds)] is not None
     elif kind == "limits":
         used = []
         while world.t < 110.0:
@@ -101,13 +101,13 @@
             used.append(
                 sum(
                     world.specs[wire.split_task_id(task_id)[0]].cpus
-                    for task_id in world.on
+                    for task_id in world.running_on
                     if world.specs[wire.split_task_id(task_id)[0]].team == "bound"
                 )
             )
         assert max(used) == 16.0
     elif kind == "zone_away":
-        zone, inside, until = world.zone_away
+        zone, inside, until = world.partitioned_zone
         world.run(world.t + 30.0)
         reporting_to = {
             worker.core for worker in world.machines.values() if worker is not None and worker.kind.zone != zone
@@ -115,12 +115,12 @@
         assert zone in ZONES and inside == sim.label and until == 90.0 and not sim.core.may_act()
         assert sim.label not in reporting_to
     elif kind == "reports_kept":
-        world.kept_share = 1.0
+        world.heartbeat_copy_share = 1.0
         world.run(52.0)
-        world.kept_until, kept = 0.0, len(world.kept)
+        world.heartbeat_copies_until, kept = 0.0, len(world.kept_heartbeats)
         world.end_leaders(1, 1.0)
         world.run(60.0)
-        assert kept and not world.kept
+        assert kept and not world.kept_heartbeats
     else:
         world.run(175.0)
         assert len(world.leaders) >= 7
@@ -128,7 +128,7 @@
 
 def test_users_query_in_bursts_and_submit_invalid_jobs():
     world = calm_world(2)
-    world.looks_until = 60.0
+    world.concurrent_reads_until = 60.0
     for number in range(6):
         job = submit_job(world, number, estimate_s=3.0)
         if number % 2:
@@ -136,8 +136,10 @@
     for number in range(60):
         world.after(0.5 * number, world.odd_request)
     world.run(60.0)
-    assert world.looks > 30 and len(world.flawed) > 15 and not world.flawed & world.accepted
-    assert sorted(world.said.values()).count("aborted") >= 2
+    assert (
+        world.concurrent_request_count > 30 and len(world.invalid_jobs) > 15 and not world.invalid_jobs & world.accepted
+    )
+    assert sorted(world.reported_ends.values()).count("aborted") >= 2
 
 
 def extend_permission_to_act(monkeypatch):
@@ -217,7 +219,7 @@
     def play():
         for seed in range(4):
             world = calm_world(seed, until=10.0)
-            world.looks_until = 60.0
+            world.concurrent_reads_until = 60.0
             for number in range(8):
                 submit_job(world, number, estimate_s=6.0)
             world.run(30.0)
@@ -225,7 +227,7 @@
             for number in range(8):
                 submit_job(world, 10 + number, estimate_s=6.0)
             world.run(70.0)
-            assert world.said and world.looks > 20
+            assert world.reported_ends and world.concurrent_request_count > 20
 
     play()
     report_pending_while_end_is_unconfirmed(monkeypatch)
@@ -268,7 +270,7 @@
     )
     world.submit(spec)
     world.run(60.0)
-    assert spec.id in world.accepted and spec.id not in world.began
+    assert spec.id in world.accepted and spec.id not in world.first_started_at
     other = [
         msgspec.structs.replace(spec, id=f"wk-{number}", types=None, tasks=1, cpus=1.0, priority="standard")
         for number in range(6)
@@ -276,7 +278,7 @@
     for one in other:
         world.submit(one)
     world.run(180.0)
-    assert world.longest_wait < 45.0 and all(one.id in world.began for one in other)
+    assert world.longest_placeable_wait_s < 45.0 and all(one.id in world.first_started_at for one in other)
 
 
 @pytest.mark.parametrize("why", ["no capacity", "at its limit", "other zone", "inbound blocked", "cancelled"])
@@ -284,7 +286,7 @@
     world = calm_world(until=30.0)
     submit_job(world, 1, estimate_s=1000.0)
     world.run(60.0)
-    assert world.on
+    assert world.running_on
     real = placement.fill
     monkeypatch.setattr(placement, "fill", lambda *args: [want for want in real(*args) if want.job != late])
     spec = msgspec.structs.replace(world.specs[submit_job(world, 2)])
@@ -305,7 +307,7 @@
     else:
         world.cancelled_at[late] = math.inf
     world.run(60.0 + ROOM_S + 20.0)
-    assert late not in world.waits
+    assert late not in world.placeable_since
 
 
 real_decide = Leader.decide
@@ -352,8 +354,10 @@
 def test_start_after_confirmed_cancellation_is_recorded(monkeypatch):
     world, job = cancel_on_hanging_machine()
     world.run(world.t + 60.0)
-    assert world.said[job] == "aborted" and not world.on, "the machine resumed and its task was then stopped"
-    assert [task_id for task_id, after_s in world.starts_after if 0.0 < after_s < 42.0] == [f"{job}/0"]
+    assert world.reported_ends[job] == "aborted" and not world.running_on, (
+        "the machine resumed and its task was then stopped"
+    )
+    assert [task_id for task_id, after_s in world.starts_after_cancellation if 0.0 < after_s < 42.0] == [f"{job}/0"]
     never_stop_tasks(monkeypatch)
     monkeypatch.setattr(MachineShard, "on_stop_task", lambda self, stop: None)
     monkeypatch.setattr(OrderBuilder, "stop_orphans", lambda self, machine: None)
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -149,7 +149,7 @@
 
 
 def unfinished_jobs(world):
-    return [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    return [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("seed", range(11000, 11012))
@@ -158,7 +158,7 @@
     world.run(230.0)
     assert all(sim.core.may_act() for sim in world.nodes.values())
     world.run(400.0)
-    assert world.starts > 0 and not unfinished_jobs(world) and world.view.contact_timeout_s > 0
+    assert world.task_starts > 0 and not unfinished_jobs(world) and world.view.contact_timeout_s > 0
 
 
 def accept_frames_of_failed_peers(monkeypatch):
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -46,15 +46,15 @@
     return [
         job
         for job in world.accepted
-        if job not in world.said and not world.specs[job].service and job not in world.cancelled_at
+        if job not in world.reported_ends and not world.specs[job].service and job not in world.cancelled_at
     ]
 
 
 @pytest.mark.parametrize("seed", range(8500, 8504))
 def test_no_task_or_job_is_lost_while_controllers_restart(seed):
     world = run_flapping(seed, until=330.0)
-    assert world.starts > 0 and not unfinished_jobs(world) and not world.late_largest()
-    assert not world.halted_needed, "the tasks of an earlier incarnation belong to the next one"
+    assert world.task_starts > 0 and not unfinished_jobs(world) and not world.late_largest()
+    assert not world.wrongly_halted, "the tasks of an earlier incarnation belong to the next one"
 
 
 @pytest.mark.parametrize("seed", (8600, 8601, 8602))
@@ -155,10 +155,10 @@
         core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
-    world.first_asked[spec.id] = world.t
+    world.first_submitted_at[spec.id] = world.t
     world.poll(spec.id)
     world.run(90.0)
-    assert world.said.get(spec.id) == "done"
+    assert world.reported_ends.get(spec.id) == "done"
 
 
 def test_job_whose_record_has_all_tasks_done_ends():
@@ -171,7 +171,7 @@
     world.accepted.add(spec.id)
     world.poll(spec.id)
     world.run(40.0)
-    assert world.said.get(spec.id) == "done"
+    assert world.reported_ends.get(spec.id) == "done"
 
 
 def test_reply_to_an_earlier_incarnation_does_not_answer_another_query():
@@ -365,7 +365,7 @@
     for seed in range(8900, 8940):
         try:
             world = run_flapping(seed, until=230.0, **options)
-            violation = "halted" if world.halted_needed else "unfinished_jobs" if unfinished_jobs(world) else ""
+            violation = "halted" if world.wrongly_halted else "unfinished_jobs" if unfinished_jobs(world) else ""
         except Broken as error:
             violation = str(error)
         if violation.startswith(invariant):
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -880,7 +880,7 @@
     world = LateCommitWorld(seed, pipelines=3)
     world.run(200.0)
     world.remembered()
-    assert world.starts > 0
+    assert world.task_starts > 0
 
 
 @pytest.mark.parametrize("status", (400, 401, 418))
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -631,13 +631,17 @@
     def sample(self):
         super().sample()
         used = Counter()
-        for task in self.on:
+        for task in self.running_on:
             one = self.specs[wire.split_task_id(task)[0]]
             used[one.team, 0] += one.cpus
             used[one.team, 1] += one.gpus
         self.recent_use = [*getattr(self, "recent_use", [])[-16:], used]  # of 4 s, the maximum age of the leader's data
-        for machine, kind in ((name, self.kinds[name][0]) for name in self.machines if name in self.kinds):
-            gpus = sum(self.specs[wire.split_task_id(task)[0]].gpus for task, on in self.on.items() if on == machine)
+        for machine, kind in (
+            (name, self.rented_kinds[name][0]) for name in self.machines if name in self.rented_kinds
+        ):
+            gpus = sum(
+                self.specs[wire.split_task_id(task)[0]].gpus for task, on in self.running_on.items() if on == machine
+            )
             if gpus > simulation.TYPES[kind.type].gpus:
                 raise Broken(f"gpus: {machine} has {gpus} in use")
 
@@ -702,7 +706,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_lending_rules_hold_under_faults(gpu_machines, seed):
-    assert run_world(seed, nodes=3 + 2 * (seed % 2)).starts > 0
+    assert run_world(seed, nodes=3 + 2 * (seed % 2)).task_starts > 0
 
 
 def test_tasks_are_preempted_only_with_a_lending_configuration(gpu_machines, monkeypatch):
@@ -713,4 +717,4 @@
 
 def test_lending_respects_another_teams_guarantee_without_faults(gpu_machines):
     """A team is not brought below its guarantee for another team's replicas; listed in KNOWN-RED.txt."""
-    assert run_world(107, random_faults=False, faults_after_claims=False).starts > 0
+    assert run_world(107, random_faults=False, faults_after_claims=False).task_starts > 0
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -510,7 +510,7 @@
         return self.lost_from <= self.t < self.lost_until and self.rng.random() < self.lost_share
 
     def watch(self):
-        for task_id in self.on:
+        for task_id in self.running_on:
             job = wire.split_task_id(task_id)[0]
             if self.t > self.cancelled_at.get(job, math.inf):
                 self.run_after_cancel_s[job] = self.t - self.cancelled_at[job]
@@ -530,7 +530,7 @@
         world.after(20.0 + 9.0 * number, world.cancel_any)
     world.run(200.0)
     world.remembered()
-    assert world.answers_lost > 30 and world.starts > 0
+    assert world.answers_lost > 30 and world.task_starts > 0
     assert sum(cancelled_at < math.inf for cancelled_at in world.cancelled_at.values()) >= 5
 
 
@@ -610,7 +610,7 @@
 
     def cancel_at_all(self, job):
         self.cancel_sent_at.setdefault(job, self.t)
-        if job not in self.said:
+        if job not in self.reported_ends:
             for label, sim in self.nodes.items():
                 if label != self.rarely_asked or self.rng.random() < 0.2:
                     self.withdraw_through(sim, job)
@@ -621,7 +621,7 @@
 
     def answer(self, job, state, asked=None):
         super().answer(job, state, asked)
-        if job in self.said:
+        if job in self.reported_ends:
             self.end_reported_at.setdefault(job, self.t)
 
 
@@ -631,7 +631,7 @@
     world.run(FAILOVER_AT_S - 2.0)
     label = world.leader()
     sim, jobs = world.nodes[label], world.jobs_accepted_by(label)
-    assert len(jobs) >= 6 and len(world.on) > JOBS_PER_CONTROLLER
+    assert len(jobs) >= 6 and len(world.running_on) > JOBS_PER_CONTROLLER
     world.stop_orders_lost = stop_orders_lost
     world.rarely_asked = label
     for number, job in enumerate(jobs):
@@ -767,15 +767,17 @@
     world.stop_orders_lost = stop_orders_lost
     world.run(FAILOVER_AT_S - 0.5)
     workers = [worker for worker in world.machines.values() if worker is not None]
-    blocked = max(workers, key=lambda worker: (sum(task_id in world.on for task_id in worker.tasks), worker.name))
+    blocked = max(
+        workers, key=lambda worker: (sum(task_id in world.running_on for task_id in worker.tasks), worker.name)
+    )
     blocked.deaf_until = FAILOVER_AT_S + LEADER_RESTARTS * RESTART_INTERVAL_S
-    task_ids = [task_id for task_id in blocked.tasks if world.on.get(task_id) == blocked.name]
+    task_ids = [task_id for task_id in blocked.tasks if world.running_on.get(task_id) == blocked.name]
     world.moved_after_s = {}
     for sampled_at in range(int(FAILOVER_AT_S), int(until), 2):
         world.run(float(sampled_at))
         for task_id in task_ids:
             if (
-                world.on.get(task_id, blocked.name) != blocked.name
+                world.running_on.get(task_id, blocked.name) != blocked.name
                 or task_id in world.completed
                 or wire.split_task_id(task_id)[0] in world.cancel_sent_at
             ):
@@ -789,7 +791,7 @@
 def test_ten_leader_restarts_in_two_minutes_keep_invariants_and_end_all_jobs(seed, down_s):
     world = run_leader_restarts(seed, down_s=down_s)
     assert len(world.restarted_leaders) == LEADER_RESTARTS and len(set(world.restarted_leaders)) > 1
-    assert not [job for job in world.accepted if job not in world.said], "all jobs have ended"
+    assert not [job for job in world.accepted if job not in world.reported_ends], "all jobs have ended"
     waits = [world.end_reported_at[job] - world.cancel_sent_at[job] for job in world.cancel_sent_at]
     assert max(waits) < 20.0 + down_s and max(world.run_after_cancel_s.values()) < CANCEL_S
     assert max(world.moved_after_s.values()) < 50.0 + down_s, (
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -95,7 +95,7 @@
     world.faults_until = 0.0
     world.listing = lambda: [host for host in World.listing(world) if world.t > 60.0]
     world.run(20.0)
-    kind = next(kind for kind, _ in world.kinds.values())
+    kind = next(kind for kind, _ in world.rented_kinds.values())
     leader, names = world.leader(), world.rent(kind, 3)
     world.end(leader, 40.0)
     world.run(40.0)
@@ -106,7 +106,7 @@
         assert machines[name].state is MachineState.UP and machines[name].recorded
         assert new_leader.core.leader.rented_machines[name].state.value == "up"
     world.run(130.0)
-    assert all(name not in world.kinds or world.run_orders[name] for name in names), "used or terminated"
+    assert all(name not in world.rented_kinds or world.run_orders[name] for name in names), "used or terminated"
     assert any(world.run_orders[name] for name in names)
 
 
@@ -171,7 +171,7 @@
         return names
 
     def boot(self, name, kind):
-        if name not in self.kinds or self.machines[name] is not None:
+        if name not in self.rented_kinds or self.machines[name] is not None:
             return
         worker = self.machines[name] = FastBootWorker(self, name, kind)
         fault_draw = self.rng.random() if self.t < self.faults_until else 1.0
@@ -210,9 +210,9 @@
     world.late_writes(65.0, 40.0)
     world.run(210.0)
     world.remembered()
-    assert world.ended_leader_count >= 2 and world.starts > 20
+    assert world.ended_leader_count >= 2 and world.task_starts > 20
     shard_machines = world.shard_machines()
-    for name, (_, rented_at) in world.kinds.items():
+    for name, (_, rented_at) in world.rented_kinds.items():
         worker = world.machines[name]
         if (
             world.t - rented_at
@@ -223,7 +223,7 @@
     assert not [
         job
         for job in world.accepted
-        if job not in world.said
+        if job not in world.reported_ends
         and not world.specs[job].service
         and world.specs[job].team == "free"
         and job not in world.cancelled_at
@@ -343,7 +343,7 @@
         self.after(0.0, self.replay_heartbeats)
 
     def boot(self, name, kind):
-        if name in self.kinds:
+        if name in self.rented_kinds:
             self.machines[name] = OutboundBlockedWorker(self, name, kind)
 
     def make_job(self, number):
@@ -536,13 +536,13 @@
     world = ManyMachinesWorld(6, machines=125)
     world.run(45.0)
     leader, fencing_token = world.leader(), world.leader().core.membership.fencing_token
-    busy = sorted(set(world.on.values()))
+    busy = sorted(set(world.running_on.values()))
     blocked = set(world.rng.sample(busy, 100))
     for name in blocked:
         world.machines[name].mute_until = world.t + 240.0
     world.run(world.t + 3.0)
     world.end(leader, 30.0)
-    for job in sorted({task_id.split("/")[0] for task_id, name in world.on.items() if name in blocked})[:4]:
+    for job in sorted({task_id.split("/")[0] for task_id, name in world.running_on.items() if name in blocked})[:4]:
         world.withdraw(job)
     while all(sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.nodes.values()):
         world.run(world.t + 0.25)
@@ -560,13 +560,13 @@
     world.run(view_began_at + LEASE_EXPIRY_PROOF_S + 4.0)
     assert not world.inherited()
     world.run(view_began_at + 2 * LEASE_EXPIRY_PROOF_S + 4.0)  # a late acknowledgement, and a lease from then on
-    assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
+    assert not world.runs_on(blocked) and not any(name in blocked for name in world.running_on.values())
     job_owners = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
     assert not [
         job for jobs in job_owners for job in jobs.values() if job.state is JobState.ABORTED and job.on_machines
     ]
     aborted = [job for job, cancelled_at in world.cancelled_at.items() if cancelled_at < float("inf")]
-    assert aborted and all(world.said[job] == "aborted" for job in aborted)
+    assert aborted and all(world.reported_ends[job] == "aborted" for job in aborted)
 
 
 def test_a_machine_whose_outbound_traffic_is_restored_gets_tasks():
@@ -578,9 +578,9 @@
     world.run(60.0)
     world.end(world.leader(), 2.0)
     world.run(97.0)  # an acknowledgement may be delayed by seconds, and a lease counts from it
-    assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
+    assert not world.runs_on(blocked) and not any(name in blocked for name in world.running_on.values())
     world.run(125.0)
-    assert any(name in blocked for name in world.on.values())
+    assert any(name in blocked for name in world.running_on.values())
 
 
 @pytest.mark.parametrize("seed, nodes", ((63, 5), (66, 3)))
@@ -599,5 +599,5 @@
     world.capture_share = 0.0
     world.run(220.0)
     world.remembered()
-    assert world.replayed_count > 10 and world.starts > 60
+    assert world.replayed_count > 10 and world.task_starts > 60
     assert not world.inherited()
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -276,7 +276,7 @@
         super().__init__(*args, random_faults=False, **more)
 
     def boot(self, name, kind):
-        if name in self.kinds:
+        if name in self.rented_kinds:
             self.machines[name] = InboundBlockedWorker(self, name, kind)
 
     def make_job(self, number):
@@ -337,7 +337,7 @@
     assert not [
         job
         for job in world.accepted
-        if job not in world.said
+        if job not in world.reported_ends
         and not world.specs[job].service
         and world.specs[job].team == "free"
         and job not in world.cancelled_at
@@ -741,7 +741,9 @@
     world.run(480.0)
     world.remembered()
     assert len(world.accepted) > 10
-    assert not [job for job in world.accepted if world.said.get(job) != "done" and job not in world.cancelled_at]
+    assert not [
+        job for job in world.accepted if world.reported_ends.get(job) != "done" and job not in world.cancelled_at
+    ]
 
 
 def test_a_member_partitioned_from_the_store_concludes_no_lease_expiry():
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -145,7 +145,7 @@
         return msgspec.structs.replace(spec, estimate_s=spec.estimate_s * 4.0)
 
     def withdraw(self, job):
-        if job in self.said:
+        if job in self.reported_ends:
             return
         for label, sim in self.nodes.items():
             if label != self.isolated_label and sim.core is not None and sim.core.directory.job_owner(job) == label:
@@ -163,7 +163,7 @@
             for label in (self.isolated_label, *self.labels):
                 state = self.question(self.nodes[label], job)
                 if state is not None:
-                    self.answered_at[job] = self.t
+                    self.last_status_at[job] = self.t
                     self.answer(job, state)
         self.after(0.4, self.poll_all)
 
@@ -177,7 +177,7 @@
     if from_peers:
         sim.cut_mesh_until = world.t + duration_s
     world.poll_all()
-    for number, job in enumerate(sorted(world.accepted - world.said.keys())[::2]):
+    for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
         world.after(0.5 * number, world.withdraw, job)
     world.run(60.0 + duration_s + 60.0)
     world.remembered()
@@ -192,7 +192,7 @@
     if waived:
         monkeypatch.setattr(Membership, "contact_timeout_for", lambda self, members: 0.0)
     world = run_isolated_leader(15100 + nodes + 2 * waived, nodes, from_peers=from_peers)
-    assert "aborted" in world.said.values()
+    assert "aborted" in world.reported_ends.values()
 
 
 def run_refused_leader(seed, nodes, refused_s, outage_s):
@@ -202,7 +202,7 @@
     world.isolated_label = world.nodes[world.labels[0]].core.membership.view.leader
     world.nodes[world.isolated_label].cut_store_until = 60.0 + refused_s + outage_s
     world.poll_all()
-    for number, job in enumerate(sorted(world.accepted - world.said.keys())[::2]):
+    for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
         world.after(0.5 * number, world.withdraw, job)
     world.after(refused_s, world.store.outage, outage_s)
     world.run(60.0 + refused_s + outage_s)
@@ -219,13 +219,13 @@
 def test_leader_without_the_store_before_an_outage_for_all_does_not_act_on_stale_state(nodes, refused_s, outage_s):
     world, acting = run_refused_leader(15200, nodes, refused_s, outage_s)
     assert world.isolated_label not in acting and (not acting or outage_s < 20.0), "all replicas are stale"
-    assert "aborted" in world.said.values()
+    assert "aborted" in world.reported_ends.values()
 
 
 def run_restarts(seed, nodes, first_back=None):
     """Controllers restart one by one, twice, then all at once; ``first_back`` returns seconds before the others."""
     world = World(seed, nodes=nodes, jobs=24, random_faults=False, pipelines=2)
-    world.late_share = 0.2  # frames also arrive after their sender or receiver has restarted
+    world.delayed_frame_share = 0.2  # frames also arrive after their sender or receiver has restarted
     for number, label in enumerate([*world.labels, *world.labels]):
         world.after(40.0 + 0.3 * number, world.end, world.nodes[label], 0.15)
     for label in world.labels:
@@ -235,13 +235,13 @@
     if first_back is not None:  # during the election
         world.after(46.7, world.end, world.nodes[first_back], 0.15)
     world.run(53.0)
-    world.late_share, starts = 0.001, world.starts
+    world.delayed_frame_share, starts = 0.001, world.task_starts
     world.run(90.0)
-    assert world.starts > starts and world.store.differs_since is None
+    assert world.task_starts > starts and world.store.differs_since is None
     assert all(sim.core.may_act() for sim in world.nodes.values())
     world.run(200.0)
     world.remembered()
-    assert not world.halted_needed
+    assert not world.wrongly_halted
 
 
 @pytest.mark.parametrize(
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -135,7 +135,7 @@
         for job in self.accepted:
             # A result that was never reported does not count: the task runs again.
             record = msgspec.json.decode(self.store.data[JOBS + job][0], type=Record)
-            placed = sum(wire.split_task_id(task_id)[0] == job for task_id in self.on)
+            placed = sum(wire.split_task_id(task_id)[0] == job for task_id in self.running_on)
             if record.state is JobState.ACTIVE:
                 unplaced[job] = self.specs[job].tasks - sum(high - low for low, high in record.done) - placed
         free = {name: self.free_capacity(worker) for name, worker in self.machines.items() if worker is not None}
@@ -208,7 +208,7 @@
             for name, other in self.stored_claims.items()
             if other.job == claim.job and (name == machine or self.running_victims(name, other))
         )
-        if self.said.get(claim.job) == "done" or served_tasks > self.max_recently_waiting(claim.job):
+        if self.reported_ends.get(claim.job) == "done" or served_tasks > self.max_recently_waiting(claim.job):
             raise Broken(
                 f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.max_recently_waiting(claim.job)}"
             )
@@ -271,14 +271,16 @@
             self.after(rng.uniform(0.0, 2.0), self.withdraw, rng.choice([claim.job, claim.victims[0][0]]))
 
     def is_finished(self) -> bool:
-        return not self.stored_claims and all(self.said.get(job) or job in self.cancelled_at for job in self.accepted)
+        return not self.stored_claims and all(
+            self.reported_ends.get(job) or job in self.cancelled_at for job in self.accepted
+        )
 
     def check_end(self) -> None:
         if self.stored_claims:
             raise Broken(f"claims_left: {self.stored_claims}")
         for job in self.accepted:
-            if job not in self.cancelled_at and self.said.get(job) != "done":
-                raise Broken(f"lost: {job} is {self.said.get(job)}")
+            if job not in self.cancelled_at and self.reported_ends.get(job) != "done":
+                raise Broken(f"lost: {job} is {self.reported_ends.get(job)}")
         for job, index in self.preemption_counts:
             if job not in self.cancelled_at and f"{job}/{index}" not in self.completed:
                 raise Broken(f"lost: victim {job}/{index}")
@@ -294,7 +296,7 @@
 
 @pytest.mark.parametrize("seed", [*range(8), 23])  # 23: all rentable machines were idle but of the wrong type
 def test_claims_keep_their_invariants_under_faults(seed):
-    assert play(seed, nodes=3 + 2 * (seed % 2)).starts > 0
+    assert play(seed, nodes=3 + 2 * (seed % 2)).task_starts > 0
 
 
 def test_claims_are_made_without_faults_but_not_without_declared_priorities():
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -333,7 +333,7 @@
     world.run(130.0)
     assert all(sim.core.queue_round.publisher.format.name == "SNAPSHOTS" for sim in world.nodes.values())
     world.run(700.0)
-    assert all(world.said.get(job) or job in world.cancelled_at for job in world.accepted)
+    assert all(world.reported_ends.get(job) or job in world.cancelled_at for job in world.accepted)
 
 
 def test_deltas_sent_to_an_older_controller_are_detected(monkeypatch):
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -305,13 +305,15 @@
     def inject_faults(self) -> None:
         """Machines fail, jobs on them are cancelled, and the leader or another controller crashes."""
         rng = self.rng
-        busy = sorted({name for name in self.on.values() if self.machines.get(name) is not None})
+        busy = sorted({name for name in self.running_on.values() if self.machines.get(name) is not None})
         for name in rng.sample(busy, min(len(busy), rng.randint(1, 4))):
             begin, length = rng.uniform(0.0, 3.0), rng.choice([rng.uniform(2.0, 15.0), rng.uniform(15.0, 50.0)])
             kind = rng.choice(["hang", "hang", "cut", "cut", "deaf", "held_up", "die"])
             self.after(begin, self.fail, name, kind, length)
-            self.calm_at = max(self.calm_at, self.t + begin + length)
-            here = sorted({wire.split_task_id(task_id)[0] for task_id, machine in self.on.items() if machine == name})
+            self.faults_end_at = max(self.faults_end_at, self.t + begin + length)
+            here = sorted(
+                {wire.split_task_id(task_id)[0] for task_id, machine in self.running_on.items() if machine == name}
+            )
             for job in rng.sample(here, min(len(here), rng.randint(1, 3))):
                 self.after(
                     begin + rng.uniform(-1.0, 4.0) if begin > 1.0 else rng.uniform(0.0, 4.0), self.cancel_running, job
@@ -321,17 +323,19 @@
             restart_after_s = rng.choice([rng.uniform(0.1, 0.6), rng.uniform(0.1, 8.0), rng.uniform(5.0, 40.0)])
             self.after(crash_after_s, self.crash_one, rng.random() < 0.6, restart_after_s)
             crash_after_s += rng.choice([rng.uniform(0.2, 1.5), rng.uniform(0.5, 6.0)])
-            self.calm_at = max(self.calm_at, self.t + crash_after_s + restart_after_s)
+            self.faults_end_at = max(self.faults_end_at, self.t + crash_after_s + restart_after_s)
         if rng.random() < 0.3:
             kind = rng.choice(["cut", "cut_store", "cut_mesh", "cut_workers", "outage", "late_writes", "late_reports"])
             length = rng.uniform(3.0, 35.0)
             self.after(rng.uniform(0.0, 5.0), self.bring, kind, self.nodes[rng.choice(self.labels)], length)
-            self.calm_at = max(self.calm_at, self.t + 5.0 + length)
+            self.faults_end_at = max(self.faults_end_at, self.t + 5.0 + length)
 
     def cancel_running(self, job: str) -> None:
-        if job not in self.said:
+        if job not in self.reported_ends:
             workers = [
-                self.machines[name] for task_id, name in self.on.items() if wire.split_task_id(task_id)[0] == job
+                self.machines[name]
+                for task_id, name in self.running_on.items()
+                if wire.split_task_id(task_id)[0] == job
             ]
             self.cancelled_running += bool(workers)
             self.cancelled_unreachable += any(
@@ -389,7 +393,9 @@
         for job in self.accepted:
             spec, used_zones = self.specs[job], zones.get(job, [])
             done = sum(f"{job}/{index}" in self.completed for index in range(spec.tasks))
-            waits = job not in self.said and job not in self.cancelled_at and done + len(used_zones) < spec.tasks
+            waits = (
+                job not in self.reported_ends and job not in self.cancelled_at and done + len(used_zones) < spec.tasks
+            )
             if (
                 not waits
                 or spec.cpus > remaining[spec.team] + 1e-9
@@ -406,12 +412,12 @@
                 raise Broken(f"avoidable_wait: {job} of {spec.team} since {self.avoidable_wait_since[job]:.1f}")
 
     def used_cpus(self, team: str) -> float:
-        specs = [self.specs[wire.split_task_id(task_id)[0]] for task_id in self.on]
+        specs = [self.specs[wire.split_task_id(task_id)[0]] for task_id in self.running_on]
         return sum(spec.cpus for spec in specs if spec.team == team)
 
     def play(self) -> LimitsWorld:
         self.run(30.0 + FAULT_PERIOD_S * FAULT_PERIODS + 12.0)
-        self.faults_over_at = over = max(self.calm_at, self.t)
+        self.faults_over_at = over = max(self.faults_end_at, self.t)
         for number in range(9):
             self.after(over - self.t + 0.1 * number, self.submit, self.make_filler(60 + number))
         self.run(over + MAX_AVOIDABLE_WAIT_S + 20.0)
@@ -430,7 +436,7 @@
 @pytest.mark.parametrize("seed, nodes", [(2, 3), (5, 5)])
 def test_no_team_exceeds_its_limit_and_each_reaches_it_again(seed, nodes):
     run = play_limits(seed, nodes)
-    assert run.cancelled_unreachable > 0 and run.starts > 50
+    assert run.cancelled_unreachable > 0 and run.task_starts > 50
     assert all(run.peak[team.name] == team.cpus_max for team in LIMITED_TEAMS)
     assert sorted(run.full_at) == sorted(team.name for team in LIMITED_TEAMS), "no quota stays reserved for ended jobs"
     run.remembered()
@@ -490,7 +496,9 @@
             run = play_limits(seed, 5 if seed % 2 else 3)
             run.remembered()
             missing = sorted({team.name for team in LIMITED_TEAMS} - run.full_at.keys())
-            text = f"{run.starts} starts, {run.cancelled_running} cancelled, {run.cancelled_unreachable} unreachable"
+            text = (
+                f"{run.task_starts} starts, {run.cancelled_running} cancelled, {run.cancelled_unreachable} unreachable"
+            )
             text += f", NOT AT ITS LIMIT: {missing}" if missing else ""
         except AssertionError as broken:
             text = f"BROKEN {broken}"
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -337,7 +337,7 @@
 
 
 def unfinished_jobs(world):
-    return [name for name in world.accepted if name not in world.said and not world.specs[name].service]
+    return [name for name in world.accepted if name not in world.reported_ends and not world.specs[name].service]
 
 
 @pytest.mark.parametrize("seed", (8000, 8001, 8002))
@@ -402,15 +402,15 @@
     """Guards against jobs that hang after all controllers fail a second time, about a minute after the first."""
     world = World(seed, nodes=5, jobs=16, random_faults=False, falls=2)
     world.run(420.0)
-    assert world.starts > 0 and not unfinished_jobs(world)
-    assert not world.halted_needed, "running tasks are not stopped by a failover"
+    assert world.task_starts > 0 and not unfinished_jobs(world)
+    assert not world.wrongly_halted, "running tasks are not stopped by a failover"
 
 
 @pytest.mark.parametrize("seed", (9100,))
 def test_every_job_ends_with_a_hundred_machines(seed):
     world = World(seed, nodes=5, jobs=40, random_faults=False, falls=1, machines=100, rush=True)
     world.run(360.0)
-    assert len(world.machines) >= 100 and not unfinished_jobs(world) and not world.halted_needed
+    assert len(world.machines) >= 100 and not unfinished_jobs(world) and not world.wrongly_halted
 
 
 @pytest.mark.parametrize("seed", range(9200, 9203))
@@ -448,7 +448,7 @@
         except Broken as broken:
             if str(broken).startswith(rule):
                 return
-        if rule == "halted" and world.halted_needed:
+        if rule == "halted" and world.wrongly_halted:
             return
     pytest.fail(f"no run showed {rule}")
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -30,25 +30,25 @@
 @pytest.mark.parametrize("seed", [*range(28), 816, 1319])
 def test_invariants_hold_under_random_faults(seed):
     world = play(seed)
-    assert world.starts > 0
+    assert world.task_starts > 0
 
 
 @pytest.mark.parametrize("seed", range(2000, 2008))
 def test_invariants_hold_with_five_controllers(seed):
-    assert play(seed, nodes=5).starts > 0
+    assert play(seed, nodes=5).task_starts > 0
 
 
 @pytest.mark.parametrize("seed", range(7000, 7009))
 def test_invariants_hold_when_many_machines_fail_together(seed):
     """30 to 90 % of the machines crash, hang or are cut off at once, often with all controllers."""
-    assert play(seed, until=260.0, nodes=5, groups=True).starts > 0
+    assert play(seed, until=260.0, nodes=5, groups=True).task_starts > 0
 
 
 @pytest.mark.parametrize("seed", (100, 101))
 def test_every_job_completes_without_faults(seed):
     world = play(seed, until=260.0, random_faults=False)
     assert len(world.accepted) == 14
-    unfinished = [job for job in world.accepted if job not in world.said]
+    unfinished = [job for job in world.accepted if job not in world.reported_ends]
     assert not unfinished
 
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("seed", range(3000, 3008))
 def test_invariants_hold_for_pipelines(seed):
     world = play(seed, until=220.0, pipelines=5)
-    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
+    assert any(world.reported_ends.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
 
 
 # Seeds 4002 and 4008 are left out: users cancel all dependencies there.
@@ -68,7 +68,7 @@
     world = play(
         seed, until=260.0, nodes=3 + 2 * (seed % 2), pipelines=4, upgrade=True, coming=NEXT_LIMITS, tight_at=110.0
     )
-    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
+    assert any(world.reported_ends.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
     assert world.store.too_large == 0
 
 
@@ -77,7 +77,7 @@
     world = play(seed, until=300.0, random_faults=False, pipelines=3, tight_at=60.0)
     assert world.store.too_large > 0
     fencing_tokens = {sim.core.membership.fencing_token for sim in world.nodes.values()}
-    unfinished = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    unfinished = [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
     assert len(fencing_tokens) == 1 and not unfinished
 
 
@@ -111,7 +111,7 @@
     world.accepted.add(after.id)
     world.poll(after.id)
     world.run(260.0)  # its team is at its limit most of the time
-    assert world.said[after.id] == "done"
+    assert world.reported_ends[after.id] == "done"
     assert not [key for key in world.store.data if key.startswith(DEPENDENCY_LISTS)]
 
 
@@ -125,7 +125,7 @@
     world.run(260.0)
     assert not any(sim.half_open_links for sim in world.nodes.values())
     assert len(world.accepted) == 14
-    assert not [job for job in world.accepted if job not in world.said]
+    assert not [job for job in world.accepted if job not in world.reported_ends]
 
 
 def test_a_cascaded_abort_is_reported_only_once_no_active_member_can_contradict_it():
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -109,7 +109,7 @@
     """``leader_fault``: how the leader loses the store before all do; ``pause_s``: how long it is paused as well."""
     world = StoreGapWorld(seed)
     world.run(REFUSED_AT)
-    assert len(world.on) > JOBS, "most tasks are running"
+    assert len(world.running_on) > JOBS, "most tasks are running"
     sim, world.stop_messages_lost = world.current_leader(), stop_messages_lost
     if leader_fault == "refused":
         sim.refused_until, sim.follow_hangs = world.t + REFUSED_S, True
@@ -121,7 +121,7 @@
     if outage_s:
         world.after(OUTAGE_AT - REFUSED_AT, world.store.outage, outage_s)
     world.run(REFUSED_AT + STEP_S * JOBS + CANCEL_S + 10.0)
-    confirmed_at = sorted(world.cancelled_at[job] for job in world.said)
+    confirmed_at = sorted(world.cancelled_at[job] for job in world.reported_ends)
     assert len(confirmed_at) == JOBS and confirmed_at[0] < OUTAGE_AT < confirmed_at[-1]
     return world
 
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -43,10 +43,10 @@
     world, rented, ended_at, returned, dropped = run_outage(seed)
     assert len(rented) >= 5 and not set(returned) & set(rented)
     assert not set(dropped) & {MACHINES + name for name in rented}
-    assert world.began and all(sim.core.may_act() for sim in world.nodes.values())
+    assert world.first_started_at and all(sim.core.may_act() for sim in world.nodes.values())
     world.run(ended_at + 240.0)
     world.remembered()
-    assert not [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    assert not [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("sent", (True, False))
--- a/tests/test_team_limit_large_jobs.py
+++ b/tests/test_team_limit_large_jobs.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("seed", (0, 1))
 def test_a_large_job_of_a_team_at_its_limit_begins_within_four_minutes(seed):
     world = SmallJobs(seed)
-    while world.t < SENT_AT + BEGIN_WITHIN_S and LARGE not in world.began:
+    while world.t < SENT_AT + BEGIN_WITHIN_S and LARGE not in world.first_started_at:
         world.run(world.t + 5.0)
     assert LARGE in world.accepted
-    assert LARGE in world.began and world.began[LARGE] - world.sent_at[LARGE] < BEGIN_WITHIN_S
+    assert LARGE in world.first_started_at and world.first_started_at[LARGE] - world.sent_at[LARGE] < BEGIN_WITHIN_S
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -114,7 +114,9 @@
         world.after(1.0, world.restart, sim)
     world.run(400.0)
     assert all(sim.core.state.loaded for sim in world.nodes.values())
-    assert world.accepted and {world.said.get(job) for job in world.accepted if not world.specs[job].service} <= {
+    assert world.accepted and {
+        world.reported_ends.get(job) for job in world.accepted if not world.specs[job].service
+    } <= {
         "done",
         "aborted",
     }
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -49,7 +49,7 @@
 
     def try_submit(self, spec) -> None:
         """Submit at a random controller, which may refuse with 503; retry for ``USER_RETRY_S``."""
-        if self.t - self.first_asked[spec.id] > USER_RETRY_S:
+        if self.t - self.first_submitted_at[spec.id] > USER_RETRY_S:
             return
         label = self.rng.choice(list(self.nodes))
         core = self.nodes[label].core
