--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -58,11 +58,11 @@
             deployment.platform(self.label, world.labels, None if self.old else world.coming),
             Tuning(),
             world.t,
-            own={} if self.old else world.files(self.label),
+            own={} if self.old else world.operator_files(self.label),
         )
         self.core.machine_shard.capacity.types = TYPES
         self.core.leader.on_types(TYPES)
-        world.prepare(self.core)
+        world.on_core_created(self.core)
         self.busy = self.is_registering = False
         self.writer_idle_until = 0.0
         self.follow_busy = self.needs_full_read = False
@@ -70,7 +70,7 @@
             self.last_frame_arrivals, 0.0
         )  # new connections: frames from before the crash may arrive later
         self.half_open_links = set()
-        for other in world.nodes.values():
+        for other in world.controllers.values():
             other.half_open_links.discard(self.label)
         self.rental_count = 0
         self.is_renting = False
@@ -524,7 +524,7 @@
         self.core.effects.channel_renewals.clear()
         outgoing, self.core.effects.outgoing_frames = self.core.effects.outgoing_frames, []
         for label, frame in outgoing:
-            other = world.nodes[label]
+            other = world.controllers[label]
             cut = max(self.cut_mesh_until, other.cut_mesh_until)
             held_back = world.t < cut and world.t < max(self.mesh_delayed_until, other.mesh_delayed_until)
             if label in self.half_open_links or (world.t < cut and not held_back):
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -69,7 +69,7 @@
     """Draws and injects faults; a mixin of ``World``."""
 
     def inject_fault(self) -> None:
-        sim = self.nodes[self.rng.choice(self.labels)]
+        sim = self.controllers[self.rng.choice(self.labels)]
         self.bring(self.rng.choice(SINGLE_FAULTS), sim, self.rng.uniform(2.0, 40.0))
 
     def bring(self, kind: str, sim: SimController, length: float) -> None:
@@ -77,12 +77,12 @@
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
         if kind.startswith("crash"):
-            for victim in self.nodes.values() if kind == "crash_all" else [sim]:
+            for victim in self.controllers.values() if kind == "crash_all" else [sim]:
                 self.end(victim)
         elif kind == "flap":
             self.flap()
         elif kind == "staggered_restart":
-            for victim in self.nodes.values():
+            for victim in self.controllers.values():
                 self.end(victim, rng.uniform(0.1, 1.0) if victim is sim else rng.uniform(0.1, 35.0))
         elif kind == "end_leaders":
             self.end_leaders(rng.randint(1, 4), rng.uniform(0.2, 6.0))
@@ -198,7 +198,7 @@
         """Injects a fault into the leader (mostly) or another controller, or into one to eight machines."""
         rng = self.rng
         leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader if VIEW in self.store.data else ""
-        sim = self.nodes[leader if leader and rng.random() < 0.6 else rng.choice(self.labels)]
+        sim = self.controllers[leader if leader and rng.random() < 0.6 else rng.choice(self.labels)]
         if kind in ("refused", "cut_from_store_and_peers", "late_writes"):
             for _ in range(rng.randint(0, 3)):
                 self.after(rng.uniform(0.0, 4.0), self.cancel_any)
@@ -238,7 +238,7 @@
                 worker.cut_until = self.t + length
             else:
                 worker.hangs_until = self.t + length + (index if kind == "staggered_hang" else 0.0)
-        victims = rng.choice([[], rng.sample(list(self.nodes.values()), 1), list(self.nodes.values())])
+        victims = rng.choice([[], rng.sample(list(self.controllers.values()), 1), list(self.controllers.values())])
         for victim in victims:
             self.end(victim)
         if rng.random() < 0.3:
@@ -251,7 +251,7 @@
         is then higher) or fail their tasks. The store is up, down or slow.
         """
         rng = self.rng
-        for sim in rng.sample(list(self.nodes.values()), len(self.nodes)):
+        for sim in rng.sample(list(self.controllers.values()), len(self.controllers)):
             crashes_at = rng.uniform(0.0, 5.0)
             restarts_at = crashes_at + self.draw_downtime()
             self.after(crashes_at, sim.crash)
@@ -300,7 +300,7 @@
     def flap(self) -> None:
         """Restarts one controller repeatedly, all in rotation, or each new leader."""
         rng = self.rng
-        sims = rng.sample(list(self.nodes.values()), len(self.nodes))
+        sims = rng.sample(list(self.controllers.values()), len(self.controllers))
         kind = rng.choice(["twice", "roll", "leaders"])
         if kind == "twice":
             for index in range(rng.randint(2, 4)):
@@ -316,7 +316,8 @@
         """Crashes the leader of the stored view, ``times`` times with ``pause`` s between."""
         if VIEW in self.store.data:
             self.end(
-                self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader], self.rng.uniform(0.1, 0.6)
+                self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader],
+                self.rng.uniform(0.1, 0.6),
             )
         if times > 1:
             self.after(pause, self.end_leaders, times - 1, pause)
@@ -324,7 +325,7 @@
     def replace_leader(self) -> None:
         """Crashes the leader for at least 6 s, so that it does not lead again after its restart."""
         if VIEW in self.store.data:
-            sim = self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
+            sim = self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
             if sim.core is not None:
                 self.end(sim, self.rng.uniform(6.0, 20.0))
 
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -171,7 +171,7 @@
         for task_id, machine in self.running_on.items():
             if self.t > self.cancelled_at.get(wire.split_task_id(task_id)[0], math.inf) + CANCEL_S:
                 raise Broken(f"ran_cancelled: {task_id} on {machine}")
-        for sim in self.nodes.values():
+        for sim in self.controllers.values():
             if sim.core is not None:
                 self.check_bookkeeping(sim.core)
                 self.served(sim.core)
@@ -272,7 +272,7 @@
         kept, self.kept_heartbeats = self.kept_heartbeats, []
         for heartbeat in kept:
             delay = self.rng.choice([0.005, 0.3, 2.0, 8.0]) * self.rng.random()
-            for sim in self.nodes.values():
+            for sim in self.controllers.values():
                 self.after(delay + 0.01 * self.rng.random(), sim.heartbeat, heartbeat, lambda status, body: None)
 
     def on_task_done(self, task_id: str) -> None:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -141,7 +141,7 @@
     def submit_pipeline(self, number: int) -> None:
         """Submits each step once its dependencies are accepted; some pipelines depend on an earlier job."""
         rng = self.rng
-        if any(sim.old for sim in self.nodes.values()):
+        if any(sim.old for sim in self.controllers.values()):
             self.after(1.0, self.submit_pipeline, number)
             return
 
@@ -191,7 +191,7 @@
     def submit(self, spec: wire.JobSpec) -> None:
         self.specs[spec.id] = spec
         self.first_submitted_at.setdefault(spec.id, self.t)
-        sim = self.nodes[self.rng.choice(self.labels)]
+        sim = self.controllers[self.rng.choice(self.labels)]
         core = sim.core
         if spec.id in self.accepted:
             self.after(self.rng.uniform(1.0, 5.0), self.poll, spec.id)
@@ -253,7 +253,7 @@
 
     def poll(self, job: str) -> None:
         """Requests the status of a job at intervals, from each controller in turn."""
-        sim = self.nodes[self.labels[next(self.poll_numbers) % len(self.labels)]]
+        sim = self.controllers[self.labels[next(self.poll_numbers) % len(self.labels)]]
         if self.has_concurrent_faults:
             self.request_status(sim, job)
         else:
@@ -293,7 +293,7 @@
                 self.after(
                     rng.uniform(0.0001, rng.choice([0.004, 0.04, 0.4])),
                     self.send_concurrent_request,
-                    self.nodes[label],
+                    self.controllers[label],
                     job,
                     rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if withdraws_often else "ask"]),
                 )
@@ -310,7 +310,7 @@
     def odd_request(self) -> None:
         """Sends a repeated submission, a cancellation of an ended job, or an invalid job."""
         rng = self.rng
-        sim = self.nodes[rng.choice(self.labels)]
+        sim = self.controllers[rng.choice(self.labels)]
         kind = rng.choice(["repeat", "withdraw", "flawed", "flawed"])
         ended_jobs, open_jobs = sorted(self.reported_ends), sorted(self.accepted - self.reported_ends.keys())
         if kind == "repeat" and open_jobs:
@@ -338,7 +338,7 @@
         state = sim.core.local_jobs.local_job_state(job, self.t)
         if state is not None:
             return state[0]
-        owner = self.nodes.get(sim.core.directory.job_owner(job))
+        owner = self.controllers.get(sim.core.directory.job_owner(job))
         if (
             owner is not None
             and owner is not sim
@@ -365,10 +365,10 @@
         if job in self.reported_ends:
             return
         if self.has_concurrent_faults:
-            self.withdraw_through(self.nodes[self.rng.choice(self.labels)], job)
+            self.withdraw_through(self.controllers[self.rng.choice(self.labels)], job)
             return
         for label in self.labels:
-            core = self.nodes[label].core
+            core = self.controllers[label].core
             if core is not None and core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, math.inf)
                 state = core.local_jobs.cancel(job, self.t)
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -97,16 +97,16 @@
                 world.after(self.way(), self.answered, request, incarnation, sent_at, status, body)
 
         def arrive() -> None:
-            world.nodes[self.core].heartbeat(raw, reply)
+            world.controllers[self.core].heartbeat(raw, reply)
 
         if world.t < world.duplicates_until and world.rng.random() < world.duplicate_share:
             delay = world.rng.uniform(2.0, 2 * LEASE_S)
-            world.after(delay, world.nodes[self.core].heartbeat, raw, lambda status, body: None)
+            world.after(delay, world.controllers[self.core].heartbeat, raw, lambda status, body: None)
         if world.t >= self.cut_until and world.can_reach(self, controller):
             world.after(world.rng.uniform(0.001, 0.01), arrive)
             if world.rng.random() < 0.02:  # a duplicate whose response is dropped
                 world.after(
-                    world.rng.uniform(0.1, 60.0), world.nodes[self.core].heartbeat, raw, lambda status, body: None
+                    world.rng.uniform(0.1, 60.0), world.controllers[self.core].heartbeat, raw, lambda status, body: None
                 )
         elif world.rng.random() < 0.3:
             world.after(world.rng.uniform(1.0, 40.0), arrive)  # delayed rather than lost
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -26,7 +26,7 @@
 class World(Users, Faults, Cloud, Invariants):
     """A whole simulated deployment; ``t`` is the simulated time in s since the start."""
 
-    process = SimController
+    controller_class = SimController
 
     def __init__(
         self,
@@ -107,9 +107,9 @@
         self.reported_ends: dict[str, str] = {}  # job -> final state reported to its user
         self.cancelled_at: dict[str, float] = {}
         self.labels = LABELS[:nodes]
-        self.nodes: dict[str, SimController] = {}
+        self.controllers: dict[str, SimController] = {}
         for label in self.labels:
-            self.nodes[label] = self.process(self, label)
+            self.controllers[label] = self.controller_class(self, label)
         for number in range(jobs):
             make = (
                 self.make_large_job
@@ -151,12 +151,12 @@
             self.t, _, callback, args = heapq.heappop(self.events)
             callback(*args)
 
-    def files(self, label: str) -> dict:
+    def operator_files(self, label: str) -> dict:
         """The declarations in the operator files of this controller when it starts, by kind."""
         return {}
 
     def upgrade_controller(self, label: str) -> None:
-        sim = self.nodes[label]
+        sim = self.controllers[label]
         sim.old = False
         sim.crash()
         self.after(self.rng.uniform(1.0, 6.0), self.restart, sim)
@@ -164,5 +164,5 @@
     def lower_store_limits(self) -> None:
         self.store.max_changes, self.store.value_bytes = (4, 700) if self.coming else (1, 450)
 
-    def prepare(self, core: ControllerCore) -> None:
+    def on_core_created(self, core: ControllerCore) -> None:
         """Hook for subclasses: called with each new controller core before its first event."""
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -32,7 +32,7 @@
             self.after(delay_s, self.declare, self.random_configuration())
         self.after(210.0, self.declare, CalendarConfiguration())
         clock_offset_s = rng.choice([-SKEW_S, SKEW_S, None])  # all at one limit of the skew, or each anywhere within it
-        for sim in self.nodes.values():
+        for sim in self.controllers.values():
             sim.ahead_s = START_TIME + (rng.uniform(-SKEW_S, SKEW_S) if clock_offset_s is None else clock_offset_s)
         for number in range(6):
             self.after(rng.uniform(40.0, 200.0), self.submit, self.make_job(60 + number))
@@ -93,10 +93,10 @@
             sim.core.calendars.apply([self.configurations[number]])
 
     def partition_controller(self, duration_s: float) -> None:
-        self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + duration_s
+        self.rng.choice(list(self.controllers.values())).cut_mesh_until = self.t + duration_s
 
     def crash_some_controllers(self) -> None:
-        sims = list(self.nodes.values())
+        sims = list(self.controllers.values())
         for sim in self.rng.choice([sims, self.rng.sample(sims, 1), self.rng.sample(sims, 2)]):
             sim.crash()
             self.after(
@@ -197,24 +197,24 @@
         world.run(100.0 + 0.001 * step)
         pending = [
             (sim, machine)
-            for sim in world.nodes.values()
+            for sim in world.controllers.values()
             for machine in sim.core.machine_shard.machines.values()
             if (spec.id, 0) in machine.orders.pending
         ]
         if pending:
             break
     (sim, machine), task = pending[0], f"{spec.id}/0"
-    for other in world.nodes.values():
+    for other in world.controllers.values():
         other.core.calendars.apply([always_closed])
     assert not [order for order in sim.core.machine_shard.order_builder.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
-    owner = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
+    owner = next(other.core.job_shard for other in world.controllers.values() if spec.id in other.core.job_shard.jobs)
     owner.grants.on_task_request(
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # for an older offer
     assert not owner.jobs[spec.id].runs
     assert task not in world.running_on and owner.jobs[spec.id].waiting == 1 and not machine.orders.pending
-    for other in world.nodes.values():
+    for other in world.controllers.values():
         assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.calendars.apply([])
     world.run(world.t + 200.0)  # the team is at its quota limit, so this takes time
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -135,7 +135,7 @@
 class RateLimitedStoreWorld(World):
     """Simulated users submit, cancel and poll jobs at a store with a write rate limit; all outcomes are recorded."""
 
-    process = UserController
+    controller_class = UserController
 
     def __init__(self, seed, write_rps=60.0, machines=20, **kwargs) -> None:
         self.start_counts: dict[str, int] = {}
@@ -191,12 +191,12 @@
         healthy = [
             label
             for label in self.submission_controllers
-            if (core := self.nodes[label].core) is not None and core.may_act()
+            if (core := self.controllers[label].core) is not None and core.may_act()
         ]
         if not healthy:
             self.after(1.0, self.try_submit, spec)
             return
-        sim = self.nodes[self.rng.choice(healthy)]
+        sim = self.controllers[self.rng.choice(healthy)]
         if sim.core.directory.knows_job(spec.id):
             if self.question(sim, spec.id) is not None:
                 self.on_accepted(spec.id)
@@ -244,7 +244,7 @@
 
     @property
     def leader(self) -> UserController:
-        return self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
+        return self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
 
 
 def array(number, **overrides):
@@ -286,7 +286,7 @@
         super().on_accepted(job)
 
     def backlog(self):
-        nodes = [sim.core for sim in self.nodes.values() if sim.core is not None]
+        nodes = [sim.core for sim in self.controllers.values() if sim.core is not None]
         return sum(len(core.submissions.pending) + len(core.job_shard.tally.lagging) for core in nodes)
 
 
@@ -295,7 +295,7 @@
     world = OneTaskJobStream(seed, **kwargs)
     world.submission_controllers = users or world.submission_controllers
     world.run(15.0)
-    for sim in world.nodes.values() if alone else ():
+    for sim in world.controllers.values() if alone else ():
         if sim.label not in users:
             sim.crash()
     if leader_ends:
@@ -323,7 +323,7 @@
     assert not world.starts_after_cancel and checker.longest_wait_s < MAX_WAIT_S
     # Only the final status of each job remains: no pending writes, orders, reservations or quota usage.
     assert world.backlog() == 0 and not world.running_on
-    for sim in world.nodes.values():
+    for sim in world.controllers.values():
         core = sim.core
         assert not (
             core.job_shard.jobs
@@ -348,14 +348,14 @@
     world, _ = run_stream(2, users=["host-2"], alone=alone, write_rps=35.0, duration_s=60.0, leader_ends=False)
     latencies = submission_latencies(world)
     assert len(world.accepted) == 240 and latencies[int(0.9 * len(latencies))] < 2.0 and latencies[-1] < 5.0
-    assert world.backlog() == 0 and not world.nodes["host-2"].core.job_shard.jobs, "all ended in the store"
+    assert world.backlog() == 0 and not world.controllers["host-2"].core.job_shard.jobs, "all ended in the store"
     assert world.rejected_commits <= 3, "commits rarely exceed the write rate of the store"
 
 
 def test_submissions_and_job_ends_share_the_write_budget_when_both_exceed_it():
     world = RateLimitedStoreWorld(3)
     world.run(5.0)
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     for number in range(40):
         core.submissions.submit(array(number), world.t, world.t)
     while core.submissions.pending:
@@ -411,7 +411,7 @@
 class IsolatedZoneWorld(RateLimitedStoreWorld):
     """Jobs bound to a given zone, to any one zone, or spread over both; then a zone is isolated and machines fail."""
 
-    process = IsolatedZoneController
+    controller_class = IsolatedZoneController
 
     def __init__(self, seed, jobs=30, machines=24, **kwargs) -> None:
         self.isolated_controller, self.isolated_until, self.isolated_fencing_token = "", 0.0, 0
@@ -438,7 +438,7 @@
 
     def cut_zone(self, label: str, duration_s: float, failed_share: float) -> None:
         """``failed_share``: share of the machines, in both zones, that fail when the partition begins."""
-        sim = self.nodes[label]
+        sim = self.controllers[label]
         self.isolated_controller, self.isolated_until = label, self.t + duration_s
         self.isolated_fencing_token = self.store.data[VIEW][1]
         sim.cut_store_until = sim.cut_mesh_until = self.isolated_until
@@ -537,7 +537,7 @@
     world.delay_links(100.0)
     world.run(60.0)
     if outage_s:
-        for sim in world.nodes.values():
+        for sim in world.controllers.values():
             world.end(sim, outage_s + world.rng.uniform(0.0, 2.0))
     world.run(110.0)
     checker = FreeCapacityChecker(world, world.t)
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("kind", ["mute", "quick_boots", "limits", "zone_away", "reports_kept", "ten_leaders"])
 def test_each_fault_has_its_intended_effect(kind):
     world = calm_world(5, jobs=14, until=50.0, nodes=5)
-    sim, before, fencing_token = world.nodes["host-1"], dict(world.rented_kinds), world.store.data[VIEW][1]
+    sim, before, fencing_token = world.controllers["host-1"], dict(world.rented_kinds), world.store.data[VIEW][1]
     worker = next(worker for worker in world.machines.values() if worker is not None and worker.alive)
     incarnation = worker.incarnation
     if kind == "mute":
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -57,7 +57,7 @@
 
 
 class ActConditionsWorld(ControllerFaultWorld):
-    process = WatchFaultController
+    controller_class = WatchFaultController
 
     def __init__(self, seed, nodes):
         super().__init__(seed, nodes=nodes, jobs=0)
@@ -67,7 +67,7 @@
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
 
     def acts(self, label):
-        return self.nodes[label].core.may_act()
+        return self.controllers[label].core.may_act()
 
     def follower(self):
         """The highest label other than the leader's."""
@@ -90,7 +90,7 @@
     world = ActConditionsWorld(seed, 5)
     world.run(50.0)
     label = world.follower()
-    sim = world.nodes[label]
+    sim = world.controllers[label]
     sim.renewals_lost_until = 200.0
     lease_id = sim.core.membership.store_lease.lease_id
     world.until(lambda: world.store.holds[lease_id] - world.t < 1.0, 30.0)
@@ -111,14 +111,14 @@
     world = ActConditionsWorld(seed, 3)
     world.run(40.0)
     away = max(world.labels)
-    world.nodes[away].crash()
+    world.controllers[away].crash()
     world.until(lambda: away not in world.view.members, 40.0)
     assert world.view.contact_timeout_s == 0.0
     world.run(world.t + 2.0)
     label = min(set(world.view.members) - {world.view.leader})
-    sim = world.nodes[label]
+    sim = world.controllers[label]
     sim.watch_hangs_until = world.t + 120.0
-    world.restart(world.nodes[away])
+    world.restart(world.controllers[away])
     world.until(lambda: away in world.view.members, 15.0)
     world.until(lambda: sim.core.membership.fresh_until < world.t, 25.0)
     membership = sim.core.membership
@@ -133,7 +133,7 @@
     world = ActConditionsWorld(seed, 5)
     world.run(50.0)
     label = world.follower()
-    sim = world.nodes[label]
+    sim = world.controllers[label]
     world.cut([label], 60.0)
     world.run(world.t + constants.CONTACT_TIMEOUT_S - 2.0)
     sim.watch_hangs_until = world.t + 60.0
@@ -212,7 +212,7 @@
 
 
 class LateViewWorld(ControllerFaultWorld):
-    process = LateViewController
+    controller_class = LateViewController
 
     delay_range_s = (2.0, 12.0)
 
@@ -248,15 +248,15 @@
     world.delay_range_s = (3.0, 7.0)
     world.run(50.0)
     label = max(set(world.labels) - {world.view.leader})
-    world.nodes[label].cut_store_until = world.t + 40.0
+    world.controllers[label].cut_store_until = world.t + 40.0
     world.cut([label], constants.CONTACT_TIMEOUT_S + 1.0)
     world.run(50.0 + constants.CONTACT_TIMEOUT_S + 1.0)
     assert (
         label in world.view.members
-        and label in world.nodes[world.view.leader].core.membership.failure_detector.failed_by_quorum()
+        and label in world.controllers[world.view.leader].core.membership.failure_detector.failed_by_quorum()
     )
     world.run(50.0 + constants.CONTACT_TIMEOUT_S + 8.0)
-    membership = world.nodes[label].core.membership
+    membership = world.controllers[label].core.membership
     assert label not in world.view.members and world.late_views
     assert world.t < min(membership.fresh_until, membership.store_lease.valid_until)
 
@@ -334,7 +334,7 @@
 
 
 class RandomPauseWorld(ControllerFaultWorld):
-    process = RandomPauseController
+    controller_class = RandomPauseController
 
     def __init__(self, seed, **options):
         self.pause_count = 0
@@ -363,11 +363,11 @@
     world = ActConditionsWorld(seed, 3)
     world.run(40.0)
     away = max(world.labels)
-    world.nodes[away].crash()
+    world.controllers[away].crash()
     world.until(lambda: away not in world.view.members, 40.0)
     world.run(world.t + 2.0)
     label = min(set(world.view.members) - {world.view.leader})
-    sim = world.nodes[label]
+    sim = world.controllers[label]
     sim.pause_s = 25.0
     world.until(lambda: sim.pause_s == 0.0, 5.0)
     world.until(lambda: label not in world.view.members, 24.0)
@@ -403,9 +403,9 @@
         (job, label)
         for job in sorted(world.accepted)
         for label in world.labels
-        if world.nodes[label].core.directory.job_owner(job) == label != world.view.leader
+        if world.controllers[label].core.directory.job_owner(job) == label != world.view.leader
     )
-    sim = world.nodes[label]
+    sim = world.controllers[label]
     sim.pause_before_key = JOBS + job
     world.cancelled_at[job] = float("inf")
     sim.withdraw(job, lambda state: None)
@@ -414,7 +414,7 @@
     resumes_at = sim.paused_until
     for step in range(100):
         world.run(resumes_at - 0.1 + 0.01 * step)
-        for node in world.nodes.values():
+        for node in world.controllers.values():
             state = world.question(node, job)
             if state is not None:
                 world.answer(job, state)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -152,7 +152,7 @@
 
 
 def test_unreadable_revision_stops_the_controller_until_it_is_readable():
-    core = World(1, jobs=0, random_faults=False).nodes["host-0"].core
+    core = World(1, jobs=0, random_faults=False).controllers["host-0"].core
     core.calendars.refresh = lambda: None  # the test text is no calendar configuration
     core.membership.record_sync(0.0)
     named = put_text(core.replica.declared, "hours", 1, ["a"])
@@ -204,7 +204,7 @@
         for _ in range(self.rng.randint(0, 2)):
             self.after(self.rng.uniform(20.0, faults_until - 70.0), self.restart_all)
 
-    def files(self, label):
+    def operator_files(self, label):
         return {"hours": self.own_files[label]} if label in self.own_files else {}
 
     def distribute_files(self):
@@ -239,11 +239,11 @@
             self.declared_at.setdefault(file.revision, self.t)
         self.restart_controller(label)
 
-    def prepare(self, core):
+    def on_core_created(self, core):
         core.calendars.refresh = lambda: None  # the test texts are no calendar configuration
 
     def restart_controller(self, label):
-        sim = self.nodes[label]
+        sim = self.controllers[label]
         if sim.core is not None:
             sim.crash()
             max_delay_s = min(60.0, max(0.2, self.faults_until - self.t))
@@ -263,7 +263,7 @@
             self.checked_store_revision = self.store.revision
             self.check_store()
         applied = {}
-        for label, sim in self.nodes.items():
+        for label, sim in self.controllers.items():
             if sim.core is not None and sim.core.state.loaded:
                 applied[label] = [0] if sim.old else sim.core.replica.declared.revisions_in_force("hours", self.t)
         alone = {
@@ -283,7 +283,7 @@
                     )
 
     def any_may_act(self, labels):
-        return any(self.nodes[label].core.membership.may_act(self.t) for label in labels)
+        return any(self.controllers[label].core.membership.may_act(self.t) for label in labels)
 
     def check_store(self):
         row = self.store.data.get(records.head_key("hours"))
@@ -304,7 +304,7 @@
         self.run(until)
         files = [file.revision for file in self.own_files.values()]
         expected = max([self.last_head[0], *files])
-        for label, sim in self.nodes.items():
+        for label, sim in self.controllers.items():
             assert sim.core.membership.may_act(self.t), label
             applied_revisions = sim.core.replica.declared.revisions_in_force("hours", self.t)
             if applied_revisions != [expected]:
@@ -364,7 +364,7 @@
     """Not covered by the simulations: there a partitioned member is replaced before others apply the newer alone."""
 
     def configurations_after_load():
-        core = World(1, jobs=0, random_faults=False).nodes["host-0"].core
+        core = World(1, jobs=0, random_faults=False).controllers["host-0"].core
         core.calendars.refresh = lambda: None
         first, second = (StoredRevision(one.revision, one.digest, records.parts_of(one.text, 512)) for one in FILES)
         rows = [
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -62,7 +62,9 @@
             if self.world.t >= until:
                 deliverable.append((label, frame))
             elif delayed:
-                self.world.after(until - self.world.t, self.world.nodes[label].frame, msgspec.msgpack.encode(frame))
+                self.world.after(
+                    until - self.world.t, self.world.controllers[label].frame, msgspec.msgpack.encode(frame)
+                )
         self.core.effects.outgoing_frames = deliverable
         super().flush()
 
@@ -70,7 +72,7 @@
 class ControllerFaultWorld(World):
     """Link failures, pauses, crashes and outages; checks after each event that no removed member acts."""
 
-    process = PausableController
+    controller_class = PausableController
 
     def __init__(self, seed, controller_faults=0, **options):
         self.failed_links = {}  # (from, to) -> end of the failure, whether frames are delayed
@@ -86,7 +88,7 @@
             for change in self.store.log[log_length:]:
                 if change.put == VIEW:
                     self.on_view_written(msgspec.json.decode(change.data, type=View))
-            for label, sim in self.nodes.items():
+            for label, sim in self.controllers.items():
                 if sim.core is not None and (label, sim.core.membership.store_lease.lease_id) in self.removed_members:
                     if sim.core.membership.may_act(self.t):
                         raise Broken(f"left_out: {label} acts at {self.t:.2f}")
@@ -134,16 +136,16 @@
             duration_s = rng.uniform(5.0, 18.0)
             self.cut(labels, duration_s, rng.random() < 0.7)
             for label in labels:
-                self.nodes[label].cut_store_until = self.t + duration_s + rng.uniform(0.0, 20.0)
+                self.controllers[label].cut_store_until = self.t + duration_s + rng.uniform(0.0, 20.0)
             if rng.random() < 0.5:
                 self.after(rng.uniform(0.0, duration_s), self.store.outage, rng.uniform(2.0, 15.0))
         elif kind == "pause":
             for label in labels:
-                self.nodes[label].paused_until = self.t + rng.uniform(4.0, 20.0)
+                self.controllers[label].paused_until = self.t + rng.uniform(4.0, 20.0)
         elif kind == "crash":
             for label in labels:
-                self.nodes[label].crash()
-                self.after(rng.choice([0.2, 3.0, rng.uniform(0.1, 25.0)]), self.restart, self.nodes[label])
+                self.controllers[label].crash()
+                self.after(rng.choice([0.2, 3.0, rng.uniform(0.1, 25.0)]), self.restart, self.controllers[label])
         else:
             self.store.outage(rng.uniform(2.0, 25.0))
 
@@ -156,7 +158,7 @@
 def test_removed_members_do_not_act_and_all_members_recover(seed):
     world = ControllerFaultWorld(seed, nodes=3 + 2 * (seed % 2), controller_faults=6)
     world.run(230.0)
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     world.run(400.0)
     assert world.task_starts > 0 and not unfinished_jobs(world) and world.view.contact_timeout_s > 0
 
@@ -231,7 +233,7 @@
     it sends all of them again, and they are received in order.
     """
     world = ControllerFaultWorld(seed, jobs=0)
-    isolated, peer, other = (world.nodes[label] for label in ("host-0", "host-1", "host-2"))
+    isolated, peer, other = (world.controllers[label] for label in ("host-0", "host-1", "host-2"))
     world.run(20.0)
     world.failed_links = dict.fromkeys((("host-0", "host-1"), ("host-1", "host-0")), (43.0, False))
     other.crash()
@@ -277,14 +279,14 @@
     world = ControllerFaultWorld(14000, nodes=5, jobs=30)
     world.run(60.0)
     for label in ("host-0", "host-3"):  # one of them is the leader
-        sim = world.nodes[label]
+        sim = world.controllers[label]
         sim.cut_store_until = sim.cut_mesh_until = sim.cut_workers_until = 90.0
     world.run(60.0 + constants.CONTACT_TIMEOUT_S + 2.0)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"] and world.early_removals == 2
     world.run(89.0)
     assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
     world.run(100.0)
-    assert len(world.view.members) == 5 and all(sim.core.may_act() for sim in world.nodes.values())
+    assert len(world.view.members) == 5 and all(sim.core.may_act() for sim in world.controllers.values())
 
 
 def test_worker_is_redirected_to_an_alive_member_while_its_owner_is_suspected():
@@ -311,7 +313,7 @@
         world.cut([label], 40.0)
     while world.t < 45.0:
         world.run(world.t + 0.1)
-        assert all(sim.core.may_act() for sim in world.nodes.values())
+        assert all(sim.core.may_act() for sim in world.controllers.values())
     assert world.view.contact_timeout_s == 0.0 and len(world.view.members) == 5
     world.run(70.0 + constants.CONTACT_RESUME_DELAY_S + 5.0)
     assert world.view.contact_timeout_s > 0 and world.view_count == 3
@@ -320,13 +322,13 @@
 def test_member_declared_failed_by_a_minority_is_accepted_under_a_new_fencing_token():
     world = ControllerFaultWorld(14002, jobs=0)
     world.run(30.0)
-    failure_detector = world.nodes["host-1"].core.membership.failure_detector
+    failure_detector = world.controllers["host-1"].core.membership.failure_detector
     failure_detector.peers["host-2"].mark_failed()
     failure_detector.failed_by["host-2"].add("host-1")
     view_count = world.view_count
     world.run(30.0 + constants.DISPUTED_FAILURE_TIMEOUT_S + 1.0)
     assert world.view_count == view_count + 1 and len(world.view.members) == 3 and not world.early_removals
-    assert world.nodes["host-1"].core.membership.failure_detector.accepts("host-2")
+    assert world.controllers["host-1"].core.membership.failure_detector.accepts("host-2")
 
 
 def test_paused_member_declares_nobody_failed():
@@ -383,7 +385,7 @@
     world = ControllerFaultWorld(seed, nodes=5, jobs=30)
     world.run(60.0)
     for label in ("host-0", "host-3"):
-        sim = world.nodes[label]
+        sim = world.controllers[label]
         sim.cut_store_until = sim.cut_mesh_until = sim.cut_workers_until = 90.0
     world.run(60.0 + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_TIMEOUT_S)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"]
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -64,7 +64,7 @@
     for label in world.labels[:-1]:
         ends_at = 10.0
         while ends_at < 70.0:
-            world.after(ends_at, world.end, world.nodes[label], world.rng.uniform(0.1, 0.25))
+            world.after(ends_at, world.end, world.controllers[label], world.rng.uniform(0.1, 0.25))
             ends_at += world.rng.uniform(0.3, 3.0)
     world.run(10.0)
     world.store.longest_change = 0.0
@@ -77,7 +77,7 @@
     """Run until a task runs on a machine that its job owner does not own; returns both owners and the task."""
     while True:
         world.run(world.t + 0.5)
-        for label, sim in world.nodes.items():
+        for label, sim in world.controllers.items():
             for name, job in sim.core.job_shard.jobs.items():
                 for index, run in job.runs.items():
                     machine_owner = sim.core.membership.machine_owner(run.machine)
@@ -89,11 +89,11 @@
     """Guards against a restarted job owner that handles messages for its earlier incarnation, which are sent again."""
     world = World(8700, random_faults=False, jobs=30)
     job_owner, machine_owner, name, index, run = run_to_remote_task(world)
-    sender = world.nodes[machine_owner].core
+    sender = world.controllers[machine_owner].core
     sender.messenger.channels[job_owner].reset(sender.membership.fencing_token, world.t)  # as after a new view
-    world.nodes[job_owner].crash()
-    world.restart(world.nodes[job_owner])
-    while not (core := world.nodes[job_owner].core).state.loaded:
+    world.controllers[job_owner].crash()
+    world.restart(world.controllers[job_owner])
+    while not (core := world.controllers[job_owner].core).state.loaded:
         world.run(world.t + 0.01)
     assert not core.state.is_member and core.membership.fencing_token == sender.membership.fencing_token
     task_report = messages.MachineTaskReport(
@@ -114,12 +114,12 @@
     """Guards against a process that enters the view as a non-member and never loads the jobs that it owns."""
     world = World(8701, random_faults=False, jobs=30)
     job_owner, *_ = run_to_remote_task(world)
-    world.nodes[job_owner].crash()
-    world.restart(world.nodes[job_owner])
-    core = world.nodes[job_owner].core
+    world.controllers[job_owner].crash()
+    world.restart(world.controllers[job_owner])
+    core = world.controllers[job_owner].core
     original, delayed_calls = core.view_entry.lease_acquired, []
     core.view_entry.lease_acquired = lambda *args: delayed_calls.append(args)  # the store responds late
-    fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
+    fencing_token = max(sim.core.membership.fencing_token for sim in world.controllers.values() if sim.core)
     while core.membership.fencing_token <= fencing_token or not delayed_calls:
         world.run(world.t + 0.05)
     assert not core.state.is_member and not core.may_act()
@@ -134,7 +134,7 @@
     spec = msgspec.structs.replace(
         world.make_job(1), kind="sweep", tasks=2, cpus=1.0, types=None, zone=None, one_zone=False, spread=False
     )
-    core = world.nodes[label].core
+    core = world.controllers[label].core
     world.specs[spec.id] = spec
     submission = core.submissions.submit(spec, world.t, world.t)
     batch = core.record_writer.next_batch(world.t)
@@ -150,7 +150,7 @@
     world = World(8702, random_faults=False, jobs=0)
     world.run(5.0)
     spec, batch = refuse_unconfirmed_submission(world, "host-1")
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     if is_retried:  # the retry is pending when the first transaction is applied
         core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -870,7 +870,7 @@
 
 
 class LateCommitWorld(World):
-    process = LateCommitController
+    controller_class = LateCommitController
     late_commit_share = 0.3
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -593,7 +593,7 @@
 class LendingWorld(ClaimsWorld):
     """Tuning tasks use all GPUs, services start and stop, and controllers fail while claims are open."""
 
-    def prepare(self, core):
+    def on_core_created(self, core):
         core.preemption.lending_configurations = lambda now: [LENDING_CONFIGURATION]
 
     def routine(self, number):
@@ -711,7 +711,7 @@
 
 def test_tasks_are_preempted_only_with_a_lending_configuration(gpu_machines, monkeypatch):
     assert run_world(103, random_faults=False, faults_after_claims=False).claim_count > 0
-    monkeypatch.setattr(LendingWorld, "prepare", lambda self, core: None)
+    monkeypatch.setattr(LendingWorld, "on_core_created", lambda self, core: None)
     assert run_world(101, random_faults=False, faults_after_claims=False).claim_count == 0
 
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -496,7 +496,7 @@
 class LostAnswersWorld(World):
     """Users cancel and query through all controllers while responses of the store are lost."""
 
-    process = AnswerLosingController
+    controller_class = AnswerLosingController
     lost_share, lost_from, lost_until = 0.4, 15.0, 90.0
     stop_orders_lost = False
 
@@ -515,7 +515,7 @@
             if self.t > self.cancelled_at.get(job, math.inf):
                 self.run_after_cancel_s[job] = self.t - self.cancelled_at[job]
         for job in self.cancelled_at:
-            for sim in self.nodes.values():
+            for sim in self.controllers.values():
                 state = self.question(sim, job)
                 if state is not None:
                     self.answer(job, state)
@@ -547,7 +547,7 @@
     world = LostAnswersWorld(30010, jobs=8, random_faults=False)
     world.lost_share = 0.0
     world.run(40.0)
-    sim, store = world.nodes["host-1"], world.store
+    sim, store = world.controllers["host-1"], world.store
     if step != "extend":
         world.end(sim, 0.3)
         world.run(40.3)
@@ -611,7 +611,7 @@
     def cancel_at_all(self, job):
         self.cancel_sent_at.setdefault(job, self.t)
         if job not in self.reported_ends:
-            for label, sim in self.nodes.items():
+            for label, sim in self.controllers.items():
                 if label != self.rarely_asked or self.rng.random() < 0.2:
                     self.withdraw_through(sim, job)
             self.after(0.5, self.cancel_at_all, job)
@@ -630,7 +630,7 @@
     world = HandoverWorld(seed, nodes)
     world.run(FAILOVER_AT_S - 2.0)
     label = world.leader()
-    sim, jobs = world.nodes[label], world.jobs_accepted_by(label)
+    sim, jobs = world.controllers[label], world.jobs_accepted_by(label)
     assert len(jobs) >= 6 and len(world.running_on) > JOBS_PER_CONTROLLER
     world.stop_orders_lost = stop_orders_lost
     world.rarely_asked = label
@@ -666,7 +666,7 @@
 def restart_leaders_repeatedly(world, sim):
     """A view change every four seconds for half a minute, so that per-view delays would accumulate."""
     for number in range(8):
-        world.after(2.0 + 4.0 * number, lambda: world.end(world.nodes[world.leader()], 0.3))
+        world.after(2.0 + 4.0 * number, lambda: world.end(world.controllers[world.leader()], 0.3))
 
 
 FAILOVERS = [stop_leader, restart_leader, isolate_leader, restart_leaders_repeatedly]
@@ -749,7 +749,7 @@
 
     def restart_current_leader(self):
         self.restarted_leaders.append(self.leader())
-        self.end(self.nodes[self.leader()], self.rng.uniform(0.3, 8.0))
+        self.end(self.controllers[self.leader()], self.rng.uniform(0.3, 8.0))
 
     def cancel_every_other_job(self):
         for number, job in enumerate(sorted(self.accepted)[::2]):
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -119,7 +119,7 @@
         super().carry_out(order)
 
 
-class FastBootController(World.process):
+class FastBootController(World.controller_class):
     """Scales out at once; the answers arrive late, or are lost if the process has ended since."""
 
     def lead(self):
@@ -150,7 +150,7 @@
 class FastBootWorld(InboundBlockedWorld):
     """Machines boot within 2 s and some fail within seconds, while store writes are delayed and leaders end."""
 
-    process = FastBootController
+    controller_class = FastBootController
     faults_until = 110.0
     rented_count = ended_leader_count = 0
 
@@ -189,7 +189,7 @@
         """The machines of all machine shards, by name."""
         return {
             name: machine
-            for sim in self.nodes.values()
+            for sim in self.controllers.values()
             if sim.core is not None
             for name, machine in sim.core.machine_shard.machines.items()
         }
@@ -199,8 +199,8 @@
         return msgspec.structs.replace(spec, estimate_s=min(spec.estimate_s, 40.0))
 
     def late_writes(self, from_s, for_s):
-        self.after(from_s, self.bring, "late_writes", next(iter(self.nodes.values())), for_s)
-        self.after(from_s, self.bring, "slow_store", next(iter(self.nodes.values())), for_s)
+        self.after(from_s, self.bring, "late_writes", next(iter(self.controllers.values())), for_s)
+        self.after(from_s, self.bring, "slow_store", next(iter(self.controllers.values())), for_s)
 
 
 @pytest.mark.parametrize("seed, nodes", ((44, 3), (35, 5)))
@@ -319,7 +319,7 @@
         super().carry_out(order)
 
 
-class ReplayingController(World.process):
+class ReplayingController(World.controller_class):
     """Captures a share of the heartbeats for replay under the next view; some of them are withheld until then."""
 
     def heartbeat(self, raw, reply, is_replay=False):
@@ -334,7 +334,7 @@
 class OutboundBlockedWorld(InboundBlockedWorld):
     """Heartbeats of some machines are lost, and captured heartbeats are replayed under the next view."""
 
-    process = ReplayingController
+    controller_class = ReplayingController
     capture_share = 0.0
 
     def __init__(self, *args, **kwargs):
@@ -362,7 +362,7 @@
                 delay_s = self.rng.choice(
                     [0.0, 0.2, 0.5, self.rng.uniform(0.5, 8.0), self.rng.uniform(8.0, 2 * LEASE_S)]
                 )
-                for sim in self.nodes.values():
+                for sim in self.controllers.values():
                     self.after(
                         delay_s + self.rng.uniform(0.0, 0.3), sim.heartbeat, raw, lambda status, body: None, True
                     )
@@ -379,7 +379,7 @@
         """The tasks that job owners have on these machines."""
         return [
             (name, index, run.state)
-            for sim in self.nodes.values()
+            for sim in self.controllers.values()
             if sim.core is not None
             for name, job in sim.core.job_shard.jobs.items()
             for index, run in job.runs.items()
@@ -400,7 +400,9 @@
 
     def cores_in_newer_view():
         return [
-            sim.core for sim in world.nodes.values() if sim.core and sim.core.membership.fencing_token > fencing_token
+            sim.core
+            for sim in world.controllers.values()
+            if sim.core and sim.core.membership.fencing_token > fencing_token
         ]
 
     def snapshot(core):
@@ -430,7 +432,7 @@
         for raw in captured:
             for core in cores_in_newer_view():
                 machines, jobs = snapshot(core)
-                world.nodes[core.me].heartbeat(raw, lambda status, body: None, True)
+                world.controllers[core.me].heartbeat(raw, lambda status, body: None, True)
                 machines_after, jobs_after = snapshot(core)
                 assert jobs_after == jobs and {name: machines_after[name] for name in machines} == machines
                 receivers.add(core.me)
@@ -544,13 +546,15 @@
     world.end(leader, 30.0)
     for job in sorted({task_id.split("/")[0] for task_id, name in world.running_on.items() if name in blocked})[:4]:
         world.withdraw(job)
-    while all(sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.nodes.values()):
+    while all(
+        sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.controllers.values()
+    ):
         world.run(world.t + 0.25)
     view_began_at = world.t
     world.run(view_began_at + 4.0)
     shard_machines = {
         name: machine
-        for sim in world.nodes.values()
+        for sim in world.controllers.values()
         if sim.core is not None
         for name, machine in sim.core.machine_shard.machines.items()
     }
@@ -561,7 +565,7 @@
     assert not world.inherited()
     world.run(view_began_at + 2 * LEASE_EXPIRY_PROOF_S + 4.0)  # a late acknowledgement, and a lease from then on
     assert not world.runs_on(blocked) and not any(name in blocked for name in world.running_on.values())
-    job_owners = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
+    job_owners = [sim.core.job_shard.jobs for sim in world.controllers.values() if sim.core is not None]
     assert not [
         job for jobs in job_owners for job in jobs.values() if job.state is JobState.ABORTED and job.on_machines
     ]
@@ -592,7 +596,7 @@
     while fault_at < 120.0:
         world.after(fault_at, lambda: world.block_outbound(world.rng.uniform(0.2, 0.8), world.rng.uniform(3.0, 40.0)))
         world.after(fault_at + 2.0, world.end_leaders, 1, 0.0)
-        world.after(fault_at + 3.0, lambda: world.end(world.rng.choice(list(world.nodes.values())), 11.0))
+        world.after(fault_at + 3.0, lambda: world.end(world.rng.choice(list(world.controllers.values())), 11.0))
         world.after(fault_at + 1.0, world.cancel_any)
         fault_at += world.rng.uniform(4.0, 20.0)
     world.run(125.0)
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -257,7 +257,7 @@
             super().command(*command)
 
 
-class CopyingProcess(World.process):
+class CopyingProcess(World.controller_class):
     """Receives a share of the heartbeats again up to two leases late, possibly in another process."""
 
     def heartbeat(self, raw, reply, is_copy=False):
@@ -269,7 +269,7 @@
 
 
 class InboundBlockedWorld(World):
-    process = CopyingProcess
+    controller_class = CopyingProcess
     copied_heartbeat_share = 0.0
 
     def __init__(self, *args, **more):
@@ -297,7 +297,7 @@
         """Number of inherited tasks of unknown state, at all job owners."""
         return sum(
             len(job.inherited_tasks)
-            for sim in self.nodes.values()
+            for sim in self.controllers.values()
             if sim.core is not None
             for job in sim.core.job_shard.jobs.values()
             if job.state is JobState.ACTIVE
@@ -305,7 +305,7 @@
 
     def leader(self):
         return next(
-            sim for sim in self.nodes.values() if sim.core is not None and sim.core.membership.is_leader(self.t)
+            sim for sim in self.controllers.values() if sim.core is not None and sim.core.membership.is_leader(self.t)
         )
 
 
@@ -353,7 +353,7 @@
     granted_since = {}
     while world.t < 150.0:
         world.run(world.t + 1.0)
-        for sim in world.nodes.values():
+        for sim in world.controllers.values():
             for name, job in sim.core.job_shard.jobs.items():
                 for index, run in job.runs.items():
                     if run.state is TaskState.GRANTED:
@@ -482,8 +482,8 @@
     world = InboundBlockedWorld(7, jobs=6)
     world.run(40.0)
     job_owner, machine_owner, name, index, run = next(
-        (sim.core, world.nodes[sim.core.membership.machine_owner(run.machine)].core, name, index, run)
-        for sim in world.nodes.values()
+        (sim.core, world.controllers[sim.core.membership.machine_owner(run.machine)].core, name, index, run)
+        for sim in world.controllers.values()
         for name, job in sim.core.job_shard.jobs.items()
         for index, run in job.runs.items()
         if sim.core.membership.machine_owner(run.machine) != sim.label and run.state is TaskState.RUNNING
@@ -492,7 +492,7 @@
         MachineTaskReport(run.machine, run.zone, 10**6, [], [])
     )
     fencing_token = job_owner.membership.fencing_token
-    world.end(next(sim for sim in world.nodes.values() if sim.core not in (job_owner, machine_owner)), 1.0)
+    world.end(next(sim for sim in world.controllers.values() if sim.core not in (job_owner, machine_owner)), 1.0)
     while job_owner.membership.fencing_token == fencing_token:
         world.run(world.t + 0.05)
     job_owner.on_frame(old_report, world.t)
@@ -730,7 +730,9 @@
 
         def fault(number=number):
             is_leader = [
-                sim for sim in world.nodes.values() if sim.core is not None and sim.core.membership.is_leader(world.t)
+                sim
+                for sim in world.controllers.values()
+                if sim.core is not None and sim.core.membership.is_leader(world.t)
             ]
             for sim in is_leader:
                 world.end(sim, (0.2, 3.0)[number % 2])
@@ -752,7 +754,7 @@
     world.run(40.0)
 
     def find_recent_heartbeat():
-        for sim in world.nodes.values():
+        for sim in world.controllers.values():
             membership = sim.core.membership
             acts_until = min(membership.store_lease.valid_until, membership.fresh_until)
             for machine in sim.core.machine_shard.machines.values():
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -26,7 +26,7 @@
     """Cut controllers off from the store and from the others; workers and users still reach them."""
     world.cut(labels, duration_s)
     for label in labels:
-        world.nodes[label].cut_store_until = world.t + duration_s
+        world.controllers[label].cut_store_until = world.t + duration_s
 
 
 def run_to_next_view(world, until):
@@ -41,11 +41,11 @@
 def isolate_before_view_arrives(world, labels, duration_s):
     """Isolate members before they receive the view that has just been written; the others continue without them."""
     fencing_token = world.store.revision
-    assert all(world.nodes[label].core.membership.fencing_token < fencing_token for label in labels)
+    assert all(world.controllers[label].core.membership.fencing_token < fencing_token for label in labels)
     isolate(world, labels, duration_s)
     isolated_at = world.t
     world.run(isolated_at + duration_s + 20.0)
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
 
 
 def run_contact_restored(seed, nodes):
@@ -66,11 +66,11 @@
     world = ControllerFaultWorld(seed, nodes=5, jobs=0)
     world.run(30.0)
     for label in ("host-3", "host-4"):
-        world.nodes[label].crash()
+        world.controllers[label].crash()
     world.run(60.0)
     assert len(world.view.members) == 3
     for label in ("host-3", "host-4"):
-        world.restart(world.nodes[label])
+        world.restart(world.controllers[label])
     run_to_next_view(world, 70.0)
     return world
 
@@ -126,7 +126,7 @@
     """Guards against acknowledgements that the others would count for its former lease id."""
     world = World(15020, random_faults=False, jobs=0)
     world.run(20.0)
-    core, other = world.nodes["host-0"].core, world.nodes["host-1"].core
+    core, other = world.controllers["host-0"].core, world.controllers["host-1"].core
     assert core.state.is_member
     received = core.messenger.channels["host-1"].last_received_sequence
     core.membership.store_lease.mark_expired()
@@ -147,7 +147,7 @@
     def withdraw(self, job):
         if job in self.reported_ends:
             return
-        for label, sim in self.nodes.items():
+        for label, sim in self.controllers.items():
             if label != self.isolated_label and sim.core is not None and sim.core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, float("inf"))
                 state = sim.core.local_jobs.cancel(job, self.t)
@@ -161,7 +161,7 @@
     def poll_all(self):
         for job in sorted(self.accepted):
             for label in (self.isolated_label, *self.labels):
-                state = self.question(self.nodes[label], job)
+                state = self.question(self.controllers[label], job)
                 if state is not None:
                     self.last_status_at[job] = self.t
                     self.answer(job, state)
@@ -171,8 +171,8 @@
 def run_isolated_leader(seed, nodes, duration_s=45.0, from_peers=True):
     world = IsolatedLeaderWorld(seed, nodes=nodes, jobs=24, random_faults=False)
     world.run(60.0)
-    world.isolated_label = next(iter(world.nodes.values())).core.membership.view.leader
-    sim = world.nodes[world.isolated_label]
+    world.isolated_label = next(iter(world.controllers.values())).core.membership.view.leader
+    sim = world.controllers[world.isolated_label]
     sim.cut_store_until = world.t + duration_s
     if from_peers:
         sim.cut_mesh_until = world.t + duration_s
@@ -181,7 +181,7 @@
         world.after(0.5 * number, world.withdraw, job)
     world.run(60.0 + duration_s + 60.0)
     world.remembered()
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     return world
 
 
@@ -199,17 +199,17 @@
     """The leader loses the store; the others cancel its jobs; then the store is down for all, and leases are kept."""
     world = IsolatedLeaderWorld(seed, nodes=nodes, jobs=24, random_faults=False)
     world.run(60.0)
-    world.isolated_label = world.nodes[world.labels[0]].core.membership.view.leader
-    world.nodes[world.isolated_label].cut_store_until = 60.0 + refused_s + outage_s
+    world.isolated_label = world.controllers[world.labels[0]].core.membership.view.leader
+    world.controllers[world.isolated_label].cut_store_until = 60.0 + refused_s + outage_s
     world.poll_all()
     for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
         world.after(0.5 * number, world.withdraw, job)
     world.after(refused_s, world.store.outage, outage_s)
     world.run(60.0 + refused_s + outage_s)
-    acting = [sim.label for sim in world.nodes.values() if sim.core.may_act()]
+    acting = [sim.label for sim in world.controllers.values() if sim.core.may_act()]
     world.run(60.0 + refused_s + outage_s + 50.0)
     world.remembered()
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     return world, acting
 
 
@@ -227,18 +227,21 @@
     world = World(seed, nodes=nodes, jobs=24, random_faults=False, pipelines=2)
     world.delayed_frame_share = 0.2  # frames also arrive after their sender or receiver has restarted
     for number, label in enumerate([*world.labels, *world.labels]):
-        world.after(40.0 + 0.3 * number, world.end, world.nodes[label], 0.15)
+        world.after(40.0 + 0.3 * number, world.end, world.controllers[label], 0.15)
     for label in world.labels:
         world.after(
-            46.0, world.end, world.nodes[label], 0.2 if label == first_back else 1.0 if first_back is None else 7.0
+            46.0,
+            world.end,
+            world.controllers[label],
+            0.2 if label == first_back else 1.0 if first_back is None else 7.0,
         )
     if first_back is not None:  # during the election
-        world.after(46.7, world.end, world.nodes[first_back], 0.15)
+        world.after(46.7, world.end, world.controllers[first_back], 0.15)
     world.run(53.0)
     world.delayed_frame_share, starts = 0.001, world.task_starts
     world.run(90.0)
     assert world.task_starts > starts and world.store.differs_since is None
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     world.run(200.0)
     world.remembered()
     assert not world.wrongly_halted
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -91,7 +91,7 @@
             self.after(self.rng.uniform(35.0, 140.0), self.submit, self.urgent(20 + number))
         self.after(0.5, self.sample)
 
-    def prepare(self, core) -> None:
+    def on_core_created(self, core) -> None:
         core.preemption.priority_configurations = lambda now: [self.configuration]
 
     def routine(self, number: int) -> wire.JobSpec:
@@ -248,7 +248,9 @@
 
     def halted(self, task_id: str, task, worker) -> None:
         machines = [
-            sim.core.machine_shard.machines.get(worker.name) for sim in self.nodes.values() if sim.core is not None
+            sim.core.machine_shard.machines.get(worker.name)
+            for sim in self.controllers.values()
+            if sim.core is not None
         ]
         stopped_by_claim = any(
             wire.split_task_id(task_id) in machine.orders.claim_stops for machine in machines if machine is not None
@@ -260,7 +262,7 @@
     def inject_claim_fault(self, claims: list) -> None:
         rng, kind = self.rng, self.rng.random()
         if kind < 0.35:
-            for sim in self.nodes.values() if kind < 0.2 else [rng.choice(list(self.nodes.values()))]:
+            for sim in self.controllers.values() if kind < 0.2 else [rng.choice(list(self.controllers.values()))]:
                 at = rng.uniform(0.0, 3.0)
                 self.after(at, sim.crash)
                 self.after(at + 10.0 ** rng.uniform(-1.0, 1.78), self.restart, sim)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -309,7 +309,7 @@
 
 
 class MixedVersionWorld(World):
-    process = MixedVersionController
+    controller_class = MixedVersionController
 
     def __init__(self, seed, older, **more):
         self.older, self.sent_types = set(older), set()
@@ -321,17 +321,17 @@
     world = MixedVersionWorld(seed, ["host-2"], jobs=20, random_faults=False)
     world.run(60.0)
     assert messages.QueueSnapshot in world.sent_types and not world.sent_types & set(DELTA_MESSAGES)
-    world.nodes["host-2"].crash()
+    world.controllers["host-2"].crash()
     world.older.clear()
-    world.restart(world.nodes["host-2"])
+    world.restart(world.controllers["host-2"])
     world.run(100.0)
     assert {messages.QueueDelta, messages.TeamUsageDelta, messages.PeerStatus} <= world.sent_types
-    assert all(sim.core.queue_round.publisher.format.name == "DELTAS" for sim in world.nodes.values())
-    world.nodes["host-1"].crash()
+    assert all(sim.core.queue_round.publisher.format.name == "DELTAS" for sim in world.controllers.values())
+    world.controllers["host-1"].crash()
     world.older.add("host-1")
-    world.restart(world.nodes["host-1"])
+    world.restart(world.controllers["host-1"])
     world.run(130.0)
-    assert all(sim.core.queue_round.publisher.format.name == "SNAPSHOTS" for sim in world.nodes.values())
+    assert all(sim.core.queue_round.publisher.format.name == "SNAPSHOTS" for sim in world.controllers.values())
     world.run(700.0)
     assert all(world.reported_ends.get(job) or job in world.cancelled_at for job in world.accepted)
 
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -327,7 +327,7 @@
         if rng.random() < 0.3:
             kind = rng.choice(["cut", "cut_store", "cut_mesh", "cut_workers", "outage", "late_writes", "late_reports"])
             length = rng.uniform(3.0, 35.0)
-            self.after(rng.uniform(0.0, 5.0), self.bring, kind, self.nodes[rng.choice(self.labels)], length)
+            self.after(rng.uniform(0.0, 5.0), self.bring, kind, self.controllers[rng.choice(self.labels)], length)
             self.faults_end_at = max(self.faults_end_at, self.t + 5.0 + length)
 
     def cancel_running(self, job: str) -> None:
@@ -359,7 +359,7 @@
             if leader and VIEW in self.store.data
             else self.rng.choice(self.labels)
         )
-        self.end(self.nodes[label], restart_after_s)
+        self.end(self.controllers[label], restart_after_s)
 
     def entered(self, task_id, worker) -> None:
         super().entered(task_id, worker)
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -216,7 +216,7 @@
     """Guards against restarts that wait for machines whose records should have been dropped long before."""
     world = World(9500, jobs=0, random_faults=False)
     world.run(5.0)
-    sim = world.nodes["host-1"]
+    sim = world.controllers["host-1"]
     core, sim.busy = sim.core, True  # the test runs its record writer
     for number in range(200):
         spec = msgspec.structs.replace(world.make_job(number), id=f"wk-{number:06d}", kind="sweep", tasks=9)
@@ -321,7 +321,7 @@
 
 def find_remote_run(world):
     """(job owner, machine owner, job, index, machine) of a task whose job and machine owners differ; None if none."""
-    for label, sim in world.nodes.items():
+    for label, sim in world.controllers.items():
         for name, job in sim.core.job_shard.jobs.items():
             for index, run in job.runs.items():
                 machine_owner = sim.core.membership.machine_owner(run.machine)
@@ -350,15 +350,17 @@
     job_owner, machine_owner, _, _, machine = run_until_remote_run(world)
     third = next(label for label in world.labels if label not in (job_owner, machine_owner))
     world.machines[machine].die()
-    world.nodes[job_owner].cut_mesh_until = world.t + 26.0
+    world.controllers[job_owner].cut_mesh_until = world.t + 26.0
     world.run(world.t + 20.0)
-    assert machine not in world.nodes[machine_owner].core.replica.machine_revisions  # expired, and its record dropped
-    world.nodes[third].crash()
-    world.after(1.0, world.restart, world.nodes[third])
+    assert (
+        machine not in world.controllers[machine_owner].core.replica.machine_revisions
+    )  # expired, and its record dropped
+    world.controllers[third].crash()
+    world.after(1.0, world.restart, world.controllers[third])
     world.run(world.t + 12.0)
     stuck = [
         run
-        for sim in world.nodes.values()
+        for sim in world.controllers.values()
         for other in sim.core.job_shard.jobs.values()
         for run in other.runs.values()
         if run.machine == machine
@@ -374,13 +376,13 @@
     world.run(40.0)
     job_owner, machine_owner, name, index, machine = run_until_remote_run(world)
     world.machines[machine].die()
-    world.nodes[job_owner].crash()
+    world.controllers[job_owner].crash()
     world.run(world.t + 2.0)
-    world.restart(world.nodes[job_owner])
+    world.restart(world.controllers[job_owner])
     restarted_at = world.t
     while world.t < restarted_at + 30.0:
         world.run(world.t + 0.1)
-        core = world.nodes[job_owner].core
+        core = world.controllers[job_owner].core
         if core.may_act() and not any(job.inherited_tasks for job in core.job_shard.jobs.values()):
             break
     return world.t - restarted_at
@@ -458,7 +460,7 @@
     world.run(60.0)
     while True:  # until a machine is idle at the leader
         world.run(world.t + 0.5)
-        leader = next(sim.core.leader for sim in world.nodes.values() if sim.core.membership.is_leader(world.t))
+        leader = next(sim.core.leader for sim in world.controllers.values() if sim.core.membership.is_leader(world.t))
         rows = [row for summary, _ in leader.machine_summaries.values() for row in summary.rows]
         if leader.ready(world.t) and any(row.idle_s > 0 and row.state == "up" for row in rows):
             break
@@ -478,7 +480,7 @@
 def test_deferred_messages_keep_their_order_and_are_sent_in_the_next_round():
     world = World(9600, jobs=0, random_faults=False)
     world.run(5.0)
-    core = world.nodes["host-0"].core
+    core = world.controllers["host-0"].core
     core.effects.outgoing_frames.clear()
     acknowledgements = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
     core.messenger.send_deferred("host-1", acknowledgements[0])
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -76,7 +76,7 @@
 def test_lower_store_limits_than_announced_cost_no_store_lease_and_no_job(seed):
     world = play(seed, until=300.0, random_faults=False, pipelines=3, tight_at=60.0)
     assert world.store.too_large > 0
-    fencing_tokens = {sim.core.membership.fencing_token for sim in world.nodes.values()}
+    fencing_tokens = {sim.core.membership.fencing_token for sim in world.controllers.values()}
     unfinished = [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
     assert len(fencing_tokens) == 1 and not unfinished
 
@@ -94,7 +94,7 @@
     after = msgspec.structs.replace(tail, id="wk-777", dependencies=needs)
     world.specs |= {tail.id: tail, after.id: after}
     world.specs |= {need: msgspec.structs.replace(tail, id=need, tasks=0) for need in needs[:-1]}
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     world.submit(tail)
     world.run(33.0)
     core.replica.ended.clear()  # as if no dependency had ended, so that the list is long
@@ -105,7 +105,7 @@
         submission.outcome == "accepted"
         and len([key for key in world.store.data if key.startswith(DEPENDENCY_LISTS)]) > 3
     )
-    for sim in world.nodes.values():
+    for sim in world.controllers.values():
         sim.crash()
         world.after(2.0, world.restart, sim)
     world.accepted.add(after.id)
@@ -121,9 +121,9 @@
     world = World(seed, random_faults=False)
     for closes_at in (20.0, 45.0):
         one, other = world.rng.sample(world.labels, 2)
-        world.after(closes_at, world.nodes[one].half_open_links.add, other)
+        world.after(closes_at, world.controllers[one].half_open_links.add, other)
     world.run(260.0)
-    assert not any(sim.half_open_links for sim in world.nodes.values())
+    assert not any(sim.half_open_links for sim in world.controllers.values())
     assert len(world.accepted) == 14
     assert not [job for job in world.accepted if job not in world.reported_ends]
 
@@ -133,7 +133,7 @@
     world = play(1, until=5.0, jobs=0, random_faults=False)
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
     after = msgspec.structs.replace(after, dependencies=[first.id])
-    owner, cut_off = world.nodes["host-0"], world.nodes["host-1"]
+    owner, cut_off = world.controllers["host-0"], world.controllers["host-1"]
     owner.core.submissions.submit(first, world.t, world.t)
     world.run(6.0)
     cut_off.core.submissions.submit(after, world.t, world.t)
@@ -163,7 +163,7 @@
 def test_an_end_being_stored_is_not_contradicted_from_memory():
     """Guards against reporting "pending" from memory after others have read an end whose write got no response."""
     world = play(1, until=5.0, jobs=0, random_faults=False)
-    core = world.nodes["host-0"].core
+    core = world.controllers["host-0"].core
     spec = world.make_job(1)
     job = core.job_shard.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
     assert core.local_jobs.local_job_state(spec.id, 5.0)[0] == "pending"
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -79,7 +79,7 @@
 
 
 class StoreGapWorld(World):
-    process = StoreGapController
+    controller_class = StoreGapController
 
     def __init__(self, seed: int, **options) -> None:
         self.stop_messages_lost = False
@@ -102,7 +102,7 @@
             self.after(REFUSED_AT + cancelled_after_s, self.withdraw, spec.id)
 
     def current_leader(self) -> StoreGapController:
-        return self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
+        return self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
 
 
 def run_store_gap(seed, *, stop_messages_lost=True, leader_fault="refused", pause_s=0.0, outage_s=OUTAGE_S):
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -43,7 +43,7 @@
     world, rented, ended_at, returned, dropped = run_outage(seed)
     assert len(rented) >= 5 and not set(returned) & set(rented)
     assert not set(dropped) & {MACHINES + name for name in rented}
-    assert world.first_started_at and all(sim.core.may_act() for sim in world.nodes.values())
+    assert world.first_started_at and all(sim.core.may_act() for sim in world.controllers.values())
     world.run(ended_at + 240.0)
     world.remembered()
     assert not [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
@@ -68,7 +68,7 @@
     world.run(40.0)
     core, name = next(
         (sim.core, name)
-        for sim in world.nodes.values()
+        for sim in world.controllers.values()
         for name in sorted(sim.core.machine_shard.machines)
         if sim.core.machine_shard.machines[name].recorded
     )
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -92,7 +92,7 @@
 def test_a_submission_that_conflicts_with_an_unreadable_record_does_not_block_others():
     world = RateLimitedStoreWorld(3)
     world.run(5.0)
-    sim = world.nodes["host-1"]
+    sim = world.controllers["host-1"]
     # Written by another controller; the watch has not delivered it yet.
     world.store.data[JOBS + "wk-000001"] = (GARBAGE, world.store.revision, None)
     outcomes: dict[int, str] = {}
@@ -109,11 +109,11 @@
     world.store.revision += 1
     world.store.data[JOBS + JOB] = (GARBAGE, world.store.revision, None)
     world.store.data[MACHINES + "n-999999"] = (b'"?"', world.store.revision, None)
-    for sim in world.nodes.values():
+    for sim in world.controllers.values():
         sim.crash()
         world.after(1.0, world.restart, sim)
     world.run(400.0)
-    assert all(sim.core.state.loaded for sim in world.nodes.values())
+    assert all(sim.core.state.loaded for sim in world.controllers.values())
     assert world.accepted and {
         world.reported_ends.get(job) for job in world.accepted if not world.specs[job].service
     } <= {
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -43,7 +43,7 @@
 class UpgradeWorld(World):
     """Counts the views whose members run two versions, by the member keys when the view is written."""
 
-    process = VersionedController
+    controller_class = VersionedController
 
     def __init__(self, seed, nodes):
         self.mixed_views = self.contact_views = 0
@@ -81,7 +81,7 @@
 def test_invariants_hold_under_concurrent_faults_during_an_upgrade(nodes, seed):
     world = play_upgrade(seed, nodes)
     assert world.mixed_views and world.contact_views and world.task_starts > 0 and not world.late_largest()
-    assert not any(sim.old for sim in world.nodes.values())
+    assert not any(sim.old for sim in world.controllers.values())
 
 
 class VersionedHangingController(VersionedController, WatchFaultController):
@@ -89,7 +89,7 @@
 
 
 class MixedVersionsWorld(ActConditionsWorld):
-    process = VersionedHangingController
+    controller_class = VersionedHangingController
 
 
 def play_new_member_missing_a_view(seed):
@@ -99,13 +99,13 @@
     only replica freshness stops it from acting.
     """
     world = MixedVersionsWorld(seed, 3)
-    for sim in world.nodes.values():
+    for sim in world.controllers.values():
         sim.old = True
         sim.crash()
         sim.start()
     world.run(20.0)
     restarted_label, label = sorted(set(world.labels) - {world.view.leader})
-    new, restarted = world.nodes[label], world.nodes[restarted_label]
+    new, restarted = world.controllers[label], world.controllers[restarted_label]
     new.old = False
     new.crash()
     new.start()
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -51,8 +51,8 @@
         """Submit at a random controller, which may refuse with 503; retry for ``USER_RETRY_S``."""
         if self.t - self.first_submitted_at[spec.id] > USER_RETRY_S:
             return
-        label = self.rng.choice(list(self.nodes))
-        core = self.nodes[label].core
+        label = self.rng.choice(list(self.controllers))
+        core = self.controllers[label].core
         if core is None or admission.decide(core, spec, self.t, False).admission is Admission.UNAVAILABLE:
             self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
             return
@@ -70,7 +70,7 @@
 
     def look(self) -> None:
         """Sample which classes have writes due."""
-        cores = [sim.core for sim in self.nodes.values() if sim.core is not None and sim.core.may_act()]
+        cores = [sim.core for sim in self.controllers.values() if sim.core is not None and sim.core.may_act()]
         waiting = {
             "machines": any(core.machine_shard.records.to_write for core in cores),
             "submissions": any(core.submissions.pending for core in cores),
@@ -163,7 +163,7 @@
 def test_progress_resumes_after_a_controller_restart_during_a_flood():
     world = Flood(12)
     world.run(40.0)
-    sim = next(sim for sim in world.nodes.values() if sim is not world.leader)
+    sim = next(sim for sim in world.controllers.values() if sim is not world.leader)
     sim.crash()
     world.after(6.0, world.restart, sim)
     check_progress_resumes(world, crashed_at=40.0)
@@ -172,7 +172,7 @@
 def test_submissions_and_machine_records_progress_during_a_flood_of_job_ends():
     world = Flood(13)
     world.run(45.0)
-    active = [job for sim in world.nodes.values() for job in sim.core.job_shard.jobs]
+    active = [job for sim in world.controllers.values() for job in sim.core.job_shard.jobs]
     assert len(active) > 60, "more than the store commits in five seconds"
     for job in active:
         world.withdraw(job)
@@ -202,7 +202,7 @@
 def test_a_submission_that_cannot_be_stored_in_time_is_refused_at_once():
     world = RateLimitedStoreWorld(14, write_rps=10.0)
     world.run(5.0)
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     answers = []
     for number in range(20):
         decision = admission.decide(core, array(number), world.t, False)
@@ -221,7 +221,7 @@
     """Assured changes count towards the limit of the transaction."""
     world = RateLimitedStoreWorld(15)
     world.run(5.0)
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     writer, now = core.record_writer, world.t
     for number in range(20):
         core.machine_shard.machines[f"n-9{number:05d}"] = SimpleNamespace(record=MachineRecord())
