--- a/tests/simulation/__main__.py
+++ b/tests/simulation/__main__.py
@@ -19,11 +19,11 @@
         started_at = time.process_time()
         world = World(seed, nodes=5, machines=args.machines, jobs=args.machines, groups=True, falls=2, rush=True)
         world.run(args.until)
-        world.remembered()
+        world.check_final_status_age()
         open_jobs = sum(job not in world.reported_ends for job in world.accepted)
         print(
             f"seed {seed}: {world.task_starts} starts, {len(world.accepted)} jobs accepted, {open_jobs} still open, "
-            f"{len(world.late_largest())} of the largest jobs started late, longest wait for a matching view "
+            f"{len(world.largest_started_late())} of the largest jobs started late, longest wait for a matching view "
             f"{world.store.longest_change:.1f} s, {time.process_time() - started_at:.0f} s of processor time"
         )
     return 0
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -236,7 +236,7 @@
                 core.replica.revision = revision
             else:
                 core.store_follower.load(rows, changes, revision, world.t, world.t + self.ahead_s)
-            world.followed(self, [*(rows or ()), *changes])
+            world.on_store_read(self, [*(rows or ()), *changes])
 
         def failed():
             self.follow_busy = False
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -29,25 +29,25 @@
 class Invariants:
     """What must hold under any fault; a mixin of ``World``."""
 
-    def halted(self, task_id: str, task: SimTask, worker: SimWorker) -> None:
+    def on_task_halted(self, task_id: str, task: SimTask, worker: SimWorker) -> None:
         """Hook for subclasses: a worker halts a task whose job is not cancelled."""
 
-    def saved(self, task_id: str, remaining_s: float) -> None:
+    def on_checkpoint_started(self, task_id: str, remaining_s: float) -> None:
         """Hook for subclasses: a worker starts to save a checkpoint, with ``remaining_s`` left to run."""
 
-    def run_time(self, task_id: str) -> float:
+    def draw_run_time(self, task_id: str) -> float:
         spec = self.specs[wire.split_task_id(task_id)[0]]
         if spec.job_class == "long":
             return self.rng.uniform(20.0, 110.0)
         return math.inf if spec.service else spec.estimate_s * self.rng.uniform(0.5, 1.5)
 
-    def followed(self, sim: SimController, rows: list) -> None:
+    def on_store_read(self, sim: SimController, rows: list) -> None:
         """Hook for subclasses: a controller has read these rows and events."""
 
-    def ordered(self, task_id: str) -> None:
+    def on_run_order(self, task_id: str) -> None:
         """Hook for subclasses: a worker accepts the order to run the task."""
 
-    def entered(self, task_id: str, worker: SimWorker) -> None:
+    def on_task_started(self, task_id: str, worker: SimWorker) -> None:
         job = wire.split_task_id(task_id)[0]
         spec = self.specs[job]
         if task_id in self.running_on:
@@ -147,22 +147,22 @@
             if job not in self.reported_ends and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
-    def judged(self) -> None:
+    def run_to_time_limits(self) -> None:
         """Runs on until all time limits have been checked: waiting jobs, and the start of the largest jobs."""
         self.run(max(self.t, self.faults_end_at + ROOM_S + 10.0))
         while late := self.largest_not_started():
             self.run(min(self.first_submitted_at[job] for job in late) + BEGIN_S + 0.5)
-            if self.late_largest():
-                raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
-        if self.late_largest():
-            raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
-        self.remembered()
+            if self.largest_started_late():
+                raise Broken(f"late: {self.largest_started_late()} not begun within {BEGIN_S:.0f} s")
+        if self.largest_started_late():
+            raise Broken(f"late: {self.largest_started_late()} not begun within {BEGIN_S:.0f} s")
+        self.check_final_status_age()
 
-    def left(self, task_id: str, machine: str) -> None:
+    def on_task_stopped(self, task_id: str, machine: str) -> None:
         if self.running_on.get(task_id) == machine:
             del self.running_on[task_id]
 
-    def watch(self) -> None:
+    def check_invariants(self) -> None:
         for worker in self.machines.values():
             if worker is not None:
                 worker.tick()
@@ -174,14 +174,14 @@
         for sim in self.controllers.values():
             if sim.core is not None:
                 self.check_bookkeeping(sim.core)
-                self.served(sim.core)
+                self.check_owned_jobs_served(sim.core)
         if self.has_concurrent_faults and self.t >= self.liveness_checked_at + 1.0:
             self.liveness_checked_at = self.t
             self.check_placeable_jobs()
             self.check_jobs_answered()
-        self.after(0.25, self.watch)
+        self.after(0.25, self.check_invariants)
 
-    def served(self, core: ControllerCore) -> None:
+    def check_owned_jobs_served(self, core: ControllerCore) -> None:
         """Checks that a controller that may act serves all active jobs that it owns by the store."""
         if not core.may_act():
             return
@@ -194,14 +194,14 @@
             ):
                 raise Broken(f"unserved: {name} by {core.me}, its owner, at {self.t:.2f}")
 
-    def remembered(self) -> None:
+    def check_final_status_age(self) -> None:
         """Checks at the end of a run that each open job got a status within ``KNOWN_S``."""
         for job in sorted(self.accepted):
             since = self.last_status_at.get(job, self.first_submitted_at.get(job, 0.0))
             if job not in self.reported_ends and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
-    def late_largest(self) -> list[str]:
+    def largest_started_late(self) -> list[str]:
         """The largest tenth of the jobs of each class, by CPUs, that did not start within ``BEGIN_S``."""
         return [
             job
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -37,7 +37,7 @@
 
     def stop_all_tasks(self) -> None:
         for task_id in self.tasks:
-            self.world.left(task_id, self.name)
+            self.world.on_task_stopped(task_id, self.name)
         self.tasks.clear()
 
     def die(self) -> None:
@@ -58,17 +58,17 @@
             return
         for task_id, task in self.tasks.items():
             if task.status == "fetching" and world.t >= task.ends:
-                world.entered(task_id, self)
-                task.status, task.ends = "running", world.t + world.run_time(task_id)
+                world.on_task_started(task_id, self)
+                task.status, task.ends = "running", world.t + world.draw_run_time(task_id)
             elif task.status == "running" and world.t >= task.ends:
                 task.status, task.cause = "ended", "error" if self.faulty else "done"
-                world.left(task_id, self.name)
+                world.on_task_stopped(task_id, self.name)
                 if task.cause == "done":
                     world.completed.add(task_id)
                     world.on_task_done(task_id)
             elif task.status == "saving" and world.t >= task.ends:
                 task.status, task.cause = "ended", "halted"
-                world.left(task_id, self.name)
+                world.on_task_stopped(task_id, self.name)
 
     def send_heartbeat(self) -> None:
         world = self.world
@@ -197,7 +197,7 @@
         task_id, task = order["part"], self.tasks.get(order["part"])
         if order["verb"] == "run":
             if task is None:
-                self.world.ordered(task_id)
+                self.world.on_run_order(task_id)
                 new_task = SimTask(order["try"], "fetching", self.world.t + self.world.rng.uniform(0.1, 3.0))
                 self.tasks[task_id] = new_task
             elif task.attempt != order["try"]:
@@ -207,14 +207,14 @@
                 job = wire.split_task_id(task_id)[0]
                 if job not in self.world.cancelled_at:
                     self.world.wrongly_halted.append(task_id)
-                    self.world.halted(task_id, task, self)
+                    self.world.on_task_halted(task_id, task, self)
                 spec, wind_down = self.world.specs[job], order["wind_down_s"]
                 if spec.checkpoint_s > 0 and wind_down >= spec.save_s and task.status in ("running", "saving"):
                     if task.status == "running":
-                        self.world.saved(task_id, task.ends - self.world.t)
+                        self.world.on_checkpoint_started(task_id, task.ends - self.world.t)
                         task.status, task.ends = "saving", self.world.t + spec.save_s
                 else:
                     task.status, task.cause = "ended", "halted"
-                    self.world.left(task_id, self.name)
+                    self.world.on_task_stopped(task_id, self.name)
             elif order["verb"] == "clear" and task.status == "ended":
                 del self.tasks[task_id]
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -141,7 +141,7 @@
             self.after(self.rng.uniform(30.0, 60.0) + 60.0 * number, self.fail_everything)
         for number in range(concurrent_faults):
             self.schedule_concurrent_faults(self.rng.uniform(25.0, 60.0) + 45.0 * number)
-        self.after(1.0, self.watch)
+        self.after(1.0, self.check_invariants)
 
     def after(self, delay: float, callback, *args) -> None:
         heapq.heappush(self.events, (self.t + delay, next(self.event_numbers), callback, args))
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -80,7 +80,7 @@
         self.stored_at.append(self.t)
         self.store.commit({}, {CONFIGURATION_KEY: len(self.configurations) - 1})
 
-    def followed(self, sim, rows) -> None:
+    def on_store_read(self, sim, rows) -> None:
         for row in rows:
             if CONFIGURATION_KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
@@ -126,7 +126,7 @@
         begin, end = next(timetable.hours[rule.calendar].periods(wall), (NEVER, 0.0))
         return rule, end if begin <= wall else 0.0
 
-    def ordered(self, task: str) -> None:
+    def on_run_order(self, task: str) -> None:
         spec = self.specs[wire.split_task_id(task)[0]]
         for configuration in self.in_force():
             rule, until = self.closing_time(configuration, spec)
@@ -134,8 +134,8 @@
             if START_TIME + self.t + run_s >= until:
                 raise simulation.Broken(f"closed: {task} started at {self.t:.2f}")
 
-    def watch(self) -> None:
-        super().watch()
+    def check_invariants(self) -> None:
+        super().check_invariants()
         for task in self.running_on if self.is_fault_free else ():
             spec, configuration = self.specs[wire.split_task_id(task)[0]], self.configurations[-1]
             rule, until = self.closing_time(configuration, spec, STOP_DELAY_S)
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -232,13 +232,13 @@
         if job not in self.reported_ends:
             super().poll(job)
 
-    def ordered(self, task_id: str) -> None:
+    def on_run_order(self, task_id: str) -> None:
         job = wire.split_task_id(task_id)[0]
         if self.t > self.cancelled_at.get(job, math.inf) + 0.5:  # before that, the order may have been in flight
             self.starts_after_cancel.append(task_id)
 
-    def entered(self, task_id, worker) -> None:
-        super().entered(task_id, worker)
+    def on_task_started(self, task_id, worker) -> None:
+        super().on_task_started(task_id, worker)
         job = wire.split_task_id(task_id)[0]
         self.start_counts[job] = self.start_counts.get(job, 0) + 1
 
@@ -559,7 +559,7 @@
     world, checker = run_overloaded(seed, outage_s)
     urgent, other = start_latencies(world, "production"), start_latencies(world, "best_effort")
     assert urgent[len(urgent) // 2] < other[len(other) // 2] and other[-1] < BEGIN_S
-    assert not world.late_largest() and checker.longest_wait_s < MAX_WAIT_S
+    assert not world.largest_started_late() and checker.longest_wait_s < MAX_WAIT_S
     assert {world.reported_ends.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == len(
         world.specs
     )
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -27,14 +27,14 @@
     """Plays until all faults are over and all invariants with a time limit have been checked."""
     world = World(seed, nodes=nodes, random_faults=False, concurrent_faults=times, jobs=jobs, **more)
     world.run(230.0)
-    world.judged()
+    world.run_to_time_limits()
     return world
 
 
 @pytest.mark.parametrize("nodes, seed", [*((5, 12000 + n) for n in (0, 2, 4, 6)), *((3, 12000 + n) for n in range(6))])
 def test_invariants_hold_under_concurrent_faults(nodes, seed):
     world = run_concurrent_faults(seed, nodes)
-    assert world.task_starts > 0 and not world.late_largest()
+    assert world.task_starts > 0 and not world.largest_started_late()
 
 
 def test_runs_contain_cancellations_and_view_changes():
@@ -318,7 +318,7 @@
     world = calm_world()
     job = submit_job(world)
     with pytest.raises(Broken, match=f"late: .*{job}"):
-        world.judged()
+        world.run_to_time_limits()
 
 
 def test_unanswered_job_is_detected(monkeypatch):
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -38,7 +38,7 @@
     for number in range(times):
         world.after(15.0 + 12.0 * number, world.flap)
     world.run(until)
-    world.remembered()
+    world.check_final_status_age()
     return world
 
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("seed", range(8500, 8504))
 def test_no_task_or_job_is_lost_while_controllers_restart(seed):
     world = run_flapping(seed, until=330.0)
-    assert world.task_starts > 0 and not unfinished_jobs(world) and not world.late_largest()
+    assert world.task_starts > 0 and not unfinished_jobs(world) and not world.largest_started_late()
     assert not world.wrongly_halted, "the tasks of an earlier incarnation belong to the next one"
 
 
@@ -126,7 +126,7 @@
     core.view_entry.lease_acquired = original
     core.view_entry.lease_acquired(*delayed_calls[0])
     assert core.may_act() and core.state.is_member and core.job_shard.jobs
-    world.served(core)
+    world.check_owned_jobs_served(core)
 
 
 def refuse_unconfirmed_submission(world, label):
@@ -302,7 +302,7 @@
     world.after(1.0, submit_small_jobs)
     world.after(45.0, world.submit, LARGE)
     world.run(46.0 + 240.0)
-    return not world.late_largest()
+    return not world.largest_started_late()
 
 
 def test_large_job_starts_while_small_jobs_fill_the_fleet(monkeypatch):
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -879,7 +879,7 @@
     """Combined with all other simulated faults."""
     world = LateCommitWorld(seed, pipelines=3)
     world.run(200.0)
-    world.remembered()
+    world.check_final_status_age()
     assert world.task_starts > 0
 
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -509,7 +509,7 @@
     def loses_answer(self, sim, method, args):
         return self.lost_from <= self.t < self.lost_until and self.rng.random() < self.lost_share
 
-    def watch(self):
+    def check_invariants(self):
         for task_id in self.running_on:
             job = wire.split_task_id(task_id)[0]
             if self.t > self.cancelled_at.get(job, math.inf):
@@ -519,7 +519,7 @@
                 state = self.question(sim, job)
                 if state is not None:
                     self.answer(job, state)
-        super().watch()
+        super().check_invariants()
 
 
 @pytest.mark.parametrize("nodes, seed", [(3, 30000), (3, 30001), (5, 30002)])
@@ -529,7 +529,7 @@
     for number in range(8):
         world.after(20.0 + 9.0 * number, world.cancel_any)
     world.run(200.0)
-    world.remembered()
+    world.check_final_status_age()
     assert world.answers_lost > 30 and world.task_starts > 0
     assert sum(cancelled_at < math.inf for cancelled_at in world.cancelled_at.values()) >= 5
 
@@ -572,7 +572,7 @@
             "it acts on an expired lease that the store still holds"
         )
     world.run(world.t + 60.0)
-    world.remembered()
+    world.check_final_status_age()
 
 
 FAILOVER_AT_S, JOBS_PER_CONTROLLER, CANCEL_INTERVAL_S = 40.0, 14, 1.1
@@ -641,7 +641,7 @@
     change(world, sim)
     world.run(until)
     assert set(world.end_reported_at) >= set(jobs)
-    world.remembered()
+    world.check_final_status_age()
     world.longest_cancel_s = max(world.end_reported_at[job] - world.cancel_sent_at[job] for job in jobs)
     return world
 
@@ -783,7 +783,7 @@
             ):
                 world.moved_after_s.setdefault(task_id, sampled_at - FAILOVER_AT_S)
     assert task_ids and set(world.moved_after_s) == set(task_ids)
-    world.remembered()
+    world.check_final_status_age()
     return world
 
 
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -209,7 +209,7 @@
     world.late_writes(3.0, 50.0)
     world.late_writes(65.0, 40.0)
     world.run(210.0)
-    world.remembered()
+    world.check_final_status_age()
     assert world.ended_leader_count >= 2 and world.task_starts > 20
     shard_machines = world.shard_machines()
     for name, (_, rented_at) in world.rented_kinds.items():
@@ -602,6 +602,6 @@
     world.run(125.0)
     world.capture_share = 0.0
     world.run(220.0)
-    world.remembered()
+    world.check_final_status_age()
     assert world.replayed_count > 10 and world.task_starts > 60
     assert not world.inherited()
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -333,7 +333,7 @@
     world.run(66.0 + LEASE_EXPIRY_PROOF_S + len(world.labels) * 5.0)
     assert not world.inherited()
     world.run(300.0)
-    world.remembered()
+    world.check_final_status_age()
     assert not [
         job
         for job in world.accepted
@@ -717,7 +717,7 @@
         spec = super().make_job(number)
         return msgspec.structs.replace(spec, kind="sweep", team="free", tasks=self.rng.randint(2, 3), estimate_s=60.0)
 
-    def run_time(self, part):
+    def draw_run_time(self, part):
         return 15.0 + 60.0 * int(part.rsplit("/", 1)[1])
 
 
@@ -741,7 +741,7 @@
 
         world.after(20.0 + 20.0 * number, fault)
     world.run(480.0)
-    world.remembered()
+    world.check_final_status_age()
     assert len(world.accepted) > 10
     assert not [
         job for job in world.accepted if world.reported_ends.get(job) != "done" and job not in world.cancelled_at
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -180,7 +180,7 @@
     for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
         world.after(0.5 * number, world.withdraw, job)
     world.run(60.0 + duration_s + 60.0)
-    world.remembered()
+    world.check_final_status_age()
     assert all(sim.core.may_act() for sim in world.controllers.values())
     return world
 
@@ -208,7 +208,7 @@
     world.run(60.0 + refused_s + outage_s)
     acting = [sim.label for sim in world.controllers.values() if sim.core.may_act()]
     world.run(60.0 + refused_s + outage_s + 50.0)
-    world.remembered()
+    world.check_final_status_age()
     assert all(sim.core.may_act() for sim in world.controllers.values())
     return world, acting
 
@@ -243,7 +243,7 @@
     assert world.task_starts > starts and world.store.differs_since is None
     assert all(sim.core.may_act() for sim in world.controllers.values())
     world.run(200.0)
-    world.remembered()
+    world.check_final_status_age()
     assert not world.wrongly_halted
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -124,10 +124,10 @@
             spread=False,
         )
 
-    def run_time(self, task_id: str) -> float:
-        return self.remaining_s.setdefault(task_id, super().run_time(task_id))
+    def draw_run_time(self, task_id: str) -> float:
+        return self.remaining_s.setdefault(task_id, super().draw_run_time(task_id))
 
-    def saved(self, task_id: str, remaining_s: float) -> None:
+    def on_checkpoint_started(self, task_id: str, remaining_s: float) -> None:
         self.remaining_s[task_id] = remaining_s
 
     def sample(self) -> None:
@@ -246,7 +246,7 @@
         ):
             raise Broken(f"budget: {team} at once")
 
-    def halted(self, task_id: str, task, worker) -> None:
+    def on_task_halted(self, task_id: str, task, worker) -> None:
         machines = [
             sim.core.machine_shard.machines.get(worker.name)
             for sim in self.controllers.values()
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -361,8 +361,8 @@
         )
         self.end(self.controllers[label], restart_after_s)
 
-    def entered(self, task_id, worker) -> None:
-        super().entered(task_id, worker)
+    def on_task_started(self, task_id, worker) -> None:
+        super().on_task_started(task_id, worker)
         team = self.specs[wire.split_task_id(task_id)[0]].team
         used = self.used_cpus(team)
         self.peak[team] = max(self.peak[team], used)
@@ -370,8 +370,8 @@
         if self.t > self.faults_over_at and used > limit - 0.5:
             self.full_at.setdefault(team, self.t)
 
-    def watch(self) -> None:
-        super().watch()
+    def check_invariants(self) -> None:
+        super().check_invariants()
         if self.t > self.faults_over_at:
             self.check_avoidable_waits()
 
@@ -439,7 +439,7 @@
     assert run.cancelled_unreachable > 0 and run.task_starts > 50
     assert all(run.peak[team.name] == team.cpus_max for team in LIMITED_TEAMS)
     assert sorted(run.full_at) == sorted(team.name for team in LIMITED_TEAMS), "no quota stays reserved for ended jobs"
-    run.remembered()
+    run.check_final_status_age()
 
 
 def drop_description_with_end(monkeypatch):
@@ -494,7 +494,7 @@
         began = time.process_time()
         try:
             run = play_limits(seed, 5 if seed % 2 else 3)
-            run.remembered()
+            run.check_final_status_age()
             missing = sorted({team.name for team in LIMITED_TEAMS} - run.full_at.keys())
             text = (
                 f"{run.task_starts} starts, {run.cancelled_running} cancelled, {run.cancelled_unreachable} unreachable"
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -23,7 +23,7 @@
 def play(seed, until=200.0, **options):
     world = World(seed, **options)
     world.run(until)
-    world.remembered()
+    world.check_final_status_age()
     return world
 
 
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -45,7 +45,7 @@
     assert not set(dropped) & {MACHINES + name for name in rented}
     assert world.first_started_at and all(sim.core.may_act() for sim in world.controllers.values())
     world.run(ended_at + 240.0)
-    world.remembered()
+    world.check_final_status_age()
     assert not [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -73,14 +73,14 @@
 def play_upgrade(seed, nodes):
     world = UpgradeWorld(seed, nodes)
     world.run(max(240.0, world.faults_end_at + KNOWN_S + 5.0))
-    world.remembered()
+    world.check_final_status_age()
     return world
 
 
 @pytest.mark.parametrize("nodes, seed", [(3, 41001), (3, 41004), (5, 41110)])
 def test_invariants_hold_under_concurrent_faults_during_an_upgrade(nodes, seed):
     world = play_upgrade(seed, nodes)
-    assert world.mixed_views and world.contact_views and world.task_starts > 0 and not world.late_largest()
+    assert world.mixed_views and world.contact_views and world.task_starts > 0 and not world.largest_started_late()
     assert not any(sim.old for sim in world.controllers.values())
 
 
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -88,8 +88,8 @@
         super().boot(name, kind)
         self.first_machine_up_at = min(self.first_machine_up_at, self.t)
 
-    def entered(self, part, worker) -> None:
-        super().entered(part, worker)
+    def on_task_started(self, part, worker) -> None:
+        super().on_task_started(part, worker)
         self.first_task_started_at = min(self.first_task_started_at, self.t)
 
     def longest_starvation(self, name: str, since: float = FLOOD_AT, until: float = math.inf) -> float:
