--- a/tests/simulation/__main__.py
+++ b/tests/simulation/__main__.py
@@ -24,6 +24,6 @@
         print(
             f"seed {seed}: {world.task_starts} starts, {len(world.accepted)} jobs accepted, {open_jobs} still open, "
             f"{len(world.largest_started_late())} of the largest jobs started late, longest wait for a matching view "
-            f"{world.store.longest_change:.1f} s, {time.process_time() - started_at:.0f} s of processor time"
+            f"{world.store.longest_view_lag_s:.1f} s, {time.process_time() - started_at:.0f} s of processor time"
         )
     return 0
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -39,7 +39,7 @@
         for name in names:
             worker = self.machines.get(name)
             if worker is not None:
-                worker.die()
+                worker.crash()
                 self.machines[name] = None
             self.rented_kinds.pop(name, None)
 
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -130,14 +130,14 @@
             if not cut or rng.random() < 0.5:
                 world.after(rng.uniform(0.5, 30.0), carry_out, False)  # applied after the client has timed out
             world.after(STORE_S, settle, None)
-        elif not reads and world.t < store.delayed_writes_until and rng.random() < store.late_share:
+        elif not reads and world.t < store.delayed_writes_until and rng.random() < store.delayed_write_share:
             world.after(rng.uniform(2.0, 12.0), carry_out, False)  # maybe after newer writes
             world.after(STORE_S, settle, None)
-        elif not reads and world.t < store.lost_until and rng.random() < store.lost_share:
+        elif not reads and world.t < store.lost_responses_until and rng.random() < store.lost_response_share:
             world.after(rng.uniform(0.001, 0.01), carry_out, False)  # its writer sees a timeout
             world.after(STORE_S, settle, None)
         else:
-            delay = rng.uniform(0.001, 0.01) * (store.slow_by if world.t < store.slow_until else 1.0)
+            delay = rng.uniform(0.001, 0.01) * (store.latency_factor if world.t < store.slow_until else 1.0)
             world.after(delay, carry_out, delay < STORE_S)
             if delay >= STORE_S:
                 world.after(STORE_S, settle, None)
@@ -147,10 +147,10 @@
         lease = core.membership.store_lease
 
         def extend():
-            store.check()
-            if lease.lease_id not in store.holds:
+            store.expire_leases()
+            if lease.lease_id not in store.leases:
                 return False
-            store.holds[lease.lease_id] = world.t + lease.ttl_s
+            store.leases[lease.lease_id] = world.t + lease.ttl_s
             return True
 
         def on_extended(is_extended):
@@ -181,9 +181,9 @@
             self.call(on_lease_granted, failed, take)
 
         def take() -> int:
-            store.check()
+            store.expire_leases()
             lease_id = next(store.lease_ids)
-            store.holds[lease_id] = world.t + core.membership.store_lease.ttl_s
+            store.leases[lease_id] = world.t + core.membership.store_lease.ttl_s
             return lease_id
 
         def on_lease_granted(lease_id: int) -> None:
@@ -205,7 +205,9 @@
             core.view_entry.lease_acquired(lease_id, sent, world.t)
             if previous is not None:
                 lease_id = msgspec.json.decode(previous.data, type=MemberRecord).lease_id
-                self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
+                self.call(
+                    lambda _: None, lambda: None, lambda: store.expire_leases() or store.revoke_lease(lease_id) or True
+                )
 
         self.call(on_member_read, failed, self.read, key)
 
@@ -217,10 +219,14 @@
         sent = world.t
 
         def read(since: int | None = None):
-            store.check()
+            store.expire_leases()
             if since is None and (self.needs_full_read or not core.state.loaded):
                 return self.seen(store.rows()), [], store.revision
-            return None, self.seen(store.since(core.replica.revision if since is None else since)), store.revision
+            return (
+                None,
+                self.seen(store.events_after(core.replica.revision if since is None else since)),
+                store.revision,
+            )
 
         def done(answer, rows=None, sent=sent):
             rows, changes, revision = answer if rows is None else (rows, *answer[1:])
@@ -313,7 +319,7 @@
         self.call(done, failed, world.store.commit, batch.conditions, puts, batch.drops, too_large=too_large)
 
     def read(self, key: str):
-        self.world.store.check()
+        self.world.store.expire_leases()
         found = self.world.store.data.get(key)
         return self.seen([wire.KeyValue(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
 
@@ -344,8 +350,8 @@
             ) -> None:
                 worker = world.machines.get(name)
                 if worker is not None and worker.alive and world.can_reach(worker, self.label):
-                    if world.t < worker.held_up_until:
-                        world.after(worker.way(), worker.command, fencing_token, incarnation, reply)
+                    if world.t < worker.responses_delayed_until:
+                        world.after(worker.draw_latency(), worker.command, fencing_token, incarnation, reply)
                     else:
                         worker.command(fencing_token, incarnation, reply)
 
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -91,11 +91,11 @@
         elif kind == "late_reports":
             self.duplicate_share, self.duplicates_until = rng.uniform(0.1, 0.9), self.t + length
         elif kind == "late_writes":
-            self.store.late_share, self.store.delayed_writes_until = rng.uniform(0.1, 0.6), self.t + length
+            self.store.delayed_write_share, self.store.delayed_writes_until = rng.uniform(0.1, 0.6), self.t + length
         elif kind == "slow_store":
-            self.store.slow_by, self.store.slow_until = rng.choice([25.0, 100.0, 400.0]), self.t + length
+            self.store.latency_factor, self.store.slow_until = rng.choice([25.0, 100.0, 400.0]), self.t + length
         elif kind == "lost_responses":
-            self.store.lost_share, self.store.lost_until = rng.uniform(0.2, 0.9), self.t + length
+            self.store.lost_response_share, self.store.lost_responses_until = rng.uniform(0.2, 0.9), self.t + length
         elif kind == "reports_kept":
             self.heartbeat_copy_share, self.heartbeat_copies_until = rng.uniform(0.1, 0.6), self.t + length
             self.after(rng.uniform(0.3, 1.0) * length, self.end_leaders, rng.randint(1, 3), rng.uniform(1.0, 8.0))
@@ -128,7 +128,7 @@
                 sim.mesh_delayed_until = self.t + constants.MESH_STALL_TIMEOUT_S
         elif kind == "refused":
             if rng.random() < 0.5:  # writes are applied without a response before the refusals begin
-                self.store.late_share, self.store.delayed_writes_until = 0.8, self.t + 3.0
+                self.store.delayed_write_share, self.store.delayed_writes_until = 0.8, self.t + 3.0
             self.after(rng.uniform(0.0, 3.0), self.refuse_store_calls, sim, length)
         elif kind.startswith("cut") and kind != "cut_machine":
             if kind in ("cut", "cut_store"):
@@ -140,21 +140,21 @@
         elif workers:
             worker = rng.choice(workers)
             if kind == "die":
-                worker.die()
+                worker.crash()
             elif kind == "hang":
                 worker.hangs_until = self.t + length
             elif kind == "cut_machine":
                 worker.cut_until = self.t + length
             elif kind == "deaf":
-                worker.deaf_until = self.t + length
+                worker.inbound_blocked_until = self.t + length
             elif kind == "held_up":
-                worker.held_up_until = self.t + length
+                worker.responses_delayed_until = self.t + length
             elif kind == "mute":
-                worker.mute_until = self.t + length
+                worker.outbound_blocked_until = self.t + length
             elif kind == "faulty":
-                worker.faulty = not worker.faulty
+                worker.fails_tasks = not worker.fails_tasks
             else:
-                worker.recall_at = self.t + rng.uniform(2.0, 15.0)
+                worker.preempted_at = self.t + rng.uniform(2.0, 15.0)
 
     def refuse_store_calls(self, sim: SimController, for_s: float) -> None:
         """The store refuses one controller; meanwhile it may be down for all, also beyond ``cancel_s``."""
@@ -233,7 +233,7 @@
         kind, length = rng.choice(["die", "hang", "cut", "staggered_hang"]), rng.uniform(5.0, 45.0)
         for index, worker in enumerate(rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.3, 0.9)))):
             if kind == "die":
-                worker.die()
+                worker.crash()
             elif kind == "cut":
                 worker.cut_until = self.t + length
             else:
@@ -264,12 +264,12 @@
         kind, length = rng.choice(["die", "hang", "cut", "cut_past_lease", "failing_tasks"]), rng.uniform(5.0, 45.0)
         for worker in rng.sample(workers, math.ceil(len(workers) * rng.uniform(0.33, 0.9))):
             if kind == "die":
-                worker.die()
+                worker.crash()
             elif kind == "hang":
                 worker.hangs_until = self.t + length
             elif kind == "failing_tasks":
-                worker.faulty = True
-                self.after(length, setattr, worker, "faulty", False)
+                worker.fails_tasks = True
+                self.after(length, setattr, worker, "fails_tasks", False)
             else:
                 worker.cut_until = self.t + (length if kind == "cut" else LEASE_S + length)
         store = rng.choice(["up", "down", "slow"])
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -113,10 +113,16 @@
                     used[spec.team] = used.get(spec.team, 0.0) + spec.cpus
                     zones.setdefault(job, []).append(worker.kind.zone)
             if (
-                worker.recall_at is None
-                and not worker.faulty
+                worker.preempted_at is None
+                and not worker.fails_tasks
                 and self.t
-                >= max(worker.hangs_until, worker.cut_until, worker.deaf_until, worker.mute_until, worker.held_up_until)
+                >= max(
+                    worker.hangs_until,
+                    worker.cut_until,
+                    worker.inbound_blocked_until,
+                    worker.outbound_blocked_until,
+                    worker.responses_delayed_until,
+                )
             ):
                 free.append((worker, cpus, memory))
         limits = {team.name: team.cpus_max or math.inf for team in deployment.TEAMS}
@@ -166,7 +172,7 @@
         for worker in self.machines.values():
             if worker is not None:
                 worker.tick()
-                if worker.recall_at is not None and self.t >= worker.recall_at:
+                if worker.preempted_at is not None and self.t >= worker.preempted_at:
                     self.remove([worker.name])
         for task_id, machine in self.running_on.items():
             if self.t > self.cancelled_at.get(wire.split_task_id(task_id)[0], math.inf) + CANCEL_S:
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -27,32 +27,38 @@
         self.data: dict[str, tuple[bytes, int, int | None]] = {}
         self.revision = 0
         self.log: list[wire.WatchEvent] = []
-        self.holds: dict[int, float] = {}
+        self.leases: dict[int, float] = {}
         self.lease_ids = itertools.count(1)
         self.down_until = self.slow_until = 0.0
-        self.slow_by = 25.0  # factor on the latency until ``slow_until``
-        self.late_share, self.delayed_writes_until = 0.0, 0.0  # share of writes applied late, without a response
-        self.lost_share, self.lost_until = 0.0, 0.0  # share of writes applied at once, without a response
+        self.latency_factor = 25.0  # factor on the latency until ``slow_until``
+        self.delayed_write_share, self.delayed_writes_until = (
+            0.0,
+            0.0,
+        )  # share of writes applied late, without a response
+        self.lost_response_share, self.lost_responses_until = (
+            0.0,
+            0.0,
+        )  # share of writes applied at once, without a response
         self.max_changes, self.value_bytes = 12, 4 * 1024
         self.on_view_change = lambda: None  # called after each new view is stored
-        self.ended = lambda job: None  # called with the job ID when the end of a job is stored
-        self.too_large = 0  # transactions rejected for their size
-        self.differs_since: float | None = None  # since when the view does not match the members that hold a lease
-        self.longest_change = 0.0  # longest time that the view has not matched the members present
+        self.on_job_ended = lambda job: None  # called with the job ID when the end of a job is stored
+        self.rejected_as_too_large = 0  # transactions rejected for their size
+        self.view_differs_since: float | None = None  # since when the view does not match the members that hold a lease
+        self.longest_view_lag_s = 0.0  # longest time that the view has not matched the members present
 
-    def check(self) -> None:
+    def expire_leases(self) -> None:
         if self.world.t < self.down_until:
             raise StoreRefusedError
-        for lease_id in [i for i, expires_at in self.holds.items() if expires_at < self.world.t]:
-            self.end(lease_id)
+        for lease_id in [i for i, expires_at in self.leases.items() if expires_at < self.world.t]:
+            self.revoke_lease(lease_id)
 
     def outage(self, duration_s: float) -> None:
         self.down_until = max(self.down_until, self.world.t + duration_s)
-        for lease_id in self.holds:
-            self.holds[lease_id] = self.down_until + constants.COMBINED_LEASE_S - LEASE_S
+        for lease_id in self.leases:
+            self.leases[lease_id] = self.down_until + constants.COMBINED_LEASE_S - LEASE_S
 
-    def end(self, lease_id: int) -> None:
-        if self.holds.pop(lease_id, None) is None:
+    def revoke_lease(self, lease_id: int) -> None:
+        if self.leases.pop(lease_id, None) is None:
             return
         self.revision += 1
         for key in [k for k, v in self.data.items() if v[2] == lease_id]:
@@ -64,24 +70,24 @@
         """Records for how long the view differs from the members that are present."""
         view = msgspec.json.decode(self.data[VIEW][0], type=View) if VIEW in self.data else View("", {})
         present = {key[len(MEMBERS) :]: value[2] for key, value in self.data.items() if key.startswith(MEMBERS)}
-        if self.differs_since is not None:
-            self.longest_change = max(self.longest_change, self.world.t - self.differs_since)
+        if self.view_differs_since is not None:
+            self.longest_view_lag_s = max(self.longest_view_lag_s, self.world.t - self.view_differs_since)
         if present == view.members:
-            self.differs_since = None
-        elif has_new_view or self.differs_since is None:
-            self.differs_since = self.world.t
+            self.view_differs_since = None
+        elif has_new_view or self.view_differs_since is None:
+            self.view_differs_since = self.world.t
 
     def commit(
         self, conditions: dict[str, int], puts: dict[str, object], drops=(), lease_id=None
     ) -> wire.TransactionResult:
-        self.check()
+        self.expire_leases()
         encoded = {key: msgspec.json.encode(record) for key, record in puts.items()}
         if len(puts) + len(drops) > self.max_changes or any(
             len(value) > self.value_bytes for value in encoded.values()
         ):
-            self.too_large += 1
+            self.rejected_as_too_large += 1
             raise TransactionTooLargeError
-        if lease_id is not None and lease_id not in self.holds:
+        if lease_id is not None and lease_id not in self.leases:
             raise StoreRefusedError  # unknown or expired lease
         failed = [k for k, revision in conditions.items() if (self.data[k][1] if k in self.data else 0) != revision]
         if failed:
@@ -99,11 +105,11 @@
             self.on_view_change()
         for key, record in puts.items():
             if key.startswith(JOBS) and getattr(record, "state", JobState.ACTIVE) is not JobState.ACTIVE:
-                self.ended(key[len(JOBS) :])
+                self.on_job_ended(key[len(JOBS) :])
         return wire.TransactionResult(self.revision)
 
     def rows(self) -> list[wire.KeyValue]:
         return [wire.KeyValue(k, msgspec.Raw(v), s) for k, (v, s, _) in sorted(self.data.items()) if k.startswith(ROOT)]
 
-    def since(self, revision: int) -> list[wire.WatchEvent]:
+    def events_after(self, revision: int) -> list[wire.WatchEvent]:
         return [event for event in self.log if event.revision > revision]
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -23,16 +23,16 @@
         self.world, self.name, self.kind = world, name, kind
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[str, SimTask] = {}
-        self.answered_at = world.t  # when the last heartbeat that got a response was sent; start of the lease
-        self.core = world.rng.choice(world.labels)
+        self.lease_start_at = world.t  # when the last heartbeat that got a response was sent; start of the lease
+        self.controller_label = world.rng.choice(world.labels)
         self.alive = self.up = True
         self.hangs_until = self.cut_until = 0.0
-        self.deaf_until = 0.0  # inbound blocked: heartbeats arrive; responses and commands to it are lost
-        self.held_up_until = 0.0  # responses and commands are delayed by up to 8 s in both directions
-        self.mute_until = 0.0  # outbound blocked: no heartbeat arrives; commands arrive and get responses
-        self.in_flight = 0
-        self.faulty = False
-        self.recall_at: float | None = None
+        self.inbound_blocked_until = 0.0  # inbound blocked: heartbeats arrive; responses and commands to it are lost
+        self.responses_delayed_until = 0.0  # responses and commands are delayed by up to 8 s in both directions
+        self.outbound_blocked_until = 0.0  # outbound blocked: no heartbeat arrives; commands arrive and get responses
+        self.request_number = 0
+        self.fails_tasks = False
+        self.preempted_at: float | None = None
         self.send_heartbeat()
 
     def stop_all_tasks(self) -> None:
@@ -40,7 +40,7 @@
             self.world.on_task_stopped(task_id, self.name)
         self.tasks.clear()
 
-    def die(self) -> None:
+    def crash(self) -> None:
         self.stop_all_tasks()
         self.alive = False
 
@@ -49,11 +49,11 @@
         world = self.world
         if not self.alive:
             return
-        if world.t - self.answered_at > LEASE_S:  # also on a hung machine
+        if world.t - self.lease_start_at > LEASE_S:  # also on a hung machine
             self.stop_all_tasks()
             self.incarnation += 1
             self.sequence = 0
-            self.answered_at = world.t
+            self.lease_start_at = world.t
         if world.t < self.hangs_until:
             return
         for task_id, task in self.tasks.items():
@@ -61,7 +61,7 @@
                 world.on_task_started(task_id, self)
                 task.status, task.ends = "running", world.t + world.draw_run_time(task_id)
             elif task.status == "running" and world.t >= task.ends:
-                task.status, task.cause = "ended", "error" if self.faulty else "done"
+                task.status, task.cause = "ended", "error" if self.fails_tasks else "done"
                 world.on_task_stopped(task_id, self.name)
                 if task.cause == "done":
                     world.completed.add(task_id)
@@ -79,9 +79,14 @@
             return
         self.tick()
         self.sequence += 1
-        self.in_flight += 1
-        request, incarnation, sent_at, controller = self.in_flight, self.incarnation, world.t, self.core
-        if world.t < self.mute_until:
+        self.request_number += 1
+        request, incarnation, sent_at, controller = (
+            self.request_number,
+            self.incarnation,
+            world.t,
+            self.controller_label,
+        )
+        if world.t < self.outbound_blocked_until:
             world.after(4.0, self.timeout, request)
             return
         raw = self.heartbeat_body()
@@ -93,29 +98,32 @@
             world.kept_heartbeats.append(raw)
 
         def reply(status: int, body: bytes) -> None:
-            if world.t >= max(self.cut_until, self.deaf_until) and world.can_reach(self, controller):
-                world.after(self.way(), self.answered, request, incarnation, sent_at, status, body)
+            if world.t >= max(self.cut_until, self.inbound_blocked_until) and world.can_reach(self, controller):
+                world.after(self.draw_latency(), self.on_response, request, incarnation, sent_at, status, body)
 
         def arrive() -> None:
-            world.controllers[self.core].heartbeat(raw, reply)
+            world.controllers[self.controller_label].heartbeat(raw, reply)
 
         if world.t < world.duplicates_until and world.rng.random() < world.duplicate_share:
             delay = world.rng.uniform(2.0, 2 * LEASE_S)
-            world.after(delay, world.controllers[self.core].heartbeat, raw, lambda status, body: None)
+            world.after(delay, world.controllers[self.controller_label].heartbeat, raw, lambda status, body: None)
         if world.t >= self.cut_until and world.can_reach(self, controller):
             world.after(world.rng.uniform(0.001, 0.01), arrive)
             if world.rng.random() < 0.02:  # a duplicate whose response is dropped
                 world.after(
-                    world.rng.uniform(0.1, 60.0), world.controllers[self.core].heartbeat, raw, lambda status, body: None
+                    world.rng.uniform(0.1, 60.0),
+                    world.controllers[self.controller_label].heartbeat,
+                    raw,
+                    lambda status, body: None,
                 )
         elif world.rng.random() < 0.3:
             world.after(world.rng.uniform(1.0, 40.0), arrive)  # delayed rather than lost
         world.after(4.0, self.timeout, request)
 
-    def way(self) -> float:
+    def draw_latency(self) -> float:
         """Draws the latency of a response or command, in s."""
         rng = self.world.rng
-        return rng.uniform(0.001, 0.01) if self.world.t >= self.held_up_until else rng.uniform(0.3, 8.0)
+        return rng.uniform(0.001, 0.01) if self.world.t >= self.responses_delayed_until else rng.uniform(0.3, 8.0)
 
     def heartbeat_body(self) -> bytes:
         world = self.world
@@ -128,7 +136,7 @@
             "tenure": self.incarnation,
             "counter": self.sequence,
             "mandate": self.fencing_token,
-            "recall_s": None if self.recall_at is None else max(0.0, self.recall_at - world.t),
+            "recall_s": None if self.preempted_at is None else max(0.0, self.preempted_at - world.t),
             "parts": [
                 {"part": task_id, "try": task.attempt, "status": task.status, "cause": task.cause}
                 for task_id, task in self.tasks.items()
@@ -139,7 +147,7 @@
     def command(self, fencing_token: int, incarnation: int, reply) -> None:
         """Handles an empty ``/commands`` request, after a hang or cut has ended; it does not renew the lease."""
         world = self.world
-        if world.t < self.deaf_until:
+        if world.t < self.inbound_blocked_until:
             return
         if world.t < max(self.hangs_until, self.cut_until):
             world.after(
@@ -152,48 +160,52 @@
         self.fencing_token = fencing_token
         self.sequence += 1
         world.after(
-            self.way() if world.rng.random() < 0.8 else world.rng.uniform(0.1, 5.0), reply, self.heartbeat_body()
+            self.draw_latency() if world.rng.random() < 0.8 else world.rng.uniform(0.1, 5.0),
+            reply,
+            self.heartbeat_body(),
         )
 
     def timeout(self, request: int) -> None:
-        if request == self.in_flight:
-            self.in_flight += 1  # a response that arrives from now on is ignored
-            self.next_node()
+        if request == self.request_number:
+            self.request_number += 1  # a response that arrives from now on is ignored
+            self.use_next_controller()
 
-    def next_node(self) -> None:
+    def use_next_controller(self) -> None:
         labels = self.world.labels
-        self.core = labels[(labels.index(self.core) + 1) % len(labels)]
+        self.controller_label = labels[(labels.index(self.controller_label) + 1) % len(labels)]
         self.world.after(1.0, self.send_heartbeat)
 
-    def answered(self, request: int, incarnation: int, sent_at: float, status: int, body: bytes) -> None:
+    def on_response(self, request: int, incarnation: int, sent_at: float, status: int, body: bytes) -> None:
         world = self.world
-        if request != self.in_flight or not self.alive:
+        if request != self.request_number or not self.alive:
             return
         if world.t < self.hangs_until:  # processed when the hang ends, unless it has timed out by that time
-            world.after(self.hangs_until - world.t + 0.001, self.answered, request, incarnation, sent_at, status, body)
+            world.after(
+                self.hangs_until - world.t + 0.001, self.on_response, request, incarnation, sent_at, status, body
+            )
             return
-        self.in_flight += 1
+        self.request_number += 1
         if status == 421 and body.decode() in world.labels:
-            self.core = body.decode()
+            self.controller_label = body.decode()
             world.after(world.rng.uniform(0.0, 0.5), self.send_heartbeat)
             return
         if status != 200:
-            self.next_node()
+            self.use_next_controller()
             return
         self.tick()
         answer = json.loads(body)
         is_newer_token = answer["mandate"] > self.fencing_token
         if incarnation == self.incarnation and answer["mandate"] >= self.fencing_token:
             self.fencing_token = answer["mandate"]
-            self.answered_at = sent_at
+            self.lease_start_at = sent_at
             for order in answer["orders"]:
-                self.carry_out(order)
+                self.apply_order(order)
         world.after(
             0.5 if is_newer_token or answer["orders"] else HEARTBEAT_S * world.rng.uniform(0.75, 1.25),
             self.send_heartbeat,
         )
 
-    def carry_out(self, order: dict) -> None:
+    def apply_order(self, order: dict) -> None:
         task_id, task = order["part"], self.tasks.get(order["part"])
         if order["verb"] == "run":
             if task is None:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -90,7 +90,7 @@
         self.events: list = []
         self.event_numbers = itertools.count()
         self.store = SimStore(self)
-        self.store.on_view_change, self.store.ended = self.on_view_change, self.query_concurrently
+        self.store.on_view_change, self.store.on_job_ended = self.on_view_change, self.query_concurrently
         self.machines: dict[str, SimWorker | None] = {}
         self.rented_kinds: dict[str, tuple] = {}
         self.delayed_listings: deque = deque()
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -71,9 +71,9 @@
                     team = world.specs[job].team
                     used[team] = used.get(team, 0.0) + world.specs[job].cpus
             if (
-                now >= max(worker.hangs_until, worker.cut_until, worker.deaf_until)
-                and not worker.faulty
-                and worker.recall_at is None
+                now >= max(worker.hangs_until, worker.cut_until, worker.inbound_blocked_until)
+                and not worker.fails_tasks
+                and worker.preempted_at is None
             ):
                 available.append((worker.kind, free))
         limits = {team.name: team.cpus_max for team in TEAMS if team.cpus_max}
@@ -446,7 +446,7 @@
         self.after(duration_s, setattr, self, "submission_controllers", list(LABELS))
         for worker in [running for running in self.machines.values() if running is not None and running.alive]:
             if self.rng.random() < failed_share:
-                worker.die()
+                worker.crash()
 
 
 def run_isolated_zone(seed, is_leader, duration_s, failed_share=0.2, until=150.0, **kwargs):
@@ -527,7 +527,7 @@
 
     def delay_links(self, until: float) -> None:
         self.delayed_frame_share = 0.3  # share of frames, delayed by up to 5 s
-        self.store.slow_by, self.store.slow_until = 40.0, until
+        self.store.latency_factor, self.store.slow_until = 40.0, until
         self.after(until - self.t, setattr, self, "delayed_frame_share", 0.001)
 
 
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -77,7 +77,7 @@
     worker = next(worker for worker in world.machines.values() if worker is not None and worker.alive)
     incarnation = worker.incarnation
     if kind == "mute":
-        worker.mute_until = world.t + 60.0
+        worker.outbound_blocked_until = world.t + 60.0
         world.end_leaders(1, 1.0)
         world.run(60.0)
         assert worker.fencing_token > fencing_token and worker.incarnation == incarnation, "a command reaches it"
@@ -110,7 +110,9 @@
         zone, inside, until = world.partitioned_zone
         world.run(world.t + 30.0)
         reporting_to = {
-            worker.core for worker in world.machines.values() if worker is not None and worker.kind.zone != zone
+            worker.controller_label
+            for worker in world.machines.values()
+            if worker is not None and worker.kind.zone != zone
         }
         assert zone in ZONES and inside == sim.label and until == 90.0 and not sim.core.may_act()
         assert sim.label not in reporting_to
@@ -223,7 +225,7 @@
             for number in range(8):
                 submit_job(world, number, estimate_s=6.0)
             world.run(30.0)
-            world.store.lost_share, world.store.lost_until = 0.7, 50.0
+            world.store.lost_response_share, world.store.lost_responses_until = 0.7, 50.0
             for number in range(8):
                 submit_job(world, 10 + number, estimate_s=6.0)
             world.run(70.0)
@@ -303,7 +305,7 @@
     elif why == "inbound blocked":
         for worker in world.machines.values():
             if worker is not None:
-                worker.deaf_until = 1000.0
+                worker.inbound_blocked_until = 1000.0
     else:
         world.cancelled_at[late] = math.inf
     world.run(60.0 + ROOM_S + 20.0)
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -93,7 +93,7 @@
     sim = world.controllers[label]
     sim.renewals_lost_until = 200.0
     lease_id = sim.core.membership.store_lease.lease_id
-    world.until(lambda: world.store.holds[lease_id] - world.t < 1.0, 30.0)
+    world.until(lambda: world.store.leases[lease_id] - world.t < 1.0, 30.0)
     sim.watch_hangs_until = world.t + 60.0
     world.until(lambda: label not in world.view.members, 10.0)
     membership = sim.core.membership
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -97,7 +97,7 @@
         old = self.view.members if self.view else {}
         removed = {(label, lease_id) for label, lease_id in old.items() if view.members.get(label) != lease_id}
         self.early_removals += sum(
-            lease_id in self.store.holds and label not in view.members for label, lease_id in removed
+            lease_id in self.store.leases and label not in view.members for label, lease_id in removed
         )
         self.removed_members |= removed
         self.view, self.view_count = view, self.view_count + 1
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -67,10 +67,10 @@
             world.after(ends_at, world.end, world.controllers[label], world.rng.uniform(0.1, 0.25))
             ends_at += world.rng.uniform(0.3, 3.0)
     world.run(10.0)
-    world.store.longest_change = 0.0
+    world.store.longest_view_lag_s = 0.0
     world.run(100.0)
-    assert 1.0 < world.store.longest_change < ELECTION_S + LOST_CALL_S
-    assert world.store.differs_since is None, "the view has all running members"
+    assert 1.0 < world.store.longest_view_lag_s < ELECTION_S + LOST_CALL_S
+    assert world.store.view_differs_since is None, "the view has all running members"
 
 
 def run_to_remote_task(world):
--- a/tests/test_late_transactions.py
+++ b/tests/test_late_transactions.py
@@ -95,7 +95,7 @@
 
     def register_member(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
-        self.store.holds[lease_id] = 1e9
+        self.store.leases[lease_id] = 1e9
         self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
     def commit_view(self, *labels: str) -> None:
@@ -107,7 +107,7 @@
         core = self.core
         core.membership.store_lease.record_renewal(self.lease_ids[self.me], self.t)
         core.membership.record_sync(self.t)
-        core.store_follower.apply_events(self.store.since(core.replica.revision), self.t, self.t)
+        core.store_follower.apply_events(self.store.events_after(core.replica.revision), self.t, self.t)
         core.replica.revision = self.store.revision
 
     def reload(self) -> None:
@@ -778,7 +778,7 @@
     async def grant_lease(self, ttl_s):
         def grant():
             lease_id = next(self.sim.lease_ids)
-            self.sim.holds[lease_id] = 1e9
+            self.sim.leases[lease_id] = 1e9
             return lease_id
 
         return self.step("grant_lease", grant)
@@ -787,7 +787,7 @@
         return self.step("commit", lambda: self.sim.commit(conditions, puts, drops, lease_id))
 
     async def revoke_lease(self, lease_id):
-        self.step("revoke_lease", lambda: self.sim.end(lease_id))
+        self.step("revoke_lease", lambda: self.sim.revoke_lease(lease_id))
 
 
 @pytest.mark.parametrize("late", (False, True))
@@ -795,7 +795,7 @@
 def test_the_member_key_matches_the_store_lease_if_any_step_of_acquiring_it_is_unanswered(lose, late):
     lossy_store = LossyStore(lose, late)
     controller = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector(), store=lossy_store)
-    lossy_store.sim.holds[1000] = 1e9
+    lossy_store.sim.leases[1000] = 1e9
     lossy_store.sim.commit(
         {}, {MEMBERS + "host-0": MemberRecord(1000, constants.PROTOCOL_VERSION)}, (), 1000
     )  # of the earlier incarnation
@@ -814,7 +814,7 @@
     lease_id = controller.membership.store_lease.lease_id
     raw, _, attached = lossy_store.sim.data[MEMBERS + "host-0"]
     assert lease_id and msgspec.json.decode(raw, type=MemberRecord).lease_id == lease_id == attached
-    assert lease_id in lossy_store.sim.holds
+    assert lease_id in lossy_store.sim.leases
 
 
 class LateCommitController(SimController):
@@ -840,7 +840,7 @@
         def failed() -> None:
             self.follow_busy = False
 
-        self.call(done, failed, lambda: store.check() or (store.rows(), [], store.revision))
+        self.call(done, failed, lambda: store.expire_leases() or (store.rows(), [], store.revision))
 
     def call(self, then, fail, method, *args, too_large=None) -> None:
         world, life = self.world, self.life
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -564,7 +564,7 @@
         names_unknown_lease = names_unknown_lease or view_lease_id not in (lease_id, previous_lease_id)
         if sim.core.may_act():
             acted.append(world.t - began)
-            assert lease_id == view_lease_id and lease_id in store.holds
+            assert lease_id == view_lease_id and lease_id in store.leases
     assert world.answers_lost and sim.core.may_act() and sim.core.state.is_member
     assert names_unknown_lease is (step == "key"), "the view named a lease of an unknown incarnation"
     if step == "extend":
@@ -770,7 +770,7 @@
     blocked = max(
         workers, key=lambda worker: (sum(task_id in world.running_on for task_id in worker.tasks), worker.name)
     )
-    blocked.deaf_until = FAILOVER_AT_S + LEADER_RESTARTS * RESTART_INTERVAL_S
+    blocked.inbound_blocked_until = FAILOVER_AT_S + LEADER_RESTARTS * RESTART_INTERVAL_S
     task_ids = [task_id for task_id in blocked.tasks if world.running_on.get(task_id) == blocked.name]
     world.moved_after_s = {}
     for sampled_at in range(int(FAILOVER_AT_S), int(until), 2):
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -30,7 +30,10 @@
     alone.advance(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
     put = alone.next_batch()
     revision, since = alone.commit(put).revision, alone.core.replica.revision
-    rows, changes = alone.store.rows(), alone.store.since(since)  # what the store returns for a read at this revision
+    rows, changes = (
+        alone.store.rows(),
+        alone.store.events_after(since),
+    )  # what the store returns for a read at this revision
     alone.t += 1.0
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
@@ -111,12 +114,12 @@
 
 
 class FastBootWorker(SimWorker):
-    def carry_out(self, order):
+    def apply_order(self, order):
         """Fail if a machine without a record in the store gets a run order."""
         if order["verb"] == "run" and MACHINES + self.name not in self.world.store.data:
             raise Broken(f"unrecorded: {order['part']} on {self.name} at {self.world.t:.2f}")
         self.world.run_orders[self.name] += order["verb"] == "run"
-        super().carry_out(order)
+        super().apply_order(order)
 
 
 class FastBootController(World.controller_class):
@@ -177,9 +180,9 @@
         fault_draw = self.rng.random() if self.t < self.faults_until else 1.0
         fault_after_s = self.rng.uniform(0.3, 5.0)
         if fault_draw < 0.15:
-            self.after(fault_after_s, worker.die)
+            self.after(fault_after_s, worker.crash)
         elif fault_draw < 0.3:
-            worker.recall_at = self.t + fault_after_s
+            worker.preempted_at = self.t + fault_after_s
         elif fault_draw < 0.5:  # hangs for about a lease, so that the lease expires or nearly does
             self.after(
                 fault_after_s, setattr, worker, "hangs_until", self.t + fault_after_s + self.rng.uniform(10.0, 30.0)
@@ -296,27 +299,27 @@
 class OutboundBlockedWorker(SimWorker):
     """For some time its heartbeats reach no controller, while probes reach it and are answered."""
 
-    mute_until = 0.0
+    outbound_blocked_until = 0.0
 
     def send_heartbeat(self):
-        if not self.alive or self.world.t >= self.mute_until or self.world.t < self.hangs_until:
+        if not self.alive or self.world.t >= self.outbound_blocked_until or self.world.t < self.hangs_until:
             return super().send_heartbeat()
         self.tick()
         self.sequence += 1  # of a heartbeat that is lost
-        self.in_flight += 1
-        self.next_node()
+        self.request_number += 1
+        self.use_next_controller()
 
     def command(self, fencing_token, incarnation, reply):
         self.tick()
         if incarnation != self.incarnation and self.alive:  # 409, and probed again as ``WorkerProber`` does
-            self.world.after(self.way(), super().command, fencing_token, self.incarnation, reply)
+            self.world.after(self.draw_latency(), super().command, fencing_token, self.incarnation, reply)
         else:
             super().command(fencing_token, incarnation, reply)
 
-    def carry_out(self, order):
-        if order["verb"] == "run" and self.world.t < self.mute_until:
+    def apply_order(self, order):
+        if order["verb"] == "run" and self.world.t < self.outbound_blocked_until:
             raise Broken(f"run order to a machine with blocked outbound traffic: {order['part']} on {self.name}")
-        super().carry_out(order)
+        super().apply_order(order)
 
 
 class ReplayingController(World.controller_class):
@@ -371,9 +374,9 @@
 
     def block_outbound(self, share, for_s):
         for worker in self.rng.sample(self.workers(), int(len(self.workers()) * share)):
-            worker.mute_until = self.t + for_s
+            worker.outbound_blocked_until = self.t + for_s
             if self.rng.random() < 0.8:
-                worker.held_up_until = self.t + for_s
+                worker.responses_delayed_until = self.t + for_s
 
     def runs_on(self, machines):
         """The tasks that job owners have on these machines."""
@@ -541,7 +544,7 @@
     busy = sorted(set(world.running_on.values()))
     blocked = set(world.rng.sample(busy, 100))
     for name in blocked:
-        world.machines[name].mute_until = world.t + 240.0
+        world.machines[name].outbound_blocked_until = world.t + 240.0
     world.run(world.t + 3.0)
     world.end(leader, 30.0)
     for job in sorted({task_id.split("/")[0] for task_id, name in world.running_on.items() if name in blocked})[:4]:
@@ -578,7 +581,7 @@
     world.run(50.0)
     blocked = [worker.name for worker in world.workers()]
     for name in blocked:
-        world.machines[name].mute_until = world.t + 50.0
+        world.machines[name].outbound_blocked_until = world.t + 50.0
     world.run(60.0)
     world.end(world.leader(), 2.0)
     world.run(97.0)  # an acknowledgement may be delayed by seconds, and a lease counts from it
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -246,14 +246,14 @@
 class InboundBlockedWorker(SimWorker):
     """Inbound blocked until ``deaf_until``: its heartbeats arrive, responses and commands to it are lost."""
 
-    deaf_until = 0.0
+    inbound_blocked_until = 0.0
 
-    def answered(self, *answer):
-        if self.world.t >= self.deaf_until:
-            super().answered(*answer)
+    def on_response(self, *answer):
+        if self.world.t >= self.inbound_blocked_until:
+            super().on_response(*answer)
 
     def command(self, *command):
-        if self.world.t >= self.deaf_until:
+        if self.world.t >= self.inbound_blocked_until:
             super().command(*command)
 
 
@@ -323,7 +323,7 @@
         world.machines[machine] for job in leader.core.job_shard.jobs.values() for machine in job.tasks_by_machine
     ]
     for worker in blocked:
-        worker.deaf_until = world.t + 150.0
+        worker.inbound_blocked_until = world.t + 150.0
     world.run(61.0)
     world.end(leader, 2.0)
     world.run(66.0)
@@ -349,7 +349,7 @@
     world = InboundBlockedWorld(3, jobs=40)
     world.run(45.0)
     for worker in world.rng.sample(world.workers(), len(world.workers()) // 2):
-        worker.deaf_until = world.t + 120.0
+        worker.inbound_blocked_until = world.t + 120.0
     granted_since = {}
     while world.t < 150.0:
         world.run(world.t + 1.0)
@@ -737,7 +737,7 @@
             for sim in is_leader:
                 world.end(sim, (0.2, 3.0)[number % 2])
             for worker in world.rng.sample(world.workers(), len(world.workers()) // 4):
-                worker.deaf_until = world.t + world.rng.uniform(5.0, 40.0)
+                worker.inbound_blocked_until = world.t + world.rng.uniform(5.0, 40.0)
 
         world.after(20.0 + 20.0 * number, fault)
     world.run(480.0)
--- a/tests/test_monotonic_reads.py
+++ b/tests/test_monotonic_reads.py
@@ -168,7 +168,7 @@
 
     def register_member(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
-        self.store.holds[lease_id] = 1e9
+        self.store.leases[lease_id] = 1e9
         self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
     def store_view(self, *labels: str) -> None:
@@ -191,7 +191,7 @@
         self.writers[label] = await curio.spawn(controller.record_writer.keep_records, daemon=True)
 
     def row(self, key: str) -> wire.KeyValue | None:
-        self.store.check()
+        self.store.expire_leases()
         found = self.store.data.get(key)
         return None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1])
 
@@ -205,7 +205,12 @@
         core, poll = self.controllers[label].core, self.pending_polls.pop(label, None)
         if poll is None:
             rows = None if core.state.loaded else self.store.rows()
-            self.pending_polls[label] = self.t, rows, self.store.since(core.replica.revision), self.store.revision
+            self.pending_polls[label] = (
+                self.t,
+                rows,
+                self.store.events_after(core.replica.revision),
+                self.store.revision,
+            )
             return
         sent_at, rows, changes, revision = poll
         core.membership.store_lease.record_renewal(self.lease_ids[label], sent_at)
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -240,7 +240,7 @@
     world.run(53.0)
     world.delayed_frame_share, starts = 0.001, world.task_starts
     world.run(90.0)
-    assert world.task_starts > starts and world.store.differs_since is None
+    assert world.task_starts > starts and world.store.view_differs_since is None
     assert all(sim.core.may_act() for sim in world.controllers.values())
     world.run(200.0)
     world.check_final_status_age()
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -348,9 +348,14 @@
         if worker is None:
             return
         if kind == "die":
-            worker.die()
+            worker.crash()
         else:
-            attribute = {"hang": "hangs_until", "cut": "cut_until", "deaf": "deaf_until", "held_up": "held_up_until"}
+            attribute = {
+                "hang": "hangs_until",
+                "cut": "cut_until",
+                "deaf": "inbound_blocked_until",
+                "held_up": "responses_delayed_until",
+            }
             setattr(worker, attribute[kind], self.t + length)
 
     def crash_one(self, leader: bool, restart_after_s: float) -> None:
@@ -380,7 +385,7 @@
         free_cpus = {
             worker: TYPES[worker.kind.type].cpus
             for worker in self.machines.values()
-            if worker is not None and worker.alive and not worker.faulty and worker.recall_at is None
+            if worker is not None and worker.alive and not worker.fails_tasks and worker.preempted_at is None
         }
         zones: dict[str, list[str]] = {}
         for worker in free_cpus:
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -349,7 +349,7 @@
     world = World(seed, jobs=30, random_faults=False)
     job_owner, machine_owner, _, _, machine = run_until_remote_run(world)
     third = next(label for label in world.labels if label not in (job_owner, machine_owner))
-    world.machines[machine].die()
+    world.machines[machine].crash()
     world.controllers[job_owner].cut_mesh_until = world.t + 26.0
     world.run(world.t + 20.0)
     assert (
@@ -375,7 +375,7 @@
     world = World(seed, jobs=30, random_faults=False)
     world.run(40.0)
     job_owner, machine_owner, name, index, machine = run_until_remote_run(world)
-    world.machines[machine].die()
+    world.machines[machine].crash()
     world.controllers[job_owner].crash()
     world.run(world.t + 2.0)
     world.restart(world.controllers[job_owner])
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -69,13 +69,13 @@
         seed, until=260.0, nodes=3 + 2 * (seed % 2), pipelines=4, upgrade=True, coming=NEXT_LIMITS, tight_at=110.0
     )
     assert any(world.reported_ends.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
-    assert world.store.too_large == 0
+    assert world.store.rejected_as_too_large == 0
 
 
 @pytest.mark.parametrize("seed", (5000, 5001))
 def test_lower_store_limits_than_announced_cost_no_store_lease_and_no_job(seed):
     world = play(seed, until=300.0, random_faults=False, pipelines=3, tight_at=60.0)
-    assert world.store.too_large > 0
+    assert world.store.rejected_as_too_large > 0
     fencing_tokens = {sim.core.membership.fencing_token for sim in world.controllers.values()}
     unfinished = [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
     assert len(fencing_tokens) == 1 and not unfinished
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -123,7 +123,7 @@
     world.until(lambda: restarted_label in world.view.members, 10.0)
     fencing_token = world.store.data[VIEW][1]
     world.run(world.t + 5.0)
-    workers = [worker for worker in world.machines.values() if worker is not None and worker.core == label]
+    workers = [worker for worker in world.machines.values() if worker is not None and worker.controller_label == label]
     world.run(world.t + 13.0)
     for worker in workers:  # no more renewals: their leases expire
         worker.cut_until = world.t + 60.0
