--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -35,7 +35,7 @@
         if name in self.rented_kinds:
             self.machines[name] = SimWorker(self, name, kind)
 
-    def remove(self, names: list[str]) -> None:
+    def terminate(self, names: list[str]) -> None:
         for name in names:
             worker = self.machines.get(name)
             if worker is not None:
@@ -43,7 +43,7 @@
                 self.machines[name] = None
             self.rented_kinds.pop(name, None)
 
-    def listing(self) -> list[wire.ListedMachine]:
+    def list_machines(self) -> list[wire.ListedMachine]:
         machines = [
             wire.ListedMachine(
                 name,
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -366,7 +366,7 @@
         core, world = self.core, self.world
         if not core.membership.is_leader(world.t) or self.is_renting:
             return
-        core.leader.on_listing(world.listing(), world.t)
+        core.leader.on_listing(world.list_machines(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
         for kind, count in decision.scale_out:
@@ -379,7 +379,7 @@
             else:
                 self.rented(self.life, kind, names, count)
         if decision.terminate and world.rng.random() < 0.95:
-            world.remove(decision.terminate)
+            world.terminate(decision.terminate)
             if world.rng.random() < 0.95:
                 core.on_terminated(decision.terminate, world.t)
 
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -70,22 +70,22 @@
 
     def inject_fault(self) -> None:
         sim = self.controllers[self.rng.choice(self.labels)]
-        self.bring(self.rng.choice(SINGLE_FAULTS), sim, self.rng.uniform(2.0, 40.0))
+        self.inject(self.rng.choice(SINGLE_FAULTS), sim, self.rng.uniform(2.0, 40.0))
 
-    def bring(self, kind: str, sim: SimController, length: float) -> None:
+    def inject(self, kind: str, sim: SimController, length: float) -> None:
         """Injects one fault: of the controller ``sim``, of one random machine, or of the whole deployment."""
         rng = self.rng
         workers = [worker for worker in self.machines.values() if worker is not None]
         if kind.startswith("crash"):
             for victim in self.controllers.values() if kind == "crash_all" else [sim]:
-                self.end(victim)
+                self.crash_and_restart(victim)
         elif kind == "flap":
             self.flap()
         elif kind == "staggered_restart":
             for victim in self.controllers.values():
-                self.end(victim, rng.uniform(0.1, 1.0) if victim is sim else rng.uniform(0.1, 35.0))
+                self.crash_and_restart(victim, rng.uniform(0.1, 1.0) if victim is sim else rng.uniform(0.1, 35.0))
         elif kind == "end_leaders":
-            self.end_leaders(rng.randint(1, 4), rng.uniform(0.2, 6.0))
+            self.crash_leaders(rng.randint(1, 4), rng.uniform(0.2, 6.0))
         elif kind == "outage":
             self.store.outage(min(length, 25.0))
         elif kind == "late_reports":
@@ -98,20 +98,20 @@
             self.store.lost_response_share, self.store.lost_responses_until = rng.uniform(0.2, 0.9), self.t + length
         elif kind == "reports_kept":
             self.heartbeat_copy_share, self.heartbeat_copies_until = rng.uniform(0.1, 0.6), self.t + length
-            self.after(rng.uniform(0.3, 1.0) * length, self.end_leaders, rng.randint(1, 3), rng.uniform(1.0, 8.0))
+            self.after(rng.uniform(0.3, 1.0) * length, self.crash_leaders, rng.randint(1, 3), rng.uniform(1.0, 8.0))
         elif kind == "concurrent_reads":
             self.concurrent_reads_until = self.t + length
         elif kind == "quick_boots":
             self.quick_boots_until = self.t + length
             if rng.random() < 0.5:
-                self.after(rng.uniform(1.0, length), self.end_leaders, 1, 1.0)
+                self.after(rng.uniform(1.0, length), self.crash_leaders, 1, 1.0)
         elif kind == "cancel_now":
             self.cancel_running_jobs(rng.randint(4, 12), rng.choice([0.0, rng.uniform(2.0, 60.0)]))
         elif kind == "cancel_at_end":
             self.cancel_at_end_share, self.cancel_at_end_until = rng.uniform(0.3, 0.9), self.t + length
         elif kind == "odd_requests":
             for _ in range(int(length)):
-                self.after(rng.uniform(0.0, length), self.odd_request)
+                self.after(rng.uniform(0.0, length), self.send_unusual_request)
         elif kind == "limits":
             self.exceed_team_quota(length)
         elif kind == "job_stream":
@@ -121,7 +121,7 @@
             for index in range(REPLACED_LEADERS):
                 self.after((index + 0.5 * rng.random()) * REPLACED_LEADERS_S / REPLACED_LEADERS, self.replace_leader)
         elif kind == "zone_away":
-            self.cut_zone(rng.choice(ZONES), sim, length)
+            self.partition_zone(rng.choice(ZONES), sim, length)
         elif kind == "cut_from_store_and_peers":  # workers and users still reach it
             sim.cut_store_until = sim.cut_mesh_until = self.t + max(10.0, length)
             if rng.random() < 0.5:
@@ -203,14 +203,14 @@
             for _ in range(rng.randint(0, 3)):
                 self.after(rng.uniform(0.0, 4.0), self.cancel_any)
         for _ in range(rng.choice([1, 2, 4, 8]) if kind in MACHINE_FAULTS else 1):
-            self.bring(kind, sim, length)
+            self.inject(kind, sim, length)
 
     def can_reach(self, worker: SimWorker, label: str) -> bool:
         """Whether no zone partition separates the worker from the controller."""
         zone, inside, until = self.partitioned_zone
         return self.t >= until or (worker.kind.zone == zone) == (label == inside)
 
-    def cut_zone(self, zone: str, sim: SimController, for_s: float) -> None:
+    def partition_zone(self, zone: str, sim: SimController, for_s: float) -> None:
         """Partitions a zone: its workers and ``sim`` reach only each other, users reach all; submits one-zone jobs."""
         rng = self.rng
         self.partitioned_zone = (zone, sim.label, self.t + for_s)
@@ -240,7 +240,7 @@
                 worker.hangs_until = self.t + length + (index if kind == "staggered_hang" else 0.0)
         victims = rng.choice([[], rng.sample(list(self.controllers.values()), 1), list(self.controllers.values())])
         for victim in victims:
-            self.end(victim)
+            self.crash_and_restart(victim)
         if rng.random() < 0.3:
             self.store.outage(rng.uniform(2.0, 25.0))
 
@@ -293,7 +293,7 @@
             ]
         )
 
-    def end(self, sim: SimController, downtime_s: float | None = None) -> None:
+    def crash_and_restart(self, sim: SimController, downtime_s: float | None = None) -> None:
         sim.crash()
         self.after(self.draw_downtime() if downtime_s is None else downtime_s, self.restart, sim)
 
@@ -304,30 +304,30 @@
         kind = rng.choice(["twice", "roll", "leaders"])
         if kind == "twice":
             for index in range(rng.randint(2, 4)):
-                self.after(index * rng.uniform(0.3, 0.6), self.end, sims[0], rng.uniform(0.1, 0.25))
+                self.after(index * rng.uniform(0.3, 0.6), self.crash_and_restart, sims[0], rng.uniform(0.1, 0.25))
         elif kind == "roll":
             pause = rng.uniform(0.2, 4.0)
             for index, sim in enumerate(sims * rng.randint(1, 3)):
-                self.after(index * pause, self.end, sim, rng.uniform(0.1, 0.6))
+                self.after(index * pause, self.crash_and_restart, sim, rng.uniform(0.1, 0.6))
         else:
-            self.end_leaders(rng.randint(3, 8), rng.uniform(0.2, 3.0))
+            self.crash_leaders(rng.randint(3, 8), rng.uniform(0.2, 3.0))
 
-    def end_leaders(self, times: int, pause: float) -> None:
+    def crash_leaders(self, times: int, pause: float) -> None:
         """Crashes the leader of the stored view, ``times`` times with ``pause`` s between."""
         if VIEW in self.store.data:
-            self.end(
+            self.crash_and_restart(
                 self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader],
                 self.rng.uniform(0.1, 0.6),
             )
         if times > 1:
-            self.after(pause, self.end_leaders, times - 1, pause)
+            self.after(pause, self.crash_leaders, times - 1, pause)
 
     def replace_leader(self) -> None:
         """Crashes the leader for at least 6 s, so that it does not lead again after its restart."""
         if VIEW in self.store.data:
             sim = self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
             if sim.core is not None:
-                self.end(sim, self.rng.uniform(6.0, 20.0))
+                self.crash_and_restart(sim, self.rng.uniform(6.0, 20.0))
 
     def restart(self, sim: SimController) -> None:
         if sim.core is None:
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -173,7 +173,7 @@
             if worker is not None:
                 worker.tick()
                 if worker.preempted_at is not None and self.t >= worker.preempted_at:
-                    self.remove([worker.name])
+                    self.terminate([worker.name])
         for task_id, machine in self.running_on.items():
             if self.t > self.cancelled_at.get(wire.split_task_id(task_id)[0], math.inf) + CANCEL_S:
                 raise Broken(f"ran_cancelled: {task_id} on {machine}")
@@ -291,4 +291,4 @@
             and job not in self.cancelled_at
             and all(f"{job}/{i}" in self.completed for i in range(self.specs[job].tasks))
         ):
-            self.after(self.rng.choice([0.0, 0.5, 4.0]) * self.rng.random(), self.withdraw, job)
+            self.after(self.rng.choice([0.0, 0.5, 4.0]) * self.rng.random(), self.cancel, job)
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -123,7 +123,7 @@
             spot=True,
         )
 
-    def make_unbound_pair(self, number: int) -> wire.JobSpec:
+    def make_unlimited_pair(self, number: int) -> wire.JobSpec:
         """Two long tasks without a team limit that any machine can run."""
         return msgspec.structs.replace(
             self.make_job(number),
@@ -170,7 +170,7 @@
         step(6, [*middle, other], job_class="last", priority="high", due_s=40.0)
         if rng.random() < 0.4:
             victim = rng.choice([first, *middle, other])
-            self.after(rng.uniform(3.0, 25.0), self.withdraw, victim)
+            self.after(rng.uniform(3.0, 25.0), self.cancel, victim)
 
     def submit_when_accepted(self, needs: list[str], spec: wire.JobSpec) -> None:
         if all(need in self.accepted for need in needs):
@@ -196,7 +196,7 @@
         if spec.id in self.accepted:
             self.after(self.rng.uniform(1.0, 5.0), self.poll, spec.id)
             if spec.service or self.rng.random() < 0.15:
-                self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
+                self.after(self.rng.uniform(5.0, 60.0), self.cancel, spec.id)
             return
         if (
             core is not None
@@ -210,7 +210,7 @@
             )
             if ready and not core.directory.knows_job(spec.id):
                 core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
-            elif core.directory.knows_job(spec.id) and self.question(sim, spec.id) is not None:
+            elif core.directory.knows_job(spec.id) and self.status_at_once(sim, spec.id) is not None:
                 self.accept(spec.id)  # an earlier attempt was applied: 200
         self.after(1.5, self.submit, spec)
 
@@ -222,7 +222,7 @@
             self.accepted_at[job] = self.t
             self.query_concurrently(job)
 
-    def answer(self, job: str, state: str, asked: float | None = None) -> None:
+    def check_state(self, job: str, state: str, asked: float | None = None) -> None:
         """Checks a reported state; ``asked``: when it was requested, if another response may have arrived since."""
         before, ends = self.reported_ends.get(job), state in ("done", "aborted")
         if before is not None and state != before:
@@ -257,10 +257,10 @@
         if self.has_concurrent_faults:
             self.request_status(sim, job)
         else:
-            state = self.question(sim, job)
+            state = self.status_at_once(sim, job)
             if state is not None:
                 self.last_status_at[job] = self.t
-                self.answer(job, state)
+                self.check_state(job, state)
         self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
 
     def request_status(self, sim: SimController, job: str) -> None:
@@ -274,7 +274,7 @@
                 raise Broken(f"forgotten: {job} at {self.t:.2f}, accepted at {self.accepted_at[job]:.2f}")
         elif state is not None:
             self.last_status_at[job] = self.t
-            self.answer(job, state, asked)
+            self.check_state(job, state, asked)
 
     def resubmit(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
         """Submits a job again, with ``flaw`` as changed fields of the body."""
@@ -303,11 +303,11 @@
         if kind == "ask":
             self.request_status(sim, job)
         elif kind == "withdraw":
-            self.withdraw_through(sim, job, again=False)
+            self.cancel_through(sim, job, again=False)
         else:
             self.resubmit(sim, job, {"owner": "nobody"} if kind == "other body" else None)
 
-    def odd_request(self) -> None:
+    def send_unusual_request(self) -> None:
         """Sends a repeated submission, a cancellation of an ended job, or an invalid job."""
         rng = self.rng
         sim = self.controllers[rng.choice(self.labels)]
@@ -316,7 +316,7 @@
         if kind == "repeat" and open_jobs:
             self.resubmit(sim, rng.choice(open_jobs))
         elif kind == "withdraw" and ended_jobs:
-            self.withdraw_through(sim, rng.choice(ended_jobs), again=False)
+            self.cancel_through(sim, rng.choice(ended_jobs), again=False)
         elif kind == "flawed" and sim.core is not None:
             body = submission_of(self.make_job(next(self.job_numbers)))
             field, value = rng.choice(INVALID_FIELDS)
@@ -331,7 +331,7 @@
         if state not in (None, NOT_FOUND):
             raise Broken(f"took_flawed: {body} is {state}")
 
-    def question(self, sim: SimController, job: str) -> str | None:
+    def status_at_once(self, sim: SimController, job: str) -> str | None:
         """As ``StatusHandler.status``: from memory, the job owner or the store; None: 503 or controller down."""
         if sim.core is None:
             return None
@@ -361,11 +361,11 @@
             return record.state.value
         return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
 
-    def withdraw(self, job: str) -> None:
+    def cancel(self, job: str) -> None:
         if job in self.reported_ends:
             return
         if self.has_concurrent_faults:
-            self.withdraw_through(self.controllers[self.rng.choice(self.labels)], job)
+            self.cancel_through(self.controllers[self.rng.choice(self.labels)], job)
             return
         for label in self.labels:
             core = self.controllers[label].core
@@ -373,19 +373,19 @@
                 self.cancelled_at.setdefault(job, math.inf)
                 state = core.local_jobs.cancel(job, self.t)
                 if state:
-                    self.answer(job, state)
+                    self.check_state(job, state)
                     if state == "aborted":
                         self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
                         return
-        self.after(1.0, self.withdraw, job)
+        self.after(1.0, self.cancel, job)
 
-    def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
+    def cancel_through(self, sim: SimController, job: str, again: bool = True) -> None:
         """As ``CancellationHandler.cancel``: by this controller or a message to the job owner; retried if ``again``."""
         core, asked = sim.core, self.t
         if job not in self.reported_ends:
             self.cancelled_at.setdefault(job, math.inf)
         if again:
-            self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
+            self.after(self.rng.uniform(4.0, 7.0), self.cancel, job)
         if core is None or not core.state.loaded:
             return
         owner, on_cancelled = core.directory.job_owner(job), self.on_cancelled
@@ -405,7 +405,7 @@
             sim.answer_from_store(job, lambda state: state == NOT_FOUND and self.on_status(job, state, asked))
 
     def on_cancelled(self, job: str, state: str) -> None:
-        self.answer(job, state)
+        self.check_state(job, state)
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
         """Cancels running jobs within 0.2 s; with ``hang_s``, up to eight of their machines hang for that time."""
@@ -417,7 +417,7 @@
         for name in rng.sample(machines, min(8, len(machines))) if hang_s else ():
             self.machines[name].hangs_until = self.t + hang_s
         for job in jobs:
-            self.after(rng.uniform(0.0, 0.2), self.withdraw, job)
+            self.after(rng.uniform(0.0, 0.2), self.cancel, job)
 
     def exceed_team_quota(self, length: float) -> None:
         """Submits more long tasks of the limited team than its limit allows, and cancels some of them."""
@@ -434,7 +434,7 @@
             )
             self.after(rng.uniform(0.0, 3.0), self.submit, spec)
             if rng.random() < 0.5:
-                self.after(rng.uniform(15.0, length), self.withdraw_accepted, spec.id)
+                self.after(rng.uniform(15.0, length), self.cancel_when_accepted, spec.id)
 
     def submit_stream_job(self) -> None:
         spec = msgspec.structs.replace(
@@ -453,15 +453,15 @@
         )
         self.submit(spec)
         if self.rng.random() < STREAM_CANCELLED_SHARE:
-            self.after(self.rng.uniform(0.0, 8.0), self.withdraw_accepted, spec.id)
+            self.after(self.rng.uniform(0.0, 8.0), self.cancel_when_accepted, spec.id)
 
-    def withdraw_accepted(self, job: str) -> None:
+    def cancel_when_accepted(self, job: str) -> None:
         if job in self.accepted:
-            self.withdraw(job)
+            self.cancel(job)
         else:
-            self.after(1.0, self.withdraw_accepted, job)
+            self.after(1.0, self.cancel_when_accepted, job)
 
     def cancel_any(self) -> None:
         jobs = sorted(job for job in self.accepted if job not in self.reported_ends and job not in self.cancelled_at)
         if jobs:
-            self.withdraw(self.rng.choice(jobs))
+            self.cancel(self.rng.choice(jobs))
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -198,7 +198,7 @@
             return
         sim = self.controllers[self.rng.choice(healthy)]
         if sim.core.directory.knows_job(spec.id):
-            if self.question(sim, spec.id) is not None:
+            if self.status_at_once(sim, spec.id) is not None:
                 self.on_accepted(spec.id)
             else:
                 self.after(2.0, self.try_submit, spec)
@@ -282,7 +282,7 @@
 
     def on_accepted(self, job):
         if job not in self.accepted_at and int(job[3:]) % 4 == 0:
-            self.after(self.rng.choice([0.0, self.rng.uniform(0.0, 8.0)]), self.withdraw, job)
+            self.after(self.rng.choice([0.0, self.rng.uniform(0.0, 8.0)]), self.cancel, job)
         super().on_accepted(job)
 
     def backlog(self):
@@ -300,7 +300,7 @@
             sim.crash()
     if leader_ends:
         world.run(55.0)
-        world.end(world.leader, 6.0)
+        world.crash_and_restart(world.leader, 6.0)
     world.run(70.0)
     checker = FreeCapacityChecker(world, world.t)
     world.run(until or world.last_submission_at + 35.0)
@@ -433,10 +433,10 @@
         if name in self.rented_kinds:
             self.machines[name] = IsolatedZoneWorker(self, name, kind)
 
-    def question(self, sim, job):
-        return None if sim.is_isolated() else super().question(sim, job)
+    def status_at_once(self, sim, job):
+        return None if sim.is_isolated() else super().status_at_once(sim, job)
 
-    def cut_zone(self, label: str, duration_s: float, failed_share: float) -> None:
+    def partition_zone(self, label: str, duration_s: float, failed_share: float) -> None:
         """``failed_share``: share of the machines, in both zones, that fail when the partition begins."""
         sim = self.controllers[label]
         self.isolated_controller, self.isolated_until = label, self.t + duration_s
@@ -456,7 +456,7 @@
     tasks_in_zone = [
         task_id for task_id, name in world.running_on.items() if world.machines[name].kind.zone == ISOLATED_ZONE
     ]
-    world.cut_zone(label, duration_s, failed_share)
+    world.partition_zone(label, duration_s, failed_share)
     world.run(45.0 + duration_s + 15.0)
     checker = FreeCapacityChecker(world, world.t)
     world.run(45.0 + duration_s + until)
@@ -538,7 +538,7 @@
     world.run(60.0)
     if outage_s:
         for sim in world.controllers.values():
-            world.end(sim, outage_s + world.rng.uniform(0.0, 2.0))
+            world.crash_and_restart(sim, outage_s + world.rng.uniform(0.0, 2.0))
     world.run(110.0)
     checker = FreeCapacityChecker(world, world.t)
     while world.t < until and len(world.reported_ends) < len(world.specs):
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -78,13 +78,13 @@
     incarnation = worker.incarnation
     if kind == "mute":
         worker.outbound_blocked_until = world.t + 60.0
-        world.end_leaders(1, 1.0)
+        world.crash_leaders(1, 1.0)
         world.run(60.0)
         assert worker.fencing_token > fencing_token and worker.incarnation == incarnation, "a command reaches it"
         world.run(75.0)
         assert worker.incarnation > incarnation, "its lease expires"
         return
-    world.bring(kind, sim, 40.0)
+    world.inject(kind, sim, 40.0)
     if kind == "quick_boots":
         for number in range(4):
             submit_job(world, 50 + number, estimate_s=30.0)
@@ -120,7 +120,7 @@
         world.heartbeat_copy_share = 1.0
         world.run(52.0)
         world.heartbeat_copies_until, kept = 0.0, len(world.kept_heartbeats)
-        world.end_leaders(1, 1.0)
+        world.crash_leaders(1, 1.0)
         world.run(60.0)
         assert kept and not world.kept_heartbeats
     else:
@@ -134,9 +134,9 @@
     for number in range(6):
         job = submit_job(world, number, estimate_s=3.0)
         if number % 2:
-            world.after(4.0, world.withdraw_accepted, job)
+            world.after(4.0, world.cancel_when_accepted, job)
     for number in range(60):
-        world.after(0.5 * number, world.odd_request)
+        world.after(0.5 * number, world.send_unusual_request)
     world.run(60.0)
     assert (
         world.concurrent_request_count > 30 and len(world.invalid_jobs) > 15 and not world.invalid_jobs & world.accepted
@@ -349,7 +349,7 @@
     while not (found := [worker for worker in world.machines.values() if worker is not None and worker.tasks]):
         world.run(world.t + 0.05)
     found[0].hangs_until = world.t + 9.0
-    world.withdraw(job)
+    world.cancel(job)
     return world, job
 
 
@@ -399,7 +399,7 @@
     fault(monkeypatch)
     world = calm_world()
     for number in range(100):
-        world.after(0.3 * number, world.odd_request)
+        world.after(0.3 * number, world.send_unusual_request)
     with pytest.raises(Broken, match="took_flawed"):
         world.run(40.0)
 
--- a/tests/test_conditions_to_act.py
+++ b/tests/test_conditions_to_act.py
@@ -63,7 +63,7 @@
         super().__init__(seed, nodes=nodes, jobs=0)
         for number in range(12):
             # Drawn here and not on submission: the seeds below depend on the order of draws.
-            spec = self.make_unbound_pair(number)
+            spec = self.make_unlimited_pair(number)
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
 
     def acts(self, label):
@@ -415,9 +415,9 @@
     for step in range(100):
         world.run(resumes_at - 0.1 + 0.01 * step)
         for node in world.controllers.values():
-            state = world.question(node, job)
+            state = world.status_at_once(node, job)
             if state is not None:
-                world.answer(job, state)
+                world.check_state(job, state)
 
 
 def test_end_sent_by_a_replaced_job_owner_is_not_written(monkeypatch):
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -64,7 +64,7 @@
     for label in world.labels[:-1]:
         ends_at = 10.0
         while ends_at < 70.0:
-            world.after(ends_at, world.end, world.controllers[label], world.rng.uniform(0.1, 0.25))
+            world.after(ends_at, world.crash_and_restart, world.controllers[label], world.rng.uniform(0.1, 0.25))
             ends_at += world.rng.uniform(0.3, 3.0)
     world.run(10.0)
     world.store.longest_view_lag_s = 0.0
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -626,7 +626,7 @@
     def submit(self, spec):
         super().submit(spec)
         if spec.service:
-            self.after(self.rng.uniform(15.0, 60.0), self.withdraw, spec.id)
+            self.after(self.rng.uniform(15.0, 60.0), self.cancel, spec.id)
 
     def sample(self):
         super().sample()
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -516,9 +516,9 @@
                 self.run_after_cancel_s[job] = self.t - self.cancelled_at[job]
         for job in self.cancelled_at:
             for sim in self.controllers.values():
-                state = self.question(sim, job)
+                state = self.status_at_once(sim, job)
                 if state is not None:
-                    self.answer(job, state)
+                    self.check_state(job, state)
         super().check_invariants()
 
 
@@ -549,7 +549,7 @@
     world.run(40.0)
     sim, store = world.controllers["host-1"], world.store
     if step != "extend":
-        world.end(sim, 0.3)
+        world.crash_and_restart(sim, 0.3)
         world.run(40.3)
     until, began = world.t + lost_s, world.t
     world.loses_answer = lambda one, method, args: (
@@ -596,7 +596,7 @@
             self.after(self.rng.uniform(1.0, 10.0), self.submit, self.make_numbered_job(number))
 
     def make_numbered_job(self, number):
-        return self.make_unbound_pair(number)
+        return self.make_unlimited_pair(number)
 
     def leader(self):
         return msgspec.json.decode(self.store.data[VIEW][0], type=View).leader
@@ -613,14 +613,14 @@
         if job not in self.reported_ends:
             for label, sim in self.controllers.items():
                 if label != self.rarely_asked or self.rng.random() < 0.2:
-                    self.withdraw_through(sim, job)
+                    self.cancel_through(sim, job)
             self.after(0.5, self.cancel_at_all, job)
 
-    def withdraw(self, job):
+    def cancel(self, job):
         """``cancel_at_all`` repeats the cancellations; no others are made in this world."""
 
-    def answer(self, job, state, asked=None):
-        super().answer(job, state, asked)
+    def check_state(self, job, state, asked=None):
+        super().check_state(job, state, asked)
         if job in self.reported_ends:
             self.end_reported_at.setdefault(job, self.t)
 
@@ -647,11 +647,11 @@
 
 
 def stop_leader(world, sim):
-    world.after(2.0, world.end, sim, 15.0)
+    world.after(2.0, world.crash_and_restart, sim, 15.0)
 
 
 def restart_leader(world, sim):
-    world.after(2.0, world.end, sim, 0.2)
+    world.after(2.0, world.crash_and_restart, sim, 0.2)
 
 
 def isolate_leader(world, sim):
@@ -666,7 +666,7 @@
 def restart_leaders_repeatedly(world, sim):
     """A view change every four seconds for half a minute, so that per-view delays would accumulate."""
     for number in range(8):
-        world.after(2.0 + 4.0 * number, lambda: world.end(world.controllers[world.leader()], 0.3))
+        world.after(2.0 + 4.0 * number, lambda: world.crash_and_restart(world.controllers[world.leader()], 0.3))
 
 
 FAILOVERS = [stop_leader, restart_leader, isolate_leader, restart_leaders_repeatedly]
@@ -749,7 +749,7 @@
 
     def restart_current_leader(self):
         self.restarted_leaders.append(self.leader())
-        self.end(self.controllers[self.leader()], self.rng.uniform(0.3, 8.0))
+        self.crash_and_restart(self.controllers[self.leader()], self.rng.uniform(0.3, 8.0))
 
     def cancel_every_other_job(self):
         for number, job in enumerate(sorted(self.accepted)[::2]):
--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -96,11 +96,11 @@
     """The requesting leader ends before the scale-out answer, and the cloud's list lags by 60 s."""
     world = FastBootWorld(2, jobs=14)
     world.faults_until = 0.0
-    world.listing = lambda: [host for host in World.listing(world) if world.t > 60.0]
+    world.list_machines = lambda: [host for host in World.list_machines(world) if world.t > 60.0]
     world.run(20.0)
     kind = next(kind for kind, _ in world.rented_kinds.values())
     leader, names = world.leader(), world.rent(kind, 3)
-    world.end(leader, 40.0)
+    world.crash_and_restart(leader, 40.0)
     world.run(40.0)
     new_leader = world.leader()
     assert new_leader is not leader
@@ -129,7 +129,7 @@
         core, world, rng, life = self.core, self.world, self.world.rng, self.life
         if not core.membership.is_leader(world.t):
             return
-        core.leader.on_listing(world.listing(), world.t)
+        core.leader.on_listing(world.list_machines(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
         for kind, count in decision.scale_out:
@@ -142,7 +142,7 @@
             world.after(rng.uniform(0.2, 4.0), on_response)
             world.rented_count += len(names)
         if decision.terminate:
-            world.remove(decision.terminate)
+            world.terminate(decision.terminate)
             if rng.random() < 0.7:
                 core.on_terminated(decision.terminate, world.t)
         if decision.scale_out and world.t < world.faults_until and rng.random() < 0.8:
@@ -163,7 +163,7 @@
 
     def end_if_up(self, sim, life):
         if sim.life == life:
-            self.end(sim, self.rng.choice([0.2, 2.0, 12.0]))
+            self.crash_and_restart(sim, self.rng.choice([0.2, 2.0, 12.0]))
 
     def rent(self, kind, count):
         names = super().rent(kind, count)
@@ -202,8 +202,8 @@
         return msgspec.structs.replace(spec, estimate_s=min(spec.estimate_s, 40.0))
 
     def late_writes(self, from_s, for_s):
-        self.after(from_s, self.bring, "late_writes", next(iter(self.controllers.values())), for_s)
-        self.after(from_s, self.bring, "slow_store", next(iter(self.controllers.values())), for_s)
+        self.after(from_s, self.inject, "late_writes", next(iter(self.controllers.values())), for_s)
+        self.after(from_s, self.inject, "slow_store", next(iter(self.controllers.values())), for_s)
 
 
 @pytest.mark.parametrize("seed, nodes", ((44, 3), (35, 5)))
@@ -399,7 +399,7 @@
     world.capture_share, captured, world.captured_heartbeats = 0.0, world.captured_heartbeats, []
     leader = world.leader()
     fencing_token = leader.core.membership.fencing_token
-    world.end(leader, 30.0)
+    world.crash_and_restart(leader, 30.0)
 
     def cores_in_newer_view():
         return [
@@ -546,9 +546,9 @@
     for name in blocked:
         world.machines[name].outbound_blocked_until = world.t + 240.0
     world.run(world.t + 3.0)
-    world.end(leader, 30.0)
+    world.crash_and_restart(leader, 30.0)
     for job in sorted({task_id.split("/")[0] for task_id, name in world.running_on.items() if name in blocked})[:4]:
-        world.withdraw(job)
+        world.cancel(job)
     while all(
         sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.controllers.values()
     ):
@@ -583,7 +583,7 @@
     for name in blocked:
         world.machines[name].outbound_blocked_until = world.t + 50.0
     world.run(60.0)
-    world.end(world.leader(), 2.0)
+    world.crash_and_restart(world.leader(), 2.0)
     world.run(97.0)  # an acknowledgement may be delayed by seconds, and a lease counts from it
     assert not world.runs_on(blocked) and not any(name in blocked for name in world.running_on.values())
     world.run(125.0)
@@ -598,8 +598,10 @@
     fault_at = 20.0
     while fault_at < 120.0:
         world.after(fault_at, lambda: world.block_outbound(world.rng.uniform(0.2, 0.8), world.rng.uniform(3.0, 40.0)))
-        world.after(fault_at + 2.0, world.end_leaders, 1, 0.0)
-        world.after(fault_at + 3.0, lambda: world.end(world.rng.choice(list(world.controllers.values())), 11.0))
+        world.after(fault_at + 2.0, world.crash_leaders, 1, 0.0)
+        world.after(
+            fault_at + 3.0, lambda: world.crash_and_restart(world.rng.choice(list(world.controllers.values())), 11.0)
+        )
         world.after(fault_at + 1.0, world.cancel_any)
         fault_at += world.rng.uniform(4.0, 20.0)
     world.run(125.0)
--- a/tests/test_machine_proofs.py
+++ b/tests/test_machine_proofs.py
@@ -325,7 +325,7 @@
     for worker in blocked:
         worker.inbound_blocked_until = world.t + 150.0
     world.run(61.0)
-    world.end(leader, 2.0)
+    world.crash_and_restart(leader, 2.0)
     world.run(66.0)
     assert len({worker.name for worker in blocked}) > constants.EMPTY_PROOF_MIN_MACHINES and world.inherited(), (
         "the combination of faults did not occur"
@@ -492,7 +492,9 @@
         MachineTaskReport(run.machine, run.zone, 10**6, [], [])
     )
     fencing_token = job_owner.membership.fencing_token
-    world.end(next(sim for sim in world.controllers.values() if sim.core not in (job_owner, machine_owner)), 1.0)
+    world.crash_and_restart(
+        next(sim for sim in world.controllers.values() if sim.core not in (job_owner, machine_owner)), 1.0
+    )
     while job_owner.membership.fencing_token == fencing_token:
         world.run(world.t + 0.05)
     job_owner.on_frame(old_report, world.t)
@@ -735,7 +737,7 @@
                 if sim.core is not None and sim.core.membership.is_leader(world.t)
             ]
             for sim in is_leader:
-                world.end(sim, (0.2, 3.0)[number % 2])
+                world.crash_and_restart(sim, (0.2, 3.0)[number % 2])
             for worker in world.rng.sample(world.workers(), len(world.workers()) // 4):
                 worker.inbound_blocked_until = world.t + world.rng.uniform(5.0, 40.0)
 
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -144,7 +144,7 @@
         spec = super().make_job(number)
         return msgspec.structs.replace(spec, estimate_s=spec.estimate_s * 4.0)
 
-    def withdraw(self, job):
+    def cancel(self, job):
         if job in self.reported_ends:
             return
         for label, sim in self.controllers.items():
@@ -152,19 +152,19 @@
                 self.cancelled_at.setdefault(job, float("inf"))
                 state = sim.core.local_jobs.cancel(job, self.t)
                 if state:
-                    self.answer(job, state)
+                    self.check_state(job, state)
                     if state == "aborted":
                         self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
                         return
-        self.after(0.2, self.withdraw, job)
+        self.after(0.2, self.cancel, job)
 
     def poll_all(self):
         for job in sorted(self.accepted):
             for label in (self.isolated_label, *self.labels):
-                state = self.question(self.controllers[label], job)
+                state = self.status_at_once(self.controllers[label], job)
                 if state is not None:
                     self.last_status_at[job] = self.t
-                    self.answer(job, state)
+                    self.check_state(job, state)
         self.after(0.4, self.poll_all)
 
 
@@ -178,7 +178,7 @@
         sim.cut_mesh_until = world.t + duration_s
     world.poll_all()
     for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
-        world.after(0.5 * number, world.withdraw, job)
+        world.after(0.5 * number, world.cancel, job)
     world.run(60.0 + duration_s + 60.0)
     world.check_final_status_age()
     assert all(sim.core.may_act() for sim in world.controllers.values())
@@ -203,7 +203,7 @@
     world.controllers[world.isolated_label].cut_store_until = 60.0 + refused_s + outage_s
     world.poll_all()
     for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
-        world.after(0.5 * number, world.withdraw, job)
+        world.after(0.5 * number, world.cancel, job)
     world.after(refused_s, world.store.outage, outage_s)
     world.run(60.0 + refused_s + outage_s)
     acting = [sim.label for sim in world.controllers.values() if sim.core.may_act()]
@@ -227,16 +227,16 @@
     world = World(seed, nodes=nodes, jobs=24, random_faults=False, pipelines=2)
     world.delayed_frame_share = 0.2  # frames also arrive after their sender or receiver has restarted
     for number, label in enumerate([*world.labels, *world.labels]):
-        world.after(40.0 + 0.3 * number, world.end, world.controllers[label], 0.15)
+        world.after(40.0 + 0.3 * number, world.crash_and_restart, world.controllers[label], 0.15)
     for label in world.labels:
         world.after(
             46.0,
-            world.end,
+            world.crash_and_restart,
             world.controllers[label],
             0.2 if label == first_back else 1.0 if first_back is None else 7.0,
         )
     if first_back is not None:  # during the election
-        world.after(46.7, world.end, world.controllers[first_back], 0.15)
+        world.after(46.7, world.crash_and_restart, world.controllers[first_back], 0.15)
     world.run(53.0)
     world.delayed_frame_share, starts = 0.001, world.task_starts
     world.run(90.0)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -270,7 +270,7 @@
             self.store.outage(rng.uniform(1.0, 20.0))
         elif kind < 0.6:
             claim = rng.choice(claims)
-            self.after(rng.uniform(0.0, 2.0), self.withdraw, rng.choice([claim.job, claim.victims[0][0]]))
+            self.after(rng.uniform(0.0, 2.0), self.cancel, rng.choice([claim.job, claim.victims[0][0]]))
 
     def is_finished(self) -> bool:
         return not self.stored_claims and all(
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -327,7 +327,7 @@
         if rng.random() < 0.3:
             kind = rng.choice(["cut", "cut_store", "cut_mesh", "cut_workers", "outage", "late_writes", "late_reports"])
             length = rng.uniform(3.0, 35.0)
-            self.after(rng.uniform(0.0, 5.0), self.bring, kind, self.controllers[rng.choice(self.labels)], length)
+            self.after(rng.uniform(0.0, 5.0), self.inject, kind, self.controllers[rng.choice(self.labels)], length)
             self.faults_end_at = max(self.faults_end_at, self.t + 5.0 + length)
 
     def cancel_running(self, job: str) -> None:
@@ -341,7 +341,7 @@
             self.cancelled_unreachable += any(
                 worker.hangs_until > self.t or worker.cut_until > self.t for worker in workers if worker is not None
             )
-        self.withdraw(job)
+        self.cancel(job)
 
     def fail(self, name: str, kind: str, length: float) -> None:
         worker = self.machines.get(name)
@@ -364,7 +364,7 @@
             if leader and VIEW in self.store.data
             else self.rng.choice(self.labels)
         )
-        self.end(self.controllers[label], restart_after_s)
+        self.crash_and_restart(self.controllers[label], restart_after_s)
 
     def on_task_started(self, task_id, worker) -> None:
         super().on_task_started(task_id, worker)
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -99,7 +99,7 @@
             )
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
             cancelled_after_s = 2.0 - 6.0 * self.rng.random() if number % 2 else STEP_S * number
-            self.after(REFUSED_AT + cancelled_after_s, self.withdraw, spec.id)
+            self.after(REFUSED_AT + cancelled_after_s, self.cancel, spec.id)
 
     def current_leader(self) -> StoreGapController:
         return self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -15,14 +15,14 @@
 def run_outage(seed, outage_s=OUTAGE_S):
     world = World(seed, random_faults=False, nodes=5, jobs=6, rush=True)
     returned, drops = [], []
-    remove, commit = world.remove, world.store.commit
+    remove, commit = world.terminate, world.store.commit
 
     def record_drops(conditions, puts, dropped=(), lease_id=None):
         drops.extend((world.t, key) for key in dropped if key.startswith(MACHINES))
         return commit(conditions, puts, dropped, lease_id)
 
     world.run(40.0)
-    world.remove = lambda names: returned.extend((world.t, name) for name in names) or remove(names)
+    world.terminate = lambda names: returned.extend((world.t, name) for name in names) or remove(names)
     world.store.commit = record_drops
     rented = [name for name, worker in world.machines.items() if worker is not None]
     world.store.outage(outage_s)
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -175,7 +175,7 @@
     active = [job for sim in world.controllers.values() for job in sim.core.job_shard.jobs]
     assert len(active) > 60, "more than the store commits in five seconds"
     for job in active:
-        world.withdraw(job)
+        world.cancel(job)
     world.run(75.0)
     world.check_progress(since=45.0)
 
