--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -78,9 +78,8 @@
         self.liveness_checked_at = 0.0
         self.placeable_since: dict[str, float] = {}  # job -> since when it waits although free capacity suits it
         self.longest_placeable_wait_s = 0.0
-        self.starts_after_cancellation: list[
-            tuple[str, float]
-        ] = []  # task started after a confirmed cancellation, delay in s
+        # task started after a confirmed cancellation, delay in s
+        self.starts_after_cancellation: list[tuple[str, float]] = []
         self.concurrent_request_count = 0  # requests sent by ``send_concurrent_request``
         self.job_numbers = itertools.count(1000)  # of the jobs that faults submit
         self.query_ids, self.pending_queries = itertools.count(1), {}  # query to a job owner -> who gets the reply
