--- a/tools/bench_node.py
+++ b/tools/bench_node.py
@@ -133,7 +133,7 @@
         self.server.ready(1)
         return REQUEST_BODIES.pop()
 
-    def send_response(self, answer: http_server.Answer) -> None:
+    def send_response(self, answer: http_server.RawResponse) -> None:
         self.server.respond(answer)
 
 
