--- a/alderbridge/controller/batch_results.py
+++ b/alderbridge/controller/batch_results.py
@@ -19,7 +19,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import JOBS, MACHINES, list_keys
+from alderbridge.protocol.keys import JOBS, MACHINES, dependency_list_keys
 from alderbridge.state.replica import Replica, decode_or_none
 
 log = logging.getLogger("core")
@@ -63,7 +63,7 @@
         if batch.proposal is not None:
             self.declared.failed(batch.proposal, now)
         if batch.claims is not None:
-            self.replica.ledger.failed(batch.claims)
+            self.replica.ledger.mark_unconfirmed(batch.claims)
             self.record_writer.claims_deferred = True
 
     def on_too_large(self, batch: WriteBatch, now: float) -> None:
@@ -93,24 +93,24 @@
         if batch.proposal is not None:
             self.declared.done(batch.proposal, revision, now)
         if batch.claims is not None:
-            self.replica.ledger.done(batch.claims, revision)
+            self.replica.ledger.mark_committed(batch.claims, revision)
         self._machines_written(batch, revision, current)
         for job, record, cleared in batch.jobs:
             if self.job_shard.jobs.get(job.spec.id) is job:
                 self.job_shard.record_writes.on_written(job, record, revision, cleared, now)
             self._job_stored(job, record, revision)
         for submission, key in batch.lists:
-            self.replica.lists[key] = submission.lists.pop(key, [])
+            self.replica.dependency_lists[key] = submission.dependency_lists.pop(key, [])
         for submission, record in batch.submissions:
             self._submission_stored(submission, record, revision, current)
-        self.dependencies.process_events()
+        self.dependencies.apply_graph_changes()
         self.messenger.pump()
 
     def _machines_written(self, batch: WriteBatch, revision: int, current: bool) -> None:
         """``current``: the batch was written under the current view."""
         for name in batch.dropped_machines:
             if not self.machine_records.has_newer_record(name, batch):
-                self.machine_records.dropped(name)
+                self.machine_records.on_dropped(name)
         for name in batch.machines if current else ():
             self.machine_records.on_recorded(name, revision)
 
@@ -119,7 +119,7 @@
         if record.state is not JobState.ACTIVE:
             self.effects.notifications.append(JobEndStored(job.spec.id))
         if job.dependency_digest and not record.dependency_digest:  # the stored record no longer refers to the lists
-            self.record_writer.lists_to_drop += list_keys(job.spec.id, job.dependency_digest)
+            self.record_writer.lists_to_drop += dependency_list_keys(job.spec.id, job.dependency_digest)
             job.dependency_digest = ""
         if job.is_complete and self.job_shard.jobs.get(job.spec.id) is job:
             self.job_shard.remove(job)
@@ -158,18 +158,18 @@
         for job, _, _ in batch.jobs:
             if job.spec.id == name and self.job_shard.jobs.get(name) is job:
                 self._resolve_job(job, record, row.revision)
-        self.dependencies.process_events()
+        self.dependencies.apply_graph_changes()
         self.messenger.pump()
 
     def _resolve_machine(self, batch: WriteBatch, name: str, row: wire.KeyValue | None, current: bool) -> None:
         """An earlier, unanswered write of this member has committed."""
         if name in batch.dropped_machines and row is None:
             if not self.machine_records.has_newer_record(name, batch):
-                self.machine_records.dropped(name)
+                self.machine_records.on_dropped(name)
         elif not current:
             pass  # the row that was read may be outdated; the replica will show the current one
         elif name in batch.dropped_machines and row is not None:
-            self.replica.machines[name] = row.revision
+            self.replica.machine_revisions[name] = row.revision
         elif row is not None:
             self.machine_records.on_recorded(name, row.revision)
 
@@ -177,7 +177,11 @@
         job = submission.job
         name = job.spec.id
         self.replica.observe_job(name, record, revision)
-        accepted_here = record.accepted_by == self.state.me and record.at == job.at and record.state is JobState.ACTIVE
+        accepted_here = (
+            record.accepted_by == self.state.me
+            and record.submitted_at == job.submitted_time_of_day
+            and record.state is JobState.ACTIVE
+        )
         if accepted_here and current and name not in self.job_shard.jobs and job.state is JobState.ACTIVE:
             job.revision = revision  # an earlier, unanswered write of this member has committed
             self.job_shard.add(job)
--- a/alderbridge/controller/machine_types.py
+++ b/alderbridge/controller/machine_types.py
@@ -36,12 +36,12 @@
         self.machine_shard.capacity.types = types
         self.leader.on_types(types)
 
-    def to_store(self) -> wire.MachineTypes | None:
+    def types_to_store(self) -> wire.MachineTypes | None:
         """The machine types to store, if the stored ones differ in more than their spot prices; otherwise None."""
         current = [
             msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.machine_shard.capacity.types.values()
         ]
-        stored = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.types.values()]
+        stored = [msgspec.structs.replace(kind, spot_price=kind.price) for kind in self.replica.machine_types.values()]
         if not current or current == stored or not self.membership.is_leader(self.state.now):
             return None
         machine_types = wire.MachineTypes(list(self.machine_shard.capacity.types.values()))
--- a/alderbridge/controller/placement_round.py
+++ b/alderbridge/controller/placement_round.py
@@ -18,7 +18,7 @@
 from alderbridge.protocol import messages
 from alderbridge.scheduling import placement
 from alderbridge.scheduling.offers import Offer, Offers
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 
 
 class PlacementRound:
@@ -43,7 +43,7 @@
         self.preemption = preemption
         self.offers = offers
         # Free capacity of busy machines, computed at most once a round.
-        self.busy: placement.BusyMachines | None = None
+        self.busy_machines: placement.BusyMachines | None = None
         # The reserved machine, and when an offer last needed the reservation.
         self.reserved_machine: tuple[str, float] = ("", float("-inf"))
         self.claim_requests: dict[str, tuple[int, int]] = {}  # machine -> revision of its claim, tasks requested for it
@@ -59,11 +59,11 @@
 
         def capacity_on_busy_machines(offer: Offer) -> int:
             """The number of recently queued tasks that an idle machine leaves to busy machines with free capacity."""
-            if not idle or now >= offer.young_until:
+            if not idle or now >= offer.packing_until:
                 return 0
-            if self.busy is None:
-                self.busy = self.machine_shard.capacity.busy(now)
-            return self.busy.capacity_for(offer.spec)
+            if self.busy_machines is None:
+                self.busy_machines = self.machine_shard.capacity.busy_machines(now)
+            return self.busy_machines.capacity_for(offer.spec)
 
         capacity_elsewhere: Callable[[Offer], int] = capacity_on_busy_machines
         lender = self.preemption.lender
@@ -93,11 +93,11 @@
         reserved_name, reserved_at = self.reserved_machine
         machine_type, zone = self.machine_shard.capacity.types.get(machine.type), offer.row.zone
         if (
-            (reserved_name != machine.name and now - reserved_at < constants.RESERVE_IDLE_S)
+            (reserved_name != machine.name and now - reserved_at < constants.RESERVATION_TTL_S)
             or machine_type is None
             or (zone is not None and zone != machine.zone)
             or not placement.allowed(offer.spec, machine.type, machine.zone, machine.spot)
-            or not fits(offer.spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus))
+            or not tasks_that_fit(offer.spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus))
         ):
             return False
         self.reserved_machine = machine.name, now
@@ -106,13 +106,13 @@
     def _place_claimed(self, machine: Machine, candidate: placement.Candidate) -> placement.Candidate:
         """Request tasks of the job that holds the claim; the candidate with the capacity that remains for others."""
         entry = self.ledger.entries.get(machine.name)
-        if entry is None or self.state.wall() >= entry.claim.until:
+        if entry is None or self.state.wall() >= entry.claim.expires_at:
             return candidate
         claim, spec = entry.claim, self.directory.spec_of(entry.claim.job)
         revision, requested = self.claim_requests.get(machine.name, (0, 0))
         if revision != entry.revision:
             requested = 0
-            if len(self.claim_requests) > 2 * len(self.ledger.entries) + constants.QUEUE_ROWS:
+            if len(self.claim_requests) > 2 * len(self.ledger.entries) + constants.MAX_QUEUE_ROWS:
                 self.claim_requests.clear()
         if spec is None or requested >= claim.count:
             return candidate
@@ -123,9 +123,9 @@
                 request.owner,
                 messages.TaskRequest(request_id, request.job, request.machine, request.zone, request.count),
             )
-            requested, free = requested + request.count, minus(free, spec, request.count)
+            requested, free = requested + request.count, remaining_after(free, spec, request.count)
         self.claim_requests[machine.name] = (entry.revision, requested)
-        return msgspec.structs.replace(candidate, free=minus(free, spec, claim.count - requested))
+        return msgspec.structs.replace(candidate, free=remaining_after(free, spec, claim.count - requested))
 
     def execute_claim(self, machine: Machine) -> None:
         """Stop the victims of the machine's claim in the response to the heartbeat that has just arrived."""
@@ -133,5 +133,5 @@
         if claim is None:
             if machine.orders.claim_stops:
                 self.machine_shard.claims.drop(machine)
-        elif self.state.wall() < claim.until:
+        elif self.state.wall() < claim.expires_at:
             self.machine_shard.claims.execute(machine, claim.victims, claim.wind_down_s)
--- a/alderbridge/controller/queue_round.py
+++ b/alderbridge/controller/queue_round.py
@@ -52,7 +52,7 @@
     def snapshot(self, now: float) -> QueueState:
         """This job shard's current queue, and its used, reserved and demanded resources."""
         used = self.job_shard.usage.used(now)
-        if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_S:
+        if now - self.guaranteed_at >= constants.GUARANTEE_REFRESH_INTERVAL_S:
             self.guaranteed_at, self.guaranteed_jobs = now, self.jobs_within_guarantee()
         rows = self.job_shard.queue.rows(
             now, self.queue_times.due_in, self.queue_times.run_time, self.queue_times.rank, self.guaranteed_jobs, used
@@ -89,7 +89,7 @@
     def _subscribers(self) -> list[str]:
         """The other members; once deltas are published, without those whose version does not support deltas."""
         others = [label for label in self.messenger.channels if label in self.membership.view.members]
-        if self.publisher.form is QueueFormat.WHOLE_QUEUES:
+        if self.publisher.format is QueueFormat.SNAPSHOTS:
             return others
         return [
             label
@@ -103,7 +103,12 @@
         result: set[str] = set()
         if not remaining:
             return result
-        active, tasks_left, nodes, jobs = self.replica.active, self.replica.left, self.graph.nodes, self.job_shard.jobs
+        active, tasks_left, nodes, jobs = (
+            self.replica.active_jobs,
+            self.replica.remaining_tasks,
+            self.graph.nodes,
+            self.job_shard.jobs,
+        )
         gate = self.calendars.gate
         # Jobs whose calendar is about to open get what remains after all others, so that the leader can plan for them.
         opening_soon: list[tuple[float, str]] = []
--- a/alderbridge/controller/record_writer.py
+++ b/alderbridge/controller/record_writer.py
@@ -83,36 +83,36 @@
     def nothing_to_write(self) -> bool:
         """Whether nothing became due since ``next_batch`` last found nothing that it could write."""
         return not (
-            self.submissions.has_new
+            self.submissions.has_new_submissions
             or self.job_shard.tally.changed
             or self.machine_shard.records.to_write
             or self.machine_shard.records.due_drops(self.state.now)
             or self.machine_records.to_drop
             or self.lists_to_drop
-            or not self.ledger.idle
+            or not self.ledger.nothing_to_send
         )
 
-    def next_write_in(self, now: float) -> float:
+    def next_write_delay_s(self, now: float) -> float:
         """Seconds until the next call of ``next_batch`` is needed if nothing else becomes due."""
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        with_overdraft = available + constants.WRITE_AHEAD_SHARE * budget.burst
-        pause = min(constants.ROUND_S, self.job_shard.record_writes.due_at - now)
+        with_overdraft = available + constants.WRITE_OVERDRAFT_SHARE * budget.burst
+        pause = min(constants.ROUND_INTERVAL_S, self.job_shard.record_writes.due_at - now)
         if with_overdraft < 1:
-            pause = min(constants.ROUND_S, (1 - with_overdraft) / budget.rate)
+            pause = min(constants.ROUND_INTERVAL_S, (1 - with_overdraft) / budget.rate)
         elif available < 1:
             pause = min(pause, (1 - available) / budget.rate)
-        return max(constants.WRITER_PAUSE_S, pause)
+        return max(constants.WRITE_BATCH_DELAY_S, pause)
 
-    def can_take_submission(self, now: float) -> bool:
-        """Whether one more submission could be stored within ``SUBMIT_WAIT_S``.
+    def can_accept_submission(self, now: float) -> bool:
+        """Whether one more submission could be stored within ``SUBMIT_TIMEOUT_S``.
 
         If not, it is refused at once, because another controller may have write capacity.
         """
         rate_limit = self.write_rate_limit
         assured = ASSURED_SHARES[WriteClass.SUBMISSION] * rate_limit.budget.rate
-        overdraft = constants.WRITE_AHEAD_SHARE * rate_limit.budget.burst
-        storable = overdraft + assured * constants.SUBMIT_WAIT_S
+        overdraft = constants.WRITE_OVERDRAFT_SHARE * rate_limit.budget.burst
+        storable = overdraft + assured * constants.SUBMIT_TIMEOUT_S
         return len(self.submissions.pending) < max(storable, MIN_QUEUED_SUBMISSIONS)
 
     def next_batch(self, now: float) -> WriteBatch | None:
@@ -121,13 +121,13 @@
         if not self.state.may_act():
             return None
         limits = self._batch_limits(now)
-        self.submissions.has_new = False
+        self.submissions.has_new_submissions = False
         if limits.max_changes < 1:
             return None
         batch = WriteBatch(self.membership.fencing_token, {VIEW: self.membership.fencing_token})
         if not self._fill(batch, limits):
             return None
-        self.write_rate_limit.spend(batch.changes, now)
+        self.write_rate_limit.consume(batch.changes, now)
         self._spend_assured(batch, now)
         return batch
 
@@ -137,11 +137,11 @@
         is_urgent = [
             record.state is not JobState.ACTIVE or record.start_limit > job.start_limit for job, record, _ in batch.jobs
         ]
-        assured.spend(WriteClass.MACHINE_RECORD, now, len(batch.machines))
-        assured.spend(WriteClass.MACHINE_DROP, now, len(batch.dropped_machines))
-        assured.spend(WriteClass.JOB_END, now, sum(is_urgent))
-        assured.spend(WriteClass.PROGRESS, now, len(is_urgent) - sum(is_urgent))
-        assured.spend(WriteClass.SUBMISSION, now, len(batch.submissions) + len(batch.lists))
+        assured.consume(WriteClass.MACHINE_RECORD, now, len(batch.machines))
+        assured.consume(WriteClass.MACHINE_DROP, now, len(batch.dropped_machines))
+        assured.consume(WriteClass.JOB_END, now, sum(is_urgent))
+        assured.consume(WriteClass.PROGRESS, now, len(is_urgent) - sum(is_urgent))
+        assured.consume(WriteClass.SUBMISSION, now, len(batch.submissions) + len(batch.lists))
 
     def _fill(self, batch: WriteBatch, limits: BatchLimits) -> bool:
         """Add due records to the batch; returns False if there are none."""
@@ -163,7 +163,7 @@
         """
         budget = self.write_rate_limit.budget
         available = budget.available(now)
-        max_changes = min(self.max_changes, int(available + constants.WRITE_AHEAD_SHARE * budget.burst))
+        max_changes = min(self.max_changes, int(available + constants.WRITE_OVERDRAFT_SHARE * budget.burst))
         return BatchLimits(max_changes, min(max_changes, int(max(0.0, available))))
 
     def _add_claims(self, batch: WriteBatch, limits: BatchLimits) -> bool:
@@ -173,9 +173,9 @@
         once, so that claims cannot block the leader's other writes while its watch is stalled.
         """
         deferred, self.claims_deferred = self.claims_deferred, False
-        if deferred or self.ledger.idle or not self.membership.is_leader(self.state.now):
+        if deferred or self.ledger.nothing_to_send or not self.membership.is_leader(self.state.now):
             return False
-        batch.claims = self.ledger.due(self.state.wall(), limits.max_changes, self.job_shard.value_bytes)
+        batch.claims = self.ledger.next_transaction(self.state.wall(), limits.max_changes, self.job_shard.value_bytes)
         if batch.claims is None:
             return False
         batch.conditions |= batch.claims.conditions
@@ -191,13 +191,13 @@
         pending = self.submissions.pending
         if len(ends) + len(pending) <= limits.max_changes:
             return [*ends, *pending.values()]
-        self.write_rate_limit.is_short = True
+        self.write_rate_limit.users_waited = True
         now = self.state.now
         self.submissions.expire(now)
         by_waiting_since: list[tuple[float, Job | Submission]] = [
             (job.dirty_since if job.dirty_since is not None else now, job) for job in ends
         ]
-        by_waiting_since += [(submission.job.submitted, submission) for submission in pending.values()]
+        by_waiting_since += [(submission.job.submitted_at, submission) for submission in pending.values()]
         return [entry for _, entry in sorted(by_waiting_since, key=lambda entry: entry[0])]
 
     def _add_configuration(self, batch: WriteBatch, limits: BatchLimits) -> bool:
@@ -307,9 +307,11 @@
         """Add a submission's dependency lists, or its record once they are stored; False: the batch is full."""
         job = submission.job
         self._add_lists(batch, limits, submission)
-        if submission.lists:
+        if submission.dependency_lists:
             return True  # the record is written in a later batch, after the lists
-        if any(self.dependencies.is_cascade_aborted(dependency) for dependency in self.dependencies.needs_of(job)):
+        if any(
+            self.dependencies.is_cascade_aborted(dependency) for dependency in self.dependencies.dependencies_of(job)
+        ):
             job.abort(self.state.now, "it needs an aborted job")
         record = self._put_record(batch, job)
         if record is None:
@@ -319,9 +321,9 @@
 
     def _add_lists(self, batch: WriteBatch, limits: BatchLimits, submission: Submission) -> None:
         """Add as many of the submission's dependency lists as the batch can hold."""
-        self.submissions.drop_known_lists(submission)
-        for key, names in submission.lists.items():
-            if batch.changes >= limits.max_changes or batch.size > constants.MAX_BODY // 2:
+        self.submissions.drop_stored_lists(submission)
+        for key, names in submission.dependency_lists.items():
+            if batch.changes >= limits.max_changes or batch.size > constants.MAX_BODY_BYTES // 2:
                 break
             batch.lists.append((submission, key))
             batch.puts[key] = names
@@ -342,7 +344,7 @@
         """Add the job's record to the batch and return it; None if it exceeds the remaining size."""
         record = job.to_record(self.job_shard.value_bytes, self.job_shard.may_end(job))
         batch.size += len(msgspec.json.encode(record)) + RECORD_OVERHEAD_BYTES
-        if batch.size > constants.MAX_BODY * 3 // 4 and batch.puts:
+        if batch.size > constants.MAX_BODY_BYTES * 3 // 4 and batch.puts:
             return None
         batch.conditions[JOBS + job.spec.id] = job.revision
         batch.puts[JOBS + job.spec.id] = record
@@ -355,7 +357,9 @@
         batch.drops = [MACHINES + name for name in batch.dropped_machines]
         self.machine_records.drops_in_flight.update(batch.dropped_machines)
         # A late commit must not delete a record that was written again since.
-        batch.conditions |= {MACHINES + name: self.replica.machines.get(name, 0) for name in batch.dropped_machines}
+        batch.conditions |= {
+            MACHINES + name: self.replica.machine_revisions.get(name, 0) for name in batch.dropped_machines
+        }
 
     def _add_list_drops(self, batch: WriteBatch, limits: BatchLimits) -> None:
         """Add deletions of unused dependency lists, without conditions: repeated or late deletions are harmless."""
--- a/alderbridge/controller/submissions.py
+++ b/alderbridge/controller/submissions.py
@@ -16,7 +16,7 @@
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.jobs.shard import JobShard
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import list_keys
+from alderbridge.protocol.keys import dependency_list_keys
 from alderbridge.state.replica import Replica
 
 log = logging.getLogger("core")
@@ -24,16 +24,16 @@
 
 def split_dependencies(record: Record, max_bytes: int) -> tuple[Record, dict[str, list[str]]]:
     """Move the dependencies out of the record into lists of at most ``max_bytes`` each, by key."""
-    assert record.spec is not None and record.spec.needs is not None
-    needs = sorted(record.spec.needs)
+    assert record.spec is not None and record.spec.dependencies is not None
+    needs = sorted(record.spec.dependencies)
     names_per_list = max(1, (max_bytes - 2) // (max(map(len, needs)) + 3))
     count = -(-len(needs) // names_per_list)
     digest = f"{hashlib.blake2b(' '.join(needs).encode(), digest_size=8).hexdigest()}/{count}"
     lists = [needs[start : start + names_per_list] for start in range(0, len(needs), names_per_list)]
-    spec = msgspec.structs.replace(record.spec, needs=None)
+    spec = msgspec.structs.replace(record.spec, dependencies=None)
     return (
         msgspec.structs.replace(record, spec=spec, dependency_digest=digest),
-        dict(zip(list_keys(spec.id, digest), lists, strict=True)),
+        dict(zip(dependency_list_keys(spec.id, digest), lists, strict=True)),
     )
 
 
@@ -44,7 +44,7 @@
     job: Job
     outcome: str = ""  # "accepted", "known", "refused" or "too long"; empty while undecided
     # Dependencies that do not fit into the record, by key: stored before the record.
-    lists: dict[str, list[str]] = field(default_factory=dict)
+    dependency_lists: dict[str, list[str]] = field(default_factory=dict)
 
 
 class Submissions:
@@ -65,7 +65,7 @@
         self.dependencies = dependencies
         self.on_decided = on_decided
         self.pending: dict[str, Submission] = {}
-        self.has_new = False  # a submission has been added since the last write batch was built
+        self.has_new_submissions = False  # a submission has been added since the last write batch was built
 
     def submit(self, spec: wire.JobSpec, now: float, wall: float) -> Submission | None:
         """Queue a job for the store; None if its record is too long even with its dependencies in separate lists."""
@@ -73,18 +73,20 @@
         if spec.id in self.pending:
             return self.pending[spec.id]
         ended = self.replica.ended
-        needs = [need for need in dict.fromkeys(spec.needs or ()) if ended.get(need) is not JobState.DONE]
-        spec = msgspec.structs.replace(spec, needs=needs or None)
-        record = Record(JobState.ACTIVE, self.state.me, wall, min(spec.tasks, constants.START_LIMIT_AHEAD), [], spec)
+        needs = [need for need in dict.fromkeys(spec.dependencies or ()) if ended.get(need) is not JobState.DONE]
+        spec = msgspec.structs.replace(spec, dependencies=needs or None)
+        record = Record(
+            JobState.ACTIVE, self.state.me, wall, min(spec.tasks, constants.START_LIMIT_HEADROOM_TASKS), [], spec
+        )
         lists: dict[str, list[str]] = {}
         max_record_bytes = self.job_shard.value_bytes - 64
         if needs and len(msgspec.json.encode(record)) > max_record_bytes:
             record, lists = split_dependencies(record, max_record_bytes)
         if len(msgspec.json.encode(record)) > max_record_bytes:
             return None
-        submission = Submission(Job(record, 0, now, 0.0, never_started=True), lists=lists)
+        submission = Submission(Job(record, 0, now, 0.0, never_started=True), dependency_lists=lists)
         self.pending[spec.id] = submission
-        self.has_new = True
+        self.has_new_submissions = True
         return submission
 
     def refuse_all(self) -> None:
@@ -98,7 +100,7 @@
         Stored here as well, a record would conflict with the retry's, which costs both controllers a transaction.
         """
         for submission in list(self.pending.values()):
-            if now - submission.job.submitted > constants.SUBMISSION_TTL_S:
+            if now - submission.job.submitted_at > constants.SUBMISSION_TTL_S:
                 self.decide(submission, "refused")
 
     def decide(self, submission: Submission, outcome: str) -> None:
@@ -118,10 +120,10 @@
         self.adopt_late_record(spec.id)
         self.on_decided(submission)
 
-    def drop_known_lists(self, submission: Submission) -> None:
+    def drop_stored_lists(self, submission: Submission) -> None:
         """Skip the lists that an earlier attempt has stored: the value of a list key never changes."""
-        for key in [key for key in submission.lists if key in self.replica.lists]:
-            del submission.lists[key]
+        for key in [key for key in submission.dependency_lists if key in self.replica.dependency_lists]:
+            del submission.dependency_lists[key]
 
     def adopt_late_record(self, name: str) -> None:
         """Add a job that this controller owns and whose record was stored after its submission had been decided.
@@ -130,7 +132,7 @@
         its record. Without this, an accepted job would not run until the next view. No task of it can have been
         granted, as it was in no job shard.
         """
-        record, revision = self.replica.active.get(name, (None, 0))
+        record, revision = self.replica.active_jobs.get(name, (None, 0))
         if (
             record is None
             or not self.state.is_member
@@ -141,7 +143,9 @@
             or self.state.membership.job_owner(record.accepted_by) != self.state.me
         ):
             return
-        job = Job(record, revision, self.state.now, max(0.0, self.state.wall() - record.at), never_started=True)
+        job = Job(
+            record, revision, self.state.now, max(0.0, self.state.wall() - record.submitted_at), never_started=True
+        )
         self.job_shard.add(job)
         self.dependencies.apply(job)
         log.info("job=%s state=adopted cause=stored after its submission was given up", name)
--- a/alderbridge/jobs/job.py
+++ b/alderbridge/jobs/job.py
@@ -56,7 +56,7 @@
         self.start_limit = record.start_limit  # as stored
         self.requested_start_limit = record.start_limit
         self.has_full_record = True  # the stored record still holds the spec
-        self.last_write = now
+        self.last_written_at = now
         self.dirty_since: float | None = None  # since when the stored record has been out of date; None: it is current
         self.ended_at = now
         self.end_awaited = False  # a client waits for the end of the job
@@ -108,9 +108,11 @@
         """The task ended with an error: requeue it and, after repeated errors, pause the job with backoff."""
         self.requeue(index)
         doublings = min(MAX_BACKOFF_DOUBLINGS, self.errors // max(1, self.spec.tasks))
-        pause = min(constants.ERROR_PAUSE_MAX_S, constants.ERROR_PAUSE_S * 2**doublings)
+        pause = min(constants.ERROR_BACKOFF_MAX_S, constants.ERROR_BACKOFF_S * 2**doublings)
         self.errors += 1
-        self.paused_until = max(self.paused_until, now + pause) if self.errors > constants.QUARANTINE_ERRORS else 0.0
+        self.paused_until = (
+            max(self.paused_until, now + pause) if self.errors > constants.QUARANTINE_ERROR_COUNT else 0.0
+        )
 
     def complete(self, now: float, cause: str) -> None:
         """All tasks are done."""
@@ -141,8 +143,8 @@
             self.tally.lagging[self.spec.id] = self
 
     def raise_start_limit(self, count: int, now: float) -> None:
-        """Request a stored start limit that allows ``count`` more tasks and ``START_LIMIT_AHEAD`` beyond."""
-        limit = min(self.spec.tasks, self.next_index + count + constants.START_LIMIT_AHEAD)
+        """Request a stored start limit that allows ``count`` more tasks and ``START_LIMIT_HEADROOM_TASKS`` beyond."""
+        limit = min(self.spec.tasks, self.next_index + count + constants.START_LIMIT_HEADROOM_TASKS)
         if limit > self.requested_start_limit:
             self.requested_start_limit = limit
             self.mark_dirty(now)
@@ -157,14 +159,18 @@
     def to_record(self, value_bytes: int, may_end: bool = True) -> Record:
         """The record to store, of at most ``value_bytes``; ``may_end``: the end of the job may be stored."""
         state = self.state if may_end else self.stored_state
-        done_at = round(self.at + self.ended_at - self.submitted, 3) if state is JobState.DONE else NOT_ENDED
-        if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.unknown:
+        done_at = (
+            round(self.submitted_time_of_day + self.ended_at - self.submitted_at, 3)
+            if state is JobState.DONE
+            else NOT_ENDED
+        )
+        if state is self.state and self.state is not JobState.ACTIVE and not self.runs and not self.inherited_tasks:
             return Record(self.state, done_at=done_at)
         spec, dependency_digest = self._stored_spec()
         without_tasks = Record(
             state=state,
             accepted_by=self.accepted_by,
-            at=self.at,
+            submitted_at=self.submitted_time_of_day,
             start_limit=self.requested_start_limit,
             done=[],
             spec=spec,
@@ -177,6 +183,6 @@
 
     def _stored_spec(self) -> tuple[JobSpec, str]:
         """Spec and dependency digest for the record; the dependencies are dropped for good once all are done."""
-        if self.is_blocked or not (self.spec.needs or self.dependency_digest):
+        if self.is_blocked or not (self.spec.dependencies or self.dependency_digest):
             return self.spec, self.dependency_digest
-        return msgspec.structs.replace(self.spec, needs=None), ""
+        return msgspec.structs.replace(self.spec, dependencies=None), ""
--- a/alderbridge/leader/quota.py
+++ b/alderbridge/leader/quota.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from alderbridge import constants
-from alderbridge.leader.reachable_order import PlacementOrder, RowKeyFunction
+from alderbridge.leader.placement_order import PlacementOrder, RowKeyFunction
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.queues import ShardQueue
@@ -39,7 +39,7 @@
     def enter_view(self, members: list[str]) -> None:
         """Start a new view, in which all earlier quotas are void."""
         self.members = members
-        self.given: dict[str, dict[str, QuotaAmounts]] = {label: {} for label in members}
+        self.allocations: dict[str, dict[str, QuotaAmounts]] = {label: {} for label in members}
         self.allocations_sent: dict[str, int] = dict.fromkeys(members, 0)
         self.changed_teams: set[str] = set(self.teams)  # teams whose limits are divided in the next update
         self.last_full_division_at = float("-inf")
@@ -61,7 +61,7 @@
         """Changed quotas by job shard and team; none while a job shard has not confirmed its last quota."""
         if not self.teams or not self._all_confirmed(queues):
             return {}
-        if now - self.last_full_division_at >= constants.LEADER_ROUND_S:
+        if now - self.last_full_division_at >= constants.LEADER_ROUND_INTERVAL_S:
             self.last_full_division_at, self.changed_teams = now, set(self.teams)
         if not self.changed_teams:
             return {}
@@ -69,8 +69,8 @@
         result: dict[str, dict[str, QuotaAmounts]] = {}
         for name in self.changed_teams:
             for label, amounts in self._divide(self.teams[name], queues, demands[name]).items():
-                if amounts != self.given[label].get(name):
-                    result.setdefault(label, {})[name] = self.given[label][name] = amounts
+                if amounts != self.allocations[label].get(name):
+                    result.setdefault(label, {})[name] = self.allocations[label][name] = amounts
         self.changed_teams = set()
         for label in result:
             self.allocations_sent[label] += 1
@@ -87,15 +87,15 @@
         for index, (limit, demands) in enumerate(((team.cpus_max, demand.cpus), (team.gpus_max, demand.gpus))):
             used = {label: queues[label].used.get(team.name, NO_QUOTA)[index] for label in self.members}
             reserved = {label: queues[label].reserved.get(team.name, NO_QUOTA)[index] for label in self.members}
-            given = {label: self.given[label].get(team.name, NO_QUOTA)[index] for label in self.members}
+            given = {label: self.allocations[label].get(team.name, NO_QUOTA)[index] for label in self.members}
             shares.append(divide_quota(limit, used, reserved, given, demands) if limit > 0 else given)
         return {label: (shares[0].get(label, 0.0), shares[1].get(label, 0.0)) for label in self.members}
 
     def _demands(self, now: float, queues: Mapping[str, ShardQueue], row_key: RowKeyFunction) -> dict[str, TeamDemand]:
         """The waiting tasks of each changed team by job shard, in placement order.
 
-        A job is starved if none of its tasks has started for ``STARVED_JOB_S``. Quota is then reserved for it until it
-        suffices for one task: smaller jobs would otherwise use all of it.
+        A job is starved if none of its tasks has started for ``STARVATION_TIMEOUT_S``. Quota is then reserved for it
+        until it suffices for one task: smaller jobs would otherwise use all of it.
         """
         waiting = []
         for label in self.members:
@@ -103,7 +103,7 @@
                 spec = self.spec_of(row.job)
                 # A negative ``waited_s``: the job's delayed start after a calendar opening is still ahead.
                 if spec is not None and row.waited_s >= 0:
-                    starved = row.waited_s >= constants.STARVED_JOB_S and row.waiting == spec.tasks
+                    starved = row.waited_s >= constants.STARVATION_TIMEOUT_S and row.waiting == spec.tasks
                     waiting.append((row_key(row, spec), label, row.waiting, spec, starved))
         demands = {team: TeamDemand([], []) for team in self.changed_teams}
         for _, label, count, spec, starved in sorted(waiting, key=lambda entry: entry[:2]):
--- a/alderbridge/lending/lender.py
+++ b/alderbridge/lending/lender.py
@@ -21,11 +21,11 @@
 from alderbridge.lending.reserve import FreeGpus, GpuReserve, allocate_reserve
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, PreemptionDemand, PreemptionLimit, Teams
+from alderbridge.preemption import CandidateMachine, GuaranteeUsage, PreemptionBudget, PreemptionDemand, PreemptionLimit
 from alderbridge.protocol.messages import MachineTasks, QueueRow
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
-from alderbridge.scheduling.offers import Offer, order
+from alderbridge.scheduling.offers import Offer, placement_key
 from alderbridge.settings import Team
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
         """``configurations``: all that are in force. ``previous``: the lender that this one replaces."""
         self.configurations = list(configurations)
         self.types = types
-        self.teams = Teams([], {})  # set by the planner before victims are chosen
+        self.teams = GuaranteeUsage([], {})  # set by the planner before victims are chosen
         self.rules = LendingRules(configurations, teams)
         self.fleet: ServingFleet = ServingFleet(previous.fleet if previous is not None else None)
         self.pace: ReclaimPace = ReclaimPace(self.rules, previous.pace if previous is not None else None)
@@ -63,45 +63,49 @@
     def find_demands(self, planner: PreemptionPlanner, now: float) -> list[PreemptionDemand]:
         """Return replicas that need preemption, and update ``tasks_served_by_lending``.
 
-        The latter holds the replicas of claims and of demands younger than ``LEND_FIRST_S``.
+        The latter holds the replicas of claims and of demands younger than ``LENDING_HEAD_START_S``.
         """
-        promised = planner.promised()
+        claimed_tasks = planner.claimed_tasks()
         self._observe_claims(planner)
         services = self.services(planner, now)
         self.used = gpus_in_use(services)
         self.gpu_reserve.record_use(self.gpu_demand(services), now)
         self.tasks_served_by_lending = Counter(
-            {job: count for job, count in promised.items() if any(claim.job == job for claim in self.claims.values())}
+            {
+                job: count
+                for job, count in claimed_tasks.items()
+                if any(claim.job == job for claim in self.claims.values())
+            }
         )
         if not any(service.waiting for service in services):
             self.unserved_since = {}
             return []
         resources = [one for one in planner.leader.outlook(now, planner.ledger.entries) if self._has_gpus(one.kind)]
-        demands = self.demands(services, resources, _used_by_teams(planner), promised)
+        demands = self.unserved_demands(services, resources, _used_by_teams(planner), claimed_tasks)
         self.unserved_since = {demand.spec.id: self.unserved_since.get(demand.spec.id, now) for demand in demands}
         for demand in demands:
-            if now - self.unserved_since[demand.spec.id] < constants.LEND_FIRST_S:
+            if now - self.unserved_since[demand.spec.id] < constants.LENDING_HEAD_START_S:
                 self.tasks_served_by_lending[demand.spec.id] += demand.count
         return demands
 
-    def demands(
+    def unserved_demands(
         self,
         services: Iterable[ServingJob],
         resources: Iterable[MachineResource],
         used: Mapping[str, tuple[float, float]],
-        promised: Mapping[str, int],
+        claimed_tasks: Mapping[str, int],
     ) -> list[PreemptionDemand]:
         """Return replicas that need preemption to start in time; see ``ServingDemands.find``."""
-        return self.serving_demands.find(services, resources, used, promised)
+        return self.serving_demands.find(services, resources, used, claimed_tasks)
 
     def _observe_claims(self, planner: PreemptionPlanner) -> None:
         """Update the lending claims, and the GPUs of their victims that may still run."""
         replica = planner.leader.replica
-        self.claims = {machine: claim for machine, claim in planner.ledger.all().items() if claim.reason == REASON}
+        self.claims = {machine: claim for machine, claim in planner.ledger.claims().items() if claim.reason == REASON}
         self.specs = {job: replica.spec(job) for claim in self.claims.values() for job, _, _ in claim.victims}
         self.pace.stopping = Counter()
         for machine, claim in self.claims.items():
-            stopped = len(claim.victims) - planner.victims_left(machine, claim)
+            stopped = len(claim.victims) - planner.remaining_victims(machine, claim)
             self.pace.stopping[claim.team] += sum(  # type: ignore[assignment]
                 spec.gpus for job, _, _ in claim.victims[stopped:] if (spec := self.specs[job]) is not None
             )
@@ -109,9 +113,14 @@
     def services(self, planner: PreemptionPlanner, now: float) -> list[ServingJob]:
         """Return the active services that GPUs are reclaimed for, with their current queue rows."""
         rows, result = planner.queue_rows(now), []
-        for job, (record, _) in planner.leader.replica.active.items():
+        for job, (record, _) in planner.leader.replica.active_jobs.items():
             spec = record.spec
-            if record.state is JobState.ACTIVE and spec is not None and self.rules.serves(spec) and not spec.needs:
+            if (
+                record.state is JobState.ACTIVE
+                and spec is not None
+                and self.rules.serves(spec)
+                and not spec.dependencies
+            ):
                 row = rows.get(job) or QueueRow(job, 0, 0, math.inf, 0.0, None, 0.0, False, False)
                 service = ServingJob(
                     spec=spec,
@@ -121,7 +130,7 @@
                     due_in_s=row.due_in_s,
                     zone=row.zone,
                     guaranteed=row.guaranteed,
-                    order=(*order(row, spec, row.due_in_s), job),
+                    order=(*placement_key(row, spec, row.due_in_s), job),
                 )
                 result.append(service)
         return result
@@ -132,14 +141,16 @@
         with_waiting = gpus_in_use(service._replace(placed=service.placed + service.waiting) for service in services)
         return {team: min(gpus, max(self.rules.guarantee(team), used[team])) for team, gpus in with_waiting.items()}
 
-    def serves_soon(self, row: QueueRow, spec: JobSpec) -> int:
+    def unrented_tasks(self, row: QueueRow, spec: JobSpec) -> int:
         """Return how many waiting tasks no machine is rented for now.
 
         All tasks of a job that has just arrived count, as lending has not planned for it yet.
         """
         if not self.rules.serves(spec):
             return 0
-        return self.tasks_served_by_lending.get(row.job, row.waiting if row.waited_s < constants.LEND_FIRST_S else 0)
+        return self.tasks_served_by_lending.get(
+            row.job, row.waiting if row.waited_s < constants.LENDING_HEAD_START_S else 0
+        )
 
     def _has_gpus(self, kind: MachineKind) -> bool:
         machine_type = self.types.get(kind.type)
@@ -178,7 +189,7 @@
         max_changes: int,
     ) -> list[ClaimGroup]:
         """Return claims for the demands; see ``preemption.select_victims``."""
-        self.pace.count_reclaimed(self.claims, self.specs, budget.wall)
+        self.pace.count_reclaimed(self.claims, self.specs, budget.wall_time)
         selection = LendingSelection(self.serving_demands, self.pace, self.types, self.teams, machines)
         return selection.select(demands, budget, max_changes)
 
@@ -186,7 +197,7 @@
         """Return the free GPUs that are reserved for replicas now, by machine."""
         rules = self.rules
         gpus = sum(
-            self.gpu_reserve.gpus(
+            self.gpu_reserve.gpus_to_reserve(
                 team, rules.reserve(team), rules.guarantee(team), self.used[team], rules.retention_s, now
             )
             for team in {*self.gpu_reserve.peaks, *rules.teams_with_reserve()}
@@ -195,7 +206,7 @@
             return {}
         images = {
             spec.image
-            for record, _ in planner.leader.replica.active.values()
+            for record, _ in planner.leader.replica.active_jobs.values()
             if (spec := record.spec) is not None and rules.serves(spec)
         }
         machines = []
@@ -217,9 +228,9 @@
             nonlocal gpus
             if self.rules.lends(offer.spec) is None:
                 return elsewhere(offer)
-            limit = max(0, min(offer.left, int(gpus / offer.spec.gpus + 1e-9)))
+            limit = max(0, min(offer.remaining, int(gpus / offer.spec.gpus + 1e-9)))
             gpus -= limit * offer.spec.gpus  # GPUs that the offer then does not use stay free until the next heartbeat
-            return max(elsewhere(offer), offer.left - limit)
+            return max(elsewhere(offer), offer.remaining - limit)
 
         return result
 
--- a/alderbridge/lending/reserve.py
+++ b/alderbridge/lending/reserve.py
@@ -8,7 +8,7 @@
 
 
 class GpuReserve:
-    """Peak GPU use of each team's replicas within the retention time (``keep_s`` of the configuration).
+    """Peak GPU use of each team's replicas within the retention time (``retention_s`` of the configuration).
 
     Peak GPUs stay reserved, so that a load that rises and falls repeatedly within that time is served by one reclaim.
     Held in memory only: a new leader starts from the current use, which costs at most one more reclaim.
@@ -26,7 +26,9 @@
                 peaks.pop()
             peaks.append((now, gpus))
 
-    def gpus(self, team: str, declared: float, guarantee: float, used: float, retention_s: float, now: float) -> float:
+    def gpus_to_reserve(
+        self, team: str, declared: float, guarantee: float, used: float, retention_s: float, now: float
+    ) -> float:
         """Return how many GPUs to reserve for a team's replicas beyond those in use, within its guarantee.
 
         ``declared``: GPUs that the configuration reserves for the team.
--- a/alderbridge/preemption/eligibility.py
+++ b/alderbridge/preemption/eligibility.py
@@ -8,7 +8,7 @@
 from alderbridge.settings import Team
 
 
-def allowed(demand: JobSpec, guaranteed: bool, victim: JobSpec, beyond: bool) -> bool:
+def preemption_allowed(demand: JobSpec, guaranteed: bool, victim: JobSpec, beyond: bool) -> bool:
     """Whether a task of ``victim`` may be preempted to free capacity for ``demand``.
 
     ``guaranteed``: the demand lies within its team's guarantee. ``beyond``: the victim is work that its team runs
@@ -18,7 +18,7 @@
     return demand.rank > victim.rank or (guaranteed and beyond and demand.team != victim.team)
 
 
-class Teams:
+class GuaranteeUsage:
     """Usage and guarantees of the teams during victim selection."""
 
     def __init__(self, teams: Iterable[Team], used: Mapping[str, tuple[float, float]]) -> None:
@@ -26,7 +26,7 @@
         self.guarantee = {team.name: (team.cpus, team.gpus) for team in teams}
         self.used = dict(used)
 
-    def beyond(self, spec: JobSpec) -> bool:
+    def exceeds_guarantee(self, spec: JobSpec) -> bool:
         """Whether the team of ``spec`` still uses at least its guarantee after one such task stops."""
         cpus, gpus = self.used.get(spec.team, (0.0, 0.0))
         guarantee = self.guarantee.get(spec.team, (0.0, 0.0))
--- a/alderbridge/preemption/victim_selection.py
+++ b/alderbridge/preemption/victim_selection.py
@@ -12,7 +12,7 @@
 from alderbridge.preemption.budget import PreemptionBudget
 from alderbridge.preemption.model import CandidateMachine, PreemptionDemand, Victim
 from alderbridge.scheduling.placement import allowed
-from alderbridge.scheduling.resources import Resources, fits, minus
+from alderbridge.scheduling.resources import Resources, remaining_after, tasks_that_fit
 
 _OTHER_RECORDS = 2  # reserved in each transaction: the budgets, and a claim (when counting jobs) or a job (claims)
 
@@ -20,8 +20,10 @@
 def lost_seconds(victim: Victim) -> float:
     """Return the seconds lost by preempting the victim: its run, or else its final checkpoint, and the restart."""
     if victim.spec.checkpoint_s > 0:
-        return victim.spec.save_s + constants.DEPENDENCY_STEP_S
-    return (victim.ran_s if victim.sure else max(victim.ran_s, victim.spec.estimate_s)) + constants.DEPENDENCY_STEP_S
+        return victim.spec.save_s + constants.START_OVERHEAD_S
+    return (
+        victim.ran_s if victim.is_run_time_exact else max(victim.ran_s, victim.spec.estimate_s)
+    ) + constants.START_OVERHEAD_S
 
 
 def lost_cpu_seconds(victim: Victim) -> float:
@@ -34,9 +36,9 @@
     spec = victim.spec
     if spec.service or not spec.estimate_s:
         return False
-    if spec.estimate_s - victim.ran_s <= constants.SPARED_REMAINING_S and victim.sure:
+    if spec.estimate_s - victim.ran_s <= constants.MIN_VICTIM_REMAINING_S and victim.is_run_time_exact:
         return True
-    return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * constants.SPARED_RUN_SHARE
+    return spec.checkpoint_s <= 0 and victim.ran_s >= spec.estimate_s * constants.MAX_VICTIM_RUN_SHARE
 
 
 def _count_nothing(victim: Victim, sign: int) -> None:
@@ -94,7 +96,7 @@
         """Select a victim and count its resources as free."""
         self.victims.append(victim)
         self.selected.add((victim.job, victim.index))
-        self.free = minus(self.free, victim.spec, -1)
+        self.free = remaining_after(self.free, victim.spec, -1)
 
 
 class _Selection:
@@ -121,11 +123,11 @@
         if machine.job not in ("", spec.id):
             return None
         # Tasks that fit without preemption are not part of the demand: their capacity is not available for it.
-        free = machine.free if machine.job else minus(machine.free, spec, fits(spec, machine.free))
-        if machine.job and fits(spec, free):
+        free = machine.free if machine.job else remaining_after(machine.free, spec, tasks_that_fit(spec, machine.free))
+        if machine.job and tasks_that_fit(spec, free):
             return _Option(0.0, [])  # the victims selected so far free capacity for another task
         selected, free = self._add_units(name, demand, self._units(name, demand), free)
-        if not fits(spec, free):
+        if not tasks_that_fit(spec, free):
             return None
         self._remove_unneeded(name, demand, selected, free)
         victims = [placed for unit in selected for placed in unit.victims]
@@ -165,7 +167,7 @@
 
     def _cost(self, victims: list[_PlacedVictim]) -> float:
         return sum(
-            self.rules.victim_cost(victim) * (1 + constants.VICTIM_SPREAD * self.victims_of[victim.job])
+            self.rules.victim_cost(victim) * (1 + constants.SAME_JOB_VICTIM_COST_SHARE * self.victims_of[victim.job])
             for _, victim in victims
         )
 
@@ -177,7 +179,7 @@
         counted: list[Victim] = []
         try:
             for unit in units:
-                if fits(demand.spec, free):
+                if tasks_that_fit(demand.spec, free):
                     break
                 if self._count_if_allowed(demand, unit, counted):
                     selected.append(unit)
@@ -207,7 +209,7 @@
         """Remove units that are not needed to fit the task, the most expensive first."""
         for unit in sorted(selected, key=lambda unit: -unit.cost):
             without = _free_after(free, name, unit, 1)
-            if fits(demand.spec, without):
+            if tasks_that_fit(demand.spec, without):
                 free = without
                 selected.remove(unit)
 
@@ -253,14 +255,14 @@
         for other in names:
             plan = self.machines[other]
             if not plan.job:
-                plan.job, plan.free = spec.id, minus(plan.free, spec, fits(spec, plan.free))
+                plan.job, plan.free = spec.id, remaining_after(plan.free, spec, tasks_that_fit(spec, plan.free))
         for other, victim in option.victims:
             self.machines[other].preempt(victim)
             self.rules.count_victim(victim, 1)
             self.victims_of[victim.job] += 1
         self.budget.use(demand, len(option.victims))
         machine.served_tasks += 1
-        machine.free = minus(machine.free, spec, 1)
+        machine.free = remaining_after(machine.free, spec, 1)
         if len(names) > 1:
             linked = set(names).union(*(self.linked.get(other, ()) for other in names))
             for other in linked:
@@ -278,7 +280,7 @@
         return result
 
     def _claim(self, machine: _MachinePlan, demands: Mapping[str, PreemptionDemand]) -> PreemptionClaim:
-        demand, wall = demands[machine.job], self.budget.wall
+        demand, wall = demands[machine.job], self.budget.wall_time
         save_s = max((victim.spec.save_s for victim in machine.victims if victim.spec.checkpoint_s > 0), default=0.0)
         return PreemptionClaim(
             reason=demand.reason,
@@ -286,9 +288,9 @@
             count=machine.served_tasks,
             victims=[(victim.job, victim.index, victim.attempt) for victim in machine.victims],
             wind_down_s=save_s,
-            until=wall + save_s + constants.CLAIM_GRACE_S,
+            expires_at=wall + save_s + constants.CLAIM_GRACE_S,
             team=demand.spec.team,
-            at=wall,
+            planned_at=wall,
         )
 
 
@@ -296,7 +298,7 @@
     """Return the machine's free capacity with the unit's victims on it running again (``sign`` 1) or stopped (-1)."""
     for other, victim in unit.victims:
         if other == name:
-            free = minus(free, victim.spec, sign)
+            free = remaining_after(free, victim.spec, sign)
     return free
 
 
@@ -310,7 +312,7 @@
     """Return claims for the demands, which are served in the given order; each machine serves one job.
 
     ``machines``: those without a claim. ``max_changes``: maximum number of changes in one transaction; groups that need
-    more are not selected. The claims are dated with the budget's ``wall``.
+    more are not selected. The claims are dated with the budget's ``wall_time``.
     """
     selection = _Selection(machines, rules, budget, max_changes)
     served: dict[str, PreemptionDemand] = {}
--- a/alderbridge/priorities/demands.py
+++ b/alderbridge/priorities/demands.py
@@ -12,8 +12,8 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec
 from alderbridge.scheduling.demand import Demand, MachineResource, may_use
-from alderbridge.scheduling.offers import order
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.offers import placement_key
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 from alderbridge.scheduling.walk import Walk
 
 _ROUNDING_CPUS = 1e-9  # tolerance when free CPUs are compared with a task's
@@ -33,18 +33,20 @@
     demands: Iterable[Demand],
     rows: Mapping[str, QueueRow],
     resources: Iterable[MachineResource],
-    promised: Counter[str],
+    claimed_tasks: Counter[str],
     preempted_jobs: Container[str],
 ) -> list[PreemptionDemand]:
     """Return tasks of jobs that may preempt and that neither free nor soon-to-be-free nor booting capacity can serve.
 
     ``demands``: all waiting tasks within the teams' limits. ``resources``: machines without a claim, because claimed
-    capacity is reserved. ``promised``: tasks by job that claims free capacity for. ``preempted_jobs``: jobs with
+    capacity is reserved. ``claimed_tasks``: tasks by job that claims free capacity for. ``preempted_jobs``: jobs with
     preempted tasks, which must not preempt others. Jobs are considered in the order of placement, which assigns the
     capacity.
     """
     queue = [demand for demand in demands if demand.spec.id in rows]
-    queue.sort(key=lambda demand: order(rows[demand.spec.id], demand.spec, demand.due_in_s, classes.may_preempt))
+    queue.sort(
+        key=lambda demand: placement_key(rows[demand.spec.id], demand.spec, demand.due_in_s, classes.may_preempt)
+    )
     preempting = [
         position
         for position, demand in enumerate(queue)
@@ -53,14 +55,20 @@
     if not preempting:
         return []
     waiting = [
-        Demand(demand.spec, max(0, demand.count - promised[demand.spec.id]), demand.due_in_s, demand.run_s, demand.zone)
+        Demand(
+            demand.spec,
+            max(0, demand.count - claimed_tasks[demand.spec.id]),
+            demand.due_in_s,
+            demand.run_s,
+            demand.zone,
+        )
         for demand in queue[: preempting[-1] + 1]
     ]
-    offered = [max(0, rows[demand.spec.id].offer - promised[demand.spec.id]) for demand in waiting]
+    offered = [max(0, rows[demand.spec.id].offer - claimed_tasks[demand.spec.id]) for demand in waiting]
     remaining, placed = place_on_free_capacity(waiting, offered, resources)
     shortfall = Walk(
         remaining, [reduce_count(demand, count) for demand, count in zip(waiting, placed, strict=True)]
-    ).lacking()
+    ).shortfalls()
     result = []
     for position in preempting:
         demand, row = waiting[position], rows[waiting[position].spec.id]
@@ -99,10 +107,10 @@
             max_count = min(demand.count, offered[position]) - placed[position]
             if max_count <= 0 or not may_use(demand, resource.kind):
                 continue
-            count = min(fits(demand.spec, free), max_count)
+            count = min(tasks_that_fit(demand.spec, free), max_count)
             if count > 0:
                 placed[position] += count
-                before, free = free, minus(free, demand.spec, count)
+                before, free = free, remaining_after(free, demand.spec, count)
                 ends.append((demand.run_s, before[0] - free[0], before[1] - free[1], before[2] - free[2]))
         remaining.append(MachineResource(resource.kind, free, ends))
     return remaining, placed
--- a/alderbridge/protocol/jobs.py
+++ b/alderbridge/protocol/jobs.py
@@ -27,7 +27,7 @@
     team: Name = field(name="owner")
     kind: Literal["sweep", "standing", "group"] = field(name="shape")
     priority: Literal["production", "high", "standard", "best_effort"] = field(name="urgency")
-    tasks: Annotated[int, Meta(ge=1, le=constants.MAX_TASKS)] = field(name="parts")
+    tasks: Annotated[int, Meta(ge=1, le=constants.MAX_TASKS_PER_JOB)] = field(name="parts")
     cpus: Positive = field(name="vcpus")
     memory_gb: Amount = field(name="mem_gb")
     image: Name = field(name="bundle")
@@ -42,7 +42,7 @@
     spread: bool = field(name="apart", default=False)
     spot: bool = field(name="standby", default=False)
     due_s: Amount | None = None
-    needs: list[str] | None = field(name="waits_on", default=None)
+    dependencies: list[str] | None = field(name="waits_on", default=None)
 
     @property
     def service(self) -> bool:
@@ -90,7 +90,7 @@
         raise MalformedBodyError(str(error)) from error
     if not JOB_ID.match(spec.id):
         raise MalformedBodyError("id: expected wk- and digits")
-    if not all(JOB_ID.match(dependency) for dependency in spec.needs or ()):
+    if not all(JOB_ID.match(dependency) for dependency in spec.dependencies or ()):
         raise MalformedBodyError("waits_on: expected ids of jobs")
     return spec
 
--- a/alderbridge/scheduling/placement.py
+++ b/alderbridge/scheduling/placement.py
@@ -18,7 +18,7 @@
 
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.offers import Offer, OfferEntry, Offers
-from alderbridge.scheduling.resources import Resources, fits, minus
+from alderbridge.scheduling.resources import Resources, remaining_after, tasks_that_fit
 
 # How many of an offer's tasks are left to other machines.
 CapacityElsewhere = Callable[[Offer], int]
@@ -75,7 +75,7 @@
         requirements = (spec.cpus, spec.memory_gb, spec.gpus, spec.spot, spec.zone, tuple(spec.types or ()))
         if requirements not in self.capacities:
             self.capacities[requirements] = sum(
-                fits(spec, machine.free)
+                tasks_that_fit(spec, machine.free)
                 for machine in self.machines
                 if allowed(spec, machine.type, machine.zone, machine.spot)
             )
@@ -87,7 +87,7 @@
     for machine_type in types:
         zones = machine_type.zones or [""]
         if any(allowed(spec, machine_type.name, zone, False) for zone in zones):
-            if fits(spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)):
+            if tasks_that_fit(spec, (machine_type.cpus, machine_type.memory_gb, machine_type.gpus)):
                 return True
     return False
 
@@ -96,12 +96,12 @@
     """Request up to ``count`` tasks of the job that holds a claim on the machine, and deduct them from its offers."""
     result, free = [], machine.free
     for *_, offer in offers.in_order():
-        if offer.row.job != job or offer.left <= 0 or offer.row.zone not in (None, machine.zone):
+        if offer.row.job != job or offer.remaining <= 0 or offer.row.zone not in (None, machine.zone):
             continue
-        number = min(fits(offer.spec, free), offer.left, count)
+        number = min(tasks_that_fit(offer.spec, free), offer.remaining, count)
         if number > 0 and allowed(offer.spec, machine.type, machine.zone, machine.spot):
-            offer.left -= number
-            free, count = minus(free, offer.spec, number), count - number
+            offer.remaining -= number
+            free, count = remaining_after(free, offer.spec, number), count - number
             result.append(PlacementRequest(offer.label, job, machine.name, machine.zone, number))
     return result
 
@@ -128,7 +128,7 @@
     ``fetch_s``: how long the machine would take to fetch a job's image; 0 if it has the image.
     """
     requests: list[PlacementRequest] = []
-    free, min_cpus = machine.free, offers.least_cpus - 1e-9
+    free, min_cpus = machine.free, offers.min_cpus - 1e-9
     if free[0] < min_cpus:
         return requests
     deferred: list[OfferEntry] = []  # heap of offers whose image must be fetched, by deadline plus fetch time
@@ -139,7 +139,7 @@
             free = _request(machine, heapq.heappop(deferred)[-1], free, capacity_elsewhere, requests)
         offer = entry[-1]
         spec = offer.spec
-        if offer.left <= 0:
+        if offer.remaining <= 0:
             continue
         if spec.cpus > free[0] + 1e-9 or spec.memory_gb > free[1] + 1e-9 or spec.gpus > free[2] + 1e-9:
             if now >= offer.reserve_from and reserve(offer):
@@ -166,12 +166,12 @@
     requests: list[PlacementRequest],
 ) -> Resources:
     """Request as many tasks of the offer as fit; returns the remaining free capacity."""
-    count = min(fits(offer.spec, free), offer.left - capacity_elsewhere(offer))
+    count = min(tasks_that_fit(offer.spec, free), offer.remaining - capacity_elsewhere(offer))
     if count <= 0:
         return free
-    offer.left -= count
+    offer.remaining -= count
     requests.append(PlacementRequest(offer.label, offer.row.job, machine.name, machine.zone, count))
-    return minus(free, offer.spec, count)
+    return remaining_after(free, offer.spec, count)
 
 
 def _request_from_reserved(
@@ -186,7 +186,7 @@
     for *_, offer in offers.in_order():
         zone = offer.row.zone
         if (
-            offer.left > 0
+            offer.remaining > 0
             and may_use_reserved(offer.spec)
             and allowed(offer.spec, machine.type, machine.zone, machine.spot)
             and zone in (None, machine.zone)
--- a/alderbridge/state/write_classes.py
+++ b/alderbridge/state/write_classes.py
@@ -45,19 +45,19 @@
             write_class: TokenBucket(share * rate, ASSURED_BURST, now) for write_class, share in ASSURED_SHARES.items()
         }
 
-    def change(self, rate: float, now: float) -> None:
+    def set_rate(self, rate: float, now: float) -> None:
         """Set the rate of the write budget, in changes/s."""
         for write_class, share in ASSURED_SHARES.items():
-            self._buckets[write_class].change(share * rate, ASSURED_BURST, now)
+            self._buckets[write_class].set_rate(share * rate, ASSURED_BURST, now)
 
     def available(self, write_class: WriteClass, is_waiting: bool, now: float) -> int:
         """The number of changes assured to the class now; a class with no changes waiting accumulates none."""
         bucket = self._buckets[write_class]
         if not is_waiting:
-            bucket.spend(now, max(0.0, bucket.available(now)))
+            bucket.consume(now, max(0.0, bucket.available(now)))
         return int(bucket.available(now))
 
-    def spend(self, write_class: WriteClass, now: float, changes: int) -> None:
+    def consume(self, write_class: WriteClass, now: float, changes: int) -> None:
         """Account for changes of the class; those beyond its assured rate were borrowed and are not paid back."""
         bucket = self._buckets[write_class]
-        bucket.spend(now, min(float(changes), bucket.available(now)))
+        bucket.consume(now, min(float(changes), bucket.available(now)))
--- a/tests/simulation/controller.py
+++ b/tests/simulation/controller.py
@@ -58,11 +58,11 @@
             deployment.platform(self.label, world.labels, None if self.old else world.coming),
             Tuning(),
             world.t,
-            own={} if self.old else world.files(self.label),
+            own={} if self.old else world.operator_files(self.label),
         )
         self.core.machine_shard.capacity.types = TYPES
         self.core.leader.on_types(TYPES)
-        world.prepare(self.core)
+        world.on_core_created(self.core)
         self.busy = self.is_registering = False
         self.writer_idle_until = 0.0
         self.follow_busy = self.needs_full_read = False
@@ -70,17 +70,17 @@
             self.last_frame_arrivals, 0.0
         )  # new connections: frames from before the crash may arrive later
         self.half_open_links = set()
-        for other in world.nodes.values():
+        for other in world.controllers.values():
             other.half_open_links.discard(self.label)
         self.rental_count = 0
         self.is_renting = False
         for step, pause in (
             (self.hold, 1.5),
             (self.follow, 0.15),
-            (self.view, constants.ROUND_S),
+            (self.view, constants.ROUND_INTERVAL_S),
             (self.write, 0.05),
-            (self.round, constants.ROUND_S),
-            (self.lead, constants.LEADER_ROUND_S),
+            (self.round, constants.ROUND_INTERVAL_S),
+            (self.lead, constants.LEADER_ROUND_INTERVAL_S),
         ):
             world.after(world.rng.random() * 0.2, self.loop, generation, step, pause)
 
@@ -123,21 +123,21 @@
         if world.t < self.refused_until and not cut:
             # The watch that was open when the refusals began hangs until the client times out.
             hangs, self.follow_hangs = self.follow_hangs and reads, self.follow_hangs and not reads
-            world.after(constants.WATCH_WAIT_S + STORE_S if hangs else 0.01, settle, None)
+            world.after(constants.WATCH_POLL_TIMEOUT_S + STORE_S if hangs else 0.01, settle, None)
             return
         lost = rng.random()
         if cut or lost < 0.01:
             if not cut or rng.random() < 0.5:
                 world.after(rng.uniform(0.5, 30.0), carry_out, False)  # applied after the client has timed out
             world.after(STORE_S, settle, None)
-        elif not reads and world.t < store.delayed_writes_until and rng.random() < store.late_share:
+        elif not reads and world.t < store.delayed_writes_until and rng.random() < store.delayed_write_share:
             world.after(rng.uniform(2.0, 12.0), carry_out, False)  # maybe after newer writes
             world.after(STORE_S, settle, None)
-        elif not reads and world.t < store.lost_until and rng.random() < store.lost_share:
+        elif not reads and world.t < store.lost_responses_until and rng.random() < store.lost_response_share:
             world.after(rng.uniform(0.001, 0.01), carry_out, False)  # its writer sees a timeout
             world.after(STORE_S, settle, None)
         else:
-            delay = rng.uniform(0.001, 0.01) * (store.slow_by if world.t < store.slow_until else 1.0)
+            delay = rng.uniform(0.001, 0.01) * (store.latency_factor if world.t < store.slow_until else 1.0)
             world.after(delay, carry_out, delay < STORE_S)
             if delay >= STORE_S:
                 world.after(STORE_S, settle, None)
@@ -147,10 +147,10 @@
         lease = core.membership.store_lease
 
         def extend():
-            store.check()
-            if lease.lease_id not in store.holds:
+            store.expire_leases()
+            if lease.lease_id not in store.leases:
                 return False
-            store.holds[lease.lease_id] = world.t + lease.ttl_s
+            store.leases[lease.lease_id] = world.t + lease.ttl_s
             return True
 
         def on_extended(is_extended):
@@ -181,9 +181,9 @@
             self.call(on_lease_granted, failed, take)
 
         def take() -> int:
-            store.check()
+            store.expire_leases()
             lease_id = next(store.lease_ids)
-            store.holds[lease_id] = world.t + core.membership.store_lease.ttl_s
+            store.leases[lease_id] = world.t + core.membership.store_lease.ttl_s
             return lease_id
 
         def on_lease_granted(lease_id: int) -> None:
@@ -205,7 +205,9 @@
             core.view_entry.lease_acquired(lease_id, sent, world.t)
             if previous is not None:
                 lease_id = msgspec.json.decode(previous.data, type=MemberRecord).lease_id
-                self.call(lambda _: None, lambda: None, lambda: store.check() or store.end(lease_id) or True)
+                self.call(
+                    lambda _: None, lambda: None, lambda: store.expire_leases() or store.revoke_lease(lease_id) or True
+                )
 
         self.call(on_member_read, failed, self.read, key)
 
@@ -217,10 +219,14 @@
         sent = world.t
 
         def read(since: int | None = None):
-            store.check()
+            store.expire_leases()
             if since is None and (self.needs_full_read or not core.state.loaded):
                 return self.seen(store.rows()), [], store.revision
-            return None, self.seen(store.since(core.replica.revision if since is None else since)), store.revision
+            return (
+                None,
+                self.seen(store.events_after(core.replica.revision if since is None else since)),
+                store.revision,
+            )
 
         def done(answer, rows=None, sent=sent):
             rows, changes, revision = answer if rows is None else (rows, *answer[1:])
@@ -236,7 +242,7 @@
                 core.replica.revision = revision
             else:
                 core.store_follower.load(rows, changes, revision, world.t, world.t + self.ahead_s)
-            world.followed(self, [*(rows or ()), *changes])
+            world.on_store_read(self, [*(rows or ()), *changes])
 
         def failed():
             self.follow_busy = False
@@ -272,7 +278,7 @@
             return  # the program idles until then as well
         batch = core.record_writer.next_batch(world.t)
         if batch is None:
-            self.writer_idle_until = world.t + core.record_writer.next_write_in(world.t)
+            self.writer_idle_until = world.t + core.record_writer.next_write_delay_s(world.t)
             return
         self.busy = True
 
@@ -313,7 +319,7 @@
         self.call(done, failed, world.store.commit, batch.conditions, puts, batch.drops, too_large=too_large)
 
     def read(self, key: str):
-        self.world.store.check()
+        self.world.store.expire_leases()
         found = self.world.store.data.get(key)
         return self.seen([wire.KeyValue(key, msgspec.Raw(found[0]), found[1])]) if found is not None else [None]
 
@@ -344,8 +350,8 @@
             ) -> None:
                 worker = world.machines.get(name)
                 if worker is not None and worker.alive and world.can_reach(worker, self.label):
-                    if world.t < worker.held_up_until:
-                        world.after(worker.way(), worker.command, fencing_token, incarnation, reply)
+                    if world.t < worker.responses_delayed_until:
+                        world.after(worker.draw_latency(), worker.command, fencing_token, incarnation, reply)
                     else:
                         worker.command(fencing_token, incarnation, reply)
 
@@ -360,18 +366,20 @@
         core, world = self.core, self.world
         if not core.membership.is_leader(world.t) or self.is_renting:
             return
-        core.leader.on_listing(world.listing(), world.t)
+        core.leader.on_listing(world.list_machines(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
         for kind, count in decision.scale_out:
             names = world.rent(kind, count)
-            if world.t < world.quick_until:  # machines boot and send heartbeats before the rental response arrives
+            if (
+                world.t < world.quick_boots_until
+            ):  # machines boot and send heartbeats before the rental response arrives
                 self.is_renting = True
                 world.after(world.rng.uniform(0.5, 3.0), self.rented, self.life, kind, names, count)
             else:
                 self.rented(self.life, kind, names, count)
         if decision.terminate and world.rng.random() < 0.95:
-            world.remove(decision.terminate)
+            world.terminate(decision.terminate)
             if world.rng.random() < 0.95:
                 core.on_terminated(decision.terminate, world.t)
 
@@ -421,7 +429,7 @@
                 state = None if core.directory.knows_job(job) else NOT_FOUND
             else:
                 record = msgspec.json.decode(row.data, type=Record)
-                waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
+                waits = record.spec is not None and (record.spec.dependencies or record.dependency_digest)
                 if record.state is not JobState.ACTIVE:
                     state = record.state.value
                 elif not waits or core.local_jobs.is_certainly_pending(job, world.t):
@@ -471,21 +479,21 @@
             callback(None)
         elif admission.rejection_reason(spec, core.shared.teams, core.machine_shard.capacity.types.values()):
             self.query_status(spec.id, callback)
-        elif not core.membership.may_act(world.t) or spec.needs:
+        elif not core.membership.may_act(world.t) or spec.dependencies:
             callback(None)
         else:
             submission = core.submissions.submit(spec, world.t, world.t + self.ahead_s)
             if submission is None:
                 self.query_status(spec.id, callback)
             else:
-                wait(submission, world.t + constants.SUBMIT_WAIT_S)
+                wait(submission, world.t + constants.SUBMIT_TIMEOUT_S)
 
     def withdraw(self, job: str, callback, since: float | None = None) -> None:
         """Replies with the final state once it is stored; None: not the job owner, or not stored in time."""
         core, generation, world = self.core, self.life, self.world
         since = world.t if since is None else since
         state = core.local_jobs.cancel(job, world.t)
-        if state == "" and world.t - since < constants.SUBMIT_WAIT_S:
+        if state == "" and world.t - since < constants.SUBMIT_TIMEOUT_S:
             world.after(0.1, lambda: generation == self.life and self.withdraw(job, callback, since))
         else:
             callback(state or None)
@@ -522,14 +530,14 @@
         self.core.effects.channel_renewals.clear()
         outgoing, self.core.effects.outgoing_frames = self.core.effects.outgoing_frames, []
         for label, frame in outgoing:
-            other = world.nodes[label]
+            other = world.controllers[label]
             cut = max(self.cut_mesh_until, other.cut_mesh_until)
             held_back = world.t < cut and world.t < max(self.mesh_delayed_until, other.mesh_delayed_until)
             if label in self.half_open_links or (world.t < cut and not held_back):
                 continue
             if world.rng.random() < 0.002:
                 continue
-            is_late = world.rng.random() < world.late_share
+            is_late = world.rng.random() < world.delayed_frame_share
             delay = 5.0 * world.rng.random() if is_late else world.rng.uniform(0.0005, 0.003)
             arrives_at = max(self.last_frame_arrivals[label] + 1e-6, (cut if held_back else world.t) + delay)
             self.last_frame_arrivals[label] = arrives_at
@@ -554,7 +562,7 @@
         heartbeat = wire.parse_heartbeat(raw)
         if not core.state.loaded or not core.membership.may_act(world.t):
             return reply(503, b"")
-        owner = core.membership.report_to(heartbeat.machine)
+        owner = core.membership.heartbeat_target(heartbeat.machine)
         if owner != self.label:
             return reply(421, owner.encode())
         fencing_token = core.membership.fencing_token
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -29,50 +29,50 @@
 class Invariants:
     """What must hold under any fault; a mixin of ``World``."""
 
-    def halted(self, task_id: str, task: SimTask, worker: SimWorker) -> None:
+    def on_task_halted(self, task_id: str, task: SimTask, worker: SimWorker) -> None:
         """Hook for subclasses: a worker halts a task whose job is not cancelled."""
 
-    def saved(self, task_id: str, remaining_s: float) -> None:
+    def on_checkpoint_started(self, task_id: str, remaining_s: float) -> None:
         """Hook for subclasses: a worker starts to save a checkpoint, with ``remaining_s`` left to run."""
 
-    def run_time(self, task_id: str) -> float:
+    def draw_run_time(self, task_id: str) -> float:
         spec = self.specs[wire.split_task_id(task_id)[0]]
         if spec.job_class == "long":
             return self.rng.uniform(20.0, 110.0)
         return math.inf if spec.service else spec.estimate_s * self.rng.uniform(0.5, 1.5)
 
-    def followed(self, sim: SimController, rows: list) -> None:
+    def on_store_read(self, sim: SimController, rows: list) -> None:
         """Hook for subclasses: a controller has read these rows and events."""
 
-    def ordered(self, task_id: str) -> None:
+    def on_run_order(self, task_id: str) -> None:
         """Hook for subclasses: a worker accepts the order to run the task."""
 
-    def entered(self, task_id: str, worker: SimWorker) -> None:
+    def on_task_started(self, task_id: str, worker: SimWorker) -> None:
         job = wire.split_task_id(task_id)[0]
         spec = self.specs[job]
-        if task_id in self.on:
-            raise Broken(f"ran_twice: {task_id} on {self.on[task_id]} and {worker.name} at {self.t:.2f}")
+        if task_id in self.running_on:
+            raise Broken(f"ran_twice: {task_id} on {self.running_on[task_id]} and {worker.name} at {self.t:.2f}")
         zones = [
             self.machines[name].kind.zone
-            for other, name in self.on.items()
+            for other, name in self.running_on.items()
             if wire.split_task_id(other)[0] == job and self.machines.get(name)
         ]
         zones.append(worker.kind.zone)
         if not self.may_place(spec, worker.kind, zones):
             raise Broken(f"wrong_place: {task_id} on {worker.name}")
-        for need in spec.needs or ():
+        for need in spec.dependencies or ():
             if any(f"{need}/{index}" not in self.completed for index in range(self.specs[need].tasks)):
                 raise Broken(f"too_early: {task_id} before {need}")
-        self.on[task_id] = worker.name
-        self.starts += 1
-        self.waits.pop(job, None)
+        self.running_on[task_id] = worker.name
+        self.task_starts += 1
+        self.placeable_since.pop(job, None)
         if self.t > self.cancelled_at.get(job, math.inf):
-            self.starts_after.append((task_id, self.t - self.cancelled_at[job]))
-        self.began.setdefault(job, self.t)
+            self.starts_after_cancellation.append((task_id, self.t - self.cancelled_at[job]))
+        self.first_started_at.setdefault(job, self.t)
         for team in deployment.TEAMS:
             used = sum(
                 self.specs[wire.split_task_id(other)[0]].cpus
-                for other in self.on
+                for other in self.running_on
                 if self.specs[wire.split_task_id(other)[0]].team == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-9:
@@ -93,7 +93,7 @@
 
     def check_placeable_jobs(self) -> None:
         """Checks that no job waits longer than ``ROOM_S`` while free capacity suits it, after the faults have ended."""
-        if self.t < self.calm_at:
+        if self.t < self.faults_end_at:
             return
         reported: dict[str, SimWorker] = {}
         used: dict[str, float] = {}
@@ -113,18 +113,24 @@
                     used[spec.team] = used.get(spec.team, 0.0) + spec.cpus
                     zones.setdefault(job, []).append(worker.kind.zone)
             if (
-                worker.recall_at is None
-                and not worker.faulty
+                worker.preempted_at is None
+                and not worker.fails_tasks
                 and self.t
-                >= max(worker.hangs_until, worker.cut_until, worker.deaf_until, worker.mute_until, worker.held_up_until)
+                >= max(
+                    worker.hangs_until,
+                    worker.cut_until,
+                    worker.inbound_blocked_until,
+                    worker.outbound_blocked_until,
+                    worker.responses_delayed_until,
+                )
             ):
                 free.append((worker, cpus, memory))
         limits = {team.name: team.cpus_max or math.inf for team in deployment.TEAMS}
         for job in sorted(self.accepted):
             spec = self.specs[job]
-            is_exempt = job in self.said or job in self.cancelled_at or spec.needs
+            is_exempt = job in self.reported_ends or job in self.cancelled_at or spec.dependencies
             if is_exempt or all(f"{job}/{i}" in self.completed or f"{job}/{i}" in reported for i in range(spec.tasks)):
-                self.waits.pop(job, None)
+                self.placeable_since.pop(job, None)
                 continue
             is_within_limit = used.get(spec.team, 0.0) + spec.cpus <= limits[spec.team] + 1e-9
             if not is_within_limit or not any(
@@ -133,59 +139,59 @@
                 and self.may_place(spec, worker.kind, [*zones.get(job, ()), worker.kind.zone])
                 for worker, cpus, memory in free
             ):
-                self.waits.pop(job, None)
+                self.placeable_since.pop(job, None)
                 continue
-            waited = self.t - self.waits.setdefault(job, self.t)
-            self.longest_wait = max(self.longest_wait, waited)
+            waited = self.t - self.placeable_since.setdefault(job, self.t)
+            self.longest_placeable_wait_s = max(self.longest_placeable_wait_s, waited)
             if waited > ROOM_S:
-                raise Broken(f"waited: {job} although free capacity suits it since {self.waits[job]:.1f}")
+                raise Broken(f"waited: {job} although free capacity suits it since {self.placeable_since[job]:.1f}")
 
     def check_jobs_answered(self) -> None:
         """Checks that each open job got a status within ``KNOWN_S``, counted from the end of the faults."""
         for job in self.accepted:
-            since = max(self.answered_at.get(job, self.accepted_at.get(job, self.t)), self.calm_at)
-            if job not in self.said and self.t - since > KNOWN_S:
+            since = max(self.last_status_at.get(job, self.accepted_at.get(job, self.t)), self.faults_end_at)
+            if job not in self.reported_ends and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
-    def judged(self) -> None:
+    def run_to_time_limits(self) -> None:
         """Runs on until all time limits have been checked: waiting jobs, and the start of the largest jobs."""
-        self.run(max(self.t, self.calm_at + ROOM_S + 10.0))
+        self.run(max(self.t, self.faults_end_at + ROOM_S + 10.0))
         while late := self.largest_not_started():
-            self.run(min(self.first_asked[job] for job in late) + BEGIN_S + 0.5)
-            if self.late_largest():
-                raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
-        if self.late_largest():
-            raise Broken(f"late: {self.late_largest()} not begun within {BEGIN_S:.0f} s")
-        self.remembered()
+            self.run(min(self.first_submitted_at[job] for job in late) + BEGIN_S + 0.5)
+            if self.largest_started_late():
+                raise Broken(f"late: {self.largest_started_late()} not begun within {BEGIN_S:.0f} s")
+        if self.largest_started_late():
+            raise Broken(f"late: {self.largest_started_late()} not begun within {BEGIN_S:.0f} s")
+        self.check_final_status_age()
 
-    def left(self, task_id: str, machine: str) -> None:
-        if self.on.get(task_id) == machine:
-            del self.on[task_id]
+    def on_task_stopped(self, task_id: str, machine: str) -> None:
+        if self.running_on.get(task_id) == machine:
+            del self.running_on[task_id]
 
-    def watch(self) -> None:
+    def check_invariants(self) -> None:
         for worker in self.machines.values():
             if worker is not None:
                 worker.tick()
-                if worker.recall_at is not None and self.t >= worker.recall_at:
-                    self.remove([worker.name])
-        for task_id, machine in self.on.items():
+                if worker.preempted_at is not None and self.t >= worker.preempted_at:
+                    self.terminate([worker.name])
+        for task_id, machine in self.running_on.items():
             if self.t > self.cancelled_at.get(wire.split_task_id(task_id)[0], math.inf) + CANCEL_S:
                 raise Broken(f"ran_cancelled: {task_id} on {machine}")
-        for sim in self.nodes.values():
+        for sim in self.controllers.values():
             if sim.core is not None:
                 self.check_bookkeeping(sim.core)
-                self.served(sim.core)
+                self.check_owned_jobs_served(sim.core)
         if self.has_concurrent_faults and self.t >= self.liveness_checked_at + 1.0:
             self.liveness_checked_at = self.t
             self.check_placeable_jobs()
             self.check_jobs_answered()
-        self.after(0.25, self.watch)
+        self.after(0.25, self.check_invariants)
 
-    def served(self, core: ControllerCore) -> None:
+    def check_owned_jobs_served(self, core: ControllerCore) -> None:
         """Checks that a controller that may act serves all active jobs that it owns by the store."""
         if not core.may_act():
             return
-        for name, (record, _) in core.replica.active.items():
+        for name, (record, _) in core.replica.active_jobs.items():
             if (
                 record.state is JobState.ACTIVE
                 and name not in core.job_shard.jobs
@@ -194,28 +200,28 @@
             ):
                 raise Broken(f"unserved: {name} by {core.me}, its owner, at {self.t:.2f}")
 
-    def remembered(self) -> None:
+    def check_final_status_age(self) -> None:
         """Checks at the end of a run that each open job got a status within ``KNOWN_S``."""
         for job in sorted(self.accepted):
-            since = self.answered_at.get(job, self.first_asked.get(job, 0.0))
-            if job not in self.said and self.t - since > KNOWN_S:
+            since = self.last_status_at.get(job, self.first_submitted_at.get(job, 0.0))
+            if job not in self.reported_ends and self.t - since > KNOWN_S:
                 raise Broken(f"unanswered: {job} since {since:.1f}")
 
-    def late_largest(self) -> list[str]:
+    def largest_started_late(self) -> list[str]:
         """The largest tenth of the jobs of each class, by CPUs, that did not start within ``BEGIN_S``."""
         return [
             job
             for job in self.largest_jobs()
-            if min(self.began.get(job, math.inf), self.t) > self.first_asked[job] + BEGIN_S
+            if min(self.first_started_at.get(job, math.inf), self.t) > self.first_submitted_at[job] + BEGIN_S
         ]
 
     def largest_not_started(self) -> list[str]:
-        return [job for job in self.largest_jobs() if job not in self.began]
+        return [job for job in self.largest_jobs() if job not in self.first_started_at]
 
     def largest_jobs(self) -> list[str]:
         classes: dict[str, list[wire.JobSpec]] = {}
         for job in self.accepted:
-            if job not in self.cancelled_at and not self.specs[job].needs:
+            if job not in self.cancelled_at and not self.specs[job].dependencies:
                 classes.setdefault(self.specs[job].job_class, []).append(self.specs[job])
         result = []
         for specs in classes.values():
@@ -233,7 +239,7 @@
             if any(abs(a - b) > 1e-6 for a, b in zip(cached.get(team, (0, 0)), used.get(team, (0, 0)), strict=True)):
                 raise Broken(f"books: {team} uses {used.get(team)}, cached was {cached.get(team)}")
         for name, job in job_shard.jobs.items():
-            counted = job.done.count + len(job.runs) + len(job.unknown) + job.waiting
+            counted = job.done.count + len(job.runs) + len(job.inherited_tasks) + job.waiting
             if job.state is JobState.ACTIVE and counted != job.spec.tasks:
                 raise Broken(f"books: {name} accounts for {counted} of {job.spec.tasks} tasks")
             if any(name not in jobs_by_machine.get(machine, ()) for machine in job.tasks_by_machine):
@@ -254,11 +260,11 @@
                 else max(machine.last_heartbeat_at, machine.lease.exclusive_since or math.inf)
             )
             if machine.lease.exclusive_since is not None and machine.state is not MachineState.EXPIRED:
-                if last_contact_at < machine_shard.leases.oldest_start:
+                if last_contact_at < machine_shard.leases.oldest_lease_start:
                     raise Broken(f"books: {machine.name} was silent since {last_contact_at}, no expiry check is due")
         for machine in machine_shard.machines.values():
             cached, machine.free = machine.free, None
-            free = machine_shard.capacity.free(machine)
+            free = machine_shard.capacity.free_resources(machine)
             # The recount is not cached where a job of the machine is unknown: then nothing is compared.
             is_known, machine.free = machine.free is not None, cached
             if cached is not None and is_known and any(abs(a - b) > 1e-6 for a, b in zip(cached, free, strict=True)):
@@ -269,10 +275,10 @@
         leader = msgspec.json.decode(self.store.data[VIEW][0], type=View).leader
         if leader != (self.leaders[-1] if self.leaders else ""):
             self.leaders.append(leader)
-        kept, self.kept = self.kept, []
+        kept, self.kept_heartbeats = self.kept_heartbeats, []
         for heartbeat in kept:
             delay = self.rng.choice([0.005, 0.3, 2.0, 8.0]) * self.rng.random()
-            for sim in self.nodes.values():
+            for sim in self.controllers.values():
                 self.after(delay + 0.01 * self.rng.random(), sim.heartbeat, heartbeat, lambda status, body: None)
 
     def on_task_done(self, task_id: str) -> None:
@@ -281,8 +287,8 @@
             self.t < self.cancel_at_end_until
             and self.rng.random() < self.cancel_at_end_share
             and job in self.accepted
-            and job not in self.said
+            and job not in self.reported_ends
             and job not in self.cancelled_at
             and all(f"{job}/{i}" in self.completed for i in range(self.specs[job].tasks))
         ):
-            self.after(self.rng.choice([0.0, 0.5, 4.0]) * self.rng.random(), self.withdraw, job)
+            self.after(self.rng.choice([0.0, 0.5, 4.0]) * self.rng.random(), self.cancel, job)
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -123,7 +123,7 @@
             spot=True,
         )
 
-    def make_unbound_pair(self, number: int) -> wire.JobSpec:
+    def make_unlimited_pair(self, number: int) -> wire.JobSpec:
         """Two long tasks without a team limit that any machine can run."""
         return msgspec.structs.replace(
             self.make_job(number),
@@ -141,7 +141,7 @@
     def submit_pipeline(self, number: int) -> None:
         """Submits each step once its dependencies are accepted; some pipelines depend on an earlier job."""
         rng = self.rng
-        if any(sim.old for sim in self.nodes.values()):
+        if any(sim.old for sim in self.controllers.values()):
             self.after(1.0, self.submit_pipeline, number)
             return
 
@@ -156,7 +156,7 @@
                 zone=None,
                 one_zone=False,
                 spread=False,
-                needs=needs or None,
+                dependencies=needs or None,
                 **more,
             )
             self.specs[spec.id] = spec
@@ -170,7 +170,7 @@
         step(6, [*middle, other], job_class="last", priority="high", due_s=40.0)
         if rng.random() < 0.4:
             victim = rng.choice([first, *middle, other])
-            self.after(rng.uniform(3.0, 25.0), self.withdraw, victim)
+            self.after(rng.uniform(3.0, 25.0), self.cancel, victim)
 
     def submit_when_accepted(self, needs: list[str], spec: wire.JobSpec) -> None:
         if all(need in self.accepted for need in needs):
@@ -182,7 +182,7 @@
         """All jobs that ``job`` depends on, directly or transitively."""
         result, pending = set(), [job]
         while pending:
-            for need in self.specs[pending.pop()].needs or ():
+            for need in self.specs[pending.pop()].dependencies or ():
                 if need not in result:
                     result.add(need)
                     pending.append(need)
@@ -190,13 +190,13 @@
 
     def submit(self, spec: wire.JobSpec) -> None:
         self.specs[spec.id] = spec
-        self.first_asked.setdefault(spec.id, self.t)
-        sim = self.nodes[self.rng.choice(self.labels)]
+        self.first_submitted_at.setdefault(spec.id, self.t)
+        sim = self.controllers[self.rng.choice(self.labels)]
         core = sim.core
         if spec.id in self.accepted:
             self.after(self.rng.uniform(1.0, 5.0), self.poll, spec.id)
             if spec.service or self.rng.random() < 0.15:
-                self.after(self.rng.uniform(5.0, 60.0), self.withdraw, spec.id)
+                self.after(self.rng.uniform(5.0, 60.0), self.cancel, spec.id)
             return
         if (
             core is not None
@@ -204,27 +204,27 @@
             and core.membership.may_act(self.t)
             and core.state.loaded
         ):
-            ready = not spec.needs or (
+            ready = not spec.dependencies or (
                 core.membership.all_support(constants.VERSION_WITH_DEPENDENCIES)
-                and all(map(core.directory.knows_job, spec.needs))
+                and all(map(core.directory.knows_job, spec.dependencies))
             )
             if ready and not core.directory.knows_job(spec.id):
                 core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
-            elif core.directory.knows_job(spec.id) and self.question(sim, spec.id) is not None:
+            elif core.directory.knows_job(spec.id) and self.status_at_once(sim, spec.id) is not None:
                 self.accept(spec.id)  # an earlier attempt was applied: 200
         self.after(1.5, self.submit, spec)
 
     def accept(self, job: str) -> None:
-        if job in self.flawed:
+        if job in self.invalid_jobs:
             raise Broken(f"took_flawed: {job}")
         self.accepted.add(job)
         if job not in self.accepted_at:
             self.accepted_at[job] = self.t
             self.query_concurrently(job)
 
-    def answer(self, job: str, state: str, asked: float | None = None) -> None:
+    def check_state(self, job: str, state: str, asked: float | None = None) -> None:
         """Checks a reported state; ``asked``: when it was requested, if another response may have arrived since."""
-        before, ends = self.said.get(job), state in ("done", "aborted")
+        before, ends = self.reported_ends.get(job), state in ("done", "aborted")
         if before is not None and state != before:
             if asked is None or ends or asked >= self.end_reported_at[job]:
                 raise Broken(f"went_back: {job} {before} -> {state}")
@@ -236,13 +236,13 @@
             missing = [i for i in range(self.specs[job].tasks) if f"{job}/{i}" not in self.completed]
             if missing:
                 raise Broken(f"not_done: {job} lacks {missing}")
-            self.said[job] = state
+            self.reported_ends[job] = state
         elif state == "aborted":
             if job not in self.cancelled_at and not any(
                 one in self.cancelled_at for one in self.transitive_dependencies(job)
             ):
                 raise Broken(f"went_back: {job} was never cancelled")
-            self.said[job] = state
+            self.reported_ends[job] = state
             if job in self.cancelled_at:  # the first response counts, also one to a status request
                 self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
         elif any(
@@ -253,14 +253,14 @@
 
     def poll(self, job: str) -> None:
         """Requests the status of a job at intervals, from each controller in turn."""
-        sim = self.nodes[self.labels[next(self.turn) % len(self.labels)]]
+        sim = self.controllers[self.labels[next(self.poll_numbers) % len(self.labels)]]
         if self.has_concurrent_faults:
             self.request_status(sim, job)
         else:
-            state = self.question(sim, job)
+            state = self.status_at_once(sim, job)
             if state is not None:
-                self.answered_at[job] = self.t
-                self.answer(job, state)
+                self.last_status_at[job] = self.t
+                self.check_state(job, state)
         self.after(self.rng.uniform(1.0, 6.0), self.poll, job)
 
     def request_status(self, sim: SimController, job: str) -> None:
@@ -273,8 +273,8 @@
             if self.accepted_at.get(job, math.inf) <= asked:
                 raise Broken(f"forgotten: {job} at {self.t:.2f}, accepted at {self.accepted_at[job]:.2f}")
         elif state is not None:
-            self.answered_at[job] = self.t
-            self.answer(job, state, asked)
+            self.last_status_at[job] = self.t
+            self.check_state(job, state, asked)
 
     def resubmit(self, sim: SimController, job: str, flaw: dict | None = None) -> None:
         """Submits a job again, with ``flaw`` as changed fields of the body."""
@@ -284,39 +284,39 @@
 
     def query_concurrently(self, job: str) -> None:
         """Sends status requests, repeated submissions and cancellations to all controllers within milliseconds."""
-        if self.t >= self.looks_until:
+        if self.t >= self.concurrent_reads_until:
             return
         rng = self.rng
-        withdraws_often = rng.random() < (0.5 if job in self.said else 0.1)
+        withdraws_often = rng.random() < (0.5 if job in self.reported_ends else 0.1)
         for label in self.labels:
             for _ in range(rng.randint(1, 3)):
                 self.after(
                     rng.uniform(0.0001, rng.choice([0.004, 0.04, 0.4])),
                     self.send_concurrent_request,
-                    self.nodes[label],
+                    self.controllers[label],
                     job,
                     rng.choice(["ask", "ask", "repeat", "other body", "withdraw" if withdraws_often else "ask"]),
                 )
 
     def send_concurrent_request(self, sim: SimController, job: str, kind: str) -> None:
-        self.looks += 1
+        self.concurrent_request_count += 1
         if kind == "ask":
             self.request_status(sim, job)
         elif kind == "withdraw":
-            self.withdraw_through(sim, job, again=False)
+            self.cancel_through(sim, job, again=False)
         else:
             self.resubmit(sim, job, {"owner": "nobody"} if kind == "other body" else None)
 
-    def odd_request(self) -> None:
+    def send_unusual_request(self) -> None:
         """Sends a repeated submission, a cancellation of an ended job, or an invalid job."""
         rng = self.rng
-        sim = self.nodes[rng.choice(self.labels)]
+        sim = self.controllers[rng.choice(self.labels)]
         kind = rng.choice(["repeat", "withdraw", "flawed", "flawed"])
-        ended_jobs, open_jobs = sorted(self.said), sorted(self.accepted - self.said.keys())
+        ended_jobs, open_jobs = sorted(self.reported_ends), sorted(self.accepted - self.reported_ends.keys())
         if kind == "repeat" and open_jobs:
             self.resubmit(sim, rng.choice(open_jobs))
         elif kind == "withdraw" and ended_jobs:
-            self.withdraw_through(sim, rng.choice(ended_jobs), again=False)
+            self.cancel_through(sim, rng.choice(ended_jobs), again=False)
         elif kind == "flawed" and sim.core is not None:
             body = submission_of(self.make_job(next(self.job_numbers)))
             field, value = rng.choice(INVALID_FIELDS)
@@ -324,21 +324,21 @@
                 del body[field]
             else:
                 body |= {field: value} if field else value
-            self.flawed.add(body.get("id", ""))
+            self.invalid_jobs.add(body.get("id", ""))
             sim.submit_body(json.dumps(body).encode(), lambda state: self.check_rejected(body, state))
 
     def check_rejected(self, body: dict, state: str | None) -> None:
         if state not in (None, NOT_FOUND):
             raise Broken(f"took_flawed: {body} is {state}")
 
-    def question(self, sim: SimController, job: str) -> str | None:
+    def status_at_once(self, sim: SimController, job: str) -> str | None:
         """As ``StatusHandler.status``: from memory, the job owner or the store; None: 503 or controller down."""
         if sim.core is None:
             return None
         state = sim.core.local_jobs.local_job_state(job, self.t)
         if state is not None:
             return state[0]
-        owner = self.nodes.get(sim.core.directory.job_owner(job))
+        owner = self.controllers.get(sim.core.directory.job_owner(job))
         if (
             owner is not None
             and owner is not sim
@@ -356,36 +356,36 @@
         if row is None:
             raise Broken(f"forgotten: {job}")
         record = msgspec.json.decode(row[0], type=Record)
-        waits = record.spec is not None and (record.spec.needs or record.dependency_digest)
+        waits = record.spec is not None and (record.spec.dependencies or record.dependency_digest)
         if record.state is not JobState.ACTIVE:
             return record.state.value
         return None if waits and not sim.core.local_jobs.is_certainly_pending(job, self.t) else "pending"
 
-    def withdraw(self, job: str) -> None:
-        if job in self.said:
+    def cancel(self, job: str) -> None:
+        if job in self.reported_ends:
             return
         if self.has_concurrent_faults:
-            self.withdraw_through(self.nodes[self.rng.choice(self.labels)], job)
+            self.cancel_through(self.controllers[self.rng.choice(self.labels)], job)
             return
         for label in self.labels:
-            core = self.nodes[label].core
+            core = self.controllers[label].core
             if core is not None and core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, math.inf)
                 state = core.local_jobs.cancel(job, self.t)
                 if state:
-                    self.answer(job, state)
+                    self.check_state(job, state)
                     if state == "aborted":
                         self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
                         return
-        self.after(1.0, self.withdraw, job)
+        self.after(1.0, self.cancel, job)
 
-    def withdraw_through(self, sim: SimController, job: str, again: bool = True) -> None:
+    def cancel_through(self, sim: SimController, job: str, again: bool = True) -> None:
         """As ``CancellationHandler.cancel``: by this controller or a message to the job owner; retried if ``again``."""
         core, asked = sim.core, self.t
-        if job not in self.said:
+        if job not in self.reported_ends:
             self.cancelled_at.setdefault(job, math.inf)
         if again:
-            self.after(self.rng.uniform(4.0, 7.0), self.withdraw, job)
+            self.after(self.rng.uniform(4.0, 7.0), self.cancel, job)
         if core is None or not core.state.loaded:
             return
         owner, on_cancelled = core.directory.job_owner(job), self.on_cancelled
@@ -396,7 +396,7 @@
             self.pending_queries[query_id] = (
                 sim.label,
                 sim.life,
-                self.t + constants.SUBMIT_WAIT_S,
+                self.t + constants.SUBMIT_TIMEOUT_S,
                 lambda state: state and on_cancelled(job, state),
             )
             core.messenger.send_unreliable(owner, messages.JobQuery(query_id, "withdraw", job))
@@ -405,19 +405,19 @@
             sim.answer_from_store(job, lambda state: state == NOT_FOUND and self.on_status(job, state, asked))
 
     def on_cancelled(self, job: str, state: str) -> None:
-        self.answer(job, state)
+        self.check_state(job, state)
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
         """Cancels running jobs within 0.2 s; with ``hang_s``, up to eight of their machines hang for that time."""
         rng = self.rng
-        running = sorted({wire.split_task_id(part)[0] for part in self.on})
-        running = [job for job in running if job not in self.said and job not in self.cancelled_at]
+        running = sorted({wire.split_task_id(part)[0] for part in self.running_on})
+        running = [job for job in running if job not in self.reported_ends and job not in self.cancelled_at]
         jobs = rng.sample(running, min(count, len(running)))
-        machines = sorted({name for part, name in self.on.items() if wire.split_task_id(part)[0] in jobs})
+        machines = sorted({name for part, name in self.running_on.items() if wire.split_task_id(part)[0] in jobs})
         for name in rng.sample(machines, min(8, len(machines))) if hang_s else ():
             self.machines[name].hangs_until = self.t + hang_s
         for job in jobs:
-            self.after(rng.uniform(0.0, 0.2), self.withdraw, job)
+            self.after(rng.uniform(0.0, 0.2), self.cancel, job)
 
     def exceed_team_quota(self, length: float) -> None:
         """Submits more long tasks of the limited team than its limit allows, and cancels some of them."""
@@ -434,7 +434,7 @@
             )
             self.after(rng.uniform(0.0, 3.0), self.submit, spec)
             if rng.random() < 0.5:
-                self.after(rng.uniform(15.0, length), self.withdraw_accepted, spec.id)
+                self.after(rng.uniform(15.0, length), self.cancel_when_accepted, spec.id)
 
     def submit_stream_job(self) -> None:
         spec = msgspec.structs.replace(
@@ -453,15 +453,15 @@
         )
         self.submit(spec)
         if self.rng.random() < STREAM_CANCELLED_SHARE:
-            self.after(self.rng.uniform(0.0, 8.0), self.withdraw_accepted, spec.id)
+            self.after(self.rng.uniform(0.0, 8.0), self.cancel_when_accepted, spec.id)
 
-    def withdraw_accepted(self, job: str) -> None:
+    def cancel_when_accepted(self, job: str) -> None:
         if job in self.accepted:
-            self.withdraw(job)
+            self.cancel(job)
         else:
-            self.after(1.0, self.withdraw_accepted, job)
+            self.after(1.0, self.cancel_when_accepted, job)
 
     def cancel_any(self) -> None:
-        jobs = sorted(job for job in self.accepted if job not in self.said and job not in self.cancelled_at)
+        jobs = sorted(job for job in self.accepted if job not in self.reported_ends and job not in self.cancelled_at)
         if jobs:
-            self.withdraw(self.rng.choice(jobs))
+            self.cancel(self.rng.choice(jobs))
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -26,7 +26,7 @@
 class World(Users, Faults, Cloud, Invariants):
     """A whole simulated deployment; ``t`` is the simulated time in s since the start."""
 
-    process = SimController
+    controller_class = SimController
 
     def __init__(
         self,
@@ -64,50 +64,51 @@
         self.slow, self.has_concurrent_faults = slow, concurrent_faults > 0
         self.duplicate_share, self.duplicates_until = 0.0, 0.0  # share of heartbeats that are delivered again later
         self.reload_on_failure = False  # a failed watch makes a controller read the whole store again
-        self.calm_at = 0.0  # when the last of the concurrent faults ends
-        self.kept_share, self.kept_until = 0.0, 0.0  # share of heartbeats resent at the next view
-        self.kept: list[bytes] = []
+        self.faults_end_at = 0.0  # when the last of the concurrent faults ends
+        self.heartbeat_copy_share, self.heartbeat_copies_until = 0.0, 0.0  # share of heartbeats resent at the next view
+        self.kept_heartbeats: list[bytes] = []
         self.leaders: list[str] = []  # in order of their views
-        self.quick_until = 0.0  # until then machines boot within 2 s, before the rental response
-        self.zone_away = ("", "", 0.0)  # partitioned zone, the controller in it, end of the partition
-        self.looks_until = 0.0  # until then users query all controllers within milliseconds
+        self.quick_boots_until = 0.0  # until then machines boot within 2 s, before the rental response
+        self.partitioned_zone = ("", "", 0.0)  # partitioned zone, the controller in it, end of the partition
+        self.concurrent_reads_until = 0.0  # until then users query all controllers within milliseconds
         self.cancel_at_end_share, self.cancel_at_end_until = 0.0, 0.0  # share of jobs cancelled as their last task ends
-        self.flawed: set[str] = set()  # jobs submitted with an invalid body
+        self.invalid_jobs: set[str] = set()  # jobs submitted with an invalid body
         self.accepted_at: dict[str, float] = {}  # when the acceptance was first acknowledged to the user
         self.end_reported_at: dict[str, float] = {}  # when the end of the job was first reported to the user
         self.liveness_checked_at = 0.0
-        self.waits: dict[str, float] = {}  # job -> since when it waits although free capacity suits it
-        self.longest_wait = 0.0
-        self.starts_after: list[tuple[str, float]] = []  # task started after a confirmed cancellation, delay in s
-        self.looks = 0  # requests sent by ``send_concurrent_request``
+        self.placeable_since: dict[str, float] = {}  # job -> since when it waits although free capacity suits it
+        self.longest_placeable_wait_s = 0.0
+        # task started after a confirmed cancellation, delay in s
+        self.starts_after_cancellation: list[tuple[str, float]] = []
+        self.concurrent_request_count = 0  # requests sent by ``send_concurrent_request``
         self.job_numbers = itertools.count(1000)  # of the jobs that faults submit
         self.query_ids, self.pending_queries = itertools.count(1), {}  # query to a job owner -> who gets the reply
         self.upgrade, self.coming, self.max_machines, self.rush = upgrade, coming, machines, rush
         self.t = 0.0
-        self.late_share = 0.001  # share of messages between controllers that are delayed by up to 5 s
+        self.delayed_frame_share = 0.001  # share of messages between controllers that are delayed by up to 5 s
         self.events: list = []
         self.event_numbers = itertools.count()
         self.store = SimStore(self)
-        self.store.on_view_change, self.store.ended = self.on_view_change, self.query_concurrently
+        self.store.on_view_change, self.store.on_job_ended = self.on_view_change, self.query_concurrently
         self.machines: dict[str, SimWorker | None] = {}
-        self.kinds: dict[str, tuple] = {}
+        self.rented_kinds: dict[str, tuple] = {}
         self.delayed_listings: deque = deque()
         self.specs: dict[str, wire.JobSpec] = {}
-        self.on: dict[str, str] = {}  # task -> machine that runs it
+        self.running_on: dict[str, str] = {}  # task -> machine that runs it
         self.accepted: set[str] = set()
-        self.first_asked: dict[str, float] = {}  # job -> when its user first submitted it
-        self.began: dict[str, float] = {}  # job -> when its first task started
-        self.answered_at: dict[str, float] = {}  # job -> when its user last got a status
-        self.turn = itertools.count()  # round robin over the controllers
+        self.first_submitted_at: dict[str, float] = {}  # job -> when its user first submitted it
+        self.first_started_at: dict[str, float] = {}  # job -> when its first task started
+        self.last_status_at: dict[str, float] = {}  # job -> when its user last got a status
+        self.poll_numbers = itertools.count()  # round robin over the controllers
         self.completed: set[str] = set()
-        self.starts = 0
-        self.halted_needed: list[str] = []  # tasks halted although their jobs were not cancelled
-        self.said: dict[str, str] = {}  # job -> final state reported to its user
+        self.task_starts = 0
+        self.wrongly_halted: list[str] = []  # tasks halted although their jobs were not cancelled
+        self.reported_ends: dict[str, str] = {}  # job -> final state reported to its user
         self.cancelled_at: dict[str, float] = {}
         self.labels = LABELS[:nodes]
-        self.nodes: dict[str, SimController] = {}
+        self.controllers: dict[str, SimController] = {}
         for label in self.labels:
-            self.nodes[label] = self.process(self, label)
+            self.controllers[label] = self.controller_class(self, label)
         for number in range(jobs):
             make = (
                 self.make_large_job
@@ -139,7 +140,7 @@
             self.after(self.rng.uniform(30.0, 60.0) + 60.0 * number, self.fail_everything)
         for number in range(concurrent_faults):
             self.schedule_concurrent_faults(self.rng.uniform(25.0, 60.0) + 45.0 * number)
-        self.after(1.0, self.watch)
+        self.after(1.0, self.check_invariants)
 
     def after(self, delay: float, callback, *args) -> None:
         heapq.heappush(self.events, (self.t + delay, next(self.event_numbers), callback, args))
@@ -149,12 +150,12 @@
             self.t, _, callback, args = heapq.heappop(self.events)
             callback(*args)
 
-    def files(self, label: str) -> dict:
+    def operator_files(self, label: str) -> dict:
         """The declarations in the operator files of this controller when it starts, by kind."""
         return {}
 
     def upgrade_controller(self, label: str) -> None:
-        sim = self.nodes[label]
+        sim = self.controllers[label]
         sim.old = False
         sim.crash()
         self.after(self.rng.uniform(1.0, 6.0), self.restart, sim)
@@ -162,5 +163,5 @@
     def lower_store_limits(self) -> None:
         self.store.max_changes, self.store.value_bytes = (4, 700) if self.coming else (1, 450)
 
-    def prepare(self, core: ControllerCore) -> None:
+    def on_core_created(self, core: ControllerCore) -> None:
         """Hook for subclasses: called with each new controller core before its first event."""
--- a/tests/test_calendars_simulated.py
+++ b/tests/test_calendars_simulated.py
@@ -16,7 +16,7 @@
 from alderbridge.protocol.messages import TaskRequest
 
 START_TIME = 20752 * DAY - 180.0  # time of day at the start, three minutes before midnight UTC
-SKEW_S, CONFIGURATION_KEY, TTL_S = 2.0, "ab/hours", constants.TOTAL_LEASE_S - simulation.LEASE_S
+SKEW_S, CONFIGURATION_KEY, TTL_S = 2.0, "ab/hours", constants.COMBINED_LEASE_S - simulation.LEASE_S
 STOP_DELAY_S = 5.0  # s; a heartbeat interval and the delivery of the command
 
 
@@ -32,12 +32,12 @@
             self.after(delay_s, self.declare, self.random_configuration())
         self.after(210.0, self.declare, CalendarConfiguration())
         clock_offset_s = rng.choice([-SKEW_S, SKEW_S, None])  # all at one limit of the skew, or each anywhere within it
-        for sim in self.nodes.values():
+        for sim in self.controllers.values():
             sim.ahead_s = START_TIME + (rng.uniform(-SKEW_S, SKEW_S) if clock_offset_s is None else clock_offset_s)
         for number in range(6):
             self.after(rng.uniform(40.0, 200.0), self.submit, self.make_job(60 + number))
         if not self.is_fault_free:
-            self.late_share = 0.03
+            self.delayed_frame_share = 0.03
             for minute in range(1, 4):  # requests and grants sent before closing arrive after it
                 self.after(60.0 * minute - rng.uniform(4.0, 12.0), self.partition_controller, rng.uniform(6.0, 20.0))
         for _ in range(rng.randint(2, 5) if crashes else 0):
@@ -80,12 +80,12 @@
         self.stored_at.append(self.t)
         self.store.commit({}, {CONFIGURATION_KEY: len(self.configurations) - 1})
 
-    def followed(self, sim, rows) -> None:
+    def on_store_read(self, sim, rows) -> None:
         for row in rows:
             if CONFIGURATION_KEY in (getattr(row, "key", None), getattr(row, "put", None)):
                 number, life = msgspec.json.decode(row.data), sim.life
                 sim.core.calendars.apply(self.configurations[number - 1 : number + 1])
-                self.after(TTL_S + constants.PROOF_MARGIN_S, self.enforce, sim, life, number)
+                self.after(TTL_S + constants.LEASE_EXPIRY_MARGIN_S, self.enforce, sim, life, number)
 
     def enforce(self, sim, life: int, number: int) -> None:
         is_running = sim.core is not None and sim.life == life and sim.core.calendars.gate is not None
@@ -93,10 +93,10 @@
             sim.core.calendars.apply([self.configurations[number]])
 
     def partition_controller(self, duration_s: float) -> None:
-        self.rng.choice(list(self.nodes.values())).cut_mesh_until = self.t + duration_s
+        self.rng.choice(list(self.controllers.values())).cut_mesh_until = self.t + duration_s
 
     def crash_some_controllers(self) -> None:
-        sims = list(self.nodes.values())
+        sims = list(self.controllers.values())
         for sim in self.rng.choice([sims, self.rng.sample(sims, 1), self.rng.sample(sims, 2)]):
             sim.crash()
             self.after(
@@ -111,7 +111,9 @@
         return [
             configuration
             for configuration, since, until in zip(self.configurations, self.stored_at, replaced_at, strict=True)
-            if since + TTL_S + constants.ORDER_DELIVERY_S <= self.t < until + TTL_S + constants.PROOF_MARGIN_S
+            if since + TTL_S + constants.MAX_ORDER_DELIVERY_S
+            <= self.t
+            < until + TTL_S + constants.LEASE_EXPIRY_MARGIN_S
         ]
 
     def closing_time(
@@ -124,7 +126,7 @@
         begin, end = next(timetable.hours[rule.calendar].periods(wall), (NEVER, 0.0))
         return rule, end if begin <= wall else 0.0
 
-    def ordered(self, task: str) -> None:
+    def on_run_order(self, task: str) -> None:
         spec = self.specs[wire.split_task_id(task)[0]]
         for configuration in self.in_force():
             rule, until = self.closing_time(configuration, spec)
@@ -132,9 +134,9 @@
             if START_TIME + self.t + run_s >= until:
                 raise simulation.Broken(f"closed: {task} started at {self.t:.2f}")
 
-    def watch(self) -> None:
-        super().watch()
-        for task in self.on if self.is_fault_free else ():
+    def check_invariants(self) -> None:
+        super().check_invariants()
+        for task in self.running_on if self.is_fault_free else ():
             spec, configuration = self.specs[wire.split_task_id(task)[0]], self.configurations[-1]
             rule, until = self.closing_time(configuration, spec, STOP_DELAY_S)
             since = self.closing_time(configuration, spec)[1]
@@ -168,7 +170,7 @@
 
 
 def unfinished_jobs(world) -> list[str]:
-    return [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    return [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("seed", range(9000, 9006))
@@ -179,7 +181,7 @@
 
 @pytest.mark.parametrize("seed", range(9100, 9105))
 def test_no_task_starts_in_closed_hours_under_random_faults(seed):
-    assert play(seed, 260.0, nodes=3 + 2 * (seed % 2), pipelines=2, groups=seed % 2 == 0).starts > 0
+    assert play(seed, 260.0, nodes=3 + 2 * (seed % 2), pipelines=2, groups=seed % 2 == 0).task_starts > 0
 
 
 def test_task_granted_but_not_sent_at_closing_is_released():
@@ -195,24 +197,24 @@
         world.run(100.0 + 0.001 * step)
         pending = [
             (sim, machine)
-            for sim in world.nodes.values()
+            for sim in world.controllers.values()
             for machine in sim.core.machine_shard.machines.values()
             if (spec.id, 0) in machine.orders.pending
         ]
         if pending:
             break
     (sim, machine), task = pending[0], f"{spec.id}/0"
-    for other in world.nodes.values():
+    for other in world.controllers.values():
         other.core.calendars.apply([always_closed])
     assert not [order for order in sim.core.machine_shard.order_builder.orders(machine) if order["verb"] == "run"]
     world.run(world.t + 8.0)
-    owner = next(other.core.job_shard for other in world.nodes.values() if spec.id in other.core.job_shard.jobs)
+    owner = next(other.core.job_shard for other in world.controllers.values() if spec.id in other.core.job_shard.jobs)
     owner.grants.on_task_request(
         sim.label, TaskRequest(0, spec.id, machine.name, machine.zone, 1), world.t, True
     )  # for an older offer
     assert not owner.jobs[spec.id].runs
-    assert task not in world.on and owner.jobs[spec.id].waiting == 1 and not machine.orders.pending
-    for other in world.nodes.values():
+    assert task not in world.running_on and owner.jobs[spec.id].waiting == 1 and not machine.orders.pending
+    for other in world.controllers.values():
         assert (other.core.local_jobs.local_job_state(spec.id, world.t) or ("pending",))[0] == "pending"
         other.core.calendars.apply([])
     world.run(world.t + 200.0)  # the team is at its quota limit, so this takes time
--- a/tests/test_capacity_under_faults.py
+++ b/tests/test_capacity_under_faults.py
@@ -24,7 +24,7 @@
 from alderbridge.protocol.keys import VIEW
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
-from alderbridge.scheduling.resources import Resources, fits, minus
+from alderbridge.scheduling.resources import Resources, remaining_after, tasks_that_fit
 from alderbridge.settings import NextStateLimits
 
 FREE_WINDOW_S = 8  # s; longer than two heartbeats and the responses to them
@@ -54,7 +54,7 @@
         free = (kind.cpus, kind.memory_gb, kind.gpus)
         for task_id, task in worker.tasks.items():
             if task.status != "ended":
-                free = minus(free, self.world.specs[wire.split_task_id(task_id)[0]], 1)
+                free = remaining_after(free, self.world.specs[wire.split_task_id(task_id)[0]], 1)
         return free
 
     def check(self) -> None:
@@ -71,16 +71,16 @@
                     team = world.specs[job].team
                     used[team] = used.get(team, 0.0) + world.specs[job].cpus
             if (
-                now >= max(worker.hangs_until, worker.cut_until, worker.deaf_until)
-                and not worker.faulty
-                and worker.recall_at is None
+                now >= max(worker.hangs_until, worker.cut_until, worker.inbound_blocked_until)
+                and not worker.fails_tasks
+                and worker.preempted_at is None
             ):
                 available.append((worker.kind, free))
         limits = {team.name: team.cpus_max for team in TEAMS if team.cpus_max}
         waiting_now = set()
         for job in world.accepted:
             spec = world.specs[job]
-            if job in world.said or job in world.cancelled_at:
+            if job in world.reported_ends or job in world.cancelled_at:
                 continue
             live = live_tasks.get(job, [])
             live_ids = {task_id for task_id, _ in live}
@@ -91,7 +91,7 @@
             zones = [zone for _, zone in live]
             for kind, free_capacity in available:
                 if (
-                    fits(spec, free_capacity)
+                    tasks_that_fit(spec, free_capacity)
                     and placement.allowed(spec, kind.type, kind.zone, kind.spot)
                     and not (spec.one_zone and zones and kind.zone not in zones)
                     and not (spec.spread and zones.count(kind.zone) >= math.ceil(spec.tasks / 2))
@@ -119,7 +119,7 @@
         def answered(answer) -> None:
             if isinstance(answer, wire.TransactionResult) and answer.revision < 0:  # 429, as in ``RecordWriter``
                 budget = self.core.write_rate_limit.budget
-                budget.spend(self.world.t, max(0.0, budget.available(self.world.t)))
+                budget.consume(self.world.t, max(0.0, budget.available(self.world.t)))
                 answer = wire.TransactionResult(0, [VIEW])
             then(answer)
 
@@ -132,10 +132,10 @@
         super().tell_users()
 
 
-class Rooms(World):
+class RateLimitedStoreWorld(World):
     """Simulated users submit, cancel and poll jobs at a store with a write rate limit; all outcomes are recorded."""
 
-    process = UserController
+    controller_class = UserController
 
     def __init__(self, seed, write_rps=60.0, machines=20, **kwargs) -> None:
         self.start_counts: dict[str, int] = {}
@@ -143,7 +143,7 @@
         self.sent_at: dict[str, float] = {}
         self.starts_after_cancel: list[str] = []  # ordered after the confirmed cancellation of their job
         self.open_submissions: dict[Submission, tuple] = {}
-        self.takes_users = list(LABELS)
+        self.submission_controllers = list(LABELS)
         super().__init__(
             seed,
             jobs=0,
@@ -154,7 +154,7 @@
             **kwargs,
         )
         self.has_concurrent_faults = True  # users cancel through any controller
-        self.calm_at = math.inf  # each test tells its own checker when the faults have ended
+        self.faults_end_at = math.inf  # each test tells its own checker when the faults have ended
         self.store_write_rps, self.write_tokens, self.last_refill_at, self.rejected_commits, self.changes = (
             write_rps,
             write_rps,
@@ -182,29 +182,31 @@
 
     def send(self, spec: wire.JobSpec) -> None:
         self.specs[spec.id] = spec
-        self.first_asked[spec.id] = self.sent_at[spec.id] = self.t
-        self.attempt(spec)
+        self.first_submitted_at[spec.id] = self.sent_at[spec.id] = self.t
+        self.try_submit(spec)
 
-    def attempt(self, spec: wire.JobSpec) -> None:
+    def try_submit(self, spec: wire.JobSpec) -> None:
         if spec.id in self.accepted_at:  # already confirmed to the user, possibly because the store had it before
             return
         healthy = [
-            label for label in self.takes_users if (core := self.nodes[label].core) is not None and core.may_act()
+            label
+            for label in self.submission_controllers
+            if (core := self.controllers[label].core) is not None and core.may_act()
         ]
         if not healthy:
-            self.after(1.0, self.attempt, spec)
+            self.after(1.0, self.try_submit, spec)
             return
-        sim = self.nodes[self.rng.choice(healthy)]
+        sim = self.controllers[self.rng.choice(healthy)]
         if sim.core.directory.knows_job(spec.id):
-            if self.question(sim, spec.id) is not None:
+            if self.status_at_once(sim, spec.id) is not None:
                 self.on_accepted(spec.id)
             else:
-                self.after(2.0, self.attempt, spec)
+                self.after(2.0, self.try_submit, spec)
             return
         submission = sim.core.submissions.submit(spec, self.t, self.t + sim.ahead_s)
         life = (sim, sim.life)
         self.open_submissions[submission] = (spec, life)
-        self.after(constants.SUBMIT_WAIT_S, self.on_submission_timeout, submission)
+        self.after(constants.SUBMIT_TIMEOUT_S, self.on_submission_timeout, submission)
 
     def on_submission_outcome(self, submission: Submission) -> None:
         spec, _ = self.open_submissions.pop(submission, (None, None))
@@ -213,12 +215,12 @@
         if submission.outcome == "accepted":
             self.on_accepted(spec.id)
         else:
-            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
 
     def on_submission_timeout(self, submission: Submission) -> None:
         if submission in self.open_submissions:  # 503, or its controller has ended
             spec, _ = self.open_submissions.pop(submission)
-            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
 
     def on_accepted(self, job: str) -> None:
         if job not in self.accepted_at:
@@ -227,22 +229,22 @@
             self.after(self.rng.uniform(1.0, 5.0), self.poll, job)
 
     def poll(self, job: str) -> None:
-        if job not in self.said:
+        if job not in self.reported_ends:
             super().poll(job)
 
-    def ordered(self, task_id: str) -> None:
+    def on_run_order(self, task_id: str) -> None:
         job = wire.split_task_id(task_id)[0]
         if self.t > self.cancelled_at.get(job, math.inf) + 0.5:  # before that, the order may have been in flight
             self.starts_after_cancel.append(task_id)
 
-    def entered(self, task_id, worker) -> None:
-        super().entered(task_id, worker)
+    def on_task_started(self, task_id, worker) -> None:
+        super().on_task_started(task_id, worker)
         job = wire.split_task_id(task_id)[0]
         self.start_counts[job] = self.start_counts.get(job, 0) + 1
 
     @property
     def leader(self) -> UserController:
-        return self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
+        return self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
 
 
 def array(number, **overrides):
@@ -268,7 +270,7 @@
     return msgspec.structs.replace(spec, **overrides)
 
 
-class OneTaskJobStream(Rooms):
+class OneTaskJobStream(RateLimitedStoreWorld):
     """``rate`` jobs per second, of which users cancel every fourth within seconds, some at once."""
 
     def __init__(self, seed, duration_s=130.0, rate=4.0, start_s=20.0, **kwargs) -> None:
@@ -280,25 +282,25 @@
 
     def on_accepted(self, job):
         if job not in self.accepted_at and int(job[3:]) % 4 == 0:
-            self.after(self.rng.choice([0.0, self.rng.uniform(0.0, 8.0)]), self.withdraw, job)
+            self.after(self.rng.choice([0.0, self.rng.uniform(0.0, 8.0)]), self.cancel, job)
         super().on_accepted(job)
 
     def backlog(self):
-        nodes = [sim.core for sim in self.nodes.values() if sim.core is not None]
+        nodes = [sim.core for sim in self.controllers.values() if sim.core is not None]
         return sum(len(core.submissions.pending) + len(core.job_shard.tally.lagging) for core in nodes)
 
 
 def run_stream(seed, users=None, alone=False, until=0.0, leader_ends=True, **kwargs):
     """``users``: the controllers that take submissions. ``alone``: all other controllers are down from the start."""
     world = OneTaskJobStream(seed, **kwargs)
-    world.takes_users = users or world.takes_users
+    world.submission_controllers = users or world.submission_controllers
     world.run(15.0)
-    for sim in world.nodes.values() if alone else ():
+    for sim in world.controllers.values() if alone else ():
         if sim.label not in users:
             sim.crash()
     if leader_ends:
         world.run(55.0)
-        world.end(world.leader, 6.0)
+        world.crash_and_restart(world.leader, 6.0)
     world.run(70.0)
     checker = FreeCapacityChecker(world, world.t)
     world.run(until or world.last_submission_at + 35.0)
@@ -315,22 +317,25 @@
     assert len(world.accepted) == len(world.sent_at) == 488
     latencies = submission_latencies(world)
     assert latencies[-1] < 10.0 and latencies[int(0.9 * len(latencies))] < 0.3
-    assert {world.said.get(job) for job in world.accepted if int(job[3:]) % 4} == {"done"}
-    ends = [world.said.get(job) for job in world.accepted if int(job[3:]) % 4 == 0]
+    assert {world.reported_ends.get(job) for job in world.accepted if int(job[3:]) % 4} == {"done"}
+    ends = [world.reported_ends.get(job) for job in world.accepted if int(job[3:]) % 4 == 0]
     assert set(ends) <= {"done", "aborted"} and ends.count("aborted") > 80
     assert not world.starts_after_cancel and checker.longest_wait_s < MAX_WAIT_S
     # Only the final status of each job remains: no pending writes, orders, reservations or quota usage.
-    assert world.backlog() == 0 and not world.on
-    for sim in world.nodes.values():
+    assert world.backlog() == 0 and not world.running_on
+    for sim in world.controllers.values():
         core = sim.core
         assert not (
             core.job_shard.jobs
-            or core.replica.active
-            or core.replica.left
+            or core.replica.active_jobs
+            or core.replica.remaining_tasks
             or core.job_shard.jobs_by_machine
             or core.submissions.pending
         )
-        assert not any(core.job_shard.usage.used().values()) and len(core.replica.by_age) <= constants.QUEUE_ROWS // 10
+        assert (
+            not any(core.job_shard.usage.used().values())
+            and len(core.replica.jobs_by_submission) <= constants.MAX_QUEUE_ROWS // 10
+        )
         assert not any(
             machine.orders.stops or machine.orders.pending or machine.reserved
             for machine in core.machine_shard.machines.values()
@@ -343,14 +348,14 @@
     world, _ = run_stream(2, users=["host-2"], alone=alone, write_rps=35.0, duration_s=60.0, leader_ends=False)
     latencies = submission_latencies(world)
     assert len(world.accepted) == 240 and latencies[int(0.9 * len(latencies))] < 2.0 and latencies[-1] < 5.0
-    assert world.backlog() == 0 and not world.nodes["host-2"].core.job_shard.jobs, "all ended in the store"
+    assert world.backlog() == 0 and not world.controllers["host-2"].core.job_shard.jobs, "all ended in the store"
     assert world.rejected_commits <= 3, "commits rarely exceed the write rate of the store"
 
 
 def test_submissions_and_job_ends_share_the_write_budget_when_both_exceed_it():
-    world = Rooms(3)
+    world = RateLimitedStoreWorld(3)
     world.run(5.0)
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     for number in range(40):
         core.submissions.submit(array(number), world.t, world.t)
     while core.submissions.pending:
@@ -362,7 +367,7 @@
     written = []
     core.write_rate_limit.budget.available(world.t + 2.0)
     while len(written) < 42:
-        core.write_rate_limit.budget.level = 2.0 - constants.WRITE_AHEAD_SHARE * core.write_rate_limit.budget.burst
+        core.write_rate_limit.budget.tokens = 2.0 - constants.WRITE_OVERDRAFT_SHARE * core.write_rate_limit.budget.burst
         batch = core.record_writer.next_batch(world.t + 2.0)
         written += [job.spec.id for job, _, _ in batch.jobs] + [
             accepted.job.spec.id for accepted, _ in batch.submissions
@@ -403,10 +408,10 @@
             super().command(fencing_token, incarnation, reply)
 
 
-class IsolatedZoneWorld(Rooms):
+class IsolatedZoneWorld(RateLimitedStoreWorld):
     """Jobs bound to a given zone, to any one zone, or spread over both; then a zone is isolated and machines fail."""
 
-    process = IsolatedZoneController
+    controller_class = IsolatedZoneController
 
     def __init__(self, seed, jobs=30, machines=24, **kwargs) -> None:
         self.isolated_controller, self.isolated_until, self.isolated_fencing_token = "", 0.0, 0
@@ -425,31 +430,33 @@
             self.after(rng.uniform(5.0, 60.0), self.send, spec)
 
     def boot(self, name, kind) -> None:
-        if name in self.kinds:
+        if name in self.rented_kinds:
             self.machines[name] = IsolatedZoneWorker(self, name, kind)
 
-    def question(self, sim, job):
-        return None if sim.is_isolated() else super().question(sim, job)
+    def status_at_once(self, sim, job):
+        return None if sim.is_isolated() else super().status_at_once(sim, job)
 
-    def cut_zone(self, label: str, duration_s: float, failed_share: float) -> None:
+    def partition_zone(self, label: str, duration_s: float, failed_share: float) -> None:
         """``failed_share``: share of the machines, in both zones, that fail when the partition begins."""
-        sim = self.nodes[label]
+        sim = self.controllers[label]
         self.isolated_controller, self.isolated_until = label, self.t + duration_s
         self.isolated_fencing_token = self.store.data[VIEW][1]
         sim.cut_store_until = sim.cut_mesh_until = self.isolated_until
-        self.takes_users = [other for other in LABELS if other != label]
-        self.after(duration_s, setattr, self, "takes_users", list(LABELS))
+        self.submission_controllers = [other for other in LABELS if other != label]
+        self.after(duration_s, setattr, self, "submission_controllers", list(LABELS))
         for worker in [running for running in self.machines.values() if running is not None and running.alive]:
             if self.rng.random() < failed_share:
-                worker.die()
+                worker.crash()
 
 
 def run_isolated_zone(seed, is_leader, duration_s, failed_share=0.2, until=150.0, **kwargs):
     world = IsolatedZoneWorld(seed, **kwargs)
     world.run(45.0)
     label = world.leader.label if is_leader else min(set(LABELS) - {world.leader.label})
-    tasks_in_zone = [task_id for task_id, name in world.on.items() if world.machines[name].kind.zone == ISOLATED_ZONE]
-    world.cut_zone(label, duration_s, failed_share)
+    tasks_in_zone = [
+        task_id for task_id, name in world.running_on.items() if world.machines[name].kind.zone == ISOLATED_ZONE
+    ]
+    world.partition_zone(label, duration_s, failed_share)
     world.run(45.0 + duration_s + 15.0)
     checker = FreeCapacityChecker(world, world.t)
     world.run(45.0 + duration_s + until)
@@ -461,7 +468,7 @@
     """No task runs twice or in a wrong zone during the partition, and all jobs are done after it."""
     world, checker, tasks_in_zone = run_isolated_zone(seed, is_leader, duration_s)
     assert len(tasks_in_zone) >= 5, "tasks ran in the isolated zone"
-    assert {world.said.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == 30
+    assert {world.reported_ends.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == 30
     assert checker.longest_wait_s < MAX_WAIT_S
 
 
@@ -474,31 +481,31 @@
         job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 4, [], array(1, tasks=4, **overrides)), 1, 0.0, 0.0)
         job.adopt(0, TaskRun("n-1", "b", 7, 0, TaskState.RUNNING, 0.0))
         job.adopt(1, TaskRun("n-1", "b", 8, 0, TaskState.RUNNING, 0.0))
-        assert (job.room_in("a"), job.room_in("b")) == expected_before
+        assert (job.remaining_in_zone("a"), job.remaining_in_zone("b")) == expected_before
         job.requeue(0)
         job.finish_task(2, 0.0)  # its end was reported
-        assert (job.room_in("a"), job.room_in("b")) == expected_after
+        assert (job.remaining_in_zone("a"), job.remaining_in_zone("b")) == expected_after
         job.requeue(1)
-        assert job.waiting == 2 and (job.room_in("a") > 0) is ("spread" in overrides)
+        assert job.waiting == 2 and (job.remaining_in_zone("a") > 0) is ("spread" in overrides)
         job.requeue(3)
-        assert job.room_in("a") and job.room_in("b")
+        assert job.remaining_in_zone("a") and job.remaining_in_zone("b")
 
 
 def test_without_the_barrier_inherited_tasks_of_an_isolated_zone_run_twice(monkeypatch):
     """Shows that the simulation detects a missing barrier: tasks are restarted while they still run in the zone."""
-    enter = JobShard.enter
+    enter_view = JobShard.enter_view
 
     def no_barrier(self, fencing_token, jobs, machines):
-        enter(self, fencing_token, jobs, machines)
+        enter_view(self, fencing_token, jobs, machines)
         self.inherited.barrier = Barrier({})
         self.inherited.release()
 
-    monkeypatch.setattr(JobShard, "enter", no_barrier)
+    monkeypatch.setattr(JobShard, "enter_view", no_barrier)
     with pytest.raises(Broken, match="ran_twice"):
         run_isolated_zone(2, False, 50.0)
 
 
-class OverloadedWorld(Rooms):
+class OverloadedWorld(RateLimitedStoreWorld):
     """Production and best-effort jobs that exceed the capacity about threefold; a few need whole machines."""
 
     def __init__(self, seed, duration_s=100.0, jobs=44, **kwargs) -> None:
@@ -519,9 +526,9 @@
             self.after(5.0 + duration_s * number / jobs, self.send, spec)
 
     def delay_links(self, until: float) -> None:
-        self.late_share = 0.3  # share of frames, delayed by up to 5 s
-        self.store.slow_by, self.store.slow_until = 40.0, until
-        self.after(until - self.t, setattr, self, "late_share", 0.001)
+        self.delayed_frame_share = 0.3  # share of frames, delayed by up to 5 s
+        self.store.latency_factor, self.store.slow_until = 40.0, until
+        self.after(until - self.t, setattr, self, "delayed_frame_share", 0.001)
 
 
 def run_overloaded(seed, outage_s=0.0, until=420.0):
@@ -530,18 +537,18 @@
     world.delay_links(100.0)
     world.run(60.0)
     if outage_s:
-        for sim in world.nodes.values():
-            world.end(sim, outage_s + world.rng.uniform(0.0, 2.0))
+        for sim in world.controllers.values():
+            world.crash_and_restart(sim, outage_s + world.rng.uniform(0.0, 2.0))
     world.run(110.0)
     checker = FreeCapacityChecker(world, world.t)
-    while world.t < until and len(world.said) < len(world.specs):
+    while world.t < until and len(world.reported_ends) < len(world.specs):
         world.run(world.t + 10.0)
     return world, checker
 
 
 def start_latencies(world, priority):
     return sorted(
-        world.began.get(job, world.t) - world.sent_at[job]
+        world.first_started_at.get(job, world.t) - world.sent_at[job]
         for job in world.sent_at
         if world.specs[job].priority == priority
     )
@@ -552,8 +559,10 @@
     world, checker = run_overloaded(seed, outage_s)
     urgent, other = start_latencies(world, "production"), start_latencies(world, "best_effort")
     assert urgent[len(urgent) // 2] < other[len(other) // 2] and other[-1] < BEGIN_S
-    assert not world.late_largest() and checker.longest_wait_s < MAX_WAIT_S
-    assert {world.said.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == len(world.specs)
+    assert not world.largest_started_late() and checker.longest_wait_s < MAX_WAIT_S
+    assert {world.reported_ends.get(job) for job in world.accepted} == {"done"} and len(world.accepted) == len(
+        world.specs
+    )
 
 
 def no_candidates_in_a_zone(monkeypatch):
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -9,7 +9,7 @@
 from alderbridge.protocol.messages import QueueRow
 from alderbridge.protocol.wire import JobSpec, MalformedBodyError, parse_job
 from alderbridge.scheduling import queue_times
-from alderbridge.scheduling.offers import order
+from alderbridge.scheduling.offers import placement_key
 from alderbridge.settings import Objective, Tuning
 
 
@@ -66,7 +66,7 @@
                     else NO_DEADLINE
                 )
                 rank = max(rank, self.specs[dependent].rank, required[0])
-                due = min(due, min(own, required[1]) - self.specs[dependent].estimate_s - constants.DEPENDENCY_STEP_S)
+                due = min(due, min(own, required[1]) - self.specs[dependent].estimate_s - constants.START_OVERHEAD_S)
         return rank, due
 
 
@@ -146,19 +146,26 @@
     times = queue_times.queue_times(spec("wk-1", due_s=100.0), Tuning(), objectives, False, waited_s=30.0)
     assert times == sorted(
         [
-            (40.0 * constants.WAIT_SHARE, 40.0),
-            (100.0 - 10.0 * constants.RUN_SAFETY - 30.0, 100.0 - 10.0 * constants.RUN_OPTIMISM - 30.0),
+            (40.0 * constants.OBJECTIVE_QUEUE_TIME_SHARE, 40.0),
+            (
+                100.0 - 10.0 * constants.RUN_TIME_SAFETY_FACTOR - 30.0,
+                100.0 - 10.0 * constants.MIN_RUN_TIME_FACTOR - 30.0,
+            ),
         ]
     )
     times_for_dependents = queue_times.queue_times(spec("wk-1"), Tuning(), [], False, needed_s=[60.0])
-    assert times_for_dependents == [(60.0 - 10.0 * constants.RUN_SAFETY, 60.0 - 10.0 * constants.RUN_OPTIMISM)]
+    assert times_for_dependents == [
+        (60.0 - 10.0 * constants.RUN_TIME_SAFETY_FACTOR, 60.0 - 10.0 * constants.MIN_RUN_TIME_FACTOR)
+    ]
 
 
 def test_a_job_is_ordered_by_the_highest_priority_of_its_dependents():
     row = QueueRow("wk-1", 1, 1, 9.0, 1.0, None, 0.0, False, False)
     with_dependents = QueueRow("wk-1", 1, 1, 9.0, 1.0, None, 0.0, False, False, 2)
     low = spec("wk-1", "best_effort")
-    assert order(with_dependents, low, 9.0) < order(row, spec("wk-2"), 1.0) < order(row, low, 1.0)
+    assert (
+        placement_key(with_dependents, low, 9.0) < placement_key(row, spec("wk-2"), 1.0) < placement_key(row, low, 1.0)
+    )
 
 
 @pytest.mark.parametrize("waits_on", ['"wk-1"', "[1]", '["x"]', '["wk-1\\n"]', "{}", "[null]"])
@@ -168,6 +175,6 @@
         '"accelerators":0.0,"mem_gb":1.0,"bundle":"i","image_gb":1.0,"together":false,"apart":false,'
         '"standby":true,"expected_s":5.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"waits_on":%s}'
     )
-    assert parse_job((body % "null").encode()).needs is None
+    assert parse_job((body % "null").encode()).dependencies is None
     with pytest.raises(MalformedBodyError):
         parse_job((body % waits_on).encode())
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -62,7 +62,9 @@
             if self.world.t >= until:
                 deliverable.append((label, frame))
             elif delayed:
-                self.world.after(until - self.world.t, self.world.nodes[label].frame, msgspec.msgpack.encode(frame))
+                self.world.after(
+                    until - self.world.t, self.world.controllers[label].frame, msgspec.msgpack.encode(frame)
+                )
         self.core.effects.outgoing_frames = deliverable
         super().flush()
 
@@ -70,7 +72,7 @@
 class ControllerFaultWorld(World):
     """Link failures, pauses, crashes and outages; checks after each event that no removed member acts."""
 
-    process = PausableController
+    controller_class = PausableController
 
     def __init__(self, seed, controller_faults=0, **options):
         self.failed_links = {}  # (from, to) -> end of the failure, whether frames are delayed
@@ -86,7 +88,7 @@
             for change in self.store.log[log_length:]:
                 if change.put == VIEW:
                     self.on_view_written(msgspec.json.decode(change.data, type=View))
-            for label, sim in self.nodes.items():
+            for label, sim in self.controllers.items():
                 if sim.core is not None and (label, sim.core.membership.store_lease.lease_id) in self.removed_members:
                     if sim.core.membership.may_act(self.t):
                         raise Broken(f"left_out: {label} acts at {self.t:.2f}")
@@ -95,7 +97,7 @@
         old = self.view.members if self.view else {}
         removed = {(label, lease_id) for label, lease_id in old.items() if view.members.get(label) != lease_id}
         self.early_removals += sum(
-            lease_id in self.store.holds and label not in view.members for label, lease_id in removed
+            lease_id in self.store.leases and label not in view.members for label, lease_id in removed
         )
         self.removed_members |= removed
         self.view, self.view_count = view, self.view_count + 1
@@ -134,31 +136,31 @@
             duration_s = rng.uniform(5.0, 18.0)
             self.cut(labels, duration_s, rng.random() < 0.7)
             for label in labels:
-                self.nodes[label].cut_store_until = self.t + duration_s + rng.uniform(0.0, 20.0)
+                self.controllers[label].cut_store_until = self.t + duration_s + rng.uniform(0.0, 20.0)
             if rng.random() < 0.5:
                 self.after(rng.uniform(0.0, duration_s), self.store.outage, rng.uniform(2.0, 15.0))
         elif kind == "pause":
             for label in labels:
-                self.nodes[label].paused_until = self.t + rng.uniform(4.0, 20.0)
+                self.controllers[label].paused_until = self.t + rng.uniform(4.0, 20.0)
         elif kind == "crash":
             for label in labels:
-                self.nodes[label].crash()
-                self.after(rng.choice([0.2, 3.0, rng.uniform(0.1, 25.0)]), self.restart, self.nodes[label])
+                self.controllers[label].crash()
+                self.after(rng.choice([0.2, 3.0, rng.uniform(0.1, 25.0)]), self.restart, self.controllers[label])
         else:
             self.store.outage(rng.uniform(2.0, 25.0))
 
 
 def unfinished_jobs(world):
-    return [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    return [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("seed", range(11000, 11012))
 def test_removed_members_do_not_act_and_all_members_recover(seed):
     world = ControllerFaultWorld(seed, nodes=3 + 2 * (seed % 2), controller_faults=6)
     world.run(230.0)
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     world.run(400.0)
-    assert world.starts > 0 and not unfinished_jobs(world) and world.view.contact_timeout_s > 0
+    assert world.task_starts > 0 and not unfinished_jobs(world) and world.view.contact_timeout_s > 0
 
 
 def accept_frames_of_failed_peers(monkeypatch):
@@ -195,10 +197,10 @@
 
 
 def count_contact_from_after_the_view(monkeypatch):
-    original = FailureDetector.enter
+    original = FailureDetector.enter_view
     monkeypatch.setattr(
         FailureDetector,
-        "enter",
+        "enter_view",
         lambda self, members, timeout_s, written_after: original(self, members, timeout_s, written_after + 6.0),
     )
 
@@ -231,7 +233,7 @@
     it sends all of them again, and they are received in order.
     """
     world = ControllerFaultWorld(seed, jobs=0)
-    isolated, peer, other = (world.nodes[label] for label in ("host-0", "host-1", "host-2"))
+    isolated, peer, other = (world.controllers[label] for label in ("host-0", "host-1", "host-2"))
     world.run(20.0)
     world.failed_links = dict.fromkeys((("host-0", "host-1"), ("host-1", "host-0")), (43.0, False))
     other.crash()
@@ -257,9 +259,9 @@
         assert "host-0" not in world.view.members or world.view.contact_timeout_s == 0.0
     original = ControllerCore.observe_frame
 
-    def observe_frame(self, frame, acked_at, now):
+    def observe_frame(self, frame, newest_acked_sent_at, now):
         lease_id = self.membership.view.members.get(frame.sender, 0)
-        original(self, msgspec.structs.replace(frame, sender_lease_id=lease_id), acked_at, now)
+        original(self, msgspec.structs.replace(frame, sender_lease_id=lease_id), newest_acked_sent_at, now)
 
     monkeypatch.setattr(ControllerCore, "observe_frame", observe_frame)
     monkeypatch.setattr(
@@ -277,14 +279,14 @@
     world = ControllerFaultWorld(14000, nodes=5, jobs=30)
     world.run(60.0)
     for label in ("host-0", "host-3"):  # one of them is the leader
-        sim = world.nodes[label]
+        sim = world.controllers[label]
         sim.cut_store_until = sim.cut_mesh_until = sim.cut_workers_until = 90.0
     world.run(60.0 + constants.CONTACT_TIMEOUT_S + 2.0)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"] and world.early_removals == 2
     world.run(89.0)
     assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
     world.run(100.0)
-    assert len(world.view.members) == 5 and all(sim.core.may_act() for sim in world.nodes.values())
+    assert len(world.view.members) == 5 and all(sim.core.may_act() for sim in world.controllers.values())
 
 
 def test_worker_is_redirected_to_an_alive_member_while_its_owner_is_suspected():
@@ -293,15 +295,15 @@
     members = {f"host-{number}": number + 1 for number in range(4)}
     membership.observe_view(View("host-0", members, contact_timeout_s=8.0), 10)
     machine = next(f"n-{number}" for number in range(99) if membership.machine_owner(f"n-{number}") == "host-2")
-    assert membership.report_to(machine) == "host-2"
+    assert membership.heartbeat_target(machine) == "host-2"
     membership.failure_detector.peers["host-2"].suspect()
-    assert membership.report_to(machine) == "host-3", "the next alive member"
+    assert membership.heartbeat_target(machine) == "host-3", "the next alive member"
     membership.failure_detector.peers["host-3"].suspect()
-    assert membership.report_to(machine) == "host-0"
+    assert membership.heartbeat_target(machine) == "host-0"
     membership.failure_detector.peers["host-0"].suspect()
-    assert membership.report_to(machine) == "host-2", "no other member is alive: this one may be isolated itself"
+    assert membership.heartbeat_target(machine) == "host-2", "no other member is alive: this one may be isolated itself"
     own = next(f"n-{number}" for number in range(99) if membership.machine_owner(f"n-{number}") == "host-1")
-    assert membership.report_to(own) == "host-1"
+    assert membership.heartbeat_target(own) == "host-1"
 
 
 def test_contact_is_waived_when_all_members_are_isolated_and_restored_later():
@@ -311,27 +313,27 @@
         world.cut([label], 40.0)
     while world.t < 45.0:
         world.run(world.t + 0.1)
-        assert all(sim.core.may_act() for sim in world.nodes.values())
+        assert all(sim.core.may_act() for sim in world.controllers.values())
     assert world.view.contact_timeout_s == 0.0 and len(world.view.members) == 5
-    world.run(70.0 + constants.CONTACT_RESUME_S + 5.0)
+    world.run(70.0 + constants.CONTACT_RESUME_DELAY_S + 5.0)
     assert world.view.contact_timeout_s > 0 and world.view_count == 3
 
 
 def test_member_declared_failed_by_a_minority_is_accepted_under_a_new_fencing_token():
     world = ControllerFaultWorld(14002, jobs=0)
     world.run(30.0)
-    failure_detector = world.nodes["host-1"].core.membership.failure_detector
+    failure_detector = world.controllers["host-1"].core.membership.failure_detector
     failure_detector.peers["host-2"].mark_failed()
     failure_detector.failed_by["host-2"].add("host-1")
     view_count = world.view_count
-    world.run(30.0 + constants.DISPUTED_FAILURE_S + 1.0)
+    world.run(30.0 + constants.DISPUTED_FAILURE_TIMEOUT_S + 1.0)
     assert world.view_count == view_count + 1 and len(world.view.members) == 3 and not world.early_removals
-    assert world.nodes["host-1"].core.membership.failure_detector.accepts("host-2")
+    assert world.controllers["host-1"].core.membership.failure_detector.accepts("host-2")
 
 
 def test_paused_member_declares_nobody_failed():
     failure_detector = FailureDetector("a")
-    failure_detector.enter({"a": 1, "b": 2, "c": 3}, 8.0, 0.0)
+    failure_detector.enter_view({"a": 1, "b": 2, "c": 3}, 8.0, 0.0)
     failure_detector.refresh(0.0)
     failure_detector.refresh(20.0)
     assert (
@@ -383,9 +385,9 @@
     world = ControllerFaultWorld(seed, nodes=5, jobs=30)
     world.run(60.0)
     for label in ("host-0", "host-3"):
-        sim = world.nodes[label]
+        sim = world.controllers[label]
         sim.cut_store_until = sim.cut_mesh_until = sim.cut_workers_until = 90.0
-    world.run(60.0 + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_S)
+    world.run(60.0 + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_TIMEOUT_S)
     assert sorted(world.view.members) == ["host-1", "host-2", "host-4"]
     world.run(89.0)
     assert not any(worker.incarnation > 1 for worker in world.machines.values() if worker is not None and worker.alive)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -19,12 +19,16 @@
 from alderbridge.scheduling.offers import Offer, Offers
 from alderbridge.scheduling.placement import Candidate, fill
 from alderbridge.settings import Tuning
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 # The longest time until a view that lacks a member is followed by another one, while the store answers: joining, the
 # precedence of the four other labels, two rounds and the watch.
 ELECTION_S = (
-    constants.JOIN_MAX_S + 4 * constants.LEADER_PRECEDENCE_S + 2 * constants.ROUND_S + 2 * constants.WATCH_PAUSE_S + 0.3
+    constants.JOIN_DEBOUNCE_MAX_S
+    + 4 * constants.ELECTION_STAGGER_S
+    + 2 * constants.ROUND_INTERVAL_S
+    + 2 * constants.WATCH_DELAY_S
+    + 0.3
 )
 LOST_CALL_S = 2.5  # s; the timeout of a store call, of which the simulation loses some
 
@@ -34,7 +38,7 @@
     for number in range(times):
         world.after(15.0 + 12.0 * number, world.flap)
     world.run(until)
-    world.remembered()
+    world.check_final_status_age()
     return world
 
 
@@ -42,15 +46,15 @@
     return [
         job
         for job in world.accepted
-        if job not in world.said and not world.specs[job].service and job not in world.cancelled_at
+        if job not in world.reported_ends and not world.specs[job].service and job not in world.cancelled_at
     ]
 
 
 @pytest.mark.parametrize("seed", range(8500, 8504))
 def test_no_task_or_job_is_lost_while_controllers_restart(seed):
     world = run_flapping(seed, until=330.0)
-    assert world.starts > 0 and not unfinished_jobs(world) and not world.late_largest()
-    assert not world.halted_needed, "the tasks of an earlier incarnation belong to the next one"
+    assert world.task_starts > 0 and not unfinished_jobs(world) and not world.largest_started_late()
+    assert not world.wrongly_halted, "the tasks of an earlier incarnation belong to the next one"
 
 
 @pytest.mark.parametrize("seed", (8600, 8601, 8602))
@@ -60,20 +64,20 @@
     for label in world.labels[:-1]:
         ends_at = 10.0
         while ends_at < 70.0:
-            world.after(ends_at, world.end, world.nodes[label], world.rng.uniform(0.1, 0.25))
+            world.after(ends_at, world.crash_and_restart, world.controllers[label], world.rng.uniform(0.1, 0.25))
             ends_at += world.rng.uniform(0.3, 3.0)
     world.run(10.0)
-    world.store.longest_change = 0.0
+    world.store.longest_view_lag_s = 0.0
     world.run(100.0)
-    assert 1.0 < world.store.longest_change < ELECTION_S + LOST_CALL_S
-    assert world.store.differs_since is None, "the view has all running members"
+    assert 1.0 < world.store.longest_view_lag_s < ELECTION_S + LOST_CALL_S
+    assert world.store.view_differs_since is None, "the view has all running members"
 
 
 def run_to_remote_task(world):
     """Run until a task runs on a machine that its job owner does not own; returns both owners and the task."""
     while True:
         world.run(world.t + 0.5)
-        for label, sim in world.nodes.items():
+        for label, sim in world.controllers.items():
             for name, job in sim.core.job_shard.jobs.items():
                 for index, run in job.runs.items():
                     machine_owner = sim.core.membership.machine_owner(run.machine)
@@ -85,11 +89,11 @@
     """Guards against a restarted job owner that handles messages for its earlier incarnation, which are sent again."""
     world = World(8700, random_faults=False, jobs=30)
     job_owner, machine_owner, name, index, run = run_to_remote_task(world)
-    sender = world.nodes[machine_owner].core
+    sender = world.controllers[machine_owner].core
     sender.messenger.channels[job_owner].reset(sender.membership.fencing_token, world.t)  # as after a new view
-    world.nodes[job_owner].crash()
-    world.restart(world.nodes[job_owner])
-    while not (core := world.nodes[job_owner].core).state.loaded:
+    world.controllers[job_owner].crash()
+    world.restart(world.controllers[job_owner])
+    while not (core := world.controllers[job_owner].core).state.loaded:
         world.run(world.t + 0.01)
     assert not core.state.is_member and core.membership.fencing_token == sender.membership.fencing_token
     task_report = messages.MachineTaskReport(
@@ -99,7 +103,7 @@
     assert not [body for _, body in core.effects.outgoing_frames if not isinstance(body.body, messages.KeepAlive)], (
         "no halt of the tasks that its earlier incarnation ran"
     )
-    assert core.messenger.channels[machine_owner].received == 0, "no acknowledgement"
+    assert core.messenger.channels[machine_owner].last_received_sequence == 0, "no acknowledgement"
     core.on_frame(sender.messenger.channels[job_owner].post_unreliable(messages.JobQuery(7, "status", name)), world.t)
     assert [query.query_id for _, query in core.effects.queries] == [7], (
         "queries are accepted; the sender reads the store after a 503"
@@ -110,19 +114,19 @@
     """Guards against a process that enters the view as a non-member and never loads the jobs that it owns."""
     world = World(8701, random_faults=False, jobs=30)
     job_owner, *_ = run_to_remote_task(world)
-    world.nodes[job_owner].crash()
-    world.restart(world.nodes[job_owner])
-    core = world.nodes[job_owner].core
+    world.controllers[job_owner].crash()
+    world.restart(world.controllers[job_owner])
+    core = world.controllers[job_owner].core
     original, delayed_calls = core.view_entry.lease_acquired, []
     core.view_entry.lease_acquired = lambda *args: delayed_calls.append(args)  # the store responds late
-    fencing_token = max(sim.core.membership.fencing_token for sim in world.nodes.values() if sim.core)
+    fencing_token = max(sim.core.membership.fencing_token for sim in world.controllers.values() if sim.core)
     while core.membership.fencing_token <= fencing_token or not delayed_calls:
         world.run(world.t + 0.05)
     assert not core.state.is_member and not core.may_act()
     core.view_entry.lease_acquired = original
     core.view_entry.lease_acquired(*delayed_calls[0])
     assert core.may_act() and core.state.is_member and core.job_shard.jobs
-    world.served(core)
+    world.check_owned_jobs_served(core)
 
 
 def refuse_unconfirmed_submission(world, label):
@@ -130,7 +134,7 @@
     spec = msgspec.structs.replace(
         world.make_job(1), kind="sweep", tasks=2, cpus=1.0, types=None, zone=None, one_zone=False, spread=False
     )
-    core = world.nodes[label].core
+    core = world.controllers[label].core
     world.specs[spec.id] = spec
     submission = core.submissions.submit(spec, world.t, world.t)
     batch = core.record_writer.next_batch(world.t)
@@ -146,15 +150,15 @@
     world = World(8702, random_faults=False, jobs=0)
     world.run(5.0)
     spec, batch = refuse_unconfirmed_submission(world, "host-1")
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     if is_retried:  # the retry is pending when the first transaction is applied
         core.submissions.submit(spec, world.t + 1.0, world.t + 1.0)
     assert not world.store.commit(batch.conditions, batch.puts).failed
     world.accepted.add(spec.id)
-    world.first_asked[spec.id] = world.t
+    world.first_submitted_at[spec.id] = world.t
     world.poll(spec.id)
     world.run(90.0)
-    assert world.said.get(spec.id) == "done"
+    assert world.reported_ends.get(spec.id) == "done"
 
 
 def test_job_whose_record_has_all_tasks_done_ends():
@@ -167,11 +171,11 @@
     world.accepted.add(spec.id)
     world.poll(spec.id)
     world.run(40.0)
-    assert world.said.get(spec.id) == "done"
+    assert world.reported_ends.get(spec.id) == "done"
 
 
 def test_reply_to_an_earlier_incarnation_does_not_answer_another_query():
-    first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()) for _ in range(2))
+    first, second = (Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector()) for _ in range(2))
     assert second.queries.query_count > first.queries.query_count + 100, (
         "query ids are not reused by later incarnations of a label"
     )
@@ -195,7 +199,7 @@
 
 
 def test_job_without_status_answers_is_logged_periodically(monkeypatch, caplog):
-    controller, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), Poll()), [100.0]
+    controller, clock = Controller(platform("host-0", ["host-0", "host-1"]), Tuning(), EpollSelector()), [100.0]
     patch_now(monkeypatch, lambda: clock[0])
     caplog.set_level("INFO")
     for status in [503] * 20 + [200] + [503] * 5:
@@ -234,8 +238,10 @@
     offers.replace(
         "host-0",
         [
-            Offer("host-0", row(LARGE, constants.RESERVE_AFTER_S, 5.0), LARGE, 100.0, constants.PACKING_WAIT_S),
-            Offer("host-0", row(SMALL, 5.0, 50.0), SMALL, 100.0, constants.PACKING_WAIT_S),
+            Offer(
+                "host-0", row(LARGE, constants.RESERVE_MACHINE_AFTER_S, 5.0), LARGE, 100.0, constants.PACKING_DELAY_S
+            ),
+            Offer("host-0", row(SMALL, 5.0, 50.0), SMALL, 100.0, constants.PACKING_DELAY_S),
         ],
     )
 
@@ -255,7 +261,7 @@
 def test_large_job_is_boosted_after_waiting():
     """Guards the priority boost: one task of a job that has not started, an eighth of the tasks of a late job."""
     job_shard = JobShard([], lambda label, body: 1, 4096)
-    job_shard.enter(1, {}, {})
+    job_shard.enter_view(1, {}, {})
     job = Job(Record(JobState.ACTIVE, "host-0", 0.0, 400, [], SMALL), 1, 0.0, 0.0, never_started=True)
     job_shard.add(job)
 
@@ -265,10 +271,10 @@
         )[0]
         return row.offer, row.priority_boost
 
-    assert offer_and_boost(10.0) == (400, 0) and offer_and_boost(constants.STARVED_JOB_S) == (1, 2)
+    assert offer_and_boost(10.0) == (400, 0) and offer_and_boost(constants.STARVATION_TIMEOUT_S) == (1, 2)
     job_shard.grants.on_task_request("host-0", messages.TaskRequest(1, SMALL.id, "n-1", "a", 1), 121.0, True)
     job.has_started = True
-    assert offer_and_boost(122.0) == (399, 0) and offer_and_boost(121.0 + constants.LATE_BOOST_S) == (50, 1)
+    assert offer_and_boost(122.0) == (399, 0) and offer_and_boost(121.0 + constants.LATE_BOOST_AFTER_S) == (50, 1)
     job_shard.grants.on_task_request("host-0", messages.TaskRequest(2, SMALL.id, "n-1", "a", 20), 182.0, True)
     assert offer_and_boost(183.0) == (30, 1), "the boost lasts until its share is granted"
     job_shard.grants.on_task_request("host-0", messages.TaskRequest(3, SMALL.id, "n-1", "a", 30), 184.0, True)
@@ -296,12 +302,12 @@
     world.after(1.0, submit_small_jobs)
     world.after(45.0, world.submit, LARGE)
     world.run(46.0 + 240.0)
-    return not world.late_largest()
+    return not world.largest_started_late()
 
 
 def test_large_job_starts_while_small_jobs_fill_the_fleet(monkeypatch):
     assert large_job_starts(8805)
-    for delay in ("RESERVE_AFTER_S", "STARVED_JOB_S", "LATE_BOOST_S"):
+    for delay in ("RESERVE_MACHINE_AFTER_S", "STARVATION_TIMEOUT_S", "LATE_BOOST_AFTER_S"):
         monkeypatch.setattr(constants, delay, 1e9)
     assert not large_job_starts(8805)
 
@@ -343,7 +349,7 @@
     monkeypatch.setattr(
         Job, "abort", lambda self, now, cause="withdrawn": original(self, now, cause) if cause == "withdrawn" else None
     )
-    monkeypatch.setattr(DependencyTracker, "cascade_abort_is_settled", lambda self, job: False)
+    monkeypatch.setattr(DependencyTracker, "is_cascade_abort_settled", lambda self, job: False)
 
 
 @pytest.mark.parametrize(
@@ -359,7 +365,7 @@
     for seed in range(8900, 8940):
         try:
             world = run_flapping(seed, until=230.0, **options)
-            violation = "halted" if world.halted_needed else "unfinished_jobs" if unfinished_jobs(world) else ""
+            violation = "halted" if world.wrongly_halted else "unfinished_jobs" if unfinished_jobs(world) else ""
         except Broken as error:
             violation = str(error)
         if violation.startswith(invariant):
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,7 +12,7 @@
 from test_preemption import ClaimsWorld
 
 from alderbridge import constants, preemption
-from alderbridge.claims.records import PreemptionsSpent
+from alderbridge.claims.records import PreemptionUsage
 from alderbridge.jobs.dependencies import Graph
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.leader.leader import Leader, LeaderSettings
@@ -32,7 +32,7 @@
 from alderbridge.lending.rules import LendingRules
 from alderbridge.lending.selection import LendingSelection
 from alderbridge.membership.membership import Membership
-from alderbridge.preemption import CandidateMachine, PreemptionBudget, Teams, Victim
+from alderbridge.preemption import CandidateMachine, GuaranteeUsage, PreemptionBudget, Victim
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.protocol import wire
 from alderbridge.protocol.messages import (
@@ -46,7 +46,7 @@
 from alderbridge.protocol.wire import JobSpec, MachineType
 from alderbridge.scheduling.demand import MachineKind, MachineResource
 from alderbridge.scheduling.offers import Offer
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 from alderbridge.settings import ConfigError, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -150,7 +150,7 @@
 
     def place(self, one, index):
         """Place a task on a random machine with free capacity; False if there is none."""
-        machines = [machine for machine in self.machines if fits(one, machine[2])]
+        machines = [machine for machine in self.machines if tasks_that_fit(one, machine[2])]
         if not machines:
             return False
         machine = self.rng.choice(machines)
@@ -191,14 +191,14 @@
         lender.pace.reclaimed.append((990.0, "maps", reclaimed))
         lender.pace.stopping["maps"] = 2.0
         lender.fleet.update(self.contents, {name: kind.zone for name, kind, _, _ in self.machines})
-        lender.teams = Teams(TEAMS, self.used)
+        lender.teams = GuaranteeUsage(TEAMS, self.used)
         resources = [MachineResource(kind, free) for _, kind, free, _ in self.machines]
-        demands = lender.demands(self.services, resources, self.used, {})
+        demands = lender.unserved_demands(self.services, resources, self.used, {})
         candidates = [
             CandidateMachine(name, kind, free, [one for one in tasks if lender.preemptible(one.spec)])
             for name, kind, free, tasks in self.machines
         ]
-        budget = PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, lender.limit)
+        budget = PreemptionBudget(PreemptionUsage(), 1000.0, {}, 100, lender.limit)
         return demands, lender.select_victims(demands, candidates, budget, 12)
 
 
@@ -225,12 +225,14 @@
             free = tuple(
                 a + b for a, b in zip(free, (victim.spec.cpus, victim.spec.memory_gb, victim.spec.gpus), strict=True)
             )
-            lending_class = next((one for one in CONFIGURATION.lend if one.workload == victim.spec.job_class), None)
+            lending_class = next(
+                (one for one in CONFIGURATION.lending_classes if one.workload_pattern == victim.spec.job_class), None
+            )
             if (
                 lending_class is None
-                or victim.ran_s < lending_class.least_run_s
-                or victim.stops >= lending_class.most_stops
-                or victim.since_stop_s > lending_class.waits_at_most_s
+                or victim.ran_s < lending_class.min_run_s
+                or victim.preemptions >= lending_class.max_preemptions_per_task
+                or victim.since_first_preemption_s > lending_class.preemptible_for_s
             ):
                 violated.append("victim protected by its class")
             same_team = victim.spec.team == demand.spec.team
@@ -244,7 +246,7 @@
                 if in_use[0] + demand.spec.cpus > limit.cpus_max or in_use[1] + demand.spec.gpus > limit.gpus_max:
                     violated.append("capacity beyond the team's limit")
             gpus[claim.team] += victim.spec.gpus
-        if fits(demand.spec, free) < claim.count:
+        if tasks_that_fit(demand.spec, free) < claim.count:
             violated.append("claim exceeds free capacity")
     for team in other_teams:
         if used[team][0] < limits[team].cpus or used[team][1] < limits[team].gpus:
@@ -290,8 +292,8 @@
 
 
 DISABLED_GUARDS = {
-    "team below its guarantee for another team": (Teams, "beyond", lambda self, spec: True),
-    "preemption not allowed by the protocol": (preemption, "allowed", lambda *args: True),
+    "team below its guarantee for another team": (GuaranteeUsage, "exceeds_guarantee", lambda self, spec: True),
+    "preemption not allowed by the protocol": (preemption, "preemption_allowed", lambda *args: True),
     "reclaim rate exceeded": (LendingSelection, "_remaining_gpus_for", lambda self, team: 1000.0),
     "too many replicas in a zone": (
         ServingFleet,
@@ -316,9 +318,11 @@
     assert any(guard in violations(fleet, *fleet.plan(lender())) for fleet in fleets)
 
 
-def full_machine(name, zone, job, tasks=8, running_s=100.0, saved_s_ago=None):
+def full_machine(name, zone, job, tasks=8, running_s=100.0, since_checkpoint_s=None):
     """Return a machine filled with tasks of one job."""
-    victims = [Victim(job.id, int(name[2:]) * 8 + index, 7, job, running_s, saved_s_ago) for index in range(tasks)]
+    victims = [
+        Victim(job.id, int(name[2:]) * 8 + index, 7, job, running_s, since_checkpoint_s) for index in range(tasks)
+    ]
     return CandidateMachine(
         name,
         MachineKind("g8", zone, False),
@@ -331,10 +335,10 @@
     """Return (demands, claim by machine) for one service."""
     policy = lending_policy or lender()
     policy.fleet.update(contents or {}, {one.machine: one.kind.zone for one in machines})
-    policy.teams = Teams(TEAMS, used)
-    demands = policy.demands([service], [MachineResource(one.kind, one.free) for one in machines], used, {})
+    policy.teams = GuaranteeUsage(TEAMS, used)
+    demands = policy.unserved_demands([service], [MachineResource(one.kind, one.free) for one in machines], used, {})
     groups = policy.select_victims(
-        demands, machines, PreemptionBudget(PreemptionsSpent(), 1000.0, {}, 100, policy.limit), 12
+        demands, machines, PreemptionBudget(PreemptionUsage(), 1000.0, {}, 100, policy.limit), 12
     )
     return demands, {name: claim for group in groups for name, claim in group.items()}
 
@@ -342,7 +346,8 @@
 def test_victims_are_chosen_on_few_machines_and_where_the_image_is_cached():
     tune = spec("wk-1", "data", "tune", checkpoint_s=30.0, save_s=5.0)
     machines = [
-        full_machine(f"n-{i}", "a", tune, saved_s_ago=saved_s_ago) for i, saved_s_ago in ((1, 1.0), (2, 25.0), (3, 1.0))
+        full_machine(f"n-{i}", "a", tune, since_checkpoint_s=since_checkpoint_s)
+        for i, since_checkpoint_s in ((1, 1.0), (2, 25.0), (3, 1.0))
     ]
     used = {"data": (96.0, 24.0)}
     service = ServingJob(replica("wk-9", tasks=4, image_gb=60.0), 0, 4, 4, 5.0)
@@ -369,7 +374,9 @@
     assert sorted(claim.count for claim in claims.values()) == [0, 1]
     assert {victim for claim in claims.values() for victim in claim.victims} == {("wk-1", 8, 7), ("wk-1", 16, 7)}
     tight = CapacityLender(
-        [LendingConfiguration(CONFIGURATION.serve, CONFIGURATION.lend, {}, 64, 8, 60.0)], TEAMS, TYPES
+        [LendingConfiguration(CONFIGURATION.serving_classes, CONFIGURATION.lending_classes, {}, 64, 8, 60.0)],
+        TEAMS,
+        TYPES,
     )
     # the gang has 16 GPUs, and 8 may be reclaimed at once
     assert plan_service(service, machines, {"data": (64.0, 16.0)}, lending_policy=tight)[1] == {}
@@ -396,12 +403,14 @@
     policy.pace.count_reclaimed(claims, {"wk-1": tune}, 1001.0)
     assert [entry[1:] for entry in policy.pace.reclaimed] == [("maps", 2.0)]  # each claim is counted once
     resources = [MachineResource(one.kind, one.free) for one in machines]
-    assert policy.demands([service], resources, used, {"wk-9": 2}) == []  # the claim already covers both replicas
+    assert (
+        policy.unserved_demands([service], resources, used, {"wk-9": 2}) == []
+    )  # the claim already covers both replicas
     remaining = [one for one in machines if one.machine != name]  # the machine is lost, and its claim with it
     _, new_claims = plan_service(service, remaining, {"data": (32.0, 8.0)}, lending_policy=policy)
     assert list(new_claims) == [remaining[0].machine] and new_claims != claims
-    assert policy.demands([], resources, used, {}) == []  # the job was withdrawn
-    policy.pace.count_reclaimed({}, {}, 1000.0 + constants.PREEMPTION_MINUTE_S + constants.PREEMPTION_STEP_S + 1.0)
+    assert policy.unserved_demands([], resources, used, {}) == []  # the job was withdrawn
+    policy.pace.count_reclaimed({}, {}, 1000.0 + constants.PREEMPTION_WINDOW_S + constants.PREEMPTION_BUCKET_S + 1.0)
     assert not policy.pace.reclaimed and not policy.pace.counted
 
 
@@ -409,12 +418,14 @@
     service, kind = ServingJob(replica("wk-9", tasks=3), 0, 3, 3, 10.0), MachineKind("g8", "a", False)
     ends = [(8.0, 8.0, 128.0, 2.0), (60.0, 24.0, 384.0, 6.0)]
     assert [
-        demand.count for demand in lender().demands([service], [MachineResource(kind, (0.0, 0.0, 0.0), ends)], {}, {})
+        demand.count
+        for demand in lender().unserved_demands([service], [MachineResource(kind, (0.0, 0.0, 0.0), ends)], {}, {})
     ] == [1]
-    assert lender().demands([service], [MachineResource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
+    assert lender().unserved_demands([service], [MachineResource(kind, (12.0, 192.0, 3.0))], {}, {}) == []
     spread = ServingJob(replica("wk-9", tasks=4, spread=True), 0, 4, 4, 10.0)
     assert [
-        demand.count for demand in lender().demands([spread], [MachineResource(kind, (96.0, 768.0, 8.0))], {}, {})
+        demand.count
+        for demand in lender().unserved_demands([spread], [MachineResource(kind, (96.0, 768.0, 8.0))], {}, {})
     ] == [2]
 
 
@@ -425,7 +436,7 @@
         used = rng.choice([2.0, 10.0, 24.0]) if second < 400 else 2.0
         reserve.record_use({"maps": used}, float(second))
         history.append(used)
-        reserved = reserve.gpus("maps", 4.0, 16.0, used, 60.0, float(second))
+        reserved = reserve.gpus_to_reserve("maps", 4.0, 16.0, used, 60.0, float(second))
         assert reserved == max(0.0, min(16.0, max(max(history[-61:]), used + 4.0)) - used)
 
 
@@ -452,7 +463,7 @@
     assert len(check_lines(configuration)) == 4 and check_lines(LendingConfiguration()) == []
     both = CapacityLender([configuration, CONFIGURATION], TEAMS, TYPES)  # during a change, the stricter rules apply
     assert not both.rules.serves(replica("wk-1", "vision")) and both.rules.lends(spec("wk-1", "maps", "batch")) is None
-    assert (both.rules.reserve("maps"), both.rules.retention_s, both.limit(None).a_minute) == (8.0, 120.0, 24)
+    assert (both.rules.reserve("maps"), both.rules.retention_s, both.limit(None).max_per_minute) == (8.0, 120.0, 24)
 
 
 @pytest.mark.parametrize(
@@ -483,13 +494,13 @@
         self.leader = Leader(
             LeaderSettings(TEAMS, ZONES, Tuning(), 1.0, 17.0),
             replica_state,
-            lambda row, spec: self.lender.serves_soon(row, spec),
+            lambda row, spec: self.lender.unrented_tasks(row, spec),
         )
         self.leader.on_types(TYPES)
-        self.leader.enter(["host-0"], 0.0)
+        self.leader.enter_view(["host-0"], 0.0)
         self.leader.rented_machines.listed = True
         self.planner = PreemptionPlanner(self.leader, replica_state.ledger)
-        self.planner.enter(["host-0"])
+        self.planner.enter_view(["host-0"])
         self.tune, self.serve = spec("wk-1", "data", "tune", tasks=16), replica("wk-9", tasks=4)
         for one in (self.tune, self.serve):
             replica_state.observe_job(one.id, Record(JobState.ACTIVE, "host-0", 0.0, one.tasks, [], one), 1)
@@ -512,7 +523,9 @@
             rented.rented_at = 0.0
 
     def run_round(self, now):
-        listing_tasks = self.planner.plan(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
+        listing_tasks = self.planner.plan(
+            now, now, [self.lender], lambda: GuaranteeUsage(TEAMS, {"data": (64.0, 16.0)}), 12
+        )
         if listing_tasks:
             rows = [
                 MachineTasks(
@@ -523,8 +536,8 @@
                 )
                 for i in range(2)
             ]
-            self.planner.on_tasks("host-0", MachineTaskList(rows, True), now)
-            self.planner.plan(now, now, [self.lender], lambda: Teams(TEAMS, {"data": (64.0, 16.0)}), 12)
+            self.planner.on_task_list("host-0", MachineTaskList(rows, True), now)
+            self.planner.plan(now, now, [self.lender], lambda: GuaranteeUsage(TEAMS, {"data": (64.0, 16.0)}), 12)
         return listing_tasks
 
 
@@ -533,11 +546,11 @@
     harness.report(1.0, 3)
     harness.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
     assert harness.run_round(1.0)
-    (group,) = harness.leader.replica.ledger.planned
+    (group,) = harness.leader.replica.ledger.planned_groups
     assert list(group) == ["n-1"] and group["n-1"].count == 3  # the machine with the cached image
     assert [one.count for one in harness.leader.demands(1.0)] == []
-    transaction = harness.leader.replica.ledger.due(1.0, 12, 4096)
-    harness.leader.replica.ledger.done(transaction, 5)
+    transaction = harness.leader.replica.ledger.next_transaction(1.0, 12, 4096)
+    harness.leader.replica.ledger.mark_committed(transaction, 5)
     harness.report(9.0, 3)
     assert not harness.run_round(9.0)  # the claim already covers the replicas
     assert [one.count for one in harness.leader.demands(9.0)] == []
@@ -548,9 +561,11 @@
 
 def test_a_machine_is_rented_when_lending_cannot_serve_a_demand():
     harness = LeaderHarness()
-    harness.lender = CapacityLender([LendingConfiguration(CONFIGURATION.serve, [], {}, 24, 16, 120.0)], TEAMS, TYPES)
+    harness.lender = CapacityLender(
+        [LendingConfiguration(CONFIGURATION.serving_classes, [], {}, 24, 16, 120.0)], TEAMS, TYPES
+    )
     harness.leader.scale_in_guard.refresh(0, 2, 0, 1.0)
-    for now, demands in ((1.0, 0), (2.0, 0), (1.0 + constants.LEND_FIRST_S, 1)):
+    for now, demands in ((1.0, 0), (2.0, 0), (1.0 + constants.LENDING_HEAD_START_S, 1)):
         harness.report(now, 3)
         harness.run_round(now)
         assert len(harness.leader.demands(now)) == demands
@@ -566,7 +581,7 @@
         for one in (harness.tune, harness.tune, harness.serve)
     ]
     left_to_others = harness.lender.limit_lending(2.0, lambda offer: 0)
-    assert [offer.left - left_to_others(offer) for offer in offers] == [2, 0, 9]
+    assert [offer.remaining - left_to_others(offer) for offer in offers] == [2, 0, 9]
 
 
 LENDING_CONFIGURATION = LendingConfiguration(
@@ -578,8 +593,8 @@
 class LendingWorld(ClaimsWorld):
     """Tuning tasks use all GPUs, services start and stop, and controllers fail while claims are open."""
 
-    def prepare(self, core):
-        core.preemption.lendings = lambda now: [LENDING_CONFIGURATION]
+    def on_core_created(self, core):
+        core.preemption.lending_configurations = lambda now: [LENDING_CONFIGURATION]
 
     def routine(self, number):
         return msgspec.structs.replace(
@@ -611,56 +626,63 @@
     def submit(self, spec):
         super().submit(spec)
         if spec.service:
-            self.after(self.rng.uniform(15.0, 60.0), self.withdraw, spec.id)
+            self.after(self.rng.uniform(15.0, 60.0), self.cancel, spec.id)
 
-    def count(self):
-        super().count()
+    def sample(self):
+        super().sample()
         used = Counter()
-        for task in self.on:
+        for task in self.running_on:
             one = self.specs[wire.split_task_id(task)[0]]
             used[one.team, 0] += one.cpus
             used[one.team, 1] += one.gpus
         self.recent_use = [*getattr(self, "recent_use", [])[-16:], used]  # of 4 s, the maximum age of the leader's data
-        for machine, kind in ((name, self.kinds[name][0]) for name in self.machines if name in self.kinds):
-            gpus = sum(self.specs[wire.split_task_id(task)[0]].gpus for task, on in self.on.items() if on == machine)
+        for machine, kind in (
+            (name, self.rented_kinds[name][0]) for name in self.machines if name in self.rented_kinds
+        ):
+            gpus = sum(
+                self.specs[wire.split_task_id(task)[0]].gpus for task, on in self.running_on.items() if on == machine
+            )
             if gpus > simulation.TYPES[kind.type].gpus:
                 raise Broken(f"gpus: {machine} has {gpus} in use")
 
-    def may_claim(self, machine, claim):
+    def check_claim(self, machine, claim):
         service = self.specs[claim.job]
         claimed = sum(
             other.count
-            for name, other in self.open.items()
-            if other.job == claim.job and (name == machine or self.there(name, other))
+            for name, other in self.stored_claims.items()
+            if other.job == claim.job and (name == machine or self.running_victims(name, other))
         )
-        if not service.service or claimed > self.lately_waiting(claim.job):
-            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {claimed} for {self.lately_waiting(claim.job)}")
+        if not service.service or claimed > self.max_recently_waiting(claim.job):
+            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {claimed} for {self.max_recently_waiting(claim.job)}")
         for job, index, attempt in claim.victims:
             one = self.specs[job]
-            self.claimed.add((f"{job}/{index}", attempt))
-            self.victims[job, index] += 1
-            if one.job_class != "tune" or self.victims[job, index] > 2:
-                raise Broken(f"protected: {job}/{index}, preempted {self.victims[job, index]} times")
+            self.claimed_attempts.add((f"{job}/{index}", attempt))
+            self.preemption_counts[job, index] += 1
+            if one.job_class != "tune" or self.preemption_counts[job, index] > 2:
+                raise Broken(f"protected: {job}/{index}, preempted {self.preemption_counts[job, index]} times")
             if one.team == service.team and one.rank >= service.rank:
                 raise Broken(f"preemption: {job} ({one.priority}) for {claim.job} ({service.priority})")
         other_teams_victims = [
             self.specs[job]
-            for name, other in self.open.items()
+            for name, other in self.stored_claims.items()
             for job, _, _ in other.victims
-            if self.there(name, other) and self.specs[job].team != service.team
+            if self.running_victims(name, other) and self.specs[job].team != service.team
         ]
         for team in {one.team for one in other_teams_victims}:
             for resource, minimum in enumerate(GUARANTEED[team]):
                 stopped = sum((one.cpus, one.gpus)[resource] for one in other_teams_victims if one.team == team)
                 if max(used[team, resource] for used in self.recent_use) - stopped < minimum:
                     raise Broken(f"guarantee: {team} at {self.t:.2f}")
-        self.spent.append((claim.at, claim.team, len(claim.victims)))
+        self.preemption_log.append((claim.planned_at, claim.team, len(claim.victims)))
         if (
-            sum(count for claimed_at, _, count in self.spent if claimed_at > claim.at - 60.0)
-            > LENDING_CONFIGURATION.gpus_a_minute
+            sum(count for claimed_at, _, count in self.preemption_log if claimed_at > claim.planned_at - 60.0)
+            > LENDING_CONFIGURATION.gpus_per_minute
         ):
             raise Broken(f"pace: limit in a minute exceeded at {self.t:.2f}")
-        if sum(self.there(name, other) for name, other in self.open.items()) > LENDING_CONFIGURATION.gpus_at_once:
+        if (
+            sum(self.running_victims(name, other) for name, other in self.stored_claims.items())
+            > LENDING_CONFIGURATION.max_stopping_gpus
+        ):
             raise Broken(f"pace: limit at once exceeded at {self.t:.2f}")
 
 
@@ -676,7 +698,7 @@
 
 def run_world(seed, until=700.0, **more):
     world = LendingWorld(seed, **more)
-    while world.t < until and not (world.t > 220.0 and world.over()):
+    while world.t < until and not (world.t > 220.0 and world.is_finished()):
         world.run(world.t + 20.0)
     world.check_end()
     return world
@@ -684,15 +706,15 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_lending_rules_hold_under_faults(gpu_machines, seed):
-    assert run_world(seed, nodes=3 + 2 * (seed % 2)).starts > 0
+    assert run_world(seed, nodes=3 + 2 * (seed % 2)).task_starts > 0
 
 
 def test_tasks_are_preempted_only_with_a_lending_configuration(gpu_machines, monkeypatch):
-    assert run_world(103, random_faults=False, falls_in_claims=False).made > 0
-    monkeypatch.setattr(LendingWorld, "prepare", lambda self, core: None)
-    assert run_world(101, random_faults=False, falls_in_claims=False).made == 0
+    assert run_world(103, random_faults=False, faults_after_claims=False).claim_count > 0
+    monkeypatch.setattr(LendingWorld, "on_core_created", lambda self, core: None)
+    assert run_world(101, random_faults=False, faults_after_claims=False).claim_count == 0
 
 
 def test_lending_respects_another_teams_guarantee_without_faults(gpu_machines):
     """A team is not brought below its guarantee for another team's replicas; listed in KNOWN-RED.txt."""
-    assert run_world(107, random_faults=False, falls_in_claims=False).starts > 0
+    assert run_world(107, random_faults=False, faults_after_claims=False).task_starts > 0
