--- a/tests/test_machine_handover.py
+++ b/tests/test_machine_handover.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 from simulation import Broken, SimWorker, World
-from test_late_transactions import LEASE_S, SETTLED_S, Alone, machine_of
-from test_machine_proofs import OUT_S, RUNNING, DeafMachines, Reports
+from test_late_transactions import LEASE_S, VIEW_SETTLED_S, SteppedController, machine_of
+from test_machine_proofs import LEASE_EXPIRY_PROOF_S, RUNNING, InboundBlockedWorld, MachineShardHarness
 
 from alderbridge import constants
 from alderbridge.jobs.record import JobState
@@ -25,18 +25,21 @@
 
     Counting the machine as recorded then would let it run tasks that no later view waits for.
     """
-    alone, name = Alone(), "n-000001"
+    alone, name = SteppedController(), "n-000001"
     alone.heartbeat(name, 1)
-    alone.go(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
-    put = alone.batch()
-    revision, since = alone.carry_out(put).revision, alone.core.replica.revision
-    rows, changes = alone.store.rows(), alone.store.since(since)  # what the store returns for a read at this revision
+    alone.advance(LEASE_S + 0.5)  # the write is delayed, and the machine is silent until its lease expires
+    put = alone.next_batch()
+    revision, since = alone.commit(put).revision, alone.core.replica.revision
+    rows, changes = (
+        alone.store.rows(),
+        alone.store.events_after(since),
+    )  # what the store returns for a read at this revision
     alone.t += 1.0
     alone.core.round(alone.t)
     machine = alone.core.machine_shard.machines[name]
     assert machine.state is MachineState.EXPIRED
     alone.core.batch_results.on_written(put, revision, alone.t)
-    alone.write()
+    alone.write_due_records()
     assert MACHINES + name not in alone.store.data
     if how == "followed":
         alone.core.store_follower.apply_events(changes, alone.t, alone.t)
@@ -46,18 +49,18 @@
     assert alone.heartbeat(name, 1, incarnation=2) is machine and machine.state is MachineState.UP
     assert not machine.recorded and alone.core.machine_shard.capacity.candidate(machine, alone.t) is None
     alone.follow()
-    alone.write()
+    alone.write_due_records()
     assert machine.recorded and MACHINES + name in alone.store.data, "its record is put again"
 
 
 @pytest.mark.parametrize("write_outcome", ("before the view", "after the view", "before the view, unanswered"))
 def test_the_next_view_waits_for_a_new_machine_that_may_have_run_tasks(write_outcome):
     """The put of its record is in flight and a task is granted when the leader that owns the machine ends."""
-    alone = Alone("host-1")
-    other, name = alone.other("host-1"), machine_of("host-0", "host-0", "host-1")
-    alone.job()
+    alone = SteppedController("host-1")
+    other, name = alone.other_member("host-1"), machine_of("host-0", "host-0", "host-1")
+    alone.submit_job()
     machine = alone.heartbeat(name, 1)
-    put = alone.batch()
+    put = alone.next_batch()
     assert MACHINES + name in put.puts
     alone.core.machine_shard.on_task_grant(
         "host-0",
@@ -66,14 +69,14 @@
     )
     assert not alone.core.machine_shard.order_builder.orders(machine), "not before the store holds its record"
     if write_outcome == "before the view":
-        alone.core.batch_results.on_written(put, alone.carry_out(put).revision, alone.t)
+        alone.core.batch_results.on_written(put, alone.commit(put).revision, alone.t)
         assert [order["verb"] for order in alone.core.machine_shard.order_builder.orders(machine)] == ["run"]
     elif write_outcome == "before the view, unanswered":
-        assert not alone.carry_out(put).failed
+        assert not alone.commit(put).failed
         alone.core.batch_results.on_failed(put, alone.t)
     alone.store.commit({}, {VIEW: View("host-1", {"host-1": alone.lease_ids["host-1"]})})
     if write_outcome == "after the view":
-        assert VIEW in alone.carry_out(put).failed
+        assert VIEW in alone.commit(put).failed
         assert not alone.core.machine_shard.order_builder.orders(machine), (
             "no run order after the failed put, though it still acts under the older view"
         )
@@ -83,21 +86,21 @@
         name in other.core.job_shard.inherited.barrier
     ) is is_waited_for
     job = other.core.job_shard.jobs["wk-000001"]
-    assert job.unknown == ({0, 1, 2} if is_waited_for else set())
+    assert job.inherited_tasks == ({0, 1, 2} if is_waited_for else set())
     if is_waited_for:
         other.heartbeat(name, 2, [RUNNING_TASK])
-        assert not job.unknown and list(job.runs) == [0]
+        assert not job.inherited_tasks and list(job.runs) == [0]
 
 
 def test_a_machine_is_served_before_it_is_listed_when_the_scale_out_answer_was_lost():
     """The requesting leader ends before the scale-out answer, and the cloud's list lags by 60 s."""
     world = FastBootWorld(2, jobs=14)
     world.faults_until = 0.0
-    world.listing = lambda: [host for host in World.listing(world) if world.t > 60.0]
+    world.list_machines = lambda: [host for host in World.list_machines(world) if world.t > 60.0]
     world.run(20.0)
-    kind = next(kind for kind, _ in world.kinds.values())
+    kind = next(kind for kind, _ in world.rented_kinds.values())
     leader, names = world.leader(), world.rent(kind, 3)
-    world.end(leader, 40.0)
+    world.crash_and_restart(leader, 40.0)
     world.run(40.0)
     new_leader = world.leader()
     assert new_leader is not leader
@@ -106,27 +109,27 @@
         assert machines[name].state is MachineState.UP and machines[name].recorded
         assert new_leader.core.leader.rented_machines[name].state.value == "up"
     world.run(130.0)
-    assert all(name not in world.kinds or world.run_orders[name] for name in names), "used or terminated"
+    assert all(name not in world.rented_kinds or world.run_orders[name] for name in names), "used or terminated"
     assert any(world.run_orders[name] for name in names)
 
 
 class FastBootWorker(SimWorker):
-    def carry_out(self, order):
+    def apply_order(self, order):
         """Fail if a machine without a record in the store gets a run order."""
         if order["verb"] == "run" and MACHINES + self.name not in self.world.store.data:
             raise Broken(f"unrecorded: {order['part']} on {self.name} at {self.world.t:.2f}")
         self.world.run_orders[self.name] += order["verb"] == "run"
-        super().carry_out(order)
+        super().apply_order(order)
 
 
-class FastBootController(World.process):
+class FastBootController(World.controller_class):
     """Scales out at once; the answers arrive late, or are lost if the process has ended since."""
 
     def lead(self):
         core, world, rng, life = self.core, self.world, self.world.rng, self.life
         if not core.membership.is_leader(world.t):
             return
-        core.leader.on_listing(world.listing(), world.t)
+        core.leader.on_listing(world.list_machines(), world.t)
         decision = core.leader.decide(world.t)
         core.drain_machines(decision.drain, world.t)
         for kind, count in decision.scale_out:
@@ -139,7 +142,7 @@
             world.after(rng.uniform(0.2, 4.0), on_response)
             world.rented_count += len(names)
         if decision.terminate:
-            world.remove(decision.terminate)
+            world.terminate(decision.terminate)
             if rng.random() < 0.7:
                 core.on_terminated(decision.terminate, world.t)
         if decision.scale_out and world.t < world.faults_until and rng.random() < 0.8:
@@ -147,10 +150,10 @@
             world.after(rng.uniform(0.0, 2.5), world.end_if_up, self, life)
 
 
-class FastBootWorld(DeafMachines):
+class FastBootWorld(InboundBlockedWorld):
     """Machines boot within 2 s and some fail within seconds, while store writes are delayed and leaders end."""
 
-    process = FastBootController
+    controller_class = FastBootController
     faults_until = 110.0
     rented_count = ended_leader_count = 0
 
@@ -160,7 +163,7 @@
 
     def end_if_up(self, sim, life):
         if sim.life == life:
-            self.end(sim, self.rng.choice([0.2, 2.0, 12.0]))
+            self.crash_and_restart(sim, self.rng.choice([0.2, 2.0, 12.0]))
 
     def rent(self, kind, count):
         names = super().rent(kind, count)
@@ -171,15 +174,15 @@
         return names
 
     def boot(self, name, kind):
-        if name not in self.kinds or self.machines[name] is not None:
+        if name not in self.rented_kinds or self.machines[name] is not None:
             return
         worker = self.machines[name] = FastBootWorker(self, name, kind)
         fault_draw = self.rng.random() if self.t < self.faults_until else 1.0
         fault_after_s = self.rng.uniform(0.3, 5.0)
         if fault_draw < 0.15:
-            self.after(fault_after_s, worker.die)
+            self.after(fault_after_s, worker.crash)
         elif fault_draw < 0.3:
-            worker.recall_at = self.t + fault_after_s
+            worker.preempted_at = self.t + fault_after_s
         elif fault_draw < 0.5:  # hangs for about a lease, so that the lease expires or nearly does
             self.after(
                 fault_after_s, setattr, worker, "hangs_until", self.t + fault_after_s + self.rng.uniform(10.0, 30.0)
@@ -189,7 +192,7 @@
         """The machines of all machine shards, by name."""
         return {
             name: machine
-            for sim in self.nodes.values()
+            for sim in self.controllers.values()
             if sim.core is not None
             for name, machine in sim.core.machine_shard.machines.items()
         }
@@ -199,8 +202,8 @@
         return msgspec.structs.replace(spec, estimate_s=min(spec.estimate_s, 40.0))
 
     def late_writes(self, from_s, for_s):
-        self.after(from_s, self.bring, "late_writes", next(iter(self.nodes.values())), for_s)
-        self.after(from_s, self.bring, "slow_store", next(iter(self.nodes.values())), for_s)
+        self.after(from_s, self.inject, "late_writes", next(iter(self.controllers.values())), for_s)
+        self.after(from_s, self.inject, "slow_store", next(iter(self.controllers.values())), for_s)
 
 
 @pytest.mark.parametrize("seed, nodes", ((44, 3), (35, 5)))
@@ -209,18 +212,21 @@
     world.late_writes(3.0, 50.0)
     world.late_writes(65.0, 40.0)
     world.run(210.0)
-    world.remembered()
-    assert world.ended_leader_count >= 2 and world.starts > 20
+    world.check_final_status_age()
+    assert world.ended_leader_count >= 2 and world.task_starts > 20
     shard_machines = world.shard_machines()
-    for name, (_, rented_at) in world.kinds.items():
+    for name, (_, rented_at) in world.rented_kinds.items():
         worker = world.machines[name]
-        if world.t - rented_at > constants.BOOT_PATIENCE * 10.0 + constants.LOST_MACHINE_S + OUT_S + 20.0:
+        if (
+            world.t - rented_at
+            > constants.BOOT_TIMEOUT_FACTOR * 10.0 + constants.LOST_MACHINE_TIMEOUT_S + LEASE_EXPIRY_PROOF_S + 20.0
+        ):
             assert worker is not None and worker.alive, f"{name} is rented but not running"
             assert shard_machines[name].recorded, f"{name} is running but not recorded"
     assert not [
         job
         for job in world.accepted
-        if job not in world.said
+        if job not in world.reported_ends
         and not world.specs[job].service
         and world.specs[job].team == "free"
         and job not in world.cancelled_at
@@ -239,84 +245,84 @@
 @pytest.mark.parametrize("reported", STALE_TASK_LISTS)
 def test_stale_heartbeats_change_nothing_at_a_controller_that_owns_the_machine_again(reported):
     """The controller owns the machine under tokens 5 and 7, another under 6; delayed heartbeats arrive under 7."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 50)
-    harness.machine_shard.enter(6, ["host-0", "host-1"], {}, 2.0, True, True)
+    harness.machine_shard.enter_view(6, ["host-0", "host-1"], {}, 2.0, True, True)
     assert "n-1" not in harness.machine_shard.machines
-    harness.enter(7, 10.0, carry=True)
-    harness.told_home()
+    harness.enter_view(7, 10.0, inherit_tasks=True)
+    harness.take_owner_reports()
     for fencing_token, sequence, incarnation in ((6, 60, 2), (6, 61, 2), (5, 51, 1), (5, 99, 1)):
         harness.heartbeat(10.5, sequence, fencing_token=fencing_token, incarnation=incarnation, tasks=reported)
         assert (
             not harness.machine.acknowledged
             and not harness.machine.tasks
-            and not harness.told_home()
+            and not harness.take_owner_reports()
             and not harness.orders()
         )
     assert harness.machine.last_sequence == (2, 61), (
         "the newer incarnation's heartbeats arrived first: all others are older"
     )
-    harness.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=reported, asked=True)
-    harness.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=reported, asked=True)
+    harness.heartbeat(10.6, 58, fencing_token=6, incarnation=2, tasks=reported, is_probe_answer=True)
+    harness.heartbeat(10.6, 61, fencing_token=7, incarnation=2, tasks=reported, is_probe_answer=True)
     assert not harness.machine.acknowledged, (
         "probe answers with an older token, or not newer than the last heartbeat, are ignored"
     )
-    harness.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], asked=True)
-    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
+    harness.heartbeat(11.0, 62, fencing_token=7, incarnation=2, tasks=[RUNNING], is_probe_answer=True)
+    assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
     for fencing_token, sequence in ((6, 60), (6, 61), (7, 62)):
         assert harness.heartbeat(12.0, sequence, fencing_token=fencing_token, incarnation=2, tasks=reported) is None
-    assert not harness.told_home() and harness.machine.last_heartbeat_at == 11.0
+    assert not harness.take_owner_reports() and harness.machine.last_heartbeat_at == 11.0
 
 
 @pytest.mark.parametrize("reported", STALE_TASK_LISTS)
 def test_a_heartbeat_delayed_until_the_next_view_changes_nothing_of_the_inherited_tasks(reported):
     """A new heartbeat with the previous view's token may show any outcome of the inherited tasks and orders."""
-    harness = Reports()
+    harness = MachineShardHarness()
     harness.heartbeat(1.0, 1, tasks=[RUNNING])
     harness.grant(3, 73)
     assert harness.orders() == [("run", "wk-1/3", 73)]
-    harness.enter(6, 2.0, settle=False, carry=True)
-    harness.told_home()
+    harness.enter_view(6, 2.0, settle=False, inherit_tasks=True)
+    harness.take_owner_reports()
     harness.heartbeat(2.1, 2, fencing_token=5, tasks=reported)
-    assert not harness.told_home()
+    assert not harness.take_owner_reports()
     harness.machine_shard.leases.settle(3.0)
-    assert harness.told_home() == [([0], [("wk-1", 3, 73)])]
+    assert harness.take_owner_reports() == [([0], [("wk-1", 3, 73)])]
     assert (
         harness.heartbeat(3.1, 2, fencing_token=5, tasks=reported) is None
         and harness.heartbeat(3.2, 1, tasks=[RUNNING]) is None
     )
-    assert not harness.told_home()
+    assert not harness.take_owner_reports()
     harness.heartbeat(4.0, 3, fencing_token=6, tasks=[RUNNING])
-    assert harness.told_home() == [([0], [])], "this heartbeat proves that attempt 73 is not there"
+    assert harness.take_owner_reports() == [([0], [])], "this heartbeat proves that attempt 73 is not there"
 
 
 class OutboundBlockedWorker(SimWorker):
     """For some time its heartbeats reach no controller, while probes reach it and are answered."""
 
-    mute_until = 0.0
+    outbound_blocked_until = 0.0
 
     def send_heartbeat(self):
-        if not self.alive or self.world.t >= self.mute_until or self.world.t < self.hangs_until:
+        if not self.alive or self.world.t >= self.outbound_blocked_until or self.world.t < self.hangs_until:
             return super().send_heartbeat()
         self.tick()
         self.sequence += 1  # of a heartbeat that is lost
-        self.in_flight += 1
-        self.next_node()
+        self.request_number += 1
+        self.use_next_controller()
 
     def command(self, fencing_token, incarnation, reply):
         self.tick()
         if incarnation != self.incarnation and self.alive:  # 409, and probed again as ``WorkerProber`` does
-            self.world.after(self.way(), super().command, fencing_token, self.incarnation, reply)
+            self.world.after(self.draw_latency(), super().command, fencing_token, self.incarnation, reply)
         else:
             super().command(fencing_token, incarnation, reply)
 
-    def carry_out(self, order):
-        if order["verb"] == "run" and self.world.t < self.mute_until:
+    def apply_order(self, order):
+        if order["verb"] == "run" and self.world.t < self.outbound_blocked_until:
             raise Broken(f"run order to a machine with blocked outbound traffic: {order['part']} on {self.name}")
-        super().carry_out(order)
+        super().apply_order(order)
 
 
-class ReplayingController(World.process):
+class ReplayingController(World.controller_class):
     """Captures a share of the heartbeats for replay under the next view; some of them are withheld until then."""
 
     def heartbeat(self, raw, reply, is_replay=False):
@@ -328,10 +334,10 @@
         super().heartbeat(raw, reply)
 
 
-class OutboundBlockedWorld(DeafMachines):
+class OutboundBlockedWorld(InboundBlockedWorld):
     """Heartbeats of some machines are lost, and captured heartbeats are replayed under the next view."""
 
-    process = ReplayingController
+    controller_class = ReplayingController
     capture_share = 0.0
 
     def __init__(self, *args, **kwargs):
@@ -340,7 +346,7 @@
         self.after(0.0, self.replay_heartbeats)
 
     def boot(self, name, kind):
-        if name in self.kinds:
+        if name in self.rented_kinds:
             self.machines[name] = OutboundBlockedWorker(self, name, kind)
 
     def make_job(self, number):
@@ -359,7 +365,7 @@
                 delay_s = self.rng.choice(
                     [0.0, 0.2, 0.5, self.rng.uniform(0.5, 8.0), self.rng.uniform(8.0, 2 * LEASE_S)]
                 )
-                for sim in self.nodes.values():
+                for sim in self.controllers.values():
                     self.after(
                         delay_s + self.rng.uniform(0.0, 0.3), sim.heartbeat, raw, lambda status, body: None, True
                     )
@@ -368,15 +374,15 @@
 
     def block_outbound(self, share, for_s):
         for worker in self.rng.sample(self.workers(), int(len(self.workers()) * share)):
-            worker.mute_until = self.t + for_s
+            worker.outbound_blocked_until = self.t + for_s
             if self.rng.random() < 0.8:
-                worker.held_up_until = self.t + for_s
+                worker.responses_delayed_until = self.t + for_s
 
     def runs_on(self, machines):
         """The tasks that job owners have on these machines."""
         return [
             (name, index, run.state)
-            for sim in self.nodes.values()
+            for sim in self.controllers.values()
             if sim.core is not None
             for name, job in sim.core.job_shard.jobs.items()
             for index, run in job.runs.items()
@@ -393,11 +399,13 @@
     world.capture_share, captured, world.captured_heartbeats = 0.0, world.captured_heartbeats, []
     leader = world.leader()
     fencing_token = leader.core.membership.fencing_token
-    world.end(leader, 30.0)
+    world.crash_and_restart(leader, 30.0)
 
     def cores_in_newer_view():
         return [
-            sim.core for sim in world.nodes.values() if sim.core and sim.core.membership.fencing_token > fencing_token
+            sim.core
+            for sim in world.controllers.values()
+            if sim.core and sim.core.membership.fencing_token > fencing_token
         ]
 
     def snapshot(core):
@@ -413,7 +421,10 @@
                 )
                 for name, machine in core.machine_shard.machines.items()
             },
-            {name: (dict(job.runs), set(job.unknown), job.done.count) for name, job in core.job_shard.jobs.items()},
+            {
+                name: (dict(job.runs), set(job.inherited_tasks), job.done.count)
+                for name, job in core.job_shard.jobs.items()
+            },
         )
 
     while not cores_in_newer_view():
@@ -424,36 +435,39 @@
         for raw in captured:
             for core in cores_in_newer_view():
                 machines, jobs = snapshot(core)
-                world.nodes[core.me].heartbeat(raw, lambda status, body: None, True)
+                world.controllers[core.me].heartbeat(raw, lambda status, body: None, True)
                 machines_after, jobs_after = snapshot(core)
                 assert jobs_after == jobs and {name: machines_after[name] for name in machines} == machines
                 receivers.add(core.me)
     assert len(captured) > 5 and len(receivers) == 4
-    world.run(world.t + OUT_S)
+    world.run(world.t + LEASE_EXPIRY_PROOF_S)
     assert not world.inherited()
 
 
 @pytest.mark.parametrize("is_lost", (True, False))
 def test_a_machine_with_blocked_outbound_traffic_expires_in_time_whatever_it_answers_to_probes(is_lost):
     """Each of three views within a lease probes it; the last probe is unanswered or answered by a new incarnation."""
-    harness = Reports()
-    harness.heartbeat(1.0, 1, tasks=[RUNNING], asked=True)
-    assert harness.machine.acknowledged and harness.told_home() == [([0], [])]
-    harness.enter(6, 8.0)
-    harness.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], asked=True)
-    assert harness.told_home() == [([0], [])]
-    assert harness.heartbeat(10.0, 4, fencing_token=6, asked=True) is None and harness.machine.last_heartbeat_at == 9.0
-    harness.enter(7, 16.0)
+    harness = MachineShardHarness()
+    harness.heartbeat(1.0, 1, tasks=[RUNNING], is_probe_answer=True)
+    assert harness.machine.acknowledged and harness.take_owner_reports() == [([0], [])]
+    harness.enter_view(6, 8.0)
+    harness.heartbeat(9.0, 3, fencing_token=6, tasks=[RUNNING], is_probe_answer=True)
+    assert harness.take_owner_reports() == [([0], [])]
+    assert (
+        harness.heartbeat(10.0, 4, fencing_token=6, is_probe_answer=True) is None
+        and harness.machine.last_heartbeat_at == 9.0
+    )
+    harness.enter_view(7, 16.0)
     if not is_lost:
-        harness.heartbeat(19.0, 1, fencing_token=7, incarnation=2, asked=True)
-        assert harness.machine.state is MachineState.UP and harness.told_home() == [([], [])], (
+        harness.heartbeat(19.0, 1, fencing_token=7, incarnation=2, is_probe_answer=True)
+        assert harness.machine.state is MachineState.UP and harness.take_owner_reports() == [([], [])], (
             "a new incarnation starts without tasks, as the old one's lease has expired"
         )
         return
-    harness.machine_shard.leases.check(9.0 + OUT_S - 0.1)
-    assert harness.machine.state is MachineState.EXPECTED and not harness.told_home()
-    harness.machine_shard.leases.check(9.0 + OUT_S + 0.1)
-    assert harness.machine.state is MachineState.EXPIRED and harness.told_home() == [([], [])], (
+    harness.machine_shard.leases.check(9.0 + LEASE_EXPIRY_PROOF_S - 0.1)
+    assert harness.machine.state is MachineState.EXPECTED and not harness.take_owner_reports()
+    harness.machine_shard.leases.check(9.0 + LEASE_EXPIRY_PROOF_S + 0.1)
+    assert harness.machine.state is MachineState.EXPIRED and harness.take_owner_reports() == [([], [])], (
         "the lease does not start again with the view at 16 s"
     )
     for incarnation, sequence in ((1, 5), (2, 1)):
@@ -463,9 +477,11 @@
             fencing_token=7,
             incarnation=incarnation,
             tasks=[RUNNING] if incarnation == 1 else [],
-            asked=True,
+            is_probe_answer=True,
+        )
+        assert (
+            harness.machine.state is MachineState.EXPIRED and not harness.take_owner_reports() and not harness.orders()
         )
-        assert harness.machine.state is MachineState.EXPIRED and not harness.told_home() and not harness.orders()
     harness.heartbeat(40.0, 2, fencing_token=7, incarnation=2)
     assert (
         harness.machine.state is MachineState.UP
@@ -477,12 +493,12 @@
 
 def test_a_machine_that_only_answers_probes_gets_no_task():
     """Run orders are sent only in responses to heartbeats: its tasks would wait until its lease expires."""
-    alone, name = Alone(), "n-000001"
-    alone.up(name)
-    alone.view("host-0")
-    alone.t += SETTLED_S
+    alone, name = SteppedController(), "n-000001"
+    alone.add_machine(name)
+    alone.commit_view("host-0")
+    alone.t += VIEW_SETTLED_S
     alone.follow()
-    job = alone.job()
+    job = alone.submit_job()
     alone.core.round(alone.t)
     fencing_token = alone.core.membership.fencing_token
     machine = alone.core.machine_shard.machines[name]
@@ -525,37 +541,39 @@
     world = ManyMachinesWorld(6, machines=125)
     world.run(45.0)
     leader, fencing_token = world.leader(), world.leader().core.membership.fencing_token
-    busy = sorted(set(world.on.values()))
+    busy = sorted(set(world.running_on.values()))
     blocked = set(world.rng.sample(busy, 100))
     for name in blocked:
-        world.machines[name].mute_until = world.t + 240.0
+        world.machines[name].outbound_blocked_until = world.t + 240.0
     world.run(world.t + 3.0)
-    world.end(leader, 30.0)
-    for job in sorted({task_id.split("/")[0] for task_id, name in world.on.items() if name in blocked})[:4]:
-        world.withdraw(job)
-    while all(sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.nodes.values()):
+    world.crash_and_restart(leader, 30.0)
+    for job in sorted({task_id.split("/")[0] for task_id, name in world.running_on.items() if name in blocked})[:4]:
+        world.cancel(job)
+    while all(
+        sim.core is None or sim.core.membership.fencing_token == fencing_token for sim in world.controllers.values()
+    ):
         world.run(world.t + 0.25)
     view_began_at = world.t
     world.run(view_began_at + 4.0)
     shard_machines = {
         name: machine
-        for sim in world.nodes.values()
+        for sim in world.controllers.values()
         if sim.core is not None
         for name, machine in sim.core.machine_shard.machines.items()
     }
     acknowledged = [name for name in blocked if shard_machines[name].acknowledged]
     assert len(acknowledged) > 70, "they acknowledge when probed; some probes are delayed"
     assert world.runs_on(set(acknowledged)), "their tasks stay assigned until the leases have expired"
-    world.run(view_began_at + OUT_S + 4.0)
+    world.run(view_began_at + LEASE_EXPIRY_PROOF_S + 4.0)
     assert not world.inherited()
-    world.run(view_began_at + 2 * OUT_S + 4.0)  # a late acknowledgement, and a lease from then on
-    assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
-    job_owners = [sim.core.job_shard.jobs for sim in world.nodes.values() if sim.core is not None]
+    world.run(view_began_at + 2 * LEASE_EXPIRY_PROOF_S + 4.0)  # a late acknowledgement, and a lease from then on
+    assert not world.runs_on(blocked) and not any(name in blocked for name in world.running_on.values())
+    job_owners = [sim.core.job_shard.jobs for sim in world.controllers.values() if sim.core is not None]
     assert not [
         job for jobs in job_owners for job in jobs.values() if job.state is JobState.ABORTED and job.on_machines
     ]
     aborted = [job for job, cancelled_at in world.cancelled_at.items() if cancelled_at < float("inf")]
-    assert aborted and all(world.said[job] == "aborted" for job in aborted)
+    assert aborted and all(world.reported_ends[job] == "aborted" for job in aborted)
 
 
 def test_a_machine_whose_outbound_traffic_is_restored_gets_tasks():
@@ -563,13 +581,13 @@
     world.run(50.0)
     blocked = [worker.name for worker in world.workers()]
     for name in blocked:
-        world.machines[name].mute_until = world.t + 50.0
+        world.machines[name].outbound_blocked_until = world.t + 50.0
     world.run(60.0)
-    world.end(world.leader(), 2.0)
+    world.crash_and_restart(world.leader(), 2.0)
     world.run(97.0)  # an acknowledgement may be delayed by seconds, and a lease counts from it
-    assert not world.runs_on(blocked) and not any(name in blocked for name in world.on.values())
+    assert not world.runs_on(blocked) and not any(name in blocked for name in world.running_on.values())
     world.run(125.0)
-    assert any(name in blocked for name in world.on.values())
+    assert any(name in blocked for name in world.running_on.values())
 
 
 @pytest.mark.parametrize("seed, nodes", ((63, 5), (66, 3)))
@@ -580,13 +598,15 @@
     fault_at = 20.0
     while fault_at < 120.0:
         world.after(fault_at, lambda: world.block_outbound(world.rng.uniform(0.2, 0.8), world.rng.uniform(3.0, 40.0)))
-        world.after(fault_at + 2.0, world.end_leaders, 1, 0.0)
-        world.after(fault_at + 3.0, lambda: world.end(world.rng.choice(list(world.nodes.values())), 11.0))
+        world.after(fault_at + 2.0, world.crash_leaders, 1, 0.0)
+        world.after(
+            fault_at + 3.0, lambda: world.crash_and_restart(world.rng.choice(list(world.controllers.values())), 11.0)
+        )
         world.after(fault_at + 1.0, world.cancel_any)
         fault_at += world.rng.uniform(4.0, 20.0)
     world.run(125.0)
     world.capture_share = 0.0
     world.run(220.0)
-    world.remembered()
-    assert world.replayed_count > 10 and world.starts > 60
+    world.check_final_status_age()
+    assert world.replayed_count > 10 and world.task_starts > 60
     assert not world.inherited()
--- a/tests/test_monotonic_reads.py
+++ b/tests/test_monotonic_reads.py
@@ -27,7 +27,7 @@
 from alderbridge.settings import Tuning
 from alderbridge.state.errors import StoreRefusedError
 from alderbridge.transport.errors import UnansweredError
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 BODY = {
     "workload": "x",
@@ -151,9 +151,9 @@
         self.response_statuses: list[int] = []
         patch_now(monkeypatch, lambda: self.t)
         monkeypatch.setattr(time, "time", lambda: self.t)
-        monkeypatch.setattr(constants, "WRITER_PAUSE_S", 0.0)
-        monkeypatch.setattr(constants, "ROUND_S", 0.0)
-        monkeypatch.setattr(constants, "WATCH_PAUSE_S", 0.0)
+        monkeypatch.setattr(constants, "WRITE_BATCH_DELAY_S", 0.0)
+        monkeypatch.setattr(constants, "ROUND_INTERVAL_S", 0.0)
+        monkeypatch.setattr(constants, "WATCH_DELAY_S", 0.0)
 
     async def start(self, slow: bool = False) -> "Cluster":
         for label in LABELS:
@@ -168,7 +168,7 @@
 
     def register_member(self, label: str) -> None:
         lease_id = self.lease_ids[label] = next(self.store.lease_ids)
-        self.store.holds[lease_id] = 1e9
+        self.store.leases[lease_id] = 1e9
         self.store.commit({}, {MEMBERS + label: MemberRecord(lease_id, constants.PROTOCOL_VERSION)}, (), lease_id)
 
     def store_view(self, *labels: str) -> None:
@@ -180,16 +180,18 @@
             await self.writers[label].cancel()
         store = ControlledStore(self, label)
         store.slow = slow
-        controller = self.controllers[label] = Controller(platform(label, LABELS), Tuning(), Poll(), store=store)
+        controller = self.controllers[label] = Controller(
+            platform(label, LABELS), Tuning(), EpollSelector(), store=store
+        )
         controller.mesh = QueuedMesh(self, label)
-        controller.record_writer.wait_for_work = store.wait_for_wakeup
+        controller.record_writer.wait_for_due_records = store.wait_for_wakeup
         controller.core.machine_types.update(TYPES)
         controller.core.view_entry.lease_acquired(self.lease_ids[label], self.t, self.t)
         self.pending_polls.pop(label, None)
         self.writers[label] = await curio.spawn(controller.record_writer.keep_records, daemon=True)
 
     def row(self, key: str) -> wire.KeyValue | None:
-        self.store.check()
+        self.store.expire_leases()
         found = self.store.data.get(key)
         return None if found is None else wire.KeyValue(key, msgspec.Raw(found[0]), found[1])
 
@@ -203,7 +205,12 @@
         core, poll = self.controllers[label].core, self.pending_polls.pop(label, None)
         if poll is None:
             rows = None if core.state.loaded else self.store.rows()
-            self.pending_polls[label] = self.t, rows, self.store.since(core.replica.revision), self.store.revision
+            self.pending_polls[label] = (
+                self.t,
+                rows,
+                self.store.events_after(core.replica.revision),
+                self.store.revision,
+            )
             return
         sent_at, rows, changes, revision = poll
         core.membership.store_lease.record_renewal(self.lease_ids[label], sent_at)
@@ -331,7 +338,7 @@
 
     def set_running(self, job: Job) -> None:
         if 0 not in job.runs:
-            job.unknown.clear()
+            job.inherited_tasks.clear()
             job.next_index = max(job.next_index, 1)
             job.grant(0, TaskRun(MACHINE, "a", 7, 0, TaskState.RUNNING, self.t))
 
--- a/tests/test_partitioned_controllers.py
+++ b/tests/test_partitioned_controllers.py
@@ -19,14 +19,14 @@
 from alderbridge.membership.store_lease import StoreLease
 from alderbridge.protocol import messages, wire
 from alderbridge.settings import Tuning
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 
 def isolate(world, labels, duration_s):
     """Cut controllers off from the store and from the others; workers and users still reach them."""
     world.cut(labels, duration_s)
     for label in labels:
-        world.nodes[label].cut_store_until = world.t + duration_s
+        world.controllers[label].cut_store_until = world.t + duration_s
 
 
 def run_to_next_view(world, until):
@@ -41,11 +41,11 @@
 def isolate_before_view_arrives(world, labels, duration_s):
     """Isolate members before they receive the view that has just been written; the others continue without them."""
     fencing_token = world.store.revision
-    assert all(world.nodes[label].core.membership.fencing_token < fencing_token for label in labels)
+    assert all(world.controllers[label].core.membership.fencing_token < fencing_token for label in labels)
     isolate(world, labels, duration_s)
     isolated_at = world.t
     world.run(isolated_at + duration_s + 20.0)
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert all(sim.core.may_act() for sim in world.controllers.values())
 
 
 def run_contact_restored(seed, nodes):
@@ -66,11 +66,11 @@
     world = ControllerFaultWorld(seed, nodes=5, jobs=0)
     world.run(30.0)
     for label in ("host-3", "host-4"):
-        world.nodes[label].crash()
+        world.controllers[label].crash()
     world.run(60.0)
     assert len(world.view.members) == 3
     for label in ("host-3", "host-4"):
-        world.restart(world.nodes[label])
+        world.restart(world.controllers[label])
     run_to_next_view(world, 70.0)
     return world
 
@@ -126,13 +126,13 @@
     """Guards against acknowledgements that the others would count for its former lease id."""
     world = World(15020, random_faults=False, jobs=0)
     world.run(20.0)
-    core, other = world.nodes["host-0"].core, world.nodes["host-1"].core
+    core, other = world.controllers["host-0"].core, world.controllers["host-1"].core
     assert core.state.is_member
-    received = core.messenger.channels["host-1"].received
+    received = core.messenger.channels["host-1"].last_received_sequence
     core.membership.store_lease.mark_expired()
     for _ in range(2):
         core.on_frame(other.messenger.channels["host-0"].post(messages.KeepAlive(), world.t), world.t)
-    assert core.messenger.channels["host-1"].received == received
+    assert core.messenger.channels["host-1"].last_received_sequence == received
 
 
 class IsolatedLeaderWorld(World):
@@ -144,44 +144,44 @@
         spec = super().make_job(number)
         return msgspec.structs.replace(spec, estimate_s=spec.estimate_s * 4.0)
 
-    def withdraw(self, job):
-        if job in self.said:
+    def cancel(self, job):
+        if job in self.reported_ends:
             return
-        for label, sim in self.nodes.items():
+        for label, sim in self.controllers.items():
             if label != self.isolated_label and sim.core is not None and sim.core.directory.job_owner(job) == label:
                 self.cancelled_at.setdefault(job, float("inf"))
                 state = sim.core.local_jobs.cancel(job, self.t)
                 if state:
-                    self.answer(job, state)
+                    self.check_state(job, state)
                     if state == "aborted":
                         self.cancelled_at[job] = min(self.cancelled_at[job], self.t)
                         return
-        self.after(0.2, self.withdraw, job)
+        self.after(0.2, self.cancel, job)
 
     def poll_all(self):
         for job in sorted(self.accepted):
             for label in (self.isolated_label, *self.labels):
-                state = self.question(self.nodes[label], job)
+                state = self.status_at_once(self.controllers[label], job)
                 if state is not None:
-                    self.answered_at[job] = self.t
-                    self.answer(job, state)
+                    self.last_status_at[job] = self.t
+                    self.check_state(job, state)
         self.after(0.4, self.poll_all)
 
 
 def run_isolated_leader(seed, nodes, duration_s=45.0, from_peers=True):
     world = IsolatedLeaderWorld(seed, nodes=nodes, jobs=24, random_faults=False)
     world.run(60.0)
-    world.isolated_label = next(iter(world.nodes.values())).core.membership.view.leader
-    sim = world.nodes[world.isolated_label]
+    world.isolated_label = next(iter(world.controllers.values())).core.membership.view.leader
+    sim = world.controllers[world.isolated_label]
     sim.cut_store_until = world.t + duration_s
     if from_peers:
         sim.cut_mesh_until = world.t + duration_s
     world.poll_all()
-    for number, job in enumerate(sorted(world.accepted - world.said.keys())[::2]):
-        world.after(0.5 * number, world.withdraw, job)
+    for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
+        world.after(0.5 * number, world.cancel, job)
     world.run(60.0 + duration_s + 60.0)
-    world.remembered()
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    world.check_final_status_age()
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     return world
 
 
@@ -192,24 +192,24 @@
     if waived:
         monkeypatch.setattr(Membership, "contact_timeout_for", lambda self, members: 0.0)
     world = run_isolated_leader(15100 + nodes + 2 * waived, nodes, from_peers=from_peers)
-    assert "aborted" in world.said.values()
+    assert "aborted" in world.reported_ends.values()
 
 
 def run_refused_leader(seed, nodes, refused_s, outage_s):
     """The leader loses the store; the others cancel its jobs; then the store is down for all, and leases are kept."""
     world = IsolatedLeaderWorld(seed, nodes=nodes, jobs=24, random_faults=False)
     world.run(60.0)
-    world.isolated_label = world.nodes[world.labels[0]].core.membership.view.leader
-    world.nodes[world.isolated_label].cut_store_until = 60.0 + refused_s + outage_s
+    world.isolated_label = world.controllers[world.labels[0]].core.membership.view.leader
+    world.controllers[world.isolated_label].cut_store_until = 60.0 + refused_s + outage_s
     world.poll_all()
-    for number, job in enumerate(sorted(world.accepted - world.said.keys())[::2]):
-        world.after(0.5 * number, world.withdraw, job)
+    for number, job in enumerate(sorted(world.accepted - world.reported_ends.keys())[::2]):
+        world.after(0.5 * number, world.cancel, job)
     world.after(refused_s, world.store.outage, outage_s)
     world.run(60.0 + refused_s + outage_s)
-    acting = [sim.label for sim in world.nodes.values() if sim.core.may_act()]
+    acting = [sim.label for sim in world.controllers.values() if sim.core.may_act()]
     world.run(60.0 + refused_s + outage_s + 50.0)
-    world.remembered()
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    world.check_final_status_age()
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     return world, acting
 
 
@@ -219,29 +219,32 @@
 def test_leader_without_the_store_before_an_outage_for_all_does_not_act_on_stale_state(nodes, refused_s, outage_s):
     world, acting = run_refused_leader(15200, nodes, refused_s, outage_s)
     assert world.isolated_label not in acting and (not acting or outage_s < 20.0), "all replicas are stale"
-    assert "aborted" in world.said.values()
+    assert "aborted" in world.reported_ends.values()
 
 
 def run_restarts(seed, nodes, first_back=None):
     """Controllers restart one by one, twice, then all at once; ``first_back`` returns seconds before the others."""
     world = World(seed, nodes=nodes, jobs=24, random_faults=False, pipelines=2)
-    world.late_share = 0.2  # frames also arrive after their sender or receiver has restarted
+    world.delayed_frame_share = 0.2  # frames also arrive after their sender or receiver has restarted
     for number, label in enumerate([*world.labels, *world.labels]):
-        world.after(40.0 + 0.3 * number, world.end, world.nodes[label], 0.15)
+        world.after(40.0 + 0.3 * number, world.crash_and_restart, world.controllers[label], 0.15)
     for label in world.labels:
         world.after(
-            46.0, world.end, world.nodes[label], 0.2 if label == first_back else 1.0 if first_back is None else 7.0
+            46.0,
+            world.crash_and_restart,
+            world.controllers[label],
+            0.2 if label == first_back else 1.0 if first_back is None else 7.0,
         )
     if first_back is not None:  # during the election
-        world.after(46.7, world.end, world.nodes[first_back], 0.15)
+        world.after(46.7, world.crash_and_restart, world.controllers[first_back], 0.15)
     world.run(53.0)
-    world.late_share, starts = 0.001, world.starts
+    world.delayed_frame_share, starts = 0.001, world.task_starts
     world.run(90.0)
-    assert world.starts > starts and world.store.differs_since is None
-    assert all(sim.core.may_act() for sim in world.nodes.values())
+    assert world.task_starts > starts and world.store.view_differs_since is None
+    assert all(sim.core.may_act() for sim in world.controllers.values())
     world.run(200.0)
-    world.remembered()
-    assert not world.halted_needed
+    world.check_final_status_age()
+    assert not world.wrongly_halted
 
 
 @pytest.mark.parametrize(
@@ -307,7 +310,7 @@
     """One controller of three, with a clock that the test sets: ``clock[0]``."""
     clock = [100.0]
     patch_now(monkeypatch, lambda: clock[0])
-    controller = Controller(platform("host-0", LABELS), Tuning(), Poll())
+    controller = Controller(platform("host-0", LABELS), Tuning(), EpollSelector())
     core = controller.core
     core.membership.store_lease.record_renewal(1, 100.0, 100.0)
     core.membership.record_sync(100.0)
@@ -336,7 +339,7 @@
 def test_reply_that_arrives_after_reading_the_store_is_discarded(controller):
     """Guards against a job owner's late reply that is older than the store's record."""
     responses, job = [], "wk-000001"
-    controller.core.replica.active[job] = (
+    controller.core.replica.active_jobs[job] = (
         msgspec.structs.replace(Record(JobState.ACTIVE, "host-1", 0.0, 1, [], None)),
         8,
     )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,7 +15,7 @@
 from alderbridge.scheduling import policy, queue_times, quota_division
 from alderbridge.scheduling.demand import Demand, MachineKind, MachineResource
 from alderbridge.scheduling.market import Market
-from alderbridge.scheduling.resources import fits
+from alderbridge.scheduling.resources import tasks_that_fit
 from alderbridge.settings import Objective, Team, Tuning
 from alderbridge.state.replica import Replica
 
@@ -58,14 +58,14 @@
     for resource in resources:
         total = tuple(resource.free[i] + sum(end[i + 1] for end in resource.ends) for i in range(3))
         for one in queue:
-            if policy.may_use(one, resource.kind) and fits(one.spec, total):
+            if policy.may_use(one, resource.kind) and tasks_that_fit(one.spec, total):
                 slots = pools.setdefault((resource.kind, one.spec.id), (one.spec, []))[1]
-                free, count = resource.free, fits(one.spec, resource.free)
+                free, count = resource.free, tasks_that_fit(one.spec, resource.free)
                 slots += [0.0] * count
                 for end, *freed in sorted(resource.ends):
                     free = tuple(a + b for a, b in zip(free, freed, strict=True))
-                    slots += [end] * (fits(one.spec, free) - count)
-                    count = max(count, fits(one.spec, free))
+                    slots += [end] * (tasks_that_fit(one.spec, free) - count)
+                    count = max(count, tasks_that_fit(one.spec, free))
                 break
     for one in queue:
         before = {key: list(slots) for key, (_, slots) in pools.items()}
@@ -197,8 +197,8 @@
 
 def test_idle_machine_is_kept_only_if_its_removal_predicts_a_breach():
     fleet = [big_machine(), big_machine()]
-    assert policy.keep_idle(policy.Walk(fleet, [demand(8)]), fleet[0])
-    assert not policy.keep_idle(policy.Walk(fleet, [demand(4)]), fleet[0])
+    assert policy.must_keep_idle(policy.Walk(fleet, [demand(8)]), fleet[0])
+    assert not policy.must_keep_idle(policy.Walk(fleet, [demand(4)]), fleet[0])
 
 
 def test_idle_machine_is_not_kept_for_a_demand_that_cannot_use_it():
@@ -207,9 +207,9 @@
     for unsuitable in (other_zone, too_large):
         waiting = [Demand(unsuitable, 1, 5.0, 100.0)]
         assert predicted_breach([big_machine()], waiting) is waiting[0]
-        assert not policy.keep_idle(policy.Walk([big_machine()], waiting), big_machine())
+        assert not policy.must_keep_idle(policy.Walk([big_machine()], waiting), big_machine())
     mixed = [Demand(other_zone, 1, 5.0, 100.0), demand(8)]
-    assert policy.keep_idle(policy.Walk([big_machine(), big_machine()], mixed), big_machine()), (
+    assert policy.must_keep_idle(policy.Walk([big_machine(), big_machine()], mixed), big_machine()), (
         "the other demand needs both"
     )
 
@@ -253,7 +253,7 @@
             )
         }
     )
-    leader.enter(["host-0", "host-1"], 0.0)
+    leader.enter_view(["host-0", "host-1"], 0.0)
     leader.rented_machines.listed = True
     first = spec(tasks=6, cpus=4.0, spot=False)
     other = msgspec.structs.replace(first, id="wk-2", priority="best_effort", tasks=13, cpus=2.0, spot=True)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -11,7 +11,7 @@
 
 from alderbridge import preemption
 from alderbridge.claims.ledger import Ledger
-from alderbridge.claims.records import PreemptionClaim, PreemptionsSpent
+from alderbridge.claims.records import PreemptionClaim, PreemptionUsage
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.preemption import (
     CandidateMachine,
@@ -25,10 +25,10 @@
 from alderbridge.preemption.planner import PreemptionPlanner
 from alderbridge.priorities import PriorityConfiguration, check_lines, demands, parse, policy
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import BUDGETS, CLAIMS, JOBS
+from alderbridge.protocol.keys import CLAIMS, JOBS, PREEMPTION_BUDGETS
 from alderbridge.scheduling.demand import MachineKind
 from alderbridge.scheduling.placement import allowed
-from alderbridge.scheduling.resources import fits, minus
+from alderbridge.scheduling.resources import remaining_after, tasks_that_fit
 from alderbridge.settings import ConfigError
 
 INI = """
@@ -61,17 +61,17 @@
     Checks each stored claim against the contents of the store and the tasks on machines.
     """
 
-    def __init__(self, seed: int, falls_in_claims: bool = True, **more) -> None:
+    def __init__(self, seed: int, faults_after_claims: bool = True, **more) -> None:
         self.configuration = parse_priorities()
-        self.open: dict[str, PreemptionClaim] = {}  # machine -> its stored claim
-        self.victims: Counter[tuple[str, int]] = Counter()
-        self.claimed: set[tuple[str, int]] = set()  # task id, attempt
-        self.spent: list[tuple[float, str, int]] = []  # time, team, victims
+        self.stored_claims: dict[str, PreemptionClaim] = {}  # machine -> its stored claim
+        self.preemption_counts: Counter[tuple[str, int]] = Counter()
+        self.claimed_attempts: set[tuple[str, int]] = set()  # task id, attempt
+        self.preemption_log: list[tuple[float, str, int]] = []  # time, team, victims
         self.remaining_s: dict[str, float] = {}
         # of the last 4 s: time, tasks by job that were on no machine, free capacity by machine
         self.samples: deque[tuple[float, Counter, dict]] = deque()
-        self.made = 0
-        self.falls_in_claims, self.claim_faults_until = falls_in_claims, 150.0
+        self.claim_count = 0
+        self.faults_after_claims, self.claim_faults_until = faults_after_claims, 150.0
         super().__init__(seed, jobs=0, machines=8, **more)
         commit = self.store.commit
 
@@ -89,10 +89,10 @@
             self.after(self.rng.uniform(1.0, 60.0), self.submit, self.routine(number))
         for number in range(8):
             self.after(self.rng.uniform(35.0, 140.0), self.submit, self.urgent(20 + number))
-        self.after(0.5, self.count)
+        self.after(0.5, self.sample)
 
-    def prepare(self, core) -> None:
-        core.preemption.priorities = lambda now: [self.configuration]
+    def on_core_created(self, core) -> None:
+        core.preemption.priority_configurations = lambda now: [self.configuration]
 
     def routine(self, number: int) -> wire.JobSpec:
         rng, saves = self.rng, self.rng.random() < 0.5
@@ -124,27 +124,27 @@
             spread=False,
         )
 
-    def run_time(self, task_id: str) -> float:
-        return self.remaining_s.setdefault(task_id, super().run_time(task_id))
+    def draw_run_time(self, task_id: str) -> float:
+        return self.remaining_s.setdefault(task_id, super().draw_run_time(task_id))
 
-    def saved(self, task_id: str, remaining_s: float) -> None:
+    def on_checkpoint_started(self, task_id: str, remaining_s: float) -> None:
         self.remaining_s[task_id] = remaining_s
 
-    def count(self) -> None:
+    def sample(self) -> None:
         unplaced: Counter[str] = Counter()
         for job in self.accepted:
             # A result that was never reported does not count: the task runs again.
             record = msgspec.json.decode(self.store.data[JOBS + job][0], type=Record)
-            placed = sum(wire.split_task_id(task_id)[0] == job for task_id in self.on)
+            placed = sum(wire.split_task_id(task_id)[0] == job for task_id in self.running_on)
             if record.state is JobState.ACTIVE:
                 unplaced[job] = self.specs[job].tasks - sum(high - low for low, high in record.done) - placed
         free = {name: self.free_capacity(worker) for name, worker in self.machines.items() if worker is not None}
         self.samples.append((self.t, unplaced, free))
         while self.samples[0][0] < self.t - 4.0:
             self.samples.popleft()
-        self.after(0.25, self.count)
+        self.after(0.25, self.sample)
 
-    def lately_waiting(self, job: str) -> int:
+    def max_recently_waiting(self, job: str) -> int:
         return max((unplaced[job] for _, unplaced, _ in self.samples), default=0)
 
     def free_capacity(self, worker):
@@ -152,16 +152,16 @@
         free = (kind.cpus, kind.memory_gb, 0.0)
         for task_id, task in tasks:
             if task.status != "ended":
-                free = minus(free, self.specs[wire.split_task_id(task_id)[0]], 1)
+                free = remaining_after(free, self.specs[wire.split_task_id(task_id)[0]], 1)
         return free
 
     def lasting_free_capacity(self, spec: wire.JobSpec) -> int:
         """Tasks that would have fitted on unclaimed machines at every sample."""
         return sum(
-            min(fits(spec, free[name]) if name in free else 0 for _, _, free in self.samples)
+            min(tasks_that_fit(spec, free[name]) if name in free else 0 for _, _, free in self.samples)
             for name, worker in self.machines.items()
             if worker is not None
-            and name not in self.open
+            and name not in self.stored_claims
             and allowed(spec, worker.kind.type, worker.kind.zone, worker.kind.spot)
         )
 
@@ -174,11 +174,11 @@
             for name, record in records.items()
             if record.state is JobState.ACTIVE
             and self.specs[name].team == self.specs[job].team
-            and record.at <= records[job].at
+            and record.submitted_at <= records[job].submitted_at
         )
         return guarantee > 0 and reserved_cpus <= guarantee + 1e-9
 
-    def there(self, machine: str, claim: PreemptionClaim) -> int:
+    def running_victims(self, machine: str, claim: PreemptionClaim) -> int:
         """Victims whose same attempt is still on the machine."""
         worker = self.machines.get(machine)
         tasks = worker.tasks if worker is not None else {}
@@ -191,26 +191,28 @@
 
     def check_commit(self, new: dict, dropped: list[str]) -> None:
         for machine in dropped:
-            self.open.pop(machine, None)
+            self.stored_claims.pop(machine, None)
         for machine, claim in new.items():
-            if machine in self.open:
+            if machine in self.stored_claims:
                 raise Broken(f"claimed_twice: {machine}")
-            self.open[machine] = claim
-            self.made += 1
-            self.may_claim(machine, claim)
-        if new and self.falls_in_claims and self.t < self.claim_faults_until:
+            self.stored_claims[machine] = claim
+            self.claim_count += 1
+            self.check_claim(machine, claim)
+        if new and self.faults_after_claims and self.t < self.claim_faults_until:
             self.inject_claim_fault(list(new.values()))
 
-    def may_claim(self, machine: str, claim: PreemptionClaim) -> None:
+    def check_claim(self, machine: str, claim: PreemptionClaim) -> None:
         claimant, team = self.specs[claim.job], self.specs[claim.job].team
         served_tasks = sum(
             other.count
-            for name, other in self.open.items()
-            if other.job == claim.job and (name == machine or self.there(name, other))
+            for name, other in self.stored_claims.items()
+            if other.job == claim.job and (name == machine or self.running_victims(name, other))
         )
-        if self.said.get(claim.job) == "done" or served_tasks > self.lately_waiting(claim.job):
-            raise Broken(f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.lately_waiting(claim.job)}")
-        if any(task == claim.job for task, _ in self.victims):
+        if self.reported_ends.get(claim.job) == "done" or served_tasks > self.max_recently_waiting(claim.job):
+            raise Broken(
+                f"no_need: {claim.job} at {self.t:.2f}: {served_tasks} for {self.max_recently_waiting(claim.job)}"
+            )
+        if any(task == claim.job for task, _ in self.preemption_counts):
             raise Broken(f"cascade: {claim.job}")
         for job, index, attempt in claim.victims:
             spec = self.specs[job]
@@ -220,39 +222,47 @@
                 raise Broken(f"preemption: {job} ({spec.priority}) for {claim.job} ({claimant.priority})")
             if any(
                 (job, index, attempt) in map(tuple, other.victims)
-                for name, other in self.open.items()
+                for name, other in self.stored_claims.items()
                 if name != machine
             ):
                 raise Broken(f"victim_twice: {job}/{index}")
-            self.claimed.add((f"{job}/{index}", attempt))
-            self.victims[(job, index)] += 1
-            if self.victims[(job, index)] > 2:
-                raise Broken(f"stops: {job}/{index} stopped {self.victims[(job, index)]} times")
+            self.claimed_attempts.add((f"{job}/{index}", attempt))
+            self.preemption_counts[(job, index)] += 1
+            if self.preemption_counts[(job, index)] > 2:
+                raise Broken(f"stops: {job}/{index} stopped {self.preemption_counts[(job, index)]} times")
         # Claims are needed only for the tasks that lasting free capacity can't serve.
-        shortfall = self.lately_waiting(claim.job) - self.lasting_free_capacity(claimant)
-        if not self.falls_in_claims and served_tasks > shortfall:
+        shortfall = self.max_recently_waiting(claim.job) - self.lasting_free_capacity(claimant)
+        if not self.faults_after_claims and served_tasks > shortfall:
             raise Broken(f"no_need: claim for {claim.job} at {self.t:.2f}: {served_tasks} for {shortfall}")
-        self.spent.append((claim.at, team, len(claim.victims)))
-        if sum(count for at, owner, count in self.spent if owner == team and at > claim.at - 60.0) > 12:
+        self.preemption_log.append((claim.planned_at, team, len(claim.victims)))
+        if (
+            sum(count for at, owner, count in self.preemption_log if owner == team and at > claim.planned_at - 60.0)
+            > 12
+        ):
             raise Broken(f"budget: {team} a minute at {self.t:.2f}")
-        if sum(self.there(name, other) for name, other in self.open.items() if other.team == team) > 8:
+        if (
+            sum(self.running_victims(name, other) for name, other in self.stored_claims.items() if other.team == team)
+            > 8
+        ):
             raise Broken(f"budget: {team} at once")
 
-    def halted(self, task_id: str, task, worker) -> None:
+    def on_task_halted(self, task_id: str, task, worker) -> None:
         machines = [
-            sim.core.machine_shard.machines.get(worker.name) for sim in self.nodes.values() if sim.core is not None
+            sim.core.machine_shard.machines.get(worker.name)
+            for sim in self.controllers.values()
+            if sim.core is not None
         ]
         stopped_by_claim = any(
             wire.split_task_id(task_id) in machine.orders.claim_stops for machine in machines if machine is not None
         )
         # After failovers job shards also stop tasks for other reasons.
-        if stopped_by_claim and (task_id, task.attempt) not in self.claimed:
+        if stopped_by_claim and (task_id, task.attempt) not in self.claimed_attempts:
             raise Broken(f"unclaimed: {task_id} stopped on {worker.name} at {self.t:.2f}")
 
     def inject_claim_fault(self, claims: list) -> None:
         rng, kind = self.rng, self.rng.random()
         if kind < 0.35:
-            for sim in self.nodes.values() if kind < 0.2 else [rng.choice(list(self.nodes.values()))]:
+            for sim in self.controllers.values() if kind < 0.2 else [rng.choice(list(self.controllers.values()))]:
                 at = rng.uniform(0.0, 3.0)
                 self.after(at, sim.crash)
                 self.after(at + 10.0 ** rng.uniform(-1.0, 1.78), self.restart, sim)
@@ -260,25 +270,27 @@
             self.store.outage(rng.uniform(1.0, 20.0))
         elif kind < 0.6:
             claim = rng.choice(claims)
-            self.after(rng.uniform(0.0, 2.0), self.withdraw, rng.choice([claim.job, claim.victims[0][0]]))
+            self.after(rng.uniform(0.0, 2.0), self.cancel, rng.choice([claim.job, claim.victims[0][0]]))
 
-    def over(self) -> bool:
-        return not self.open and all(self.said.get(job) or job in self.cancelled_at for job in self.accepted)
+    def is_finished(self) -> bool:
+        return not self.stored_claims and all(
+            self.reported_ends.get(job) or job in self.cancelled_at for job in self.accepted
+        )
 
     def check_end(self) -> None:
-        if self.open:
-            raise Broken(f"claims_left: {self.open}")
+        if self.stored_claims:
+            raise Broken(f"claims_left: {self.stored_claims}")
         for job in self.accepted:
-            if job not in self.cancelled_at and self.said.get(job) != "done":
-                raise Broken(f"lost: {job} is {self.said.get(job)}")
-        for job, index in self.victims:
+            if job not in self.cancelled_at and self.reported_ends.get(job) != "done":
+                raise Broken(f"lost: {job} is {self.reported_ends.get(job)}")
+        for job, index in self.preemption_counts:
             if job not in self.cancelled_at and f"{job}/{index}" not in self.completed:
                 raise Broken(f"lost: victim {job}/{index}")
 
 
 def play(seed, until=700.0, **more):
     world = ClaimsWorld(seed, **more)
-    while world.t < until and not (world.t > 200.0 and world.over()):
+    while world.t < until and not (world.t > 200.0 and world.is_finished()):
         world.run(world.t + 20.0)
     world.check_end()
     return world
@@ -286,16 +298,16 @@
 
 @pytest.mark.parametrize("seed", [*range(8), 23])  # 23: all rentable machines were idle but of the wrong type
 def test_claims_keep_their_invariants_under_faults(seed):
-    assert play(seed, nodes=3 + 2 * (seed % 2)).starts > 0
+    assert play(seed, nodes=3 + 2 * (seed % 2)).task_starts > 0
 
 
 def test_claims_are_made_without_faults_but_not_without_declared_priorities():
-    worlds = [play(seed, random_faults=False, falls_in_claims=False) for seed in (101, 103)]
-    assert all(world.made > 0 for world in worlds)
-    undeclared = ClaimsWorld(101, random_faults=False, falls_in_claims=False)
+    worlds = [play(seed, random_faults=False, faults_after_claims=False) for seed in (101, 103)]
+    assert all(world.claim_count > 0 for world in worlds)
+    undeclared = ClaimsWorld(101, random_faults=False, faults_after_claims=False)
     undeclared.configuration = PriorityConfiguration()
     undeclared.run(200.0)
-    assert undeclared.made == 0 and worlds[0].made > 0
+    assert undeclared.claim_count == 0 and worlds[0].claim_count > 0
 
 
 def victims_stopped_before_commit(monkeypatch):
@@ -314,27 +326,27 @@
 
     def add_claims(self, tx, *more):
         real(self, tx, *more)
-        tx.puts[BUDGETS] = PreemptionsSpent()
+        tx.puts[PREEMPTION_BUDGETS] = PreemptionUsage()
 
     monkeypatch.setattr(Ledger, "_add_claims", add_claims)
 
 
 def claims_lost_on_view_change(monkeypatch):
-    real = Ledger.enter
+    real = Ledger.enter_view
 
-    def enter(self):
+    def enter_view(self):
         self.entries.clear()
         real(self)
 
-    monkeypatch.setattr(Ledger, "enter", enter)
+    monkeypatch.setattr(Ledger, "enter_view", enter_view)
 
 
 def protocol_rule_ignored(monkeypatch):
-    monkeypatch.setattr(policy, "allowed", lambda *args: True)
+    monkeypatch.setattr(policy, "preemption_allowed", lambda *args: True)
 
 
 def claimed_tasks_not_counted(monkeypatch):
-    monkeypatch.setattr(PreemptionPlanner, "promised", lambda self: Counter())
+    monkeypatch.setattr(PreemptionPlanner, "claimed_tasks", lambda self: Counter())
 
 
 def preempted_jobs_preempt(monkeypatch):
@@ -387,13 +399,13 @@
 def machine_with(name, *victims, cpus=8.0):
     free = (cpus, 64.0, 0.0)
     for victim in victims:
-        free = minus(free, victim.spec, 1)
+        free = remaining_after(free, victim.spec, 1)
     return CandidateMachine(name, MachineKind("m", "a", False), free, list(victims))
 
 
 def select(spec, count, *machines, max_changes=12, limit=UNLIMITED, is_allowed=lambda demand, victim: True):
     demand = PreemptionDemand(spec, count, 5.0, "urgent")
-    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda demand: limit)
+    budget = PreemptionBudget(PreemptionUsage(), 100.0, {}, 100, lambda demand: limit)
     return select_victims(
         [demand], machines, SelectionRules(is_allowed, preemption.lost_cpu_seconds), budget, max_changes
     )
@@ -447,7 +459,7 @@
     """Stored preemptions only protect later rounds: one selection could serve a job that it preempts."""
     middle, routine = job("5", "standard"), job("1", "best_effort", estimate_s=50.0)
     short_run, long_run = Victim("wk-5", 0, 1, middle, 3.0), Victim("wk-1", 0, 1, routine, 20.0)
-    budget = PreemptionBudget(PreemptionsSpent(), 100.0, {}, 100, lambda demand: UNLIMITED)
+    budget = PreemptionBudget(PreemptionUsage(), 100.0, {}, 100, lambda demand: UNLIMITED)
     machines = [machine_with("a", short_run, cpus=2.0), machine_with("b", long_run, cpus=2.0)]
     selection_rules = SelectionRules(lambda demand, victim: True, preemption.lost_cpu_seconds)
     urgent_first = [PreemptionDemand(job("9", "high"), 1, 5.0, "urgent"), PreemptionDemand(middle, 1, 5.0, "urgent")]
@@ -474,9 +486,9 @@
         machines = []
         for name in range(rng.randint(1, 8)):
             free, victims = (16.0, 64.0, 0.0), []
-            while fits(spec := rng.choice(jobs), free) and len(victims) < 12:
+            while tasks_that_fit(spec := rng.choice(jobs), free) and len(victims) < 12:
                 victims.append(Victim(spec.id, rng.randrange(10**6), 1, spec, rng.uniform(0.0, 100.0)))
-                free = minus(free, spec, 1)
+                free = remaining_after(free, spec, 1)
             machines.append(machine_with(str(name), *victims, cpus=16.0))
         urgent, count, max_changes = (
             job("9", "high", cpus=rng.choice([2.0, 8.0])),
@@ -486,30 +498,38 @@
         limit = PreemptionLimit(rng.randint(1, 12), 99)
         groups = select(urgent, count, *machines, max_changes=max_changes, limit=limit)
         candidates = {candidate.machine: candidate for candidate in machines}
-        assert len(victims_of(groups)) <= limit.a_minute
+        assert len(victims_of(groups)) <= limit.max_per_minute
         assert sum(claim.count for group in groups for claim in group.values()) <= count
         for group in groups:
             assert len(group) + len({v[0] for claim in group.values() for v in claim.victims}) + 1 <= max_changes
             for name, claim in group.items():
                 free = candidates[name].free
-                before = fits(urgent, free)
+                before = tasks_that_fit(urgent, free)
                 for victim in candidates[name].tasks:
                     if (victim.job, victim.index) in victims_of([group]):
-                        free = minus(free, victim.spec, -1)
-                assert fits(urgent, free) >= before + claim.count > before
+                        free = remaining_after(free, victim.spec, -1)
+                assert tasks_that_fit(urgent, free) >= before + claim.count > before
 
 
 def test_the_protocol_rule_on_preemption():
     high, low = job("1", "high", team="a"), job("2", "best_effort", team="b")
-    assert preemption.allowed(high, False, low, False) and not preemption.allowed(low, False, high, True)
-    assert preemption.allowed(low, True, high, True)  # guaranteed, and the victim is beyond its team's guarantee
-    assert not preemption.allowed(low, True, high, False) and not preemption.allowed(low, False, low, True)
+    assert preemption.preemption_allowed(high, False, low, False) and not preemption.preemption_allowed(
+        low, False, high, True
+    )
+    assert preemption.preemption_allowed(
+        low, True, high, True
+    )  # guaranteed, and the victim is beyond its team's guarantee
+    assert not preemption.preemption_allowed(low, True, high, False) and not preemption.preemption_allowed(
+        low, False, low, True
+    )
     # Within one team only priority counts.
-    assert not preemption.allowed(job("3", team="b"), True, job("4", team="b"), True)
-    teams = preemption.Teams(TEAMS, {"bound": (10.0, 0.0)})
-    assert teams.beyond(job("5", team="bound")) and not teams.beyond(job("5", team="bound", cpus=4.0))
+    assert not preemption.preemption_allowed(job("3", team="b"), True, job("4", team="b"), True)
+    teams = preemption.GuaranteeUsage(TEAMS, {"bound": (10.0, 0.0)})
+    assert teams.exceeds_guarantee(job("5", team="bound")) and not teams.exceeds_guarantee(
+        job("5", team="bound", cpus=4.0)
+    )
     teams.count_victim(job("5", team="bound"), 1)
-    assert not teams.beyond(job("5", team="bound"))
+    assert not teams.exceeds_guarantee(job("5", team="bound"))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quota_under_faults.py
+++ b/tests/test_quota_under_faults.py
@@ -11,7 +11,7 @@
 import pytest
 import simulation
 from simulation import LEASE_S, TYPES, Broken, World
-from test_machine_proofs import Reports
+from test_machine_proofs import MachineShardHarness
 from test_machines import SPEC
 
 from alderbridge import constants
@@ -56,13 +56,13 @@
             machine_owner=lambda machine: "host-0",
         )
         self.records = {name: MachineRecord("x", "c4", "a") for name in machines}
-        self.enter(6, state, spec)
+        self.enter_view(6, state, spec)
 
-    def enter(self, fencing_token, state=JobState.ABORTED, spec=BOUND):
+    def enter_view(self, fencing_token, state=JobState.ABORTED, spec=BOUND):
         """Enters a new view with only the stored record of the job."""
         self.job = Job(Record(state, "host-3", 0.0, spec.tasks, [], spec), 8, 0.0, 5.0)
         self.job.inherited = True
-        self.job_shard.enter(fencing_token, {spec.id: self.job}, self.records)
+        self.job_shard.enter_view(fencing_token, {spec.id: self.job}, self.records)
         self.job_shard.settled = True
 
     def report(self, machine, live=(), pending=(), now=1.0):
@@ -84,22 +84,22 @@
 
 def test_ordered_task_of_cancelled_job_counts_at_the_next_owner_until_a_heartbeat_settles_it():
     """Guards against freeing quota for an ordered task that an unreachable machine may still run for a lease."""
-    reports, successor = Reports(), InheritingShard()
+    reports, successor = MachineShardHarness(), InheritingShard()
     reports.heartbeat(1.0, 1)
     reports.grant(0, 70)
     assert reports.orders() == [("run", "wk-1/0", 70)]
-    reports.machine_shard.jobs.cancelled = lambda job: True
-    reports.told_home()
-    reports.enter(6, 2.0, settle=False, carry=True)
+    reports.machine_shard.jobs.is_aborted = lambda job: True
+    reports.take_owner_reports()
+    reports.enter_view(6, 2.0, settle=False, inherit_tasks=True)
     reports.machine_shard.leases.settle(2.5)
-    ((reported, pending),) = reports.told_home()
+    ((reported, pending),) = reports.take_owner_reports()
     assert (reported, pending) == ([], [("wk-1", 0, 70)])
     successor.report("n-2")
     assert successor.used == 2, "both may be on the machine that has not reported"
     successor.report("n-1", pending=[0])
     assert successor.used == 1 and not successor.drops_description, "the task may be on that machine"
-    assert successor.job_shard.usage.room("bound", successor.job_shard.tally.teams["bound"], BOUND) == 0
-    successor.enter(7)
+    assert successor.job_shard.usage.remaining_tasks("bound", successor.job_shard.tally.teams["bound"], BOUND) == 0
+    successor.enter_view(7)
     successor.report("n-1", pending=[0])
     successor.report("n-2")
     assert successor.used == 1 and not successor.drops_description, "also under the following view"
@@ -111,7 +111,7 @@
 
 def test_unsettled_order_is_adopted_for_known_jobs_without_recorded_run_or_result():
     for recorded in (RecordedState.JOB_ENDED, RecordedState.WAITING, RecordedState.POSSIBLY_HERE):
-        assert TRANSITIONS[recorded][ObservedState.ORDERED] is Action.ADOPT
+        assert TRANSITIONS[recorded][ObservedState.PENDING] is Action.ADOPT
 
 
 def test_record_keeps_its_description_until_its_cancelled_job_is_on_no_machine():
@@ -120,7 +120,7 @@
     successor.report("n-1", live=[1])
     successor.report("n-2")
     assert successor.used == 1 and successor.job.to_record(4096).spec == BOUND and not successor.job.is_complete
-    successor.enter(7)
+    successor.enter_view(7)
     assert successor.used == 2, "without reports the next owner counts all tasks that may be running"
     successor.report("n-2")
     successor.report("n-1")  # its lease expired, or it was terminated
@@ -142,8 +142,8 @@
     )
     successor.job_shard.add(job)
     successor.job_shard.usage.allocate({"bound": (2 * CPUS, 0.0)})
-    assert successor.job_shard.grants.quota_room(job) == 2
-    successor.job_shard.enter(7, {"wk-2": job}, {})
+    assert successor.job_shard.grants.remaining_quota_tasks(job) == 2
+    successor.job_shard.enter_view(7, {"wk-2": job}, {})
     successor.job_shard.grants.on_task_request("host-0", TaskRequest(1, "wk-2", "n-1", "a", 2), 1.0, True)
     assert successor.sent[-1] == TaskGrant(1, "wk-2", "n-1", []) and not job.runs
     successor.job_shard.usage.allocate({"bound": (CPUS, 0.0)})
@@ -158,12 +158,12 @@
         membership = Membership("host-0", 20.0, 12.0)
         replica = Replica(membership, Graph(lambda spec: 1.0, []))
         self.leader = Leader(LeaderSettings([Team("t", cpus_max=limit)], ["a"], Tuning(), 1.0, LEASE_S), replica)
-        self.leader.enter(["host-0", "host-1"], 0.0)
+        self.leader.enter_view(["host-0", "host-1"], 0.0)
         self.job_shards = {
             label: JobShard(self.leader.teams, lambda label, body: 1, 4096) for label in self.leader.members
         }
         for job_shard in self.job_shards.values():
-            job_shard.enter(5, {}, {})
+            job_shard.enter_view(5, {}, {})
         self.rows: dict[str, list[QueueRow]] = {label: [] for label in self.job_shards}
         self.waited_s = waited_s
 
@@ -199,7 +199,9 @@
             assert reserved <= self.leader.teams[0].cpus_max + 1e-6
             for label, teams in self.leader.quota_updates(1.0).items():
                 self.job_shards[label].usage.allocate(teams)
-        return {label: job_shard.usage.allowed.get("t", (0.0, 0.0))[0] for label, job_shard in self.job_shards.items()}
+        return {
+            label: job_shard.usage.allocated.get("t", (0.0, 0.0))[0] for label, job_shard in self.job_shards.items()
+        }
 
 
 def test_quota_too_small_for_a_task_of_the_first_job_is_allocated_to_the_next():
@@ -208,12 +210,12 @@
     cluster.job("host-0", "wk-1", 4.0, 5, 2, 10.0)
     small = cluster.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
     assert cluster.allocate_and_confirm()["host-1"] >= 2.0
-    assert cluster.job_shards["host-1"].grants.quota_room(small) == 2
+    assert cluster.job_shards["host-1"].grants.remaining_quota_tasks(small) == 2
 
 
 def test_quota_is_reserved_for_a_starved_job():
     """Guards against small tasks of other shards that take each freed CPU, so that a large task never starts."""
-    cluster = QuotaCluster(10.0, waited_s=constants.STARVED_JOB_S)
+    cluster = QuotaCluster(10.0, waited_s=constants.STARVATION_TIMEOUT_S)
     cluster.job("host-0", "wk-0", 7.0, 1, 1, 5.0)
     cluster.job("host-0", "wk-1", 4.0, 5, 0, 10.0)
     cluster.job("host-1", "wk-2", 1.0, 9, 0, 20.0)
@@ -303,13 +305,15 @@
     def inject_faults(self) -> None:
         """Machines fail, jobs on them are cancelled, and the leader or another controller crashes."""
         rng = self.rng
-        busy = sorted({name for name in self.on.values() if self.machines.get(name) is not None})
+        busy = sorted({name for name in self.running_on.values() if self.machines.get(name) is not None})
         for name in rng.sample(busy, min(len(busy), rng.randint(1, 4))):
             begin, length = rng.uniform(0.0, 3.0), rng.choice([rng.uniform(2.0, 15.0), rng.uniform(15.0, 50.0)])
             kind = rng.choice(["hang", "hang", "cut", "cut", "deaf", "held_up", "die"])
             self.after(begin, self.fail, name, kind, length)
-            self.calm_at = max(self.calm_at, self.t + begin + length)
-            here = sorted({wire.split_task_id(task_id)[0] for task_id, machine in self.on.items() if machine == name})
+            self.faults_end_at = max(self.faults_end_at, self.t + begin + length)
+            here = sorted(
+                {wire.split_task_id(task_id)[0] for task_id, machine in self.running_on.items() if machine == name}
+            )
             for job in rng.sample(here, min(len(here), rng.randint(1, 3))):
                 self.after(
                     begin + rng.uniform(-1.0, 4.0) if begin > 1.0 else rng.uniform(0.0, 4.0), self.cancel_running, job
@@ -319,32 +323,39 @@
             restart_after_s = rng.choice([rng.uniform(0.1, 0.6), rng.uniform(0.1, 8.0), rng.uniform(5.0, 40.0)])
             self.after(crash_after_s, self.crash_one, rng.random() < 0.6, restart_after_s)
             crash_after_s += rng.choice([rng.uniform(0.2, 1.5), rng.uniform(0.5, 6.0)])
-            self.calm_at = max(self.calm_at, self.t + crash_after_s + restart_after_s)
+            self.faults_end_at = max(self.faults_end_at, self.t + crash_after_s + restart_after_s)
         if rng.random() < 0.3:
             kind = rng.choice(["cut", "cut_store", "cut_mesh", "cut_workers", "outage", "late_writes", "late_reports"])
             length = rng.uniform(3.0, 35.0)
-            self.after(rng.uniform(0.0, 5.0), self.bring, kind, self.nodes[rng.choice(self.labels)], length)
-            self.calm_at = max(self.calm_at, self.t + 5.0 + length)
+            self.after(rng.uniform(0.0, 5.0), self.inject, kind, self.controllers[rng.choice(self.labels)], length)
+            self.faults_end_at = max(self.faults_end_at, self.t + 5.0 + length)
 
     def cancel_running(self, job: str) -> None:
-        if job not in self.said:
+        if job not in self.reported_ends:
             workers = [
-                self.machines[name] for task_id, name in self.on.items() if wire.split_task_id(task_id)[0] == job
+                self.machines[name]
+                for task_id, name in self.running_on.items()
+                if wire.split_task_id(task_id)[0] == job
             ]
             self.cancelled_running += bool(workers)
             self.cancelled_unreachable += any(
                 worker.hangs_until > self.t or worker.cut_until > self.t for worker in workers if worker is not None
             )
-        self.withdraw(job)
+        self.cancel(job)
 
     def fail(self, name: str, kind: str, length: float) -> None:
         worker = self.machines.get(name)
         if worker is None:
             return
         if kind == "die":
-            worker.die()
+            worker.crash()
         else:
-            attribute = {"hang": "hangs_until", "cut": "cut_until", "deaf": "deaf_until", "held_up": "held_up_until"}
+            attribute = {
+                "hang": "hangs_until",
+                "cut": "cut_until",
+                "deaf": "inbound_blocked_until",
+                "held_up": "responses_delayed_until",
+            }
             setattr(worker, attribute[kind], self.t + length)
 
     def crash_one(self, leader: bool, restart_after_s: float) -> None:
@@ -353,10 +364,10 @@
             if leader and VIEW in self.store.data
             else self.rng.choice(self.labels)
         )
-        self.end(self.nodes[label], restart_after_s)
+        self.crash_and_restart(self.controllers[label], restart_after_s)
 
-    def entered(self, task_id, worker) -> None:
-        super().entered(task_id, worker)
+    def on_task_started(self, task_id, worker) -> None:
+        super().on_task_started(task_id, worker)
         team = self.specs[wire.split_task_id(task_id)[0]].team
         used = self.used_cpus(team)
         self.peak[team] = max(self.peak[team], used)
@@ -364,8 +375,8 @@
         if self.t > self.faults_over_at and used > limit - 0.5:
             self.full_at.setdefault(team, self.t)
 
-    def watch(self) -> None:
-        super().watch()
+    def check_invariants(self) -> None:
+        super().check_invariants()
         if self.t > self.faults_over_at:
             self.check_avoidable_waits()
 
@@ -374,7 +385,7 @@
         free_cpus = {
             worker: TYPES[worker.kind.type].cpus
             for worker in self.machines.values()
-            if worker is not None and worker.alive and not worker.faulty and worker.recall_at is None
+            if worker is not None and worker.alive and not worker.fails_tasks and worker.preempted_at is None
         }
         zones: dict[str, list[str]] = {}
         for worker in free_cpus:
@@ -387,7 +398,9 @@
         for job in self.accepted:
             spec, used_zones = self.specs[job], zones.get(job, [])
             done = sum(f"{job}/{index}" in self.completed for index in range(spec.tasks))
-            waits = job not in self.said and job not in self.cancelled_at and done + len(used_zones) < spec.tasks
+            waits = (
+                job not in self.reported_ends and job not in self.cancelled_at and done + len(used_zones) < spec.tasks
+            )
             if (
                 not waits
                 or spec.cpus > remaining[spec.team] + 1e-9
@@ -404,12 +417,12 @@
                 raise Broken(f"avoidable_wait: {job} of {spec.team} since {self.avoidable_wait_since[job]:.1f}")
 
     def used_cpus(self, team: str) -> float:
-        specs = [self.specs[wire.split_task_id(task_id)[0]] for task_id in self.on]
+        specs = [self.specs[wire.split_task_id(task_id)[0]] for task_id in self.running_on]
         return sum(spec.cpus for spec in specs if spec.team == team)
 
     def play(self) -> LimitsWorld:
         self.run(30.0 + FAULT_PERIOD_S * FAULT_PERIODS + 12.0)
-        self.faults_over_at = over = max(self.calm_at, self.t)
+        self.faults_over_at = over = max(self.faults_end_at, self.t)
         for number in range(9):
             self.after(over - self.t + 0.1 * number, self.submit, self.make_filler(60 + number))
         self.run(over + MAX_AVOIDABLE_WAIT_S + 20.0)
@@ -428,10 +441,10 @@
 @pytest.mark.parametrize("seed, nodes", [(2, 3), (5, 5)])
 def test_no_team_exceeds_its_limit_and_each_reaches_it_again(seed, nodes):
     run = play_limits(seed, nodes)
-    assert run.cancelled_unreachable > 0 and run.starts > 50
+    assert run.cancelled_unreachable > 0 and run.task_starts > 50
     assert all(run.peak[team.name] == team.cpus_max for team in LIMITED_TEAMS)
     assert sorted(run.full_at) == sorted(team.name for team in LIMITED_TEAMS), "no quota stays reserved for ended jobs"
-    run.remembered()
+    run.check_final_status_age()
 
 
 def drop_description_with_end(monkeypatch):
@@ -457,7 +470,7 @@
 
 
 def requeue_without_proof(monkeypatch):
-    monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
+    monkeypatch.setattr(Barrier, "may_run_tasks_of", lambda self, spec: False)
 
 
 @pytest.mark.parametrize(
@@ -486,9 +499,11 @@
         began = time.process_time()
         try:
             run = play_limits(seed, 5 if seed % 2 else 3)
-            run.remembered()
+            run.check_final_status_age()
             missing = sorted({team.name for team in LIMITED_TEAMS} - run.full_at.keys())
-            text = f"{run.starts} starts, {run.cancelled_running} cancelled, {run.cancelled_unreachable} unreachable"
+            text = (
+                f"{run.task_starts} starts, {run.cancelled_running} cancelled, {run.cancelled_unreachable} unreachable"
+            )
             text += f", NOT AT ITS LIMIT: {missing}" if missing else ""
         except AssertionError as broken:
             text = f"BROKEN {broken}"
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from simulation import Broken, World
-from test_machines import SPEC, heartbeat, part_with_machine
+from test_machines import SPEC, heartbeat, machine_shard_with_machine
 
 from alderbridge import constants, reconciliation
 from alderbridge.jobs.job import Job
@@ -44,7 +44,7 @@
     """A job shard that has task 0 in that state, with respect to attempt 7 on machine n-1; its job; messages sent."""
     sent = []
     job_shard = JobShard([], lambda label, body: sent.append(body) or len(sent), 4096)
-    job_shard.enter(5, {}, {HERE: MachineRecord(), "n-2": MachineRecord()})
+    job_shard.enter_view(5, {}, {HERE: MachineRecord(), "n-2": MachineRecord()})
     if recorded is RecordedState.UNKNOWN_JOB:
         return job_shard, None, sent
     job = Job(
@@ -89,7 +89,7 @@
         ObservedState.STOPPED: ("ended", "halted"),
     }.get(observed, ("", None))
     tasks = [TaskStatusReport(SPEC.id, 0, ATTEMPT, status, cause)] if status else []
-    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if observed is ObservedState.ORDERED else [])
+    return MachineTaskReport(HERE, "a", 9, tasks, [(SPEC.id, 0, ATTEMPT)] if observed is ObservedState.PENDING else [])
 
 
 @pytest.mark.parametrize("observed", ObservedState)
@@ -115,8 +115,8 @@
         return
     run = job.runs.get(0)
     if action in (Action.ADOPT, Action.ADOPT_AND_STOP):
-        assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.unknown and 0 not in job.requeued
-        assert run.state is (TaskState.GRANTED if observed is ObservedState.ORDERED else TaskState.RUNNING)
+        assert (run.machine, run.attempt) == (HERE, ATTEMPT) and 0 not in job.inherited_tasks and 0 not in job.requeued
+        assert run.state is (TaskState.GRANTED if observed is ObservedState.PENDING else TaskState.RUNNING)
     elif action in (Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE):
         assert run is None and (0 in job.requeued) is (job.state is JobState.ACTIVE)
     elif action is Action.FINISH:
@@ -124,17 +124,17 @@
     else:
         assert run is before
         if action is Action.REMOVE_FROM_BARRIER and recorded is RecordedState.POSSIBLY_HERE:
-            assert 0 in job.unknown, "n-2 may still run it"
+            assert 0 in job.inherited_tasks, "n-2 may still run it"
             job_shard.task_reports.on_task_report("host-1", MachineTaskReport("n-2", "a", 9, [], []), 2.0)
-            assert 0 in job.requeued and not job.unknown
+            assert 0 in job.requeued and not job.inherited_tasks
 
 
 def test_the_table_requeues_only_with_proof_and_acknowledges_only_stored_results():
     assert len(TRANSITIONS) == len(RecordedState) and all(len(row) == len(ObservedState) for row in TRANSITIONS)
     requeues = {Action.REQUEUE, Action.REQUEUE_AND_ACKNOWLEDGE, Action.FAIL_AND_ACKNOWLEDGE}
     for recorded in RecordedState:
-        assert not requeues & {TRANSITIONS[recorded][ObservedState.LIVE], TRANSITIONS[recorded][ObservedState.ORDERED]}
-        assert TRANSITIONS[recorded][ObservedState.ORDERED] in (Action.NOTHING, Action.ADOPT)
+        assert not requeues & {TRANSITIONS[recorded][ObservedState.LIVE], TRANSITIONS[recorded][ObservedState.PENDING]}
+        assert TRANSITIONS[recorded][ObservedState.PENDING] in (Action.NOTHING, Action.ADOPT)
         if recorded in (
             RecordedState.WAITING,
             RecordedState.POSSIBLY_HERE,
@@ -152,15 +152,15 @@
     barrier = Barrier({"n-1": spot, "n-2": spot, "n-3": other_type, "n-4": MachineRecord("z", "c4", "b")})
     restricted = msgspec.structs.replace(SPEC, spot=False, types=["c4"], zone="b")
     unrestricted = msgspec.structs.replace(SPEC, spot=True)
-    assert barrier.may_hold(restricted) and barrier.may_hold(unrestricted)
-    assert barrier.remove("n-4") and not barrier.may_hold(restricted) and barrier.may_hold(unrestricted)
+    assert barrier.may_run_tasks_of(restricted) and barrier.may_run_tasks_of(unrestricted)
+    assert barrier.remove("n-4") and not barrier.may_run_tasks_of(restricted) and barrier.may_run_tasks_of(unrestricted)
     assert not barrier.remove("n-1") and barrier.remove("n-2") and barrier.remove("n-3")
-    assert not barrier and not barrier.may_hold(unrestricted)
-    assert Barrier({"n-9": MachineRecord()}).may_hold(restricted), "records of version 0.1.0 have no type"
+    assert not barrier and not barrier.may_run_tasks_of(unrestricted)
+    assert Barrier({"n-9": MachineRecord()}).may_run_tasks_of(restricted), "records of version 0.1.0 have no type"
 
 
 def test_a_continued_machine_shard_carries_over_its_grants_and_observed_tasks():
-    machine_shard, sent = part_with_machine()
+    machine_shard, sent = machine_shard_with_machine()
     heartbeat(machine_shard, 1)
     machine = machine_shard.machines["n-1"]
     for index, attempt in ((0, 70), (1, 71)):
@@ -169,7 +169,7 @@
         if index == 0:
             machine_shard.order_builder.orders(machine)  # only the first order is sent
     del sent[:]
-    machine_shard.enter(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, inherit_tasks=True)
+    machine_shard.enter_view(6, ["host-0", "host-1"], {"n-1": machine.record}, 2.0, continued=True, inherit_tasks=True)
     assert not sent
     machine_shard.leases.settle(2.2)
     assert sent == [
@@ -187,10 +187,10 @@
 
 
 def test_a_machine_shard_that_may_not_inherit_tasks_carries_nothing_over():
-    machine_shard, sent = part_with_machine()
+    machine_shard, sent = machine_shard_with_machine()
     heartbeat(machine_shard, 1)
     del sent[:]
-    machine_shard.enter(
+    machine_shard.enter_view(
         6, ["host-0", "host-1"], {"n-1": MachineRecord("x", "c4", "a")}, 2.0, continued=True, inherit_tasks=False
     )
     machine_shard.leases.settle(2.2)
@@ -199,7 +199,7 @@
 
 def test_a_machine_that_ends_while_its_record_is_written_is_not_written_again():
     """Guards against a terminated machine that stays queued for writing and blocks all further writes."""
-    machine_shard, _ = part_with_machine()
+    machine_shard, _ = machine_shard_with_machine()
     for name in ("n-2", "n-3", "n-4"):
         machine_shard.heartbeats.on_heartbeat(Heartbeat(name, "x", "c4", 1, 1, 5, "a"), 1.0)
     assert machine_shard.records.to_write == ["n-2", "n-3", "n-4"]
@@ -216,12 +216,12 @@
     """Guards against restarts that wait for machines whose records should have been dropped long before."""
     world = World(9500, jobs=0, random_faults=False)
     world.run(5.0)
-    sim = world.nodes["host-1"]
+    sim = world.controllers["host-1"]
     core, sim.busy = sim.core, True  # the test runs its record writer
     for number in range(200):
         spec = msgspec.structs.replace(world.make_job(number), id=f"wk-{number:06d}", kind="sweep", tasks=9)
         job = Job(Record(JobState.ACTIVE, "host-1", world.t, 9, [], spec), 1, world.t, 0.0)
-        job.last_write = 0.0
+        job.last_written_at = 0.0
         core.job_shard.add(job)
         job.mark_dirty(world.t)
     core.machine_records.to_drop = ["n-8", "n-9"]
@@ -233,7 +233,7 @@
             dropped += batch.dropped_machines
             assert batch.changes <= core.record_writer.max_changes
             for name in batch.dropped_machines:
-                core.machine_records.dropped(name)
+                core.machine_records.on_dropped(name)
             for job, _, _ in batch.jobs:
                 job.mark_dirty(world.t)
     assert dropped == ["n-8", "n-9"]
@@ -241,15 +241,15 @@
 
 def test_an_unanswered_probe_is_retried_with_jitter_a_limited_number_of_times():
     prober, probed_at, now = HeartbeatProber(Random(1)), [], 10.0
-    prober.enter(["n-1", "n-2", "n-3"], now)
-    assert [prober.next(now, lambda name: name == "n-2") for _ in range(3)] == ["n-1", "n-3", None]
-    prober.unanswered("n-1", now)
+    prober.enter_view(["n-1", "n-2", "n-3"], now)
+    assert [prober.next_machine(now, lambda name: name == "n-2") for _ in range(3)] == ["n-1", "n-3", None]
+    prober.on_probe_failed("n-1", now)
     while now < 60.0:
         now += 0.1
-        if prober.next(now, lambda name: False) is not None:
+        if prober.next_machine(now, lambda name: False) is not None:
             probed_at.append(now)
-            prober.unanswered("n-1", now)
-    assert len(probed_at) == constants.PROBE_TRIES - 1
+            prober.on_probe_failed("n-1", now)
+    assert len(probed_at) == constants.MAX_PROBE_ATTEMPTS - 1
     assert all(
         later - earlier <= constants.PROBE_BACKOFF_MAX_S + 0.2
         for earlier, later in zip([10.0, *probed_at], probed_at, strict=False)
@@ -260,11 +260,11 @@
     """Guards against returning machines as idle after a failover and renting as many again seconds later."""
     scale_in_guard = ScaleInGuard(17.0)
     assert scale_in_guard.refresh(300, 600, 5000, 100.0) is FleetKnowledge.RECONCILING
-    assert not scale_in_guard.may_return and not scale_in_guard.counts_inherited
+    assert not scale_in_guard.may_scale_in and not scale_in_guard.counts_inherited
     # A second failover does not restart the time limit.
     assert scale_in_guard.refresh(3, 600, 40, 110.0) is FleetKnowledge.RECONCILING
     assert scale_in_guard.refresh(0, 600, 40, 100.0 + scale_in_guard.overdue_after_s + 0.1) is FleetKnowledge.OVERDUE
-    assert scale_in_guard.may_return and scale_in_guard.counts_inherited
+    assert scale_in_guard.may_scale_in and scale_in_guard.counts_inherited
     assert scale_in_guard.refresh(5, 600, 0, 130.0) is FleetKnowledge.RECONCILED, "a few machines may always be booting"
     assert scale_in_guard.refresh(200, 600, 0, 140.0) is FleetKnowledge.RECONCILING
 
@@ -299,7 +299,7 @@
     view_times, view = views_after_joins([0.0, 0.2, 0.4, 0.6, 0.8])
     assert len(view_times) <= 2 and len(view.members) == 5
     view_times, view = views_after_joins([0.0, 3.0])
-    assert len(view_times) == 2 and view_times[1] - 3.0 <= constants.JOIN_QUIET_S + 0.2
+    assert len(view_times) == 2 and view_times[1] - 3.0 <= constants.JOIN_DEBOUNCE_S + 0.2
 
 
 def test_reconciliation_progress_counts_states_and_finishes():
@@ -313,15 +313,15 @@
     progress.mark_silent("n-2")
     progress.mark_silent("n-1")
     progress.mark_expired("n-3")
-    assert not progress.over
+    assert not progress.is_settled
     progress.mark_terminated("n-4")
-    assert progress.over
-    assert progress.line(3.0) == "after 3.0 s: reconciled 1, silent 1, expired 1, terminated 1 of 4"
+    assert progress.is_settled
+    assert progress.summary(3.0) == "after 3.0 s: reconciled 1, silent 1, expired 1, terminated 1 of 4"
 
 
 def find_remote_run(world):
     """(job owner, machine owner, job, index, machine) of a task whose job and machine owners differ; None if none."""
-    for label, sim in world.nodes.items():
+    for label, sim in world.controllers.items():
         for name, job in sim.core.job_shard.jobs.items():
             for index, run in job.runs.items():
                 machine_owner = sim.core.membership.machine_owner(run.machine)
@@ -337,7 +337,7 @@
 
 
 def unfinished_jobs(world):
-    return [name for name in world.accepted if name not in world.said and not world.specs[name].service]
+    return [name for name in world.accepted if name not in world.reported_ends and not world.specs[name].service]
 
 
 @pytest.mark.parametrize("seed", (8000, 8001, 8002))
@@ -349,16 +349,18 @@
     world = World(seed, jobs=30, random_faults=False)
     job_owner, machine_owner, _, _, machine = run_until_remote_run(world)
     third = next(label for label in world.labels if label not in (job_owner, machine_owner))
-    world.machines[machine].die()
-    world.nodes[job_owner].cut_mesh_until = world.t + 26.0
+    world.machines[machine].crash()
+    world.controllers[job_owner].cut_mesh_until = world.t + 26.0
     world.run(world.t + 20.0)
-    assert machine not in world.nodes[machine_owner].core.replica.machines  # expired, and its record dropped
-    world.nodes[third].crash()
-    world.after(1.0, world.restart, world.nodes[third])
+    assert (
+        machine not in world.controllers[machine_owner].core.replica.machine_revisions
+    )  # expired, and its record dropped
+    world.controllers[third].crash()
+    world.after(1.0, world.restart, world.controllers[third])
     world.run(world.t + 12.0)
     stuck = [
         run
-        for sim in world.nodes.values()
+        for sim in world.controllers.values()
         for other in sim.core.job_shard.jobs.values()
         for run in other.runs.values()
         if run.machine == machine
@@ -373,15 +375,15 @@
     world = World(seed, jobs=30, random_faults=False)
     world.run(40.0)
     job_owner, machine_owner, name, index, machine = run_until_remote_run(world)
-    world.machines[machine].die()
-    world.nodes[job_owner].crash()
+    world.machines[machine].crash()
+    world.controllers[job_owner].crash()
     world.run(world.t + 2.0)
-    world.restart(world.nodes[job_owner])
+    world.restart(world.controllers[job_owner])
     restarted_at = world.t
     while world.t < restarted_at + 30.0:
         world.run(world.t + 0.1)
-        core = world.nodes[job_owner].core
-        if core.may_act() and not any(job.unknown for job in core.job_shard.jobs.values()):
+        core = world.controllers[job_owner].core
+        if core.may_act() and not any(job.inherited_tasks for job in core.job_shard.jobs.values()):
             break
     return world.t - restarted_at
 
@@ -402,15 +404,15 @@
     """Guards against jobs that hang after all controllers fail a second time, about a minute after the first."""
     world = World(seed, nodes=5, jobs=16, random_faults=False, falls=2)
     world.run(420.0)
-    assert world.starts > 0 and not unfinished_jobs(world)
-    assert not world.halted_needed, "running tasks are not stopped by a failover"
+    assert world.task_starts > 0 and not unfinished_jobs(world)
+    assert not world.wrongly_halted, "running tasks are not stopped by a failover"
 
 
 @pytest.mark.parametrize("seed", (9100,))
 def test_every_job_ends_with_a_hundred_machines(seed):
     world = World(seed, nodes=5, jobs=40, random_faults=False, falls=1, machines=100, rush=True)
     world.run(360.0)
-    assert len(world.machines) >= 100 and not unfinished_jobs(world) and not world.halted_needed
+    assert len(world.machines) >= 100 and not unfinished_jobs(world) and not world.wrongly_halted
 
 
 @pytest.mark.parametrize("seed", range(9200, 9203))
@@ -448,7 +450,7 @@
         except Broken as broken:
             if str(broken).startswith(rule):
                 return
-        if rule == "halted" and world.halted_needed:
+        if rule == "halted" and world.wrongly_halted:
             return
     pytest.fail(f"no run showed {rule}")
 
@@ -458,18 +460,18 @@
     world.run(60.0)
     while True:  # until a machine is idle at the leader
         world.run(world.t + 0.5)
-        leader = next(sim.core.leader for sim in world.nodes.values() if sim.core.membership.is_leader(world.t))
+        leader = next(sim.core.leader for sim in world.controllers.values() if sim.core.membership.is_leader(world.t))
         rows = [row for summary, _ in leader.machine_summaries.values() for row in summary.rows]
         if leader.ready(world.t) and any(row.idle_s > 0 and row.state == "up" for row in rows):
             break
-    monkeypatch.setattr(policy, "block_ends", lambda age_s, within_s: True)
-    monkeypatch.setattr(policy, "keep_idle", lambda walk, resource: False)
+    monkeypatch.setattr(policy, "paid_block_ends_within", lambda age_s, within_s: True)
+    monkeypatch.setattr(policy, "must_keep_idle", lambda walk, resource: False)
     spec = world.make_job(99)
     leader.replica.observe_job(spec.id, Record(JobState.ACTIVE, "host-0", world.t, 5, [], spec), 10**6)
     queue = next(iter(leader.queues.values()))
     queue.received_rows[spec.id] = (QueueRow(spec.id, 0, 0, 50.0, 10.0, None, 5.0, False, False, inherited=5), world.t)
     reconciled_since = leader.scale_in_guard.since
-    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_returns > 0
+    assert not leader.decide(world.t).drain and leader.scale_in_guard.postponed_scale_ins > 0
     del queue.received_rows[spec.id]
     assert leader.decide(world.t).drain, "the idle machine is drained once the fleet is reconciled"
     assert leader.scale_in_guard.since >= reconciled_since
@@ -478,7 +480,7 @@
 def test_deferred_messages_keep_their_order_and_are_sent_in_the_next_round():
     world = World(9600, jobs=0, random_faults=False)
     world.run(5.0)
-    core = world.nodes["host-0"].core
+    core = world.controllers["host-0"].core
     core.effects.outgoing_frames.clear()
     acknowledgements = [AcknowledgeFinished("n-1", "wk-1", index, 7) for index in range(3)]
     core.messenger.send_deferred("host-1", acknowledgements[0])
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -14,7 +14,7 @@
 from alderbridge.machines.machine import Machine
 from alderbridge.machines.orders import OrderBuilder
 from alderbridge.machines.shard import MachineShard
-from alderbridge.protocol.keys import JOBS, LISTS
+from alderbridge.protocol.keys import DEPENDENCY_LISTS, JOBS
 from alderbridge.reconciliation import Barrier
 from alderbridge.scheduling import placement
 from alderbridge.settings import NextStateLimits
@@ -23,32 +23,32 @@
 def play(seed, until=200.0, **options):
     world = World(seed, **options)
     world.run(until)
-    world.remembered()
+    world.check_final_status_age()
     return world
 
 
 @pytest.mark.parametrize("seed", [*range(28), 816, 1319])
 def test_invariants_hold_under_random_faults(seed):
     world = play(seed)
-    assert world.starts > 0
+    assert world.task_starts > 0
 
 
 @pytest.mark.parametrize("seed", range(2000, 2008))
 def test_invariants_hold_with_five_controllers(seed):
-    assert play(seed, nodes=5).starts > 0
+    assert play(seed, nodes=5).task_starts > 0
 
 
 @pytest.mark.parametrize("seed", range(7000, 7009))
 def test_invariants_hold_when_many_machines_fail_together(seed):
     """30 to 90 % of the machines crash, hang or are cut off at once, often with all controllers."""
-    assert play(seed, until=260.0, nodes=5, groups=True).starts > 0
+    assert play(seed, until=260.0, nodes=5, groups=True).task_starts > 0
 
 
 @pytest.mark.parametrize("seed", (100, 101))
 def test_every_job_completes_without_faults(seed):
     world = play(seed, until=260.0, random_faults=False)
     assert len(world.accepted) == 14
-    unfinished = [job for job in world.accepted if job not in world.said]
+    unfinished = [job for job in world.accepted if job not in world.reported_ends]
     assert not unfinished
 
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("seed", range(3000, 3008))
 def test_invariants_hold_for_pipelines(seed):
     world = play(seed, until=220.0, pipelines=5)
-    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.needs)
+    assert any(world.reported_ends.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
 
 
 # Seeds 4002 and 4008 are left out: users cancel all dependencies there.
@@ -68,16 +68,16 @@
     world = play(
         seed, until=260.0, nodes=3 + 2 * (seed % 2), pipelines=4, upgrade=True, coming=NEXT_LIMITS, tight_at=110.0
     )
-    assert any(world.said.get(job) == "done" for job, spec in world.specs.items() if spec.needs)
-    assert world.store.too_large == 0
+    assert any(world.reported_ends.get(job) == "done" for job, spec in world.specs.items() if spec.dependencies)
+    assert world.store.rejected_as_too_large == 0
 
 
 @pytest.mark.parametrize("seed", (5000, 5001))
 def test_lower_store_limits_than_announced_cost_no_store_lease_and_no_job(seed):
     world = play(seed, until=300.0, random_faults=False, pipelines=3, tight_at=60.0)
-    assert world.store.too_large > 0
-    fencing_tokens = {sim.core.membership.fencing_token for sim in world.nodes.values()}
-    unfinished = [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    assert world.store.rejected_as_too_large > 0
+    fencing_tokens = {sim.core.membership.fencing_token for sim in world.controllers.values()}
+    unfinished = [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
     assert len(fencing_tokens) == 1 and not unfinished
 
 
@@ -91,25 +91,28 @@
     tail = msgspec.structs.replace(
         world.make_job(99), id=needs[-1], kind="sweep", tasks=1, types=None, zone=None, one_zone=False, spread=False
     )
-    after = msgspec.structs.replace(tail, id="wk-777", needs=needs)
+    after = msgspec.structs.replace(tail, id="wk-777", dependencies=needs)
     world.specs |= {tail.id: tail, after.id: after}
     world.specs |= {need: msgspec.structs.replace(tail, id=need, tasks=0) for need in needs[:-1]}
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     world.submit(tail)
     world.run(33.0)
     core.replica.ended.clear()  # as if no dependency had ended, so that the list is long
     submission = core.submissions.submit(after, world.t, world.t)
-    assert len(submission.lists) > 3 and submission.job.spec.needs is None
+    assert len(submission.dependency_lists) > 3 and submission.job.spec.dependencies is None
     world.run(60.0)
-    assert submission.outcome == "accepted" and len([key for key in world.store.data if key.startswith(LISTS)]) > 3
-    for sim in world.nodes.values():
+    assert (
+        submission.outcome == "accepted"
+        and len([key for key in world.store.data if key.startswith(DEPENDENCY_LISTS)]) > 3
+    )
+    for sim in world.controllers.values():
         sim.crash()
         world.after(2.0, world.restart, sim)
     world.accepted.add(after.id)
     world.poll(after.id)
     world.run(260.0)  # its team is at its limit most of the time
-    assert world.said[after.id] == "done"
-    assert not [key for key in world.store.data if key.startswith(LISTS)]
+    assert world.reported_ends[after.id] == "done"
+    assert not [key for key in world.store.data if key.startswith(DEPENDENCY_LISTS)]
 
 
 @pytest.mark.parametrize("seed", (6000, 6001, 6002))
@@ -118,19 +121,19 @@
     world = World(seed, random_faults=False)
     for closes_at in (20.0, 45.0):
         one, other = world.rng.sample(world.labels, 2)
-        world.after(closes_at, world.nodes[one].half_open_links.add, other)
+        world.after(closes_at, world.controllers[one].half_open_links.add, other)
     world.run(260.0)
-    assert not any(sim.half_open_links for sim in world.nodes.values())
+    assert not any(sim.half_open_links for sim in world.controllers.values())
     assert len(world.accepted) == 14
-    assert not [job for job in world.accepted if job not in world.said]
+    assert not [job for job in world.accepted if job not in world.reported_ends]
 
 
 def test_a_cascaded_abort_is_reported_only_once_no_active_member_can_contradict_it():
     """The job owner, cut off from the store, may still report "pending" until its view is stale."""
     world = play(1, until=5.0, jobs=0, random_faults=False)
     first, after = (msgspec.structs.replace(world.make_job(n), kind="sweep", types=None) for n in (1, 2))
-    after = msgspec.structs.replace(after, needs=[first.id])
-    owner, cut_off = world.nodes["host-0"], world.nodes["host-1"]
+    after = msgspec.structs.replace(after, dependencies=[first.id])
+    owner, cut_off = world.controllers["host-0"], world.controllers["host-1"]
     owner.core.submissions.submit(first, world.t, world.t)
     world.run(6.0)
     cut_off.core.submissions.submit(after, world.t, world.t)
@@ -160,7 +163,7 @@
 def test_an_end_being_stored_is_not_contradicted_from_memory():
     """Guards against reporting "pending" from memory after others have read an end whose write got no response."""
     world = play(1, until=5.0, jobs=0, random_faults=False)
-    core = world.nodes["host-0"].core
+    core = world.controllers["host-0"].core
     spec = world.make_job(1)
     job = core.job_shard.jobs[spec.id] = Job(Record(JobState.ACTIVE, "host-0", 0.0, 0, [], spec), 1, 5.0, 0.0)
     assert core.local_jobs.local_job_state(spec.id, 5.0)[0] == "pending"
@@ -172,12 +175,12 @@
 
 
 def disable_barrier(monkeypatch):
-    monkeypatch.setattr(Barrier, "may_hold", lambda self, spec: False)
+    monkeypatch.setattr(Barrier, "may_run_tasks_of", lambda self, spec: False)
 
 
 def report_unproven_machines(monkeypatch):
     """Machine owners report machines that have not acknowledged the fencing token to job owners."""
-    monkeypatch.setattr(Machine, "is_proven", property(lambda self: True))
+    monkeypatch.setattr(Machine, "has_complete_tasks", property(lambda self: True))
     real = WorkerLeases.settle
 
     def settle(self, now):
@@ -200,11 +203,11 @@
 
 
 def ignore_quota(monkeypatch):
-    monkeypatch.setattr(QuotaUsage, "room", lambda self, team, used, spec: spec.tasks)
+    monkeypatch.setattr(QuotaUsage, "remaining_tasks", lambda self, team, used, spec: spec.tasks)
 
 
 def ignore_constraints(monkeypatch):
-    monkeypatch.setattr(Job, "room_in", lambda self, zone: self.spec.tasks)
+    monkeypatch.setattr(Job, "remaining_in_zone", lambda self, zone: self.spec.tasks)
     monkeypatch.setattr(placement, "allowed", lambda *args: True)
 
 
@@ -265,7 +268,7 @@
         free = machine.free if machine is not None else None
         real(self, label, grant, now)
         if machine is not None:
-            machine.free = free or self.capacity.free(machine)
+            machine.free = free or self.capacity.free_resources(machine)
             machine.orders.pending = dict(machine.orders.pending)
 
     monkeypatch.setattr(MachineShard, "on_task_grant", on_task_grant)
--- a/tests/test_store_gap.py
+++ b/tests/test_store_gap.py
@@ -8,7 +8,7 @@
 import pytest
 from simulation import CANCEL_S, LEASE_S, Broken, SimController, World
 from test_conditions_to_act import without_freshness
-from test_machines import heartbeat, part_with_machine
+from test_machines import heartbeat, machine_shard_with_machine
 
 from alderbridge.controller.job_directory import JobDirectory
 from alderbridge.membership.membership import Membership
@@ -79,7 +79,7 @@
 
 
 class StoreGapWorld(World):
-    process = StoreGapController
+    controller_class = StoreGapController
 
     def __init__(self, seed: int, **options) -> None:
         self.stop_messages_lost = False
@@ -99,17 +99,17 @@
             )
             self.after(self.rng.uniform(1.0, 10.0), self.submit, spec)
             cancelled_after_s = 2.0 - 6.0 * self.rng.random() if number % 2 else STEP_S * number
-            self.after(REFUSED_AT + cancelled_after_s, self.withdraw, spec.id)
+            self.after(REFUSED_AT + cancelled_after_s, self.cancel, spec.id)
 
     def current_leader(self) -> StoreGapController:
-        return self.nodes[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
+        return self.controllers[msgspec.json.decode(self.store.data[VIEW][0], type=View).leader]
 
 
 def run_store_gap(seed, *, stop_messages_lost=True, leader_fault="refused", pause_s=0.0, outage_s=OUTAGE_S):
     """``leader_fault``: how the leader loses the store before all do; ``pause_s``: how long it is paused as well."""
     world = StoreGapWorld(seed)
     world.run(REFUSED_AT)
-    assert len(world.on) > JOBS, "most tasks are running"
+    assert len(world.running_on) > JOBS, "most tasks are running"
     sim, world.stop_messages_lost = world.current_leader(), stop_messages_lost
     if leader_fault == "refused":
         sim.refused_until, sim.follow_hangs = world.t + REFUSED_S, True
@@ -121,7 +121,7 @@
     if outage_s:
         world.after(OUTAGE_AT - REFUSED_AT, world.store.outage, outage_s)
     world.run(REFUSED_AT + STEP_S * JOBS + CANCEL_S + 10.0)
-    confirmed_at = sorted(world.cancelled_at[job] for job in world.said)
+    confirmed_at = sorted(world.cancelled_at[job] for job in world.reported_ends)
     assert len(confirmed_at) == JOBS and confirmed_at[0] < OUTAGE_AT < confirmed_at[-1]
     return world
 
@@ -140,7 +140,7 @@
 
 
 def ignore_cancellations(monkeypatch):
-    monkeypatch.setattr(JobDirectory, "cancelled", lambda self, job: False)
+    monkeypatch.setattr(JobDirectory, "is_aborted", lambda self, job: False)
 
 
 def act_longer_than_cancel_s(monkeypatch):
@@ -150,7 +150,7 @@
         Membership, "__init__", lambda self, me, ttl_s, older_ttl_s=None: original(self, me, CANCEL_S, None)
     )
     # The simulated store keeps leases for as long.
-    monkeypatch.setattr("alderbridge.constants.TOTAL_LEASE_S", CANCEL_S + LEASE_S)
+    monkeypatch.setattr("alderbridge.constants.COMBINED_LEASE_S", CANCEL_S + LEASE_S)
 
 
 def act_without_valid_lease(monkeypatch):
@@ -176,9 +176,9 @@
 
 
 def shard_with_cancelled_job(cancelled=True):
-    shard, sent = part_with_machine()
+    shard, sent = machine_shard_with_machine()
     heartbeat(shard, 1)
-    shard.jobs.cancelled = lambda job: cancelled
+    shard.jobs.is_aborted = lambda job: cancelled
     return shard, shard.machines["n-1"], sent
 
 
@@ -210,7 +210,7 @@
     """Guards against tasks that outlive ``CANCEL_S`` while views change quickly: each response renews the lease."""
     shard, machine, sent = shard_with_cancelled_job()
     for fencing_token in range(6, 30):
-        shard.enter(
+        shard.enter_view(
             fencing_token, ["host-0", "host-1"], {"n-1": MachineRecord("10.0.0.1:9000", "c4", "a")}, 2.0 * fencing_token
         )
         shard.leases.settle(2.0 * fencing_token)
@@ -222,7 +222,7 @@
         )
         assert encoded_orders(shard, machine) == [("halt", "wk-1/0", 70)]
         assert len(sent) == sent_count and not machine.acknowledged, "the heartbeat changes nothing else"
-    shard.jobs.cancelled = lambda job: False
+    shard.jobs.is_aborted = lambda job: False
     assert encoded_orders(shard, machine) == [], (
         "other orders, also a halt from the job owner, wait for the acknowledgement"
     )
@@ -232,7 +232,7 @@
     """Guards against starting a task that was granted before the cancellation and waited for the next heartbeat."""
     shard, machine, sent = shard_with_cancelled_job(False)
     shard.on_task_grant("host-1", TaskGrant(shard.reserve(machine, "wk-1", 1), "wk-1", "n-1", [(0, 70)]), 1.5)
-    shard.jobs.cancelled = lambda job: True
+    shard.jobs.is_aborted = lambda job: True
     assert encoded_orders(shard, machine) in ([("halt", "wk-1/0", 70)], [])
     assert encoded_orders(shard, machine) == [("halt", "wk-1/0", 70)]
     sent_count = len(sent)
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -2,27 +2,27 @@
 
 import pytest
 from simulation import World
-from test_machines import heartbeat, part_with_machine
+from test_machines import heartbeat, machine_shard_with_machine
 
 from alderbridge import constants
 from alderbridge.machines.machine import MachineState
 from alderbridge.protocol.keys import MACHINES
 
-# Store lease and worker leases expire, and then machines are silent for ``LOST_MACHINE_S``.
-OUTAGE_S = constants.TOTAL_LEASE_S + constants.LOST_MACHINE_S
+# Store lease and worker leases expire, and then machines are silent for ``LOST_MACHINE_TIMEOUT_S``.
+OUTAGE_S = constants.COMBINED_LEASE_S + constants.LOST_MACHINE_TIMEOUT_S
 
 
 def run_outage(seed, outage_s=OUTAGE_S):
     world = World(seed, random_faults=False, nodes=5, jobs=6, rush=True)
     returned, drops = [], []
-    remove, commit = world.remove, world.store.commit
+    remove, commit = world.terminate, world.store.commit
 
     def record_drops(conditions, puts, dropped=(), lease_id=None):
         drops.extend((world.t, key) for key in dropped if key.startswith(MACHINES))
         return commit(conditions, puts, dropped, lease_id)
 
     world.run(40.0)
-    world.remove = lambda names: returned.extend((world.t, name) for name in names) or remove(names)
+    world.terminate = lambda names: returned.extend((world.t, name) for name in names) or remove(names)
     world.store.commit = record_drops
     rented = [name for name, worker in world.machines.items() if worker is not None]
     world.store.outage(outage_s)
@@ -43,21 +43,21 @@
     world, rented, ended_at, returned, dropped = run_outage(seed)
     assert len(rented) >= 5 and not set(returned) & set(rented)
     assert not set(dropped) & {MACHINES + name for name in rented}
-    assert world.began and all(sim.core.may_act() for sim in world.nodes.values())
+    assert world.first_started_at and all(sim.core.may_act() for sim in world.controllers.values())
     world.run(ended_at + 240.0)
-    world.remembered()
-    assert not [job for job in world.accepted if job not in world.said and not world.specs[job].service]
+    world.check_final_status_age()
+    assert not [job for job in world.accepted if job not in world.reported_ends and not world.specs[job].service]
 
 
 @pytest.mark.parametrize("sent", (True, False))
 def test_a_machine_record_is_kept_only_if_no_deletion_was_sent(sent):
     """A late deletion would remove the record while tasks run on the machine, and they would be started twice."""
-    part, _ = part_with_machine()
+    part, _ = machine_shard_with_machine()
     heartbeat(part, 1)
     part.leases.check(100.0)
     machine = part.machines["n-1"]
     assert machine.state is MachineState.EXPIRED and part.records.to_drop == ["n-1"] and not machine.recorded
-    part.records.keep_record = lambda name: not sent
+    part.records.cancel_drop = lambda name: not sent
     heartbeat(part, 101)
     assert machine.state is MachineState.UP and machine.recorded is not sent
     assert part.records.to_write == (["n-1"] if sent else [])
@@ -68,7 +68,7 @@
     world.run(40.0)
     core, name = next(
         (sim.core, name)
-        for sim in world.nodes.values()
+        for sim in world.controllers.values()
         for name in sorted(sim.core.machine_shard.machines)
         if sim.core.machine_shard.machines[name].recorded
     )
@@ -83,5 +83,5 @@
     assert not core.machine_records.cancel_drop(name)
     core.batch_results.on_failed(batch, world.t)
     assert not core.machine_records.cancel_drop(name), "the unanswered deletion may still commit"
-    core.view_entry.enter(world.t, world.t)
+    core.view_entry.enter_view(world.t, world.t)
     assert name not in core.machine_records.to_drop and not core.machine_records.drops_in_flight
--- a/tests/test_team_limit_large_jobs.py
+++ b/tests/test_team_limit_large_jobs.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from test_capacity_under_faults import Rooms, array
+from test_capacity_under_faults import RateLimitedStoreWorld, array
 
 from alderbridge.protocol import wire
 
@@ -14,7 +14,7 @@
 BEGIN_WITHIN_S = 240.0  # objective: the largest jobs of a class start within four minutes
 
 
-class SmallJobs(Rooms):
+class SmallJobs(RateLimitedStoreWorld):
     """One-CPU tasks of a team in excess of its limit, and one job of large tasks among them."""
 
     def __init__(self, seed: int, jobs_per_s: float = 2.0) -> None:
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("seed", (0, 1))
 def test_a_large_job_of_a_team_at_its_limit_begins_within_four_minutes(seed):
     world = SmallJobs(seed)
-    while world.t < SENT_AT + BEGIN_WITHIN_S and LARGE not in world.began:
+    while world.t < SENT_AT + BEGIN_WITHIN_S and LARGE not in world.first_started_at:
         world.run(world.t + 5.0)
     assert LARGE in world.accepted
-    assert LARGE in world.began and world.began[LARGE] - world.sent_at[LARGE] < BEGIN_WITHIN_S
+    assert LARGE in world.first_started_at and world.first_started_at[LARGE] - world.sent_at[LARGE] < BEGIN_WITHIN_S
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -8,16 +8,16 @@
 import pytest
 from simulation import LABELS, TYPES, World, platform
 from test_bad_input import JOB as FIELDS
-from test_capacity_under_faults import Rooms, array
+from test_capacity_under_faults import RateLimitedStoreWorld, array
 
 from alderbridge.controller.process import Controller
 from alderbridge.jobs.record import JobState, Record
 from alderbridge.protocol import wire
-from alderbridge.protocol.keys import JOBS, LISTS, MACHINES, MEMBERS, VIEW
-from alderbridge.protocol.keys import TYPES as TYPES_KEY
+from alderbridge.protocol.keys import DEPENDENCY_LISTS, JOBS, MACHINES, MEMBERS, VIEW
+from alderbridge.protocol.keys import MACHINE_TYPES as TYPES_KEY
 from alderbridge.settings import Tuning
 from alderbridge.state import errors
-from alderbridge.transport.selector import Poll
+from alderbridge.transport.selector import EpollSelector
 
 JOB = "wk-000412"
 GARBAGE = b'{"state": 17, "x": []}'
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def controller(monkeypatch):
-    controller = Controller(platform("host-0", LABELS[:3]), Tuning(), Poll())
+    controller = Controller(platform("host-0", LABELS[:3]), Tuning(), EpollSelector())
     controller.core.state.loaded = True
     controller.core.machine_types.update(TYPES)
     monkeypatch.setattr(controller.core.membership, "may_act", lambda now: True)
@@ -64,7 +64,7 @@
         assert curio.run(users.submissions.submit, body(JOB))[0] == 503
 
 
-@pytest.mark.parametrize("key", (JOBS + JOB, MACHINES + "n-1", LISTS + JOB + "/0", TYPES_KEY))
+@pytest.mark.parametrize("key", (JOBS + JOB, MACHINES + "n-1", DEPENDENCY_LISTS + JOB + "/0", TYPES_KEY))
 def test_an_unreadable_change_is_logged_and_later_changes_are_applied(controller, caplog, key):
     other = Record(JobState.DONE)
     events = [
@@ -77,7 +77,7 @@
     [line] = unreadable_lines(caplog)
     assert key in line and "cause=" in line
     if key.startswith(MACHINES):
-        assert replica.machines == {"n-1": 5}, "views wait for this machine although its record is unreadable"
+        assert replica.machine_revisions == {"n-1": 5}, "views wait for this machine although its record is unreadable"
     if key.startswith(JOBS):
         assert controller.core.directory.knows_job(JOB), "not 404: the job may have been accepted"
 
@@ -90,9 +90,9 @@
 
 
 def test_a_submission_that_conflicts_with_an_unreadable_record_does_not_block_others():
-    world = Rooms(3)
+    world = RateLimitedStoreWorld(3)
     world.run(5.0)
-    sim = world.nodes["host-1"]
+    sim = world.controllers["host-1"]
     # Written by another controller; the watch has not delivered it yet.
     world.store.data[JOBS + "wk-000001"] = (GARBAGE, world.store.revision, None)
     outcomes: dict[int, str] = {}
@@ -109,12 +109,14 @@
     world.store.revision += 1
     world.store.data[JOBS + JOB] = (GARBAGE, world.store.revision, None)
     world.store.data[MACHINES + "n-999999"] = (b'"?"', world.store.revision, None)
-    for sim in world.nodes.values():
+    for sim in world.controllers.values():
         sim.crash()
         world.after(1.0, world.restart, sim)
     world.run(400.0)
-    assert all(sim.core.state.loaded for sim in world.nodes.values())
-    assert world.accepted and {world.said.get(job) for job in world.accepted if not world.specs[job].service} <= {
+    assert all(sim.core.state.loaded for sim in world.controllers.values())
+    assert world.accepted and {
+        world.reported_ends.get(job) for job in world.accepted if not world.specs[job].service
+    } <= {
         "done",
         "aborted",
     }
--- a/tests/test_upgrade_under_faults.py
+++ b/tests/test_upgrade_under_faults.py
@@ -8,7 +8,7 @@
 import production
 import pytest
 from simulation import KNOWN_S, Broken, SimController, World
-from test_conditions_to_act import Dark, Terms
+from test_conditions_to_act import ActConditionsWorld, WatchFaultController
 
 from alderbridge import constants
 from alderbridge.membership.membership import Membership
@@ -43,7 +43,7 @@
 class UpgradeWorld(World):
     """Counts the views whose members run two versions, by the member keys when the view is written."""
 
-    process = VersionedController
+    controller_class = VersionedController
 
     def __init__(self, seed, nodes):
         self.mixed_views = self.contact_views = 0
@@ -72,24 +72,24 @@
 
 def play_upgrade(seed, nodes):
     world = UpgradeWorld(seed, nodes)
-    world.run(max(240.0, world.calm_at + KNOWN_S + 5.0))
-    world.remembered()
+    world.run(max(240.0, world.faults_end_at + KNOWN_S + 5.0))
+    world.check_final_status_age()
     return world
 
 
 @pytest.mark.parametrize("nodes, seed", [(3, 41001), (3, 41004), (5, 41110)])
 def test_invariants_hold_under_concurrent_faults_during_an_upgrade(nodes, seed):
     world = play_upgrade(seed, nodes)
-    assert world.mixed_views and world.contact_views and world.starts > 0 and not world.late_largest()
-    assert not any(sim.old for sim in world.nodes.values())
+    assert world.mixed_views and world.contact_views and world.task_starts > 0 and not world.largest_started_late()
+    assert not any(sim.old for sim in world.controllers.values())
 
 
-class VersionedHangingController(VersionedController, Dark):
+class VersionedHangingController(VersionedController, WatchFaultController):
     pass
 
 
-class MixedVersionsWorld(Terms):
-    process = VersionedHangingController
+class MixedVersionsWorld(ActConditionsWorld):
+    controller_class = VersionedHangingController
 
 
 def play_new_member_missing_a_view(seed):
@@ -99,13 +99,13 @@
     only replica freshness stops it from acting.
     """
     world = MixedVersionsWorld(seed, 3)
-    for sim in world.nodes.values():
+    for sim in world.controllers.values():
         sim.old = True
         sim.crash()
         sim.start()
     world.run(20.0)
     restarted_label, label = sorted(set(world.labels) - {world.view.leader})
-    new, restarted = world.nodes[label], world.nodes[restarted_label]
+    new, restarted = world.controllers[label], world.controllers[restarted_label]
     new.old = False
     new.crash()
     new.start()
@@ -123,7 +123,7 @@
     world.until(lambda: restarted_label in world.view.members, 10.0)
     fencing_token = world.store.data[VIEW][1]
     world.run(world.t + 5.0)
-    workers = [worker for worker in world.machines.values() if worker is not None and worker.core == label]
+    workers = [worker for worker in world.machines.values() if worker is not None and worker.controller_label == label]
     world.run(world.t + 13.0)
     for worker in workers:  # no more renewals: their leases expire
         worker.cut_until = world.t + 60.0
--- a/tests/test_write_classes.py
+++ b/tests/test_write_classes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from test_capacity_under_faults import Rooms, array
+from test_capacity_under_faults import RateLimitedStoreWorld, array
 
 from alderbridge import constants
 from alderbridge.controller import admission
@@ -24,7 +24,7 @@
 FLOOD_AT, FLOOD_S = 10.0, 70.0
 
 
-class Flood(Rooms):
+class Flood(RateLimitedStoreWorld):
     """Submissions exceed the store's write rate while the fleet is scaled out from zero."""
 
     def __init__(self, seed, rate=16.0, write_rps=10.0, duration_s=FLOOD_S, **more) -> None:
@@ -47,17 +47,17 @@
             self.after(FLOOD_AT + number / rate, self.send, array(number, tasks=2, estimate_s=5.0))
         self.after(FLOOD_AT, self.look)
 
-    def attempt(self, spec) -> None:
+    def try_submit(self, spec) -> None:
         """Submit at a random controller, which may refuse with 503; retry for ``USER_RETRY_S``."""
-        if self.t - self.first_asked[spec.id] > USER_RETRY_S:
+        if self.t - self.first_submitted_at[spec.id] > USER_RETRY_S:
             return
-        label = self.rng.choice(list(self.nodes))
-        core = self.nodes[label].core
+        label = self.rng.choice(list(self.controllers))
+        core = self.controllers[label].core
         if core is None or admission.decide(core, spec, self.t, False).admission is Admission.UNAVAILABLE:
-            self.after(constants.RETRY_AFTER_S, self.attempt, spec)
+            self.after(constants.RETRY_AFTER_S, self.try_submit, spec)
             return
-        self.takes_users = [label]
-        super().attempt(spec)
+        self.submission_controllers = [label]
+        super().try_submit(spec)
 
     def record_commit(self, conditions, puts) -> None:
         for key, value in puts.items():
@@ -70,7 +70,7 @@
 
     def look(self) -> None:
         """Sample which classes have writes due."""
-        cores = [sim.core for sim in self.nodes.values() if sim.core is not None and sim.core.may_act()]
+        cores = [sim.core for sim in self.controllers.values() if sim.core is not None and sim.core.may_act()]
         waiting = {
             "machines": any(core.machine_shard.records.to_write for core in cores),
             "submissions": any(core.submissions.pending for core in cores),
@@ -88,8 +88,8 @@
         super().boot(name, kind)
         self.first_machine_up_at = min(self.first_machine_up_at, self.t)
 
-    def entered(self, part, worker) -> None:
-        super().entered(part, worker)
+    def on_task_started(self, part, worker) -> None:
+        super().on_task_started(part, worker)
         self.first_task_started_at = min(self.first_task_started_at, self.t)
 
     def longest_starvation(self, name: str, since: float = FLOOD_AT, until: float = math.inf) -> float:
@@ -140,7 +140,7 @@
     world.run(60.0)
     world.store.outage(12.0)
     world.run(FLOOD_AT + 150.0)
-    world.check_progress(since=72.0 + constants.VIEW_SETTLE_S)
+    world.check_progress(since=72.0 + constants.VIEW_SETTLE_TIMEOUT_S)
     assert [at for at in world.machines_written if at > 72.0]
     world.check_all_jobs_complete()
 
@@ -149,7 +149,7 @@
     """After a controller crashed at ``crashed_at``, every class makes progress from the next view on."""
     world.run(FLOOD_AT + FLOOD_S)
     assert world.first_task_started_at - world.first_machine_up_at < START_WITHIN_S
-    world.check_progress(since=crashed_at + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_S)
+    world.check_progress(since=crashed_at + constants.CONTACT_TIMEOUT_S + constants.VIEW_SETTLE_TIMEOUT_S)
     world.check_all_jobs_complete()
 
 
@@ -163,7 +163,7 @@
 def test_progress_resumes_after_a_controller_restart_during_a_flood():
     world = Flood(12)
     world.run(40.0)
-    sim = next(sim for sim in world.nodes.values() if sim is not world.leader)
+    sim = next(sim for sim in world.controllers.values() if sim is not world.leader)
     sim.crash()
     world.after(6.0, world.restart, sim)
     check_progress_resumes(world, crashed_at=40.0)
@@ -172,10 +172,10 @@
 def test_submissions_and_machine_records_progress_during_a_flood_of_job_ends():
     world = Flood(13)
     world.run(45.0)
-    active = [job for sim in world.nodes.values() for job in sim.core.job_shard.jobs]
+    active = [job for sim in world.controllers.values() for job in sim.core.job_shard.jobs]
     assert len(active) > 60, "more than the store commits in five seconds"
     for job in active:
-        world.withdraw(job)
+        world.cancel(job)
     world.run(75.0)
     world.check_progress(since=45.0)
 
@@ -187,7 +187,7 @@
         now += 0.01
         for write_class in WriteClass:
             count = rates.available(write_class, True, now)
-            rates.spend(write_class, now, count)
+            rates.consume(write_class, now, count)
             changes_by_class[write_class] += count
     for write_class, share in ASSURED_SHARES.items():
         assert abs(changes_by_class[write_class] - 200 * share) <= 2, changes_by_class
@@ -200,9 +200,9 @@
 
 
 def test_a_submission_that_cannot_be_stored_in_time_is_refused_at_once():
-    world = Rooms(14, write_rps=10.0)
+    world = RateLimitedStoreWorld(14, write_rps=10.0)
     world.run(5.0)
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     answers = []
     for number in range(20):
         decision = admission.decide(core, array(number), world.t, False)
@@ -212,16 +212,16 @@
     admitted = answers.count(Admission.ADMITTED)
     assert 4 <= admitted <= 7 and answers[admitted:] == [Admission.UNAVAILABLE] * (20 - admitted)
     assert admission.decide(core, array(0), world.t, False).admission is Admission.ADMITTED, "already queued here"
-    world.run(world.t + constants.SUBMIT_WAIT_S)
+    world.run(world.t + constants.SUBMIT_TIMEOUT_S)
     assert admission.decide(core, array(19), world.t, False).admission is Admission.ADMITTED
 
 
 @pytest.mark.parametrize("level", (1.0, 6.0, 12.0, 30.0))
 def test_no_transaction_exceeds_the_limit_of_changes(level):
     """Assured changes count towards the limit of the transaction."""
-    world = Rooms(15)
+    world = RateLimitedStoreWorld(15)
     world.run(5.0)
-    core = world.nodes["host-1"].core
+    core = world.controllers["host-1"].core
     writer, now = core.record_writer, world.t
     for number in range(20):
         core.machine_shard.machines[f"n-9{number:05d}"] = SimpleNamespace(record=MachineRecord())
@@ -230,10 +230,10 @@
     for number in range(5):
         core.submissions.submit(array(number), now, now)
     for bucket in writer.write_rate_limit.assured._buckets.values():  # each class has its full assured burst
-        bucket.level, bucket.at = 1.0, now
-    writer.write_rate_limit.budget.change(level, level, now)
-    writer.write_rate_limit.budget.level = level
-    with_overdraft = int(level + constants.WRITE_AHEAD_SHARE * level)
+        bucket.tokens, bucket.refilled_at = 1.0, now
+    writer.write_rate_limit.budget.set_rate(level, level, now)
+    writer.write_rate_limit.budget.tokens = level
+    with_overdraft = int(level + constants.WRITE_OVERDRAFT_SHARE * level)
     batch = writer.next_batch(now)
     assert batch is not None and batch.machines and (batch.submissions or level == 1.0)
     assert batch.changes == len(batch.puts) + len(batch.drops) <= min(writer.max_changes, with_overdraft)
