--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,15 +1,16 @@
-"""The whole suite, but for tests that are known to fail for a fault that can't be mended now.
+"""Runs the test suite without the tests that are known to fail because of an open issue, and checks that those fail.
 
-    python3 tools/known_red.py [FOLDER]      FOLDER: the repository; by default the one of this file
+    python3 tools/known_red.py [FOLDER]      FOLDER: root of the repository; default: this one
 
-``KNOWN-RED.txt`` there lists them, one a line: test id | command and seed | what was seen | issue. The issue is an open
-one, as #NUMBER. Blank lines and lines that begin with # are passed over; without the file, or with none listed, all
-tests run. The listed ones run alone after the others, each by itself, and have to fail.
+``KNOWN-RED.txt`` in that folder lists them, one per line: test id | command and seed | what was seen | issue. The issue
+is an open one, as #NUMBER. Blank lines and lines that start with # are ignored; without the file, or without entries,
+all tests run. The listed tests run after the others, each in its own process, and must fail.
 
-Exit status: 0 the suite passes and each listed test fails; 1 else: the suite fails, a line is malformed, its id names
-no test or more than one, or its test passes or does not run; 2 no such folder.
+Exit status: 0 the suite passes and each listed test fails; 1 the suite fails, a line is malformed, its id names no test
+or more than one, or its test passes or does not run; 2 no such folder.
 
-pytest loads this file as a plugin, too: ``--deselect`` goes by how an id begins, and would pass over others with it.
+pytest also loads this file as a plugin that deselects the listed tests by their whole ids: its option ``--deselect``
+matches prefixes of ids and would deselect other tests as well.
 """
 
 from __future__ import annotations
@@ -21,62 +22,62 @@
 from pathlib import Path
 from typing import NamedTuple
 
-LIST = "KNOWN-RED.txt"
-FORM = "test id | command and seed | what was seen | #issue"
-ISSUE = re.compile(r"#[1-9][0-9]*")
-FAILED = 1  # pytest's exit status where tests ran and some failed; anything else but 0 means that none did
+LIST_FILE = "KNOWN-RED.txt"
+LINE_FORMAT = "test id | command and seed | what was seen | #issue"
+ISSUE_PATTERN = re.compile(r"#[1-9][0-9]*")
+TESTS_FAILED = 1  # pytest's exit status if tests ran and some failed; others but 0 mean that pytest could not run them
 
 
 class KnownRedError(Exception):
-    """The list is malformed, or the suite or a listed test contradicts it; the text says where and why."""
+    """The list is malformed, the suite fails, or a listed test does not fail; the message gives the reason."""
 
 
 class KnownFailure(NamedTuple):
     """An entry of the list."""
 
-    test: str  # pytest's id
-    command: str  # with the seed that shows the fault
+    test: str  # pytest's node id
+    command: str  # with the seed that reproduces the failure
     seen: str
     issue: str
 
 
-def parse_entry(line: str, where: str) -> KnownFailure:
-    """The entry of a line; ``where``: file and line number, for the error."""
+def parse_entry(line: str, location: str) -> KnownFailure:
+    """Parses a line of the list; ``location``: file and line number, for error messages."""
     fields = [field.strip() for field in line.split("|")]
     if len(fields) != len(KnownFailure._fields) or not all(fields):
-        raise KnownRedError(f"{where}: expected: {FORM}")
+        raise KnownRedError(f"{location}: expected: {LINE_FORMAT}")
     entry = KnownFailure(*fields)
-    if "::" not in entry.test or not ISSUE.fullmatch(entry.issue):
-        raise KnownRedError(f"{where}: expected: {FORM}")
+    if "::" not in entry.test or not ISSUE_PATTERN.fullmatch(entry.issue):
+        raise KnownRedError(f"{location}: expected: {LINE_FORMAT}")
     return entry
 
 
 def read_list(folder: Path) -> list[KnownFailure]:
-    """The entries of the repository's list; none where it has no such file."""
-    path = folder / LIST
+    """Reads the list of the repository; empty if there is no such file."""
+    path = folder / LIST_FILE
     entries: list[KnownFailure] = []
     try:
         lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     except UnicodeDecodeError as error:
-        raise KnownRedError(f"{LIST}: not UTF-8 at byte {error.start}") from error
+        raise KnownRedError(f"{LIST_FILE}: not UTF-8 at byte {error.start}") from error
     for number, line in enumerate(lines, 1):
         if not line.strip() or line.strip().startswith("#"):
             continue
-        entry = parse_entry(line, f"{LIST}:{number}")
+        entry = parse_entry(line, f"{LIST_FILE}:{number}")
         if any(entry.test == other.test for other in entries):
-            raise KnownRedError(f"{LIST}:{number}: {entry.test} is listed twice")
+            raise KnownRedError(f"{LIST_FILE}:{number}: {entry.test} is listed twice")
         entries.append(entry)
     return entries
 
 
 def pytest_collection_modifyitems(config, items: list) -> None:
-    """Passes over just the listed tests; in the worker processes, which collect for themselves."""
+    """Deselects exactly the listed tests; also called in each worker process of pytest-xdist."""
     listed = {entry.test for entry in read_list(config.rootpath)}
     config.hook.pytest_deselected(items=[item for item in items if item.nodeid in listed])
     items[:] = [item for item in items if item.nodeid not in listed]
 
 
-def pytest(folder: Path, *args: str, is_quiet: bool = False) -> subprocess.CompletedProcess:
+def run_pytest(folder: Path, *args: str, is_quiet: bool = False) -> subprocess.CompletedProcess:
     path = os.pathsep.join(filter(None, [str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH")]))
     return subprocess.run(
         [sys.executable, "-m", "pytest", "-q", *args],
@@ -90,27 +91,27 @@
 
 def check_names_one_test(folder: Path, entry: KnownFailure) -> None:
     """Raise ``KnownRedError`` unless the entry's id is that of exactly one test."""
-    shown = pytest(folder, "-n", "0", "--collect-only", entry.test, is_quiet=True)
-    names = [line for line in shown.stdout.splitlines() if "::" in line and " " not in line.split("[")[0]]
-    if shown.returncode or names != [entry.test]:
-        raise KnownRedError(f"{LIST}: {entry.test} does not name one test")
+    collected = run_pytest(folder, "-n", "0", "--collect-only", entry.test, is_quiet=True)
+    test_ids = [line for line in collected.stdout.splitlines() if "::" in line and " " not in line.split("[")[0]]
+    if collected.returncode or test_ids != [entry.test]:
+        raise KnownRedError(f"{LIST_FILE}: {entry.test} does not name one test")
 
 
 def check_fails(folder: Path, entry: KnownFailure) -> None:
     """Raise ``KnownRedError`` unless the entry's test runs and fails."""
-    status = pytest(folder, "-n", "0", entry.test, is_quiet=True).returncode
+    status = run_pytest(folder, "-n", "0", entry.test, is_quiet=True).returncode
     if not status:
-        raise KnownRedError(f"{LIST}: {entry.test} passes: its line has to go")
-    if status != FAILED:
-        raise KnownRedError(f"{LIST}: {entry.test} did not run: pytest's exit status is {status}")
+        raise KnownRedError(f"{LIST_FILE}: {entry.test} passes: its line has to go")
+    if status != TESTS_FAILED:
+        raise KnownRedError(f"{LIST_FILE}: {entry.test} did not run: pytest's exit status is {status}")
 
 
 def check(folder: Path) -> None:
-    """Raise ``KnownRedError`` where the verdict is no."""
+    """Raise ``KnownRedError`` unless the suite passes and each listed test fails."""
     entries = read_list(folder)
     for entry in entries:
         check_names_one_test(folder, entry)
-    if pytest(folder, *(["-p", "known_red"] if entries else [])).returncode:
+    if run_pytest(folder, *(["-p", "known_red"] if entries else [])).returncode:
         raise KnownRedError("the suite fails")
     for entry in entries:
         check_fails(folder, entry)
--- a/tools/left_out_fit.py
+++ b/tools/left_out_fit.py
@@ -1,4 +1,4 @@
-"""A line fitted to all points but the last, which it then predicts."""
+"""Fits a line to all points but the last, and predicts the last."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 import numpy
 
 
-class Line(NamedTuple):
-    """Least squares through the points before the last."""
+class LeftOutFit(NamedTuple):
+    """Least-squares line through all points but the last."""
 
     base: float
     slope: float
-    predicted: float  # at the last point, which was left out
-    measured: float  # there
+    predicted: float  # value of the line at the last point
+    measured: float  # value of the last point
 
 
-def fit(counts: Sequence[float], values: Sequence[float]) -> Line:
-    """The line, and what it says of the point that was left out."""
-    slope, base = (float(one) for one in numpy.polyfit(counts[:-1], values[:-1], 1))
-    return Line(base, slope, base + slope * counts[-1], values[-1])
+def fit(counts: Sequence[float], values: Sequence[float]) -> LeftOutFit:
+    """Fits the line and compares its prediction for the last point."""
+    slope, base = (float(coefficient) for coefficient in numpy.polyfit(counts[:-1], values[:-1], 1))
+    return LeftOutFit(base, slope, base + slope * counts[-1], values[-1])
--- a/tools/service.py
+++ b/tools/service.py
@@ -1,24 +1,24 @@
-"""Service of each class, team and of the largest jobs on a day, against a calm one, from a bench run's printed log.
+"""Compares the service of classes, teams and the largest jobs on a day with a calm day, from the logs of bench runs.
 
     python3 tools/service.py [--cancel-s S] CALM.log DAY.log ...    each: output of `fleetbench run SITE DAY --log info`
 
-Service is the less of two shares. Done: jobs that ended as done, of those accepted and not cancelled. In time: jobs
-done within the time in which nine of ten of the same class were done on the calm day, against that
-day's nine of ten; for a team, over its jobs of all classes. Aims that name a class stand beside it, each
-against the calm day's. Below one half, the day has failed; so it has
+Service is the smaller of two shares. Done: jobs that ended as done, of those accepted and not cancelled. In time: jobs
+done within the 90th percentile of the times of their class on the calm day, divided by 0.9; for a team, over its jobs
+of all classes. Objectives of a class are compared with those of the calm day as well. A day has failed if one of these
+is below one half, or if
 
-* where less than half of a class's largest jobs are done: its tenth by CPUs, tasks times what each takes;
-* where one of these began later than four minutes after it was accepted, or after what it waits for was done;
-* where two controllers or more, or the only one that was asked, could tell nothing of a job for 75 s: forgotten.
-  The log tells of questions only where a controller could not answer for 25 s and more;
-* where a job was accepted that can't run, or lacks a field: no class, no team, no tasks or too many, no CPUs;
-* where a job that was cancelled began later than ``--cancel-s`` after that. Those that began earlier, but
-  after it, are counted. The log says when the end was decided, a moment before its user was told, and of a job's
-  first start alone, when its home heard of it.
+* fewer than half of the largest jobs of a class are done: a tenth of its jobs, by CPUs times tasks;
+* one of these started later than four minutes after it was accepted, or after the jobs that it depends on were done;
+* a job was forgotten: at least two controllers, or the only one, could not answer queries for it for 75 s. The log has
+  queries only if a controller could not answer them for at least 25 s;
+* a job was accepted that can't run or lacks a field: no class, no team, no tasks or too many, no CPUs;
+* a cancelled job started later than ``--cancel-s`` after its cancellation. Those that started earlier, but after the
+  cancellation, are counted. The log has the time of the decision to cancel, shortly before the response to the user,
+  and only the first start of a job, when its job shard received the report.
 
-Who waits beside room that fits is judged in ``tests/simulation/``: the log does not tell of room.
+Jobs that wait although free capacity fits them are checked in ``tests/simulation/``: the log does not have capacity.
 
-Exit status: 0 no day failed, 1 one did, 2 an output could not be read. The calm day itself is held to the same.
+Exit status: 0 no day failed, 1 a day failed, 2 a log could not be read. The calm day is checked like the others.
 """
 
 from __future__ import annotations
@@ -30,183 +30,189 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-HALF = 0.5
-LARGEST = 0.1  # share of a class's jobs
-BEGIN_S, KNOWN_S = 240.0, 75.0
-CANCEL_S = 42.0  # where no other is given
-MOST_TASKS = 100_000
-LINE = re.compile(
+MIN_SERVICE = 0.5
+LARGEST_SHARE = 0.1  # of the jobs of a class
+MAX_START_DELAY_S, FORGOTTEN_AFTER_S = 240.0, 75.0
+CANCEL_S = 42.0  # default of --cancel-s
+MAX_TASKS = 100_000
+JOB_LINE = re.compile(
     r"\s*(?P<at>[\d.]+) (?P<who>\S+) INFO \S+ job=(?P<job>\S+) "
     r"state=(?P<state>accepted|ready|started|done|aborted|unanswered)(?P<more>.*)"
 )
-AIM = re.compile(
+OBJECTIVE_LINE = re.compile(
     r"\s+(?:met|missed) +(?P<aim>(?:wait|finished|deadline) (?P<cls>\S+) [\d.]+ \S+)"
     r": (?P<value>[\d.]+) of"
 )
 
 
 @dataclass
-class Facts:
-    """What the log tells of one job; times in s of the day."""
+class JobRecord:
+    """The log's record of one job; times in s since the start of the day."""
 
     job_class: str
     team: str
     cpus: float
-    accepted: float
-    ready: float  # when it was accepted, or what it waits for was done
-    begun: float = math.inf
-    last_start: float = -math.inf  # not where a home has inherited it, and learns that it runs already
-    done: float = math.inf
-    aborted: float = math.inf  # when its end was first decided
-    flaw: str = ""  # why it should not have been accepted
-    unanswered: dict[str, float] = field(default_factory=dict)  # controller -> longest time without an answer there
+    accepted_at: float
+    ready_at: float  # when it was accepted or its dependencies were done
+    started_at: float = math.inf
+    last_start: float = -math.inf  # without starts that a new job owner logs for tasks that already run
+    done_at: float = math.inf
+    aborted_at: float = math.inf  # when its cancellation was first decided
+    defect: str = ""  # reason why it should not have been accepted
+    unanswered_s: dict[str, float] = field(default_factory=dict)  # controller -> longest time without an answer
 
     @property
     def cancelled(self) -> bool:
-        return self.aborted < math.inf
+        return self.aborted_at < math.inf
 
     @property
-    def took(self) -> float:
-        return self.done - self.accepted
+    def duration_s(self) -> float:
+        return self.done_at - self.accepted_at
 
 
 @dataclass
 class Day:
     name: str
-    jobs: dict[str, Facts] = field(default_factory=dict)
-    aims: dict[str, tuple[str, float]] = field(default_factory=dict)
+    jobs: dict[str, JobRecord] = field(default_factory=dict)
+    objectives: dict[str, tuple[str, float]] = field(default_factory=dict)
     controllers: set[str] = field(default_factory=set)
 
     @classmethod
     def read(cls, path: str) -> Day:
         day = cls(Path(path).stem)
         for line in Path(path).read_text(errors="replace").splitlines():
-            if found := LINE.match(line):
-                day.controllers.add(found["who"])
-                day.note(found["job"], found["state"], float(found["at"]), found["who"], found["more"])
-            elif found := AIM.match(line):
-                day.aims[found["aim"]] = (found["cls"], float(found["value"]))
-        if not day.jobs or not day.aims:
+            if match := JOB_LINE.match(line):
+                day.controllers.add(match["who"])
+                day.record(match["job"], match["state"], float(match["at"]), match["who"], match["more"])
+            elif match := OBJECTIVE_LINE.match(line):
+                day.objectives[match["aim"]] = (match["cls"], float(match["value"]))
+        if not day.jobs or not day.objectives:
             raise ValueError(f"{path}: expected a run's output with --log info, to its end")
         return day
 
-    def note(self, job: str, state: str, at: float, who: str, more: str) -> None:
-        facts = self.jobs.get(job)
+    def record(self, job_id: str, state: str, time_s: float, controller: str, rest: str) -> None:
+        job = self.jobs.get(job_id)
         if state == "accepted":
-            if facts is None:
-                told = dict(pair.split("=", 1) for pair in more.split() if "=" in pair)
-                each = float(told.get("cpus", 1.0))  # earlier versions did not say it
-                tasks = int(told.get("tasks") or 0)
-                lacks = [name for name in ("class", "team", "tasks") if not told.get(name)]
-                flaw = (
-                    f"lacks {', '.join(lacks)}"
-                    if lacks
+            if job is None:
+                fields = dict(pair.split("=", 1) for pair in rest.split() if "=" in pair)
+                cpus_per_task = float(fields.get("cpus", 1.0))  # missing in logs of earlier versions
+                tasks = int(fields.get("tasks") or 0)
+                missing = [name for name in ("class", "team", "tasks") if not fields.get(name)]
+                defect = (
+                    f"lacks {', '.join(missing)}"
+                    if missing
                     else f"{tasks} tasks"
-                    if not 1 <= tasks <= MOST_TASKS
+                    if not 1 <= tasks <= MAX_TASKS
                     else ""
-                    if each > 0
-                    else f"{each:g} CPUs"
-                )  # NaN is not
-                self.jobs[job] = Facts(
-                    told.get("class", ""), told.get("team", ""), 0.0 if flaw else tasks * each, at, at, flaw=flaw
+                    if cpus_per_task > 0  # false for NaN
+                    else f"{cpus_per_task:g} CPUs"
                 )
-        elif facts is None:
+                self.jobs[job_id] = JobRecord(
+                    fields.get("class", ""),
+                    fields.get("team", ""),
+                    0.0 if defect else tasks * cpus_per_task,
+                    time_s,
+                    time_s,
+                    defect=defect,
+                )
+        elif job is None:
             return
         elif state == "ready":
-            facts.ready = max(facts.ready, at) if facts.begun == math.inf else facts.ready
+            job.ready_at = max(job.ready_at, time_s) if job.started_at == math.inf else job.ready_at
         elif state == "started":
-            facts.begun = min(facts.begun, at)
-            if "runs already" not in more:
-                facts.last_start = max(facts.last_start, at)
+            job.started_at = min(job.started_at, time_s)
+            if "runs already" not in rest:
+                job.last_start = max(job.last_start, time_s)
         elif state == "done":
-            facts.done = min(facts.done, at)
+            job.done_at = min(job.done_at, time_s)
         elif state == "aborted":
-            facts.aborted = min(facts.aborted, at)
-        elif found := re.search(r"for ([\d.]+) s", more):
-            facts.unanswered[who] = max(facts.unanswered.get(who, 0.0), float(found[1]))
-
-    def groups(self, by: str) -> dict[str, list[Facts]]:
-        """Jobs that were not cancelled, by class or team."""
-        groups: dict[str, list[Facts]] = collections.defaultdict(list)
-        for facts in self.jobs.values():
-            if not facts.cancelled or facts.done < math.inf:
-                groups[getattr(facts, by)].append(facts)
+            job.aborted_at = min(job.aborted_at, time_s)
+        elif match := re.search(r"for ([\d.]+) s", rest):
+            job.unanswered_s[controller] = max(job.unanswered_s.get(controller, 0.0), float(match[1]))
+
+    def groups(self, key: str) -> dict[str, list[JobRecord]]:
+        """Jobs that were not cancelled before they were done, by class or team."""
+        groups: dict[str, list[JobRecord]] = collections.defaultdict(list)
+        for job in self.jobs.values():
+            if not job.cancelled or job.done_at < math.inf:
+                groups[getattr(job, key)].append(job)
         return dict(sorted(groups.items()))
 
     def forgotten(self) -> list[str]:
         return [
-            job
-            for job, facts in self.jobs.items()
-            if sum(wait >= KNOWN_S for wait in facts.unanswered.values()) >= min(2, len(self.controllers))
+            job_id
+            for job_id, job in self.jobs.items()
+            if sum(wait >= FORGOTTEN_AFTER_S for wait in job.unanswered_s.values()) >= min(2, len(self.controllers))
         ]
 
 
-def within(calm: Day) -> dict[str, float]:
-    """Per class, the time in which nine of ten of its jobs were done."""
+def time_limits(calm: Day) -> dict[str, float]:
+    """Per class, the 90th percentile of the time from acceptance to done."""
     result = {}
     for name, jobs in calm.groups("job_class").items():
-        times = sorted(facts.took for facts in jobs if facts.done < math.inf)
+        times = sorted(job.duration_s for job in jobs if job.done_at < math.inf)
         if times:
             result[name] = times[int(0.9 * (len(times) - 1))]
     return result
 
 
-def largest(jobs: list[Facts]) -> list[Facts]:
-    return sorted(jobs, key=lambda facts: -facts.cpus)[: math.ceil(len(jobs) * LARGEST)]
+def largest(jobs: list[JobRecord]) -> list[JobRecord]:
+    return sorted(jobs, key=lambda job: -job.cpus)[: math.ceil(len(jobs) * LARGEST_SHARE)]
 
 
-def report(day: Day, calm: Day, limit: dict[str, float], cancel_s: float = CANCEL_S) -> bool:
-    """Prints the day; whether it has failed."""
+def report(day: Day, calm: Day, limits: dict[str, float], cancel_s: float = CANCEL_S) -> bool:
+    """Prints the results of the day; returns whether it has failed."""
     failed = False
 
-    def say(text: str, bad: bool) -> None:
+    def print_result(text: str, is_failure: bool) -> None:
         nonlocal failed
-        failed |= bad
-        print(f"  {text}{' FAILED' if bad else ''}")
+        failed |= is_failure
+        print(f"  {text}{' FAILED' if is_failure else ''}")
 
     print(day.name)
-    for title, by in (("class", "job_class"), ("team", "team")):
-        for name, jobs in day.groups(by).items():
-            done = sum(facts.done < math.inf for facts in jobs) / len(jobs)
-            timely = sum(facts.took <= limit.get(facts.job_class, 0.0) for facts in jobs) / len(jobs) / 0.9
-            say(
-                f"{title} {name}: {len(jobs)} jobs, done {done:.3f}, in time {min(1.0, timely):.2f}",
-                min(done, timely) < HALF,
+    for title, key in (("class", "job_class"), ("team", "team")):
+        for name, jobs in day.groups(key).items():
+            done = sum(job.done_at < math.inf for job in jobs) / len(jobs)
+            in_time = sum(job.duration_s <= limits.get(job.job_class, 0.0) for job in jobs) / len(jobs) / 0.9
+            print_result(
+                f"{title} {name}: {len(jobs)} jobs, done {done:.3f}, in time {min(1.0, in_time):.2f}",
+                min(done, in_time) < MIN_SERVICE,
             )
     for name, jobs in day.groups("job_class").items():
-        large = largest(jobs)
-        done = sum(facts.done < math.inf for facts in large) / len(large)
-        waits = sorted(facts.begun - facts.ready for facts in large)
-        late = sum(wait > BEGIN_S for wait in waits)
-        say(
-            f"largest of {name}: {len(large)} jobs of {min(f.cpus for f in large):g} CPUs or more, done {done:.3f}, "
-            f"begun after {waits[len(waits) // 2]:.0f} s in the middle, {waits[-1]:.0f} s at most, {late} too late",
-            done < HALF or late > 0,
+        largest_jobs = largest(jobs)
+        done = sum(job.done_at < math.inf for job in largest_jobs) / len(largest_jobs)
+        waits = sorted(job.started_at - job.ready_at for job in largest_jobs)
+        late_count = sum(wait > MAX_START_DELAY_S for wait in waits)
+        print_result(
+            f"largest of {name}: {len(largest_jobs)} jobs of {min(job.cpus for job in largest_jobs):g} CPUs or more, "
+            f"done {done:.3f}, begun after {waits[len(waits) // 2]:.0f} s in the middle, {waits[-1]:.0f} s at most, "
+            f"{late_count} too late",
+            done < MIN_SERVICE or late_count > 0,
         )
     forgotten = day.forgotten()
-    longest = max((max(facts.unanswered.values(), default=0.0) for facts in day.jobs.values()), default=0.0)
-    say(
-        f"questions: {sum(bool(facts.unanswered) for facts in day.jobs.values())} jobs unanswered for a time at some "
+    longest = max((max(job.unanswered_s.values(), default=0.0) for job in day.jobs.values()), default=0.0)
+    print_result(
+        f"questions: {sum(bool(job.unanswered_s) for job in day.jobs.values())} jobs unanswered for a time at some "
         f"controller, {longest:.0f} s at most; {len(forgotten)} forgotten",
         bool(forgotten),
     )
-    flawed = [f"{job}: {facts.flaw}" for job, facts in day.jobs.items() if facts.flaw]
-    say(
-        f"submissions: {len(day.jobs)} accepted, {len(flawed)} that can't run or lack a field"
-        f"{' (' + flawed[0] + ')' if flawed else ''}",
-        bool(flawed),
+    defects = [f"{job_id}: {job.defect}" for job_id, job in day.jobs.items() if job.defect]
+    print_result(
+        f"submissions: {len(day.jobs)} accepted, {len(defects)} that can't run or lack a field"
+        f"{' (' + defects[0] + ')' if defects else ''}",
+        bool(defects),
     )
-    after = [facts.last_start - facts.aborted for facts in day.jobs.values() if facts.last_start > facts.aborted]
-    late = sum(by > cancel_s for by in after)
-    say(
-        f"cancelled: {sum(facts.cancelled for facts in day.jobs.values())} jobs, {len(after)} begun after that, "
-        f"{max(after, default=0.0):.1f} s at most, {late} beyond {cancel_s:g} s",
-        late > 0,
+    start_delays = [job.last_start - job.aborted_at for job in day.jobs.values() if job.last_start > job.aborted_at]
+    late_count = sum(delay > cancel_s for delay in start_delays)
+    print_result(
+        f"cancelled: {sum(job.cancelled for job in day.jobs.values())} jobs, {len(start_delays)} begun after that, "
+        f"{max(start_delays, default=0.0):.1f} s at most, {late_count} beyond {cancel_s:g} s",
+        late_count > 0,
     )
-    for aim, (_, value) in day.aims.items():
-        before = calm.aims.get(aim, ("", 0.0))[1]
-        if before and value / before < HALF:
-            say(f"aim {aim}: {value:.3f}, {value / before:.2f} of the calm day's", True)
+    for objective, (_, value) in day.objectives.items():
+        calm_value = calm.objectives.get(objective, ("", 0.0))[1]
+        if calm_value and value / calm_value < MIN_SERVICE:
+            print_result(f"aim {objective}: {value:.3f}, {value / calm_value:.2f} of the calm day's", True)
     return failed
 
 
@@ -222,8 +228,8 @@
     if not days:
         print(__doc__, file=sys.stderr)
         return 2
-    limit = within(days[0])
-    failed = [report(day, days[0], limit, cancel_s) for day in days]  # all of them are printed
+    limits = time_limits(days[0])
+    failed = [report(day, days[0], limits, cancel_s) for day in days]  # no short cut: all are printed
     return 1 if any(failed) else 0
 
 
